--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -464,7 +464,9 @@
 		ra := &race{t: t}
 		ra.serveFunc = func(ctx context.Context, te Tenure) (map[string]int64, error) {
 			if te.Epoch == 1 {
+				ra.mu.Lock()
 				first = te
+				ra.mu.Unlock()
 			}
 			<-ctx.Done()
 			return nil, nil
@@ -480,6 +482,8 @@
 		time.Sleep(20 * time.Second)
 		ra.hosts[0].gate.Set(standin.Fault{})
 		time.Sleep(2 * time.Second)
+		ra.mu.Lock()
+		defer ra.mu.Unlock()
 		qt.Assert(t, first.Confirmed().After(cut), qt.IsFalse)
 	})
 }
