--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -152,7 +152,7 @@
 	// Owns reports whether this host owns a shard at this moment.
 	Owns func(resource string) bool
 	// Since says when it began to.
-	Since func(resource string) lease.Beginning
+	Since func(resource string) lease.OwnershipStart
 	// Rules has the bounds.
 	Rules Rules
 
@@ -163,7 +163,7 @@
 
 // shard is the memory of one tenure of one shard.
 type shard struct {
-	begun lease.Beginning
+	begun lease.OwnershipStart
 	// vouches is the time from which all ids let through are remembered.
 	vouches time.Time
 	taken   map[string]entry
@@ -237,7 +237,7 @@
 
 // memory returns the memory of a tenure. It is that of the giver if the shard
 // was handed over with the tenure's first assignment, and else begins empty.
-func (le *Ledger) memory(resource string, begun lease.Beginning) *shard {
+func (le *Ledger) memory(resource string, begun lease.OwnershipStart) *shard {
 	sh := le.shards[resource]
 	if sh != nil && sh.begun == begun {
 		return sh
@@ -248,7 +248,7 @@
 	next := &shard{begun: begun, vouches: begun.At, taken: map[string]entry{}}
 	if sh != nil {
 		le.count -= len(sh.taken)
-		if sh.begun == (lease.Beginning{Epoch: begun.Epoch}) {
+		if sh.begun == (lease.OwnershipStart{Epoch: begun.Epoch}) {
 			next.vouches, next.taken = sh.vouches, sh.taken
 			le.count += len(sh.taken)
 		}
@@ -294,7 +294,7 @@
 
 // Export returns the memory of a shard that this host has ceased to act on,
 // for the owner in the assignment that follows epoch.
-func (le *Ledger) Export(resource string, since lease.Beginning, epoch int64) Handover {
+func (le *Ledger) Export(resource string, since lease.OwnershipStart, epoch int64) Handover {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	sh := le.memory(resource, since)
@@ -324,7 +324,7 @@
 		le.count -= len(sh.taken)
 	}
 	sh := &shard{
-		begun:   lease.Beginning{Epoch: ho.Epoch + 1},
+		begun:   lease.OwnershipStart{Epoch: ho.Epoch + 1},
 		vouches: time.UnixMilli(ho.VouchesFrom),
 		taken:   make(map[string]entry, len(ho.Taken)),
 	}
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -36,14 +36,14 @@
 type modelHost struct {
 	le    *Ledger
 	owns  bool
-	since lease.Beginning
+	since lease.OwnershipStart
 }
 
 func newModelHost(rules Rules) *modelHost {
 	mh := &modelHost{}
 	mh.le = &Ledger{
 		Owns:  func(string) bool { return mh.owns },
-		Since: func(string) lease.Beginning { return mh.since },
+		Since: func(string) lease.OwnershipStart { return mh.since },
 		Rules: rules,
 	}
 	return mh
@@ -131,7 +131,7 @@
 	}
 	mo.owner = next
 	mo.hosts[next].owns = true
-	mo.hosts[next].since = lease.Beginning{At: time.Now(), Epoch: mo.epoch}
+	mo.hosts[next].since = lease.OwnershipStart{At: time.Now(), Epoch: mo.epoch}
 }
 
 // moreChecks is how many sequences rapid tries: the faults found so far took
@@ -200,7 +200,7 @@
 				mo.hosts = append(mo.hosts, newModelHost(rules))
 			}
 			mo.hosts[0].owns = true
-			mo.hosts[0].since = lease.Beginning{At: time.Now(), Epoch: 1}
+			mo.hosts[0].since = lease.OwnershipStart{At: time.Now(), Epoch: 1}
 			time.Sleep(2 * time.Second)
 			rt.Repeat(mo.actions())
 		})
@@ -214,17 +214,19 @@
 
 func owning() *Ledger {
 	return &Ledger{
-		Owns:  func(string) bool { return true },
-		Since: func(string) lease.Beginning { return lease.Beginning{At: time.Now().Add(-time.Hour), Epoch: 1} },
+		Owns: func(string) bool { return true },
+		Since: func(string) lease.OwnershipStart {
+			return lease.OwnershipStart{At: time.Now().Add(-time.Hour), Epoch: 1}
+		},
 		Rules: DefaultRules,
 	}
 }
 
 func TestVerdicts(t *testing.T) {
 	c := qt.New(t)
-	begun := lease.Beginning{At: time.Now().Add(-time.Hour), Epoch: 1}
+	begun := lease.OwnershipStart{At: time.Now().Add(-time.Hour), Epoch: 1}
 	le := owning()
-	le.Since = func(string) lease.Beginning { return begun }
+	le.Since = func(string) lease.OwnershipStart { return begun }
 	id := NewID("")
 	c.Assert(le.Take(TakeRequest{ID: id, Sending: "a"}).Granted, qt.IsTrue)
 	c.Assert(le.Take(TakeRequest{ID: id, Sending: "a"}).Granted, qt.IsTrue)
@@ -235,7 +237,7 @@
 	c.Assert(le.Take(TakeRequest{ID: id, Sending: "b"}).Granted, qt.IsTrue)
 	old := idMadeAt(time.Now().Add(-DefaultRules.Window-time.Second), 1)
 	c.Assert(le.Take(TakeRequest{ID: old, Sending: "a"}).Reason, qt.Equals, reason.IDStale)
-	begun = lease.Beginning{At: time.Now(), Epoch: 2}
+	begun = lease.OwnershipStart{At: time.Now(), Epoch: 2}
 	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimBefore)
 	le.Owns = func(string) bool { return false }
 	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimAway)
@@ -245,7 +247,7 @@
 	c := qt.New(t)
 	le := owning()
 	begun := le.Since("")
-	le.Since = func(string) lease.Beginning { return begun }
+	le.Since = func(string) lease.OwnershipStart { return begun }
 	le.Rules.Most = 10
 	for range 10 {
 		c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Granted, qt.IsTrue)
@@ -304,15 +306,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		first, second, third := newModelHost(DefaultRules), newModelHost(DefaultRules), newModelHost(DefaultRules)
-		first.owns, first.since = true, lease.Beginning{At: time.Now(), Epoch: 1}
+		first.owns, first.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 1}
 		time.Sleep(time.Minute)
 		made := idMadeAt(time.Now(), 1)
 		id, err := Parse(made)
 		c.Assert(err, qt.IsNil)
 		second.le.Import(first.le.Export(id.Shard(), first.since, 1))
-		second.since = lease.Beginning{At: time.Now(), Epoch: 2}
+		second.since = lease.OwnershipStart{At: time.Now(), Epoch: 2}
 		third.le.Import(second.le.Export(id.Shard(), second.since, 2))
-		third.owns, third.since = true, lease.Beginning{At: time.Now(), Epoch: 3}
+		third.owns, third.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 3}
 		c.Assert(third.le.Take(TakeRequest{ID: made, Sending: "a"}).Granted, qt.IsTrue)
 	})
 }
@@ -324,12 +326,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		former, now := newModelHost(DefaultRules), newModelHost(DefaultRules)
-		former.owns, former.since = true, lease.Beginning{At: time.Now(), Epoch: 1}
+		former.owns, former.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 1}
 		time.Sleep(time.Minute)
 		id, err := Parse(idMadeAt(time.Now(), 1))
 		c.Assert(err, qt.IsNil)
 		ho := former.le.Export(id.Shard(), former.since, 1)
-		now.owns, now.since = true, lease.Beginning{At: time.Now().Add(-5 * time.Second), Epoch: 2}
+		now.owns, now.since = true, lease.OwnershipStart{At: time.Now().Add(-5 * time.Second), Epoch: 2}
 		c.Assert(now.le.Take(TakeRequest{ID: id.Text, Sending: "a"}).Granted, qt.IsTrue)
 		now.owns = false
 		now.le.Import(ho)
--- a/internal/dev/jobs.go
+++ b/internal/dev/jobs.go
@@ -54,7 +54,7 @@
 	co := queue.New(1, 0, []queue.Queue{{Name: jobQueue, Service: service, MaxFailures: 2, Stretch: 2, AllowanceMS: 1000}})
 	ya.keep = &tenure.Keeper{
 		Cell: jobCell, Self: "e1", Process: "e1-dev", Table: wo.table.Client(), Serve: ya.serveCell, Log: wo.set.Log,
-		AskFunc: func(context.Context, string, int64) (tenure.Life, error) { return tenure.Life{}, nil },
+		AskFunc: func(context.Context, string, int64) (tenure.HostStatus, error) { return tenure.HostStatus{}, nil },
 	}
 	ya.door = &door.Door{
 		Cell: jobCell, Table: wo.table.Client(), Keeper: ya.keep, Peers: http.DefaultClient,
--- a/internal/door/cut_test.go
+++ b/internal/door/cut_test.go
@@ -36,7 +36,7 @@
 		qt.Assert(t, cerr, qt.IsNil)
 		ke := ha.door.Keeper
 		ke.Table = ha.table.Client()
-		ke.AskFunc = func(context.Context, string, int64) (tenure.Life, error) { return tenure.Life{}, err }
+		ke.AskFunc = func(context.Context, string, int64) (tenure.HostStatus, error) { return tenure.HostStatus{}, err }
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		go ke.Run(ctx)
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -154,7 +154,7 @@
 		return resp, nil
 	}
 	if wire.PortRefused(err) {
-		do.Keeper.PortRefused(row.Process)
+		do.Keeper.NotifyPortRefused(row.Process)
 	}
 	if wire.NotConnected(err) || wire.Code(err) == codeNotOwner {
 		return zero, fmt.Errorf("ask owner %s: %w: %w", row.Owner, errNotDelivered, err)
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -48,7 +48,7 @@
 // own makes the host the owner, until the returned function is called.
 func (ha *hall) own() context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
-	te := tenure.Tenure{Epoch: 1, Key: "cells/c0/owner", Confirmed: time.Now, Written: time.Now, FormerEnded: time.Now, Renounce: func(error) { cancel() }}
+	te := tenure.Tenure{Epoch: 1, Key: "cells/c0/owner", Confirmed: time.Now, HeartbeatWritten: time.Now, FormerEnded: time.Now, End: func(error) { cancel() }}
 	ow := sched.New(&sched.Owner{Cell: "c0", Tenure: te, Table: ha.table.Client(), Log: ha.door.Log, Limits: sched.Limits{MaxLease: time.Second, KeepEnded: time.Minute}})
 	loaded := make(chan struct{})
 	go func() {
--- a/internal/door/peer.go
+++ b/internal/door/peer.go
@@ -52,12 +52,12 @@
 		return listReply{Jobs: jobs}, err
 	}))
 	mux.Handle("POST "+pathProcess, wire.Handle(func(_ context.Context, req replacement) (processReply, error) {
-		do.Keeper.Replaced(req.Epoch)
-		li := do.Keeper.Life()
+		do.Keeper.NotifyReplaced(req.Epoch)
+		li := do.Keeper.HostStatus()
 		return processReply{Host: li.Host, Process: li.Process, Refused: li.Refused, SinceLeaseMS: li.SinceLease.Milliseconds(), LeasesLeftMS: ceilMS(li.LeasesLeft)}, nil
 	}))
 	mux.Handle("POST "+pathVouch, wire.Handle(func(_ context.Context, req confirmation) (confirmationReply, error) {
-		return confirmationReply{Confirmed: do.Keeper.Vouch(req.Epoch, req.Process)}, nil
+		return confirmationReply{Confirmed: do.Keeper.Confirm(req.Epoch, req.Process)}, nil
 	}))
 	return mux
 }
@@ -94,10 +94,10 @@
 
 // Ask tells the entry host at addr of a new owner and returns what it says of
 // itself.
-func (do *Door) Ask(ctx context.Context, addr string, epoch int64) (tenure.Life, error) {
+func (do *Door) Ask(ctx context.Context, addr string, epoch int64) (tenure.HostStatus, error) {
 	re, err := wire.Post[replacement, processReply](ctx, do.Peers, "http://"+addr+pathProcess, replacement{Epoch: epoch})
 	since, left := time.Duration(max(re.SinceLeaseMS, 0))*time.Millisecond, time.Duration(max(re.LeasesLeftMS, 0))*time.Millisecond
-	return tenure.Life{Host: re.Host, Process: re.Process, Refused: re.Refused, SinceLease: since, LeasesLeft: left}, err
+	return tenure.HostStatus{Host: re.Host, Process: re.Process, Refused: re.Refused, SinceLease: since, LeasesLeft: left}, err
 }
 
 // Vouch asks a process on the entry host at addr whether it confirms the owner of an epoch.
--- a/internal/entry/cells.go
+++ b/internal/entry/cells.go
@@ -88,7 +88,7 @@
 // serveCall answers at the owner, and passes the message on once elsewhere.
 func serveCall[Req, Resp any](ctx context.Context, ho *Host, ca cellCall[Req, Resp], msg cellMessage[Req]) (Resp, error) {
 	var none Resp
-	addr, own, err := ho.ownerOf(lease.Cell(ho.set.DC))
+	addr, own, err := ho.ownerOf(lease.CellResource(ho.set.DC))
 	if own {
 		ow := ho.owner.Load()
 		if ow == nil {
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -118,7 +118,7 @@
 	rules.Most = ho.set.MaxClaims
 	ho.ledger = &claim.Ledger{
 		Owns:  func(re string) bool { ke := ho.keeper.Load(); return ke != nil && ke.Owns(re) },
-		Since: func(re string) lease.Beginning { return ho.since(re) },
+		Since: func(re string) lease.OwnershipStart { return ho.since(re) },
 		Rules: rules,
 	}
 	ho.guard = &claim.Guard{DCs: ho.set.DCs, Take: ho.takeClaim, Release: ho.releaseClaim}
@@ -132,11 +132,11 @@
 
 const sessionPatience = 30 * time.Second
 
-func (ho *Host) since(resource string) lease.Beginning {
+func (ho *Host) since(resource string) lease.OwnershipStart {
 	if ke := ho.keeper.Load(); ke != nil {
 		return ke.Since(resource)
 	}
-	return lease.Beginning{}
+	return lease.OwnershipStart{}
 }
 
 func (ho *Host) callerLimits() port.Limits {
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -186,15 +186,15 @@
 
 func (ho *Host) newKeeper(n int) *lease.Keeper {
 	timing := lease.DefaultTiming
-	timing.TTL, timing.Promise, timing.Every = ho.set.LeaseTTL, ho.set.LeaseTTL, ho.set.LeaseEvery
+	timing.TTL, timing.Promise, timing.Interval = ho.set.LeaseTTL, ho.set.LeaseTTL, ho.set.LeaseEvery
 	timing.Margin = ho.set.LeaseTTL / 12
 	return &lease.Keeper{
 		ID: memberID(ho.id, n), Addr: ho.PeerAddr(), DC: ho.set.DC,
-		Resources: append(claim.Resources(), lease.Cell(ho.set.DC)),
+		Resources: append(claim.Resources(), lease.CellResource(ho.set.DC)),
 		Table:     ho.table, Timing: timing,
-		Peers:      lease.Peers{PromiseFunc: ho.askPromise, DenialFunc: ho.askDenial},
-		OnEvent:    ho.leaseEvent,
-		BeforeGive: ho.handOver,
+		Peers:          lease.Peers{PromiseFunc: ho.askPromise, DenialFunc: ho.askDenial},
+		OnEvent:        ho.leaseEvent,
+		BeforeTransfer: ho.handOver,
 	}
 }
 
@@ -241,7 +241,7 @@
 func (ho *Host) runCell(ctx context.Context) {
 	every(ctx, cellEvery, func(ctx context.Context) {
 		ke := ho.keeper.Load()
-		resource := lease.Cell(ho.set.DC)
+		resource := lease.CellResource(ho.set.DC)
 		if ke == nil || !ke.Owns(resource) || ho.stopping.Load() {
 			return
 		}
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -235,7 +235,7 @@
 }
 
 // handOver carries the memory of a shard to its next owner.
-func (ho *Host) handOver(ctx context.Context, gi lease.Gift) {
+func (ho *Host) handOver(ctx context.Context, gi lease.Transfer) {
 	if lease.IsCell(gi.Resource) || gi.Addr == "" {
 		return
 	}
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -157,7 +157,7 @@
 
 func (de *Desk) confirmDead(ctx context.Context, pl Plan, id string) (Result, error) {
 	err := de.DeclareDead(ctx, id, pl.Beat)
-	if errors.Is(err, lease.ErrAlive) {
+	if errors.Is(err, lease.ErrRenewed) {
 		return Result{Changed: []string{err.Error()}}, nil
 	}
 	return Result{Applied: err == nil}, err
--- a/internal/jobhost/host.go
+++ b/internal/jobhost/host.go
@@ -101,7 +101,7 @@
 		Cell: cellName, Table: ho.table, Keeper: ho.keeper, Peers: transport.NewClient(peerConns, log),
 		Local: ho.owner.Load, ConfigFunc: ho.config.Load, ContactFunc: ho.follow.Contact, Metrics: me, Log: log,
 	}
-	ho.keeper.AskFunc, ho.keeper.VouchFunc = ho.door.Ask, ho.door.Vouch
+	ho.keeper.AskFunc, ho.keeper.ConfirmFunc = ho.door.Ask, ho.door.Vouch
 	ho.relay = &relay.Server{Agent: platform.NewAgent(ho.workers), Log: log}
 	ho.streams = transport.NewClient(1, log)
 	return ho, nil
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -215,7 +215,7 @@
 	if err := pl.tellPairs(ctx); err != nil {
 		return nil, err
 	}
-	te := tenure.Tenure{Epoch: 1, Key: ownerKey, Version: version, FormerEnded: time.Now, Confirmed: time.Now, Written: time.Now, Renounce: func(error) {}}
+	te := tenure.Tenure{Epoch: 1, Key: ownerKey, Version: version, FormerEnded: time.Now, Confirmed: time.Now, HeartbeatWritten: time.Now, End: func(error) {}}
 	ow := sched.New(&sched.Owner{
 		Cell: "c0", Tenure: te, Table: pl.table.Client(), Agent: pl.fleet.Agent(), Log: pl.log, Without: pl.va.Without,
 		Limits: sched.Limits{MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, HarmAfter: 4 * time.Second, KeepEnded: 2 * time.Minute},
--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -34,11 +34,11 @@
 	Now func() time.Time
 	// OnEvent is told of takeovers, extensions and losses; nil is not.
 	OnEvent func(Event)
-	// BeforeGive is called for a resource that the host owned and has ceased
+	// BeforeTransfer is called for a resource that the host owned and has ceased
 	// to act on, before the table says that another member owns it. Epoch is
 	// that of the assignment so far; the next one is the first in which the
 	// other may own it.
-	BeforeGive func(ctx context.Context, gi Gift)
+	BeforeTransfer func(ctx context.Context, gi Transfer)
 
 	mu       sync.Mutex
 	joined   bool
@@ -50,22 +50,22 @@
 	asg      Assignment
 	asgVer   int64
 	released map[string]bool
-	since    map[string]Beginning
+	since    map[string]OwnershipStart
 	addrs    map[string]string
 	seen     map[string]sighting
 	said     promises
 }
 
-// Beginning is when a host began to own a resource.
-type Beginning struct {
+// OwnershipStart is when a host began to own a resource.
+type OwnershipStart struct {
 	// At is by its wall clock.
 	At time.Time
 	// Epoch is that of the first assignment that said so.
 	Epoch int64
 }
 
-// Gift is a resource that changes hands by agreement.
-type Gift struct {
+// Transfer is a resource that changes hands by agreement.
+type Transfer struct {
 	// Resource is what changes hands.
 	Resource string
 	// To and Addr are the next owner.
@@ -74,7 +74,7 @@
 	// Epoch is that of the assignment before.
 	Epoch int64
 	// Since is when the giver began to own it.
-	Since Beginning
+	Since OwnershipStart
 }
 
 // Event is something that the keeper did.
@@ -136,7 +136,7 @@
 }
 
 // Since returns when the host began to own the resource.
-func (ke *Keeper) Since(resource string) Beginning {
+func (ke *Keeper) Since(resource string) OwnershipStart {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return ke.since[resource]
@@ -250,9 +250,9 @@
 	if version < ke.asgVer {
 		return
 	}
-	since := map[string]Beginning{}
+	since := map[string]OwnershipStart{}
 	for _, re := range asg.OwnedBy(ke.ID) {
-		since[re] = Beginning{At: time.Now(), Epoch: asg.Owners[re].Epoch}
+		since[re] = OwnershipStart{At: time.Now(), Epoch: asg.Owners[re].Epoch}
 		if be, ok := ke.since[re]; ok && be.Epoch == asg.Owners[re].Epoch {
 			since[re] = be
 		}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -41,16 +41,16 @@
 	Promise time.Duration
 	// Margin allows for clocks that run at different rates.
 	Margin time.Duration
-	// Every is the time between renewals, and between looks at the others.
-	Every time.Duration
+	// Interval is the time between renewals, and between looks at the others.
+	Interval time.Duration
 }
 
 // DefaultTiming is for few hosts; docs/CAPACITY.md has the writes it costs.
 var DefaultTiming = Timing{
-	TTL:     6 * time.Second,
-	Promise: 6 * time.Second,
-	Margin:  500 * time.Millisecond,
-	Every:   2 * time.Second,
+	TTL:      6 * time.Second,
+	Promise:  6 * time.Second,
+	Margin:   500 * time.Millisecond,
+	Interval: 2 * time.Second,
 }
 
 // Member is the row of one entry host.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -32,7 +32,7 @@
 	callTime = 300 * time.Millisecond
 )
 
-var modelResources = []string{"ids/0", "ids/1", "ids/2", "ids/3", Cell("dc")}
+var modelResources = []string{"ids/0", "ids/1", "ids/2", "ids/3", CellResource("dc")}
 
 // modelHost is a host of the model with its faults.
 type modelHost struct {
@@ -463,11 +463,11 @@
 		c.Assert(err, qt.IsNil)
 		c.Assert(members, qt.HasLen, 4)
 		for _, me := range members[:3] {
-			c.Assert(kes[3].DeclareDead(ctx, me.ID, me.Beat-1), qt.ErrorIs, ErrAlive)
+			c.Assert(kes[3].DeclareDead(ctx, me.ID, me.Beat-1), qt.ErrorIs, ErrRenewed)
 			c.Assert(kes[3].DeclareDead(ctx, me.ID, me.Beat), qt.IsNil)
 			c.Assert(kes[3].DeclareDead(ctx, me.ID, me.Beat), qt.IsNil)
 		}
-		c.Assert(kes[3].DeclareDead(ctx, members[3].ID, members[3].Beat), qt.ErrorIs, ErrAlive)
+		c.Assert(kes[3].DeclareDead(ctx, members[3].ID, members[3].Beat), qt.ErrorIs, ErrRenewed)
 		c.Assert(owned(kes[3]), qt.Equals, len(modelResources))
 		cancel()
 		time.Sleep(10 * time.Second)
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -14,7 +14,7 @@
 // Run takes the steps of the protocol until ctx ends or the lease is taken
 // over, which it returns as [ErrTakenOver]. The host must have joined.
 func (ke *Keeper) Run(ctx context.Context) error {
-	ti := time.NewTicker(ke.Timing.Every)
+	ti := time.NewTicker(ke.Timing.Interval)
 	defer ti.Stop()
 	for {
 		err := ke.step(ctx)
@@ -33,19 +33,19 @@
 // step renews, or else extends, and looks at the others. The table gets half
 // of a step's time, so that promises are asked for well before the end.
 func (ke *Keeper) step(ctx context.Context) error {
-	rctx, cancel := context.WithTimeout(ctx, ke.Timing.Every/2)
+	rctx, cancel := context.WithTimeout(ctx, ke.Timing.Interval/2)
 	defer cancel()
 	err := ke.Renew(rctx)
 	if errors.Is(err, ErrTakenOver) {
 		return err
 	}
 	if err != nil {
-		pctx, pcancel := context.WithTimeout(ctx, ke.Timing.Every/2)
+		pctx, pcancel := context.WithTimeout(ctx, ke.Timing.Interval/2)
 		defer pcancel()
 		ke.Extend(pctx)
 		return fmt.Errorf("step: %w", err)
 	}
-	wctx, wcancel := context.WithTimeout(ctx, ke.Timing.Every)
+	wctx, wcancel := context.WithTimeout(ctx, ke.Timing.Interval)
 	defer wcancel()
 	if _, err := ke.Watch(wctx); err != nil {
 		return err
@@ -61,7 +61,7 @@
 		if re == "" {
 			return nil
 		}
-		if err := ke.Give(ctx, re, to); err != nil {
+		if err := ke.Transfer(ctx, re, to); err != nil {
 			return err
 		}
 	}
@@ -94,19 +94,19 @@
 	return "", ""
 }
 
-// Give hands a resource to another member. The host stops owning it before
+// Transfer hands a resource to another member. The host stops owning it before
 // the table is asked; if the answer is lost it is settled by the next read.
-func (ke *Keeper) Give(ctx context.Context, resource, to string) error {
+func (ke *Keeper) Transfer(ctx context.Context, resource, to string) error {
 	ke.mu.Lock()
 	if ke.released == nil {
 		ke.released = map[string]bool{}
 	}
-	gi := Gift{Resource: resource, To: to, Addr: ke.addrs[to], Epoch: ke.asg.Epoch, Since: ke.since[resource]}
+	gi := Transfer{Resource: resource, To: to, Addr: ke.addrs[to], Epoch: ke.asg.Epoch, Since: ke.since[resource]}
 	ke.released[resource] = true
 	asg, asgVer := ke.asg.WithOwner(resource, to), ke.asgVer
 	ke.mu.Unlock()
-	if ke.BeforeGive != nil {
-		ke.BeforeGive(ctx, gi)
+	if ke.BeforeTransfer != nil {
+		ke.BeforeTransfer(ctx, gi)
 	}
 	txn, err := store.NewTxn().WithPut(ke.asgKey(), asgVer, asg)
 	if err != nil {
@@ -148,7 +148,7 @@
 			return nil
 		}
 		for _, gi := range gifts {
-			ke.BeforeGive(ctx, gi)
+			ke.BeforeTransfer(ctx, gi)
 		}
 		_, err := ke.removeMember(ctx, ke.ID, si.version, asg, asgVer)
 		if err == nil {
@@ -163,15 +163,15 @@
 
 // gifts returns what changes hands between the assignment of now and the
 // next.
-func (ke *Keeper) gifts(next Assignment) []Gift {
-	if ke.BeforeGive == nil {
+func (ke *Keeper) gifts(next Assignment) []Transfer {
+	if ke.BeforeTransfer == nil {
 		return nil
 	}
-	var gifts []Gift
+	var gifts []Transfer
 	for _, re := range ke.asg.OwnedBy(ke.ID) {
 		to := next.Owners[re].Owner
-		if to != "" && ke.since[re] != (Beginning{}) {
-			gifts = append(gifts, Gift{Resource: re, To: to, Addr: ke.addrs[to], Epoch: ke.asg.Epoch, Since: ke.since[re]})
+		if to != "" && ke.since[re] != (OwnershipStart{}) {
+			gifts = append(gifts, Transfer{Resource: re, To: to, Addr: ke.addrs[to], Epoch: ke.asg.Epoch, Since: ke.since[re]})
 		}
 	}
 	return gifts
@@ -192,8 +192,8 @@
 	return members, nil
 }
 
-// ErrAlive is returned for a member that has renewed since.
-var ErrAlive = errors.New("member has renewed since")
+// ErrRenewed is returned for a member that has renewed since.
+var ErrRenewed = errors.New("member has renewed since")
 
 // DeclareDead removes a member on an operator's word that its process is no
 // more, without a denial, if its row is still at the beat. A wrong word can
@@ -209,7 +209,7 @@
 	case !there:
 		return nil
 	case si.row.Beat != beat || id == ke.ID:
-		return fmt.Errorf("declare %s dead: %w", id, ErrAlive)
+		return fmt.Errorf("declare %s dead: %w", id, ErrRenewed)
 	}
 	if err := ke.takeOver(ctx, si); err != nil {
 		return err
@@ -222,7 +222,7 @@
 	_, there = ke.seen[id]
 	ke.mu.Unlock()
 	if there {
-		return fmt.Errorf("declare %s dead: %w", id, ErrAlive)
+		return fmt.Errorf("declare %s dead: %w", id, ErrRenewed)
 	}
 	return nil
 }
@@ -230,8 +230,8 @@
 // cellPrefix begins the names of cells among the resources.
 const cellPrefix = "cell/"
 
-// Cell returns the resource of a data centre's cell.
-func Cell(dc string) string { return cellPrefix + dc }
+// CellResource returns the resource of a data centre's cell.
+func CellResource(dc string) string { return cellPrefix + dc }
 
 // IsCell reports whether a resource is a cell.
 func IsCell(resource string) bool {
--- a/internal/sched/claims_test.go
+++ b/internal/sched/claims_test.go
@@ -74,7 +74,7 @@
 		ow.Tenure.Former.Bounded = true
 		ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
 		acts := claimed + time.Duration(float64(ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
-		if bound := claimed + time.Duration(float64(slowest(tenure.LeasesFor)+lapseMargin)/next); acts > bound {
+		if bound := claimed + time.Duration(float64(slowest(tenure.LeaseLimit)+lapseMargin)/next); acts > bound {
 			rt.Errorf("the next owner acts at %v, later than %v", acts, bound)
 		}
 		if ended > acts {
@@ -95,5 +95,5 @@
 	ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
 	qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, tenure.ExtendFor+slowest(10*time.Second)+lapseMargin)
 	ow.Tenure.Former.Bounded = true
-	qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, slowest(tenure.LeasesFor)+lapseMargin)
+	qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, slowest(tenure.LeaseLimit)+lapseMargin)
 }
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -207,7 +207,7 @@
 		return
 	}
 	ow.Log.Error("write refused", "cell", ow.Cell, "job", pa.en.jo.ID, "want", pa.en.progVer, "have", row.Version)
-	ow.Tenure.Renounce(fmt.Errorf("write of job %s: %w", pa.en.jo.ID, errStrange))
+	ow.Tenure.End(fmt.Errorf("write of job %s: %w", pa.en.jo.ID, errStrange))
 }
 
 // replaced reports whether a write was refused as another host has the cell, and ends the
@@ -217,7 +217,7 @@
 		return false
 	}
 	ow.Log.Warn("write refused: replaced as owner", "cell", ow.Cell, "epoch", ow.Tenure.Epoch)
-	ow.Tenure.Renounce(fmt.Errorf("write of cell %s: %w", ow.Cell, errReplaced))
+	ow.Tenure.End(fmt.Errorf("write of cell %s: %w", ow.Cell, errReplaced))
 	return true
 }
 
--- a/internal/sched/crowd_test.go
+++ b/internal/sched/crowd_test.go
@@ -66,7 +66,7 @@
 	co := &contender{cr: cr, cut: map[worker.Incarnation]bool{}}
 	co.keeper = &tenure.Keeper{
 		Cell: "c0", Self: name, Process: fmt.Sprintf("%s-%d", name, cr.born), Addr: name, Cores: cores,
-		Table: co.table(cr.lab.table.Client()), Serve: co.serve, AskFunc: co.ask, VouchFunc: co.vouch, Log: cr.log,
+		Table: co.table(cr.lab.table.Client()), Serve: co.serve, AskFunc: co.ask, ConfirmFunc: co.vouch, Log: cr.log,
 	}
 	ctx, end := context.WithCancel(context.Background())
 	co.end = end
@@ -148,18 +148,18 @@
 }
 
 // ask asks the last process of a host.
-func (co *contender) ask(_ context.Context, addr string, epoch int64) (tenure.Life, error) {
+func (co *contender) ask(_ context.Context, addr string, epoch int64) (tenure.HostStatus, error) {
 	const way = 3 * time.Millisecond
 	time.Sleep(way)
 	other := co.cr.last(addr)
 	if co.isDark() || other.isDark() {
-		return tenure.Life{}, errCut
+		return tenure.HostStatus{}, errCut
 	}
 	if other.isReborn() {
-		return tenure.Life{Host: addr, Process: addr + " reborn"}, nil
+		return tenure.HostStatus{Host: addr, Process: addr + " reborn"}, nil
 	}
-	other.keeper.Replaced(epoch)
-	return other.keeper.Life(), nil
+	other.keeper.NotifyReplaced(epoch)
+	return other.keeper.HostStatus(), nil
 }
 
 // vouch asks the last process of a host whether it confirms an owner.
@@ -170,7 +170,7 @@
 	if co.isDark() || other.isDark() || other.isReborn() {
 		return false, errCut
 	}
-	return other.keeper.Vouch(epoch, process), nil
+	return other.keeper.Confirm(epoch, process), nil
 }
 
 func (co *contender) isReborn() bool {
@@ -277,5 +277,5 @@
 	for _, co := range cr.hosts {
 		co.end()
 	}
-	time.Sleep(tenure.SilentAfter + time.Second)
+	time.Sleep(tenure.HeartbeatTimeout + time.Second)
 }
--- a/internal/sched/gone_test.go
+++ b/internal/sched/gone_test.go
@@ -50,7 +50,7 @@
 						other.die()
 					}
 					cr.loseWith(owner)
-					time.Sleep(tenure.UnreachableAfter + time.Second + freeWithin)
+					time.Sleep(tenure.UnreachableTimeout + time.Second + freeWithin)
 					cr.assertRunning(4)
 				})
 			})
--- a/internal/sched/handover.go
+++ b/internal/sched/handover.go
@@ -27,7 +27,7 @@
 func (ow *Owner) noteGiven(now time.Time) {
 	ow.handing.Lock()
 	defer ow.handing.Unlock()
-	ow.silent, ow.given = maps.Clone(ow.Tenure.Former.SilentMS), now
+	ow.silent, ow.given = maps.Clone(ow.Tenure.Former.LeaseLapseMS), now
 }
 
 // noteAnswer takes a worker that answers off what the next owner is told: its
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -349,8 +349,8 @@
 // it gets none.
 func (ho *host) leaseNow(now time.Time) int64 {
 	te := &ho.ow.Tenure
-	age := now.Sub(te.LastBacked())
-	if ho.isNoted() || ho.clockAt.IsZero() || age > quickest(tenure.ExtendFor) || (te.Extending != nil && !te.Extending()) {
+	age := now.Sub(te.LastConfirmed())
+	if ho.isNoted() || ho.clockAt.IsZero() || age > quickest(tenure.ExtendFor) || (te.MayExtend != nil && !te.MayExtend()) {
 		return 0
 	}
 	earliest := ho.clockNow(now)
@@ -363,7 +363,7 @@
 // confirmed. No lease outlives what its owner may claim: else the next one has to wait for
 // a whole lease after the last moment at which the former could have told one.
 func leaseFor(age, most time.Duration) time.Duration {
-	return max(min(most, tenure.LeasesFor-age), 0)
+	return max(min(most, tenure.LeaseLimit-age), 0)
 }
 
 // settle notes that the worker obeys this owner, and that a former one may have extended
@@ -426,7 +426,7 @@
 // leases, or once leases have lapsed since the last moment at which it can have
 // extended them, and those that former owners can claim at all.
 func (ow *Owner) orphansUntil(incarnation worker.Incarnation) time.Time {
-	if ms, ok := ow.Tenure.Former.SilentMS[incarnation.String()]; ok {
+	if ms, ok := ow.Tenure.Former.LeaseLapseMS[incarnation.String()]; ok {
 		return ow.opened.Add(time.Duration(ms)*time.Millisecond + lapseMargin)
 	}
 	extended, most := ow.formerBounds()
@@ -444,16 +444,16 @@
 // until when their leases run that keep to what confirmed their owners.
 func (ow *Owner) formerBounds() (extended, lapsed time.Time) {
 	te, unconfirmed := &ow.Tenure, ow.opened
-	if te.FormerUnconfirmed != nil {
-		unconfirmed = te.FormerUnconfirmed()
+	if te.FormerUnconfirmedSince != nil {
+		unconfirmed = te.FormerUnconfirmedSince()
 	}
-	extended, lapsed = unconfirmed.Add(tenure.ExtendFor), unconfirmed.Add(slowest(tenure.LeasesFor))
+	extended, lapsed = unconfirmed.Add(tenure.ExtendFor), unconfirmed.Add(slowest(tenure.LeaseLimit))
 	if unconfirmed.IsZero() {
-		most := ow.opened.Add(slowest(tenure.VouchedFor))
+		most := ow.opened.Add(slowest(tenure.WitnessedLeaseLimit))
 		extended, lapsed = most, most
 	}
-	if te.FormerLapse != nil {
-		if said := te.FormerLapse(); !said.IsZero() && said.Before(lapsed) {
+	if te.FormerLeasesEnd != nil {
+		if said := te.FormerLeasesEnd(); !said.IsZero() && said.Before(lapsed) {
 			lapsed = said
 		}
 	}
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -128,7 +128,7 @@
 	version, err := la.table.Client().Get(ctx, key, &former)
 	qt.Assert(la.t, err, qt.IsNil)
 	la.epoch++
-	former.SilentMS = la.handover
+	former.LeaseLapseMS = la.handover
 	if la.handover != nil {
 		former.Owner = ""
 	}
@@ -136,7 +136,7 @@
 	qt.Assert(la.t, err, qt.IsNil)
 	version, err = la.table.Client().Commit(ctx, txn)
 	qt.Assert(la.t, err, qt.IsNil)
-	return tenure.Tenure{Epoch: la.epoch, Key: key, Version: version, Former: former, FormerEnded: la.formerEnded(time.Now()), Confirmed: time.Now, Written: time.Now, Backed: time.Now, Renounce: func(error) {}}
+	return tenure.Tenure{Epoch: la.epoch, Key: key, Version: version, Former: former, FormerEnded: la.formerEnded(time.Now()), Confirmed: time.Now, HeartbeatWritten: time.Now, ConfirmedByAny: time.Now, End: func(error) {}}
 }
 
 // client returns the store as owners reach it.
@@ -173,12 +173,12 @@
 func (la *lab) begin() (*Owner, <-chan error, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	te := la.claim()
-	te.Renounce = func(error) { cancel() }
+	te.End = func(error) { cancel() }
 	if la.confirmedFunc != nil {
 		te.Confirmed = la.confirmedFunc
 	}
 	if la.writtenFunc != nil {
-		te.Written = la.writtenFunc
+		te.HeartbeatWritten = la.writtenFunc
 	}
 	ow := New(&Owner{
 		Cell: "c0", Tenure: te, Table: la.client(), Agent: la.agent(), Metrics: la.metrics, Log: la.log,
--- a/internal/sched/lapse_test.go
+++ b/internal/sched/lapse_test.go
@@ -25,7 +25,7 @@
 	now := time.Now()
 	for _, listed := range []time.Duration{time.Second, 12 * time.Second} {
 		ow := &Owner{Limits: Limits{MaxLease: 6 * time.Second}, opened: now}
-		ow.Tenure.Former = tenure.OwnerRow{SilentMS: map[string]int64{"i-0": listed.Milliseconds()}}
+		ow.Tenure.Former = tenure.OwnerRow{LeaseLapseMS: map[string]int64{"i-0": listed.Milliseconds()}}
 		ow.Tenure.FormerEnded = func() time.Time { return now }
 		qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "i-0"}).Sub(now), qt.Equals, listed+lapseMargin)
 	}
@@ -37,13 +37,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
-		te := tenure.Tenure{Epoch: 2, Former: tenure.OwnerRow{SilentMS: map[string]int64{"i-7": 5000, "i-8": 1000}}}
+		te := tenure.Tenure{Epoch: 2, Former: tenure.OwnerRow{LeaseLapseMS: map[string]int64{"i-7": 5000, "i-8": 1000}}}
 		ow := New(&Owner{Cell: "c0", Tenure: te, Table: la.table.Client(), Log: la.log})
 		ctx, end := context.WithCancel(context.Background())
 		go func() { _ = ow.Run(ctx, func() { t.Error("loaded") }) }()
 		time.Sleep(2 * time.Second)
 		qt.Assert(t, ow.Handover(), qt.DeepEquals, map[string]int64{"i-7": 3000, "i-8": 0})
-		qt.Assert(t, te.Former.SilentMS["i-7"], qt.Equals, int64(5000))
+		qt.Assert(t, te.Former.LeaseLapseMS["i-7"], qt.Equals, int64(5000))
 		end()
 		synctest.Wait()
 	})
--- a/internal/sched/noted.go
+++ b/internal/sched/noted.go
@@ -74,7 +74,7 @@
 	if former.Owner == "" || row.Epoch != former.Epoch || len(row.SilentMS) == 0 {
 		return
 	}
-	former.SilentMS = row.SilentMS
+	former.LeaseLapseMS = row.SilentMS
 	ow.noteGiven(ow.opened)
 	ow.Log.Info("leases of silent workers noted by the former owner", "cell", ow.Cell, "former", former.Owner, "epoch", row.Epoch,
 		"version", version, "workers", len(row.SilentMS))
--- a/internal/sched/third_test.go
+++ b/internal/sched/third_test.go
@@ -67,7 +67,7 @@
 		cr.cutWith(first, cr.busy())
 		cr.awaitOwner(second)
 		time.Sleep(300 * time.Millisecond)
-		second.keeper.Release(tenure.SilentAfter)
+		second.keeper.Release(tenure.HeartbeatTimeout)
 		cr.awaitOwner(third)
 		time.Sleep(20 * time.Second)
 		cr.assertRunning(4)
@@ -100,7 +100,7 @@
 			cr.join("c", 0.5)
 		}, 9 * time.Second},
 		{"the former one had stopped a second before", func(cr *crowd, first, second *contender) {
-			first.keeper.Release(tenure.SilentAfter)
+			first.keeper.Release(tenure.HeartbeatTimeout)
 			cr.awaitOwner(second)
 			time.Sleep(time.Second)
 			cr.loseWith(second)
@@ -115,7 +115,7 @@
 			cr.loseWith(first)
 			cr.awaitOwner(second)
 			time.Sleep(50 * time.Millisecond)
-			second.keeper.Release(tenure.SilentAfter)
+			second.keeper.Release(tenure.HeartbeatTimeout)
 		}, 8600 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -153,10 +153,10 @@
 		cr.fleet.Kill(cr.busy())
 		lost := time.Now()
 		time.Sleep(3 * time.Second)
-		first.keeper.Release(tenure.SilentAfter)
+		first.keeper.Release(tenure.HeartbeatTimeout)
 		cr.awaitOwner(second)
 		time.Sleep(500 * time.Millisecond)
-		second.keeper.Release(tenure.SilentAfter)
+		second.keeper.Release(tenure.HeartbeatTimeout)
 		cr.awaitOwner(third)
 		// The lease by the slowest clock, the margins, and a second to notice and start.
 		time.Sleep(time.Until(lost.Add(8 * time.Second)))
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -63,7 +63,7 @@
 // although their workers are well. It may answer reads and take no writes.
 func (ow *Owner) storeTrouble(now time.Time) bool {
 	return !ow.failing.IsZero() || ow.listAge(now) > listStale ||
-		now.Sub(ow.Tenure.Confirmed()) > unconfirmedAfter || now.Sub(ow.Tenure.Written()) > unconfirmedAfter
+		now.Sub(ow.Tenure.Confirmed()) > unconfirmedAfter || now.Sub(ow.Tenure.HeartbeatWritten()) > unconfirmedAfter
 }
 
 // listSound reports whether the list of workers has been believed for so long that a
--- a/internal/tenure/former.go
+++ b/internal/tenure/former.go
@@ -39,7 +39,7 @@
 // newFormer returns the owners before a claim of an epoch over the last one's row, of which
 // those before it may act until earlier.
 func (ke *Keeper) newFormer(last OwnerRow, epoch int64, earlier time.Time) *former {
-	witnessed := last.Owner != "" || !last.Alone && last.Epoch > 0
+	witnessed := last.Owner != "" || !last.FormerCeased && last.Epoch > 0
 	return &former{ke: ke, row: last, epoch: epoch, earlier: earlier, witnessed: witnessed}
 }
 
@@ -78,7 +78,7 @@
 	if since := fo.unconfirmedSince(); !since.IsZero() {
 		return since.Add(ExtendFor)
 	}
-	return fo.claimed.Add(VouchedFor)
+	return fo.claimed.Add(WitnessedLeaseLimit)
 }
 
 // last returns the last moment at which a former owner can have told a worker a lease.
@@ -98,7 +98,7 @@
 
 // lapses returns until when leases run at the latest that former owners told.
 func (fo *former) lapses() time.Time {
-	most := fo.claimed.Add(VouchedFor)
+	most := fo.claimed.Add(WitnessedLeaseLimit)
 	if since := fo.unconfirmedSince(); !since.IsZero() {
 		most = since.Add(lapseFor)
 	}
--- a/internal/tenure/heart.go
+++ b/internal/tenure/heart.go
@@ -45,7 +45,7 @@
 			he.ke.Log.Warn("heartbeat not written", "cell", he.ke.Cell, "epoch", he.epoch, "n", n, "err", err)
 		}
 		he.ke.noteBeat(sent, err == nil)
-		if !clock.Sleep(ctx, BeatEvery) {
+		if !clock.Sleep(ctx, HeartbeatInterval) {
 			return
 		}
 	}
@@ -74,7 +74,7 @@
 // anything.
 func (he *heart) beat(n int64) store.Txn {
 	txn := store.NewTxn()
-	value, err := json.Marshal(beatRow{Epoch: he.epoch, N: n, Alone: he.aloneFunc()})
+	value, err := json.Marshal(beatRow{Epoch: he.epoch, N: n, FormerCeased: he.aloneFunc()})
 	if err != nil {
 		he.ke.Log.Error("heartbeat cannot be encoded", "err", err)
 	}
--- a/internal/tenure/owners_test.go
+++ b/internal/tenure/owners_test.go
@@ -44,7 +44,7 @@
 	defer ac.mu.Unlock()
 	now := time.Now()
 	due := now.Sub(ac.extended[te.Epoch]) >= ac.every
-	if due && now.Sub(te.Confirmed()) <= ExtendFor && te.Extending() {
+	if due && now.Sub(te.Confirmed()) <= ExtendFor && te.MayExtend() {
 		ac.extended[te.Epoch] = now
 	}
 	ended := opened.Add(ExtendFor)
@@ -128,7 +128,7 @@
 		ra.kill(ri)
 		ra.addSized(ri.keeper.Self, ri.keeper.Cores)
 	case "release":
-		ri.keeper.Release(SilentAfter)
+		ri.keeper.Release(HeartbeatTimeout)
 	}
 }
 
@@ -189,7 +189,7 @@
 			{"the former owner may still act", ago(4 * time.Second), &former{claimed: ago(5 * time.Second)}, 0},
 		} {
 			ke := &Keeper{leased: tc.leased, former: tc.fo}
-			qt.Check(t, ke.Life().SinceLease, qt.Equals, tc.want, qt.Commentf("%s", tc.name))
+			qt.Check(t, ke.HostStatus().SinceLease, qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 		}
 	})
 }
@@ -198,7 +198,7 @@
 func TestNoLeaseAfterTheAnswer(t *testing.T) {
 	ke := &Keeper{Log: slog.New(slog.DiscardHandler)}
 	qt.Assert(t, ke.extending(3, time.Now()), qt.IsTrue)
-	ke.Replaced(4)
+	ke.NotifyReplaced(4)
 	qt.Assert(t, ke.extending(3, time.Now()), qt.IsFalse)
 	qt.Assert(t, ke.extending(4, time.Now()), qt.IsTrue)
 }
@@ -219,12 +219,12 @@
 			{"its own end last", in(0), in(5 * time.Second), &former{claimed: in(-time.Minute)}, 5 * time.Second},
 			{"all have ended", in(-time.Minute), in(-time.Second), &former{claimed: in(-time.Minute)}, time.Millisecond},
 			{"a former owner's end last", in(0), in(5 * time.Second), &former{claimed: in(-time.Second)}, lapseFor - time.Second},
-			{"a former owner may be confirmed yet", in(0), in(5 * time.Second), &former{claimed: in(-time.Second), witnessed: true}, VouchedFor - time.Second},
+			{"a former owner may be confirmed yet", in(0), in(5 * time.Second), &former{claimed: in(-time.Second), witnessed: true}, WitnessedLeaseLimit - time.Second},
 			{"it was since its witnesses were told", in(0), in(5 * time.Second), &former{claimed: in(-3 * time.Second), retiredAt: in(-time.Second)}, lapseFor - time.Second},
 			{"it said so", in(0), in(2 * time.Second), &former{claimed: in(-time.Second), lapse: in(3 * time.Second)}, 3 * time.Second},
 		} {
 			ke := &Keeper{leased: tc.leased, lapses: tc.lapses, former: tc.fo}
-			qt.Check(t, ke.Life().LeasesLeft, qt.Equals, tc.want, qt.Commentf("%s", tc.name))
+			qt.Check(t, ke.HostStatus().LeasesLeft, qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 		}
 	})
 }
--- a/internal/tenure/probe.go
+++ b/internal/tenure/probe.go
@@ -13,16 +13,16 @@
 	// probeTimeout is how long the answer may take: 3 ms of way, and some
 	// processor time of a host that may be short of it.
 	probeTimeout = 500 * time.Millisecond
-	// UnreachableAfter replaces SilentAfter when the owner's host neither writes
+	// UnreachableTimeout replaces HeartbeatTimeout when the owner's host neither writes
 	// heartbeats nor answers.
-	UnreachableAfter = suspectAfter + probeTimeout
+	UnreachableTimeout = suspectAfter + probeTimeout
 	// missedMost is how many heartbeats in a row an owner fails to write before it
 	// says that the store refuses it: one may fail while the store is slow.
 	missedMost = 2
 )
 
-// Life is what a host says of itself when it is asked.
-type Life struct {
+// HostStatus is what a host says of itself when it is asked.
+type HostStatus struct {
 	// Host is the host's name, Process its process.
 	Host    string
 	Process string
@@ -38,11 +38,11 @@
 	LeasesLeft time.Duration
 }
 
-// Life returns what this host says of itself.
-func (ke *Keeper) Life() Life {
+// HostStatus returns what this host says of itself.
+func (ke *Keeper) HostStatus() HostStatus {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	li := Life{Host: ke.Self, Process: ke.Process, Refused: ke.missed >= missedMost}
+	li := HostStatus{Host: ke.Self, Process: ke.Process, Refused: ke.missed >= missedMost}
 	if last := ke.lastLease(); !last.IsZero() {
 		li.SinceLease = max(time.Since(last), 0)
 		li.LeasesLeft = max(time.Until(ke.lastLapse()), time.Millisecond)
--- a/internal/tenure/row.go
+++ b/internal/tenure/row.go
@@ -13,22 +13,22 @@
 	MostCores float64 `json:"most_cores,omitempty"`
 	// Epoch counts owners.
 	Epoch int64 `json:"epoch"`
-	// SilentMS says, in the row of a cell that was released, after how many
+	// LeaseLapseMS says, in the row of a cell that was released, after how many
 	// milliseconds at the latest the leases of workers lapse that did not
 	// answer, by incarnation.
-	SilentMS map[string]int64 `json:"silent_ms,omitempty"`
+	LeaseLapseMS map[string]int64 `json:"silent_ms,omitempty"`
 	// Alone is set, in the row of a cell that was released, if all owners before
 	// the one that released it had ceased to act.
-	Alone bool `json:"alone,omitempty"`
-	// Bounded is set if this owner and all before it keep to LeasesFor, or to VouchedFor with
+	FormerCeased bool `json:"alone,omitempty"`
+	// Bounded is set if this owner and all before it keep to LeaseLimit, or to WitnessedLeaseLimit with
 	// the help of the witnesses that they name: those of earlier versions did not.
 	Bounded bool `json:"bounded_by_witnesses,omitempty"`
 }
 
-// bounds reports whether leases keep to LeasesFor that owners tell who follow on this one.
+// bounds reports whether leases keep to LeaseLimit that owners tell who follow on this one.
 // They may not be said to where an owner of an earlier version may still have told one.
 func (or OwnerRow) bounds() bool {
-	return or.Bounded || or.Owner == "" && (or.Alone || or.Epoch == 0)
+	return or.Bounded || or.Owner == "" && (or.FormerCeased || or.Epoch == 0)
 }
 
 // beatRow is the content of the heartbeat's row.
@@ -36,5 +36,5 @@
 	Epoch int64 `json:"epoch"`
 	N     int64 `json:"n"`
 	// Alone is set once all owners before this one have ceased to act.
-	Alone bool `json:"alone,omitempty"`
+	FormerCeased bool `json:"alone,omitempty"`
 }
--- a/internal/tenure/still_test.go
+++ b/internal/tenure/still_test.go
@@ -35,7 +35,7 @@
 			qt.Assert(t, ke.mayExtend(3, confirmed), qt.IsTrue)
 			time.Sleep(stood)
 			qt.Assert(t, ke.mayExtend(3, confirmed), qt.IsFalse)
-			qt.Assert(t, ke.Life().SinceLease, qt.Equals, stood)
+			qt.Assert(t, ke.HostStatus().SinceLease, qt.Equals, stood)
 			test(ke, confirmed)
 		})
 	}
@@ -43,7 +43,7 @@
 		still(t, func(ke *Keeper, _ time.Time) {
 			time.Sleep(time.Millisecond)
 			qt.Check(t, ke.mayExtend(3, time.Now()), qt.IsTrue)
-			qt.Check(t, ke.Life().SinceLease, qt.Equals, time.Duration(0))
+			qt.Check(t, ke.HostStatus().SinceLease, qt.Equals, time.Duration(0))
 		})
 	})
 	t.Run("unless the store is away", func(t *testing.T) {
@@ -75,7 +75,7 @@
 		told := map[int64]bool{}
 		ra := &race{t: t, serveFunc: func(ctx context.Context, te Tenure) (map[string]int64, error) {
 			mu.Lock()
-			told[te.Epoch] = te.Extending()
+			told[te.Epoch] = te.MayExtend()
 			mu.Unlock()
 			<-ctx.Done()
 			return nil, nil
@@ -86,11 +86,11 @@
 		time.Sleep(time.Second)
 		first, second := ra.last("e0"), ra.last("e1")
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
-		time.Sleep(SilentAfter + 2*time.Second)
+		time.Sleep(HeartbeatTimeout + 2*time.Second)
 		first.gate.Set(standin.Fault{})
 		time.Sleep(10 * time.Second)
 		ra.kill(second)
-		time.Sleep(SilentAfter + 2*time.Second)
+		time.Sleep(HeartbeatTimeout + 2*time.Second)
 		ra.stop()
 		mu.Lock()
 		defer mu.Unlock()
--- a/internal/tenure/stop_test.go
+++ b/internal/tenure/stop_test.go
@@ -181,7 +181,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ra := &race{t: t}
 		defer ra.stop()
-		fc := firstClaim{then: func(ri *rival) { ri.keeper.Replaced(2) }}
+		fc := firstClaim{then: func(ri *rival) { ri.keeper.NotifyReplaced(2) }}
 		ra.committed = fc.committed
 		ra.add("e0")
 		time.Sleep(2 * time.Second)
@@ -215,6 +215,6 @@
 		since := time.Now()
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, te.Confirmed().After(since), qt.IsTrue)
-		qt.Assert(t, te.Written().After(since), qt.IsFalse)
+		qt.Assert(t, te.HeartbeatWritten().After(since), qt.IsFalse)
 	})
 }
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -28,14 +28,14 @@
 
 // Intervals of ownership.
 const (
-	// BeatEvery is the time between heartbeats.
-	BeatEvery = 500 * time.Millisecond
-	// SilentAfter is the silence after which an owner is replaced: a store 120
+	// HeartbeatInterval is the time between heartbeats.
+	HeartbeatInterval = 500 * time.Millisecond
+	// HeartbeatTimeout is the silence after which an owner is replaced: a store 120
 	// times slower than usual takes 1.4 s for a write.
-	SilentAfter = 2800 * time.Millisecond
-	// RefusedAfter replaces SilentAfter when the owner's port refuses
+	HeartbeatTimeout = 2800 * time.Millisecond
+	// RefusedTimeout replaces HeartbeatTimeout when the owner's port refuses
 	// connections: its process has ended.
-	RefusedAfter = 900 * time.Millisecond
+	RefusedTimeout = 900 * time.Millisecond
 	// jitterMost spreads the claims of several hosts.
 	jitterMost = 150 * time.Millisecond
 	// checkEvery is how often silence is measured.
@@ -44,18 +44,18 @@
 	callTimeout = 1500 * time.Millisecond
 	// ExtendFor is how long after it was last confirmed, by the store or by witnesses, an
 	// owner goes on extending the leases of what runs. A new owner that can reach neither
-	// a worker nor its former owner waits for what that means for leases, see LeasesFor.
+	// a worker nor its former owner waits for what that means for leases, see LeaseLimit.
 	ExtendFor = 8 * time.Second
-	// LeasesFor is for how long after its owner was last confirmed a lease may run, by the
+	// LeaseLimit is for how long after its owner was last confirmed a lease may run, by the
 	// slowest clock: the next owner then waits for that from when nothing confirms its
 	// predecessors any more, and not for ExtendFor and a whole lease.
-	LeasesFor = 8 * time.Second
-	// lapseFor is LeasesFor by a worker's clock that is 2% slow, as measured by an owner's
+	LeaseLimit = 8 * time.Second
+	// lapseFor is LeaseLimit by a worker's clock that is 2% slow, as measured by an owner's
 	// that is 2% fast.
 	lapseFor = 8400 * time.Millisecond
 	// releaseWithin is how long a host that goes on tries to give its cell up; by then
 	// the others notice its silence. One that stops has its time to stop for that.
-	releaseWithin = SilentAfter
+	releaseWithin = HeartbeatTimeout
 	// askEvery is the time between questions to a former owner's host.
 	askEvery = 500 * time.Millisecond
 )
@@ -81,37 +81,37 @@
 	FormerEnded func() time.Time
 	// Confirmed returns when the store last confirmed the tenure, by an answer to a
 	// read, and Written when it last took a heartbeat: it may do the one without the other.
-	Confirmed func() time.Time
-	Written   func() time.Time
-	// Backed returns when the tenure was last confirmed, by the store or else by witnesses:
+	Confirmed        func() time.Time
+	HeartbeatWritten func() time.Time
+	// ConfirmedByAny returns when the tenure was last confirmed, by the store or else by witnesses:
 	// leases rest on that. If nil it is as Confirmed.
-	Backed func() time.Time
-	// FormerUnconfirmed returns since when nothing confirms any former owner, or zero if that
-	// is not known: then none is [VouchedFor] after the claim. If nil none is since then.
-	FormerUnconfirmed func() time.Time
-	// FormerLapse returns until when leases that former owners told run at the latest, or zero
+	ConfirmedByAny func() time.Time
+	// FormerUnconfirmedSince returns since when nothing confirms any former owner, or zero if that
+	// is not known: then none is [WitnessedLeaseLimit] after the claim. If nil none is since then.
+	FormerUnconfirmedSince func() time.Time
+	// FormerLeasesEnd returns until when leases that former owners told run at the latest, or zero
 	// if the last one has not said so. If nil none has.
-	FormerLapse func() time.Time
+	FormerLeasesEnd func() time.Time
 	// SetHosts takes in rows of the list of entry hosts, of which some are named as
 	// witnesses. If whole is set they are all there are. It is nil where none are.
 	SetHosts func(listed []registry.Member, gone []string, whole bool)
-	// Renounce ends the tenure when something showed that it is over.
-	Renounce func(reason error)
+	// End ends the tenure when something showed that it is over.
+	End func(reason error)
 	// Extending is called before workers are told leases, and reports whether they may
 	// be: not once this host was told of a new owner, to which it said when the last was.
-	Extending func() bool
+	MayExtend func() bool
 }
 
-// LastBacked returns when the tenure was last confirmed, by the store or else by witnesses.
-func (te *Tenure) LastBacked() time.Time {
-	if te.Backed == nil {
+// LastConfirmed returns when the tenure was last confirmed, by the store or else by witnesses.
+func (te *Tenure) LastConfirmed() time.Time {
+	if te.ConfirmedByAny == nil {
 		return te.Confirmed()
 	}
-	return te.Backed()
+	return te.ConfirmedByAny()
 }
 
-// ErrOver is the cause when a tenure ended because another host has the cell.
-var ErrOver = errors.New("another entry host owns the cell")
+// ErrReplaced is the cause when a tenure ended because another host has the cell.
+var ErrReplaced = errors.New("another entry host owns the cell")
 
 // Keeper takes part in the ownership of one cell. Set the fields, then call
 // [Keeper.Run].
@@ -133,10 +133,10 @@
 	BootFunc func() time.Duration
 	// AskFunc tells the host at addr that the cell has a new owner, and returns
 	// its process.
-	AskFunc func(ctx context.Context, addr string, epoch int64) (Life, error)
-	// VouchFunc asks a process at addr whether it confirms the owner of an epoch, see
-	// [Keeper.Vouch].
-	VouchFunc func(ctx context.Context, addr string, epoch int64, process string) (bool, error)
+	AskFunc func(ctx context.Context, addr string, epoch int64) (HostStatus, error)
+	// ConfirmFunc asks a process at addr whether it confirms the owner of an epoch, see
+	// [Keeper.Confirm].
+	ConfirmFunc func(ctx context.Context, addr string, epoch int64, process string) (bool, error)
 	// Log gets events.
 	Log *slog.Logger
 
@@ -200,8 +200,8 @@
 	return ke.row, ke.known && ke.row.Owner != ""
 }
 
-// PortRefused tells that the owner's port refused a connection.
-func (ke *Keeper) PortRefused(process string) {
+// NotifyPortRefused tells that the owner's port refused a connection.
+func (ke *Keeper) NotifyPortRefused(process string) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	if process == ke.row.Process && !ke.refused {
@@ -224,8 +224,8 @@
 	}
 }
 
-// Replaced ends the host's tenure if it is of an earlier epoch.
-func (ke *Keeper) Replaced(epoch int64) {
+// NotifyReplaced ends the host's tenure if it is of an earlier epoch.
+func (ke *Keeper) NotifyReplaced(epoch int64) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	// The answer counts for the end of all earlier tenures, also of one that this host
@@ -233,7 +233,7 @@
 	ke.told = max(ke.told, epoch)
 	if ke.end != nil && ke.row.Epoch < epoch {
 		ke.Log.Warn("told of a new owner", "cell", ke.Cell, "epoch", epoch)
-		ke.end(ErrOver)
+		ke.end(ErrReplaced)
 	}
 }
 
@@ -292,18 +292,18 @@
 		return
 	}
 	switch {
-	case or.Alone:
+	case or.FormerCeased:
 		ke.earlier = time.Time{}
 	case or.Epoch != ke.row.Epoch:
 		// From here on the store confirms none of those before it.
-		ke.earlier = time.Now().Add(VouchedFor)
+		ke.earlier = time.Now().Add(WitnessedLeaseLimit)
 	}
 	ke.row, ke.version = or, row.Version
 	ke.refused = false
 	ke.heard()
 	ke.Log.Info("owner of the cell", "cell", ke.Cell, "owner", or.Owner, "epoch", or.Epoch, "version", row.Version)
 	if ke.end != nil && or.Process != ke.Process {
-		ke.end(ErrOver)
+		ke.end(ErrReplaced)
 	}
 }
 
@@ -317,7 +317,7 @@
 	if be.Epoch == ke.row.Epoch && be != ke.beat {
 		ke.beat = be
 		ke.heard()
-		if be.Alone {
+		if be.FormerCeased {
 			ke.earlier = time.Time{}
 		}
 	}
@@ -343,14 +343,14 @@
 	if since.After(seen) {
 		seen = since
 	}
-	limit := SilentAfter
+	limit := HeartbeatTimeout
 	switch {
 	case ke.refused:
-		limit = RefusedAfter
+		limit = RefusedTimeout
 	case ke.turnedAway:
 		limit = suspectAfter
 	case ke.unreachable:
-		limit = UnreachableAfter
+		limit = UnreachableTimeout
 	}
 	if silent := time.Since(seen); silent > limit+ke.handicap(row) {
 		return row, version, true, fmt.Sprintf("owner silent for %v", silent.Round(time.Millisecond))
@@ -422,7 +422,7 @@
 		end(errStopping)
 	}
 	ke.row, ke.version, ke.end, ke.former = row, version, end, fo
-	ke.earlier = fo.claimed.Add(VouchedFor)
+	ke.earlier = fo.claimed.Add(WitnessedLeaseLimit)
 	ke.heard()
 	ke.mu.Unlock()
 	fo.begin(sctx)
@@ -433,9 +433,9 @@
 	go wi.run()
 	ke.Log.Info("owning the cell", "cell", ke.Cell, "epoch", row.Epoch, "version", version)
 	silent, err := ke.Serve(sctx, Tenure{
-		Epoch: row.Epoch, Key: ke.ownerKey(), Version: version, Former: fo.row, FormerEnded: fo.when, FormerUnconfirmed: fo.unconfirmedSince, FormerLapse: fo.saidLapse,
-		Confirmed: hb.last, Written: ke.written, Backed: wi.last, SetHosts: wi.setHosts, Renounce: end,
-		Extending: func() bool {
+		Epoch: row.Epoch, Key: ke.ownerKey(), Version: version, Former: fo.row, FormerEnded: fo.when, FormerUnconfirmedSince: fo.unconfirmedSince, FormerLeasesEnd: fo.saidLapse,
+		Confirmed: hb.last, HeartbeatWritten: ke.written, ConfirmedByAny: wi.last, SetHosts: wi.setHosts, End: end,
+		MayExtend: func() bool {
 			backed := wi.last()
 			return sctx.Err() == nil && ke.mayExtend(row.Epoch, backed)
 		},
@@ -446,8 +446,8 @@
 	ke.end = nil
 	ke.mu.Unlock()
 	ke.Log.Info("tenure ended", "cell", ke.Cell, "epoch", row.Epoch, "err", err, "cause", cause)
-	if !errors.Is(cause, ErrOver) {
-		ke.release(context.WithoutCancel(ctx), OwnerRow{Epoch: row.Epoch, MostCores: row.MostCores, SilentMS: silent, Alone: fo.alone(), Bounded: row.Bounded}, version)
+	if !errors.Is(cause, ErrReplaced) {
+		ke.release(context.WithoutCancel(ctx), OwnerRow{Epoch: row.Epoch, MostCores: row.MostCores, LeaseLapseMS: silent, FormerCeased: fo.alone(), Bounded: row.Bounded}, version)
 	}
 }
 
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -66,7 +66,7 @@
 	table := ra.table.Client()
 	ri.keeper = &Keeper{
 		Cell: "c0", Cores: cores, Self: name, Process: fmt.Sprintf("%s-%d", name, len(ra.hosts)), Addr: name, Table: ri.through(table),
-		Serve: ri.serve, AskFunc: ri.ask, VouchFunc: ri.vouch, Log: slog.New(slog.DiscardHandler),
+		Serve: ri.serve, AskFunc: ri.ask, ConfirmFunc: ri.vouch, Log: slog.New(slog.DiscardHandler),
 	}
 	if ra.serveFunc != nil {
 		ri.keeper.Serve = ra.serveFunc
@@ -118,16 +118,16 @@
 var errNobody = errors.New("nobody there")
 
 // ask asks the last process of a host for its life.
-func (ri *rival) ask(_ context.Context, addr string, epoch int64) (Life, error) {
-	return exchange(ri, addr, func(ke *Keeper) Life {
-		ke.Replaced(epoch)
-		return ke.Life()
+func (ri *rival) ask(_ context.Context, addr string, epoch int64) (HostStatus, error) {
+	return exchange(ri, addr, func(ke *Keeper) HostStatus {
+		ke.NotifyReplaced(epoch)
+		return ke.HostStatus()
 	})
 }
 
 // vouch asks the last process of a host whether it confirms an owner.
 func (ri *rival) vouch(_ context.Context, addr string, epoch int64, process string) (bool, error) {
-	return exchange(ri, addr, func(ke *Keeper) bool { return ke.Vouch(epoch, process) })
+	return exchange(ri, addr, func(ke *Keeper) bool { return ke.Confirm(epoch, process) })
 }
 
 // exchange carries a question to the last process of a host, and its answer back.
@@ -173,7 +173,7 @@
 	ri.ra.mu.Unlock()
 	ri.set(true)
 	ri.mu.Lock()
-	ri.renounce = te.Renounce
+	ri.renounce = te.End
 	ri.mu.Unlock()
 	<-ctx.Done()
 	ri.set(false)
@@ -260,12 +260,12 @@
 			first.gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 			if refused {
 				for _, ri := range ra.hosts {
-					ri.keeper.PortRefused(first.keeper.Process)
+					ri.keeper.NotifyPortRefused(first.keeper.Process)
 				}
 			}
-			within := SilentAfter + BeatEvery + 500*time.Millisecond
+			within := HeartbeatTimeout + HeartbeatInterval + 500*time.Millisecond
 			if refused {
-				within = RefusedAfter + BeatEvery + 500*time.Millisecond
+				within = RefusedTimeout + HeartbeatInterval + 500*time.Millisecond
 			}
 			time.Sleep(within)
 			qt.Assert(t, len(ra.tenures()), qt.Equals, 2)
@@ -283,7 +283,7 @@
 		ra.mu.Unlock()
 		// Before silence alone would do, even if the last heartbeat was as old as
 		// it can be.
-		time.Sleep(SilentAfter - BeatEvery - 200*time.Millisecond)
+		time.Sleep(HeartbeatTimeout - HeartbeatInterval - 200*time.Millisecond)
 		qt.Assert(t, len(ra.tenures()), qt.Equals, 2)
 	})
 }
@@ -294,7 +294,7 @@
 	raceOf(t, 3, func(ra *race) {
 		first := ra.owner()
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
-		time.Sleep(SilentAfter - BeatEvery - 200*time.Millisecond)
+		time.Sleep(HeartbeatTimeout - HeartbeatInterval - 200*time.Millisecond)
 		qt.Assert(t, ra.owner(), qt.Not(qt.Equals), first)
 		qt.Assert(t, len(ra.tenures()), qt.Equals, 2)
 	})
@@ -306,7 +306,7 @@
 	raceOf(t, 3, func(ra *race) {
 		first := ra.owner()
 		first.gate.Set(standin.Fault{Mode: standin.ModeFreeze})
-		time.Sleep(UnreachableAfter + 400*time.Millisecond)
+		time.Sleep(UnreachableTimeout + 400*time.Millisecond)
 		first.gate.Set(standin.Fault{})
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, ra.tenures(), qt.DeepEquals, []int64{1})
@@ -326,10 +326,10 @@
 	raceOf(t, 3, func(ra *race) {
 		first := ra.owner()
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
-		time.Sleep(SilentAfter + 2*time.Second)
+		time.Sleep(HeartbeatTimeout + 2*time.Second)
 		next := ra.owner()
 		qt.Assert(t, next, qt.Not(qt.Equals), first)
-		qt.Assert(t, errors.Is(first.cause(), ErrOver), qt.IsTrue)
+		qt.Assert(t, errors.Is(first.cause(), ErrReplaced), qt.IsTrue)
 		first.gate.Set(standin.Fault{})
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, ra.owner(), qt.Equals, next)
--- a/internal/tenure/witness.go
+++ b/internal/tenure/witness.go
@@ -42,9 +42,9 @@
 	reviewEvery = 10 * time.Second
 	// witnessedMost is how long after the store last confirmed an owner witnesses may.
 	witnessedMost = 13 * time.Second
-	// VouchedFor is for how long after the store last confirmed its owner a lease may run
-	// with the help of witnesses: for witnessedMost and LeasesFor, by the slowest clock.
-	VouchedFor = 22 * time.Second
+	// WitnessedLeaseLimit is for how long after the store last confirmed its owner a lease may run
+	// with the help of witnesses: for witnessedMost and LeaseLimit, by the slowest clock.
+	WitnessedLeaseLimit = 22 * time.Second
 )
 
 // witnessTable has the row.
@@ -64,10 +64,10 @@
 func confirmNeed(n int) int { return n - n/2 }
 func retireNeed(n int) int  { return n/2 + 1 }
 
-// Vouch reports whether this process confirms the owner of an epoch, which asks a process by
+// Confirm reports whether this process confirms the owner of an epoch, which asks a process by
 // its name. It does not while the store answers, which then confirms owners itself, nor before
 // it has read anything there.
-func (ke *Keeper) Vouch(epoch int64, process string) bool {
+func (ke *Keeper) Confirm(epoch int64, process string) bool {
 	ke.mu.Lock()
 	known := ke.known
 	ke.mu.Unlock()
@@ -202,7 +202,7 @@
 	wi.mu.Unlock()
 	answers := askAll(wi.ctx, asked, func(ctx context.Context, me registry.Member) bool {
 		sent := time.Now()
-		yes, err := wi.ke.VouchFunc(ctx, me.Addr, wi.row.Epoch, me.Process)
+		yes, err := wi.ke.ConfirmFunc(ctx, me.Addr, wi.row.Epoch, me.Process)
 		if err != nil || !yes {
 			return false
 		}
--- a/internal/tenure/witness_test.go
+++ b/internal/tenure/witness_test.go
@@ -44,7 +44,7 @@
 
 	mu sync.Mutex
 	// until is the latest end of a lease, acted when a next owner first took those of all
-	// former owners for ended, by epoch. soon counts those that did so before VouchedFor.
+	// former owners for ended, by epoch. soon counts those that did so before WitnessedLeaseLimit.
 	until, acted map[int64]time.Time
 	soon         int
 }
@@ -69,16 +69,16 @@
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	now := time.Now()
-	if backed := te.LastBacked(); now.Sub(backed) <= ExtendFor && te.Extending() {
-		le.until[te.Epoch] = later(le.until[te.Epoch], backed.Add(LeasesFor))
+	if backed := te.LastConfirmed(); now.Sub(backed) <= ExtendFor && te.MayExtend() {
+		le.until[te.Epoch] = later(le.until[te.Epoch], backed.Add(LeaseLimit))
 	}
 	if _, ok := le.acted[te.Epoch]; ok {
 		return
 	}
-	unconfirmed, said := te.FormerUnconfirmed(), te.FormerLapse()
-	if !unconfirmed.IsZero() && now.After(unconfirmed.Add(LeasesFor)) || !said.IsZero() && now.After(said) || now.After(opened.Add(VouchedFor)) {
+	unconfirmed, said := te.FormerUnconfirmedSince(), te.FormerLeasesEnd()
+	if !unconfirmed.IsZero() && now.After(unconfirmed.Add(LeaseLimit)) || !said.IsZero() && now.After(said) || now.After(opened.Add(WitnessedLeaseLimit)) {
 		le.acted[te.Epoch] = now
-		if now.Before(opened.Add(VouchedFor)) {
+		if now.Before(opened.Add(WitnessedLeaseLimit)) {
 			le.soon++
 		}
 	}
@@ -130,7 +130,7 @@
 				ra.disturb(rt)
 				time.Sleep(time.Duration(rapid.SampledFrom([]int{100, 1500, 4000, 4000, 9000}).Draw(rt, "pause")) * time.Millisecond)
 			}
-			time.Sleep(VouchedFor)
+			time.Sleep(WitnessedLeaseLimit)
 			ra.stop()
 			soon, all = soon+le.soon, all+len(le.acted)
 			for _, problem := range le.problems() {
@@ -162,11 +162,11 @@
 		second := ra.likelyOwner(nil)
 		qt.Assert(t, second.keeper.Self >= "e4", qt.IsTrue)
 		ra.kill(second)
-		time.Sleep(VouchedFor + 5*time.Second)
+		time.Sleep(WitnessedLeaseLimit + 5*time.Second)
 		le.mu.Lock()
 		longer := le.until[1].Sub(le.until[2])
 		le.mu.Unlock()
-		qt.Assert(t, longer > LeasesFor, qt.IsTrue)
+		qt.Assert(t, longer > LeaseLimit, qt.IsTrue)
 		qt.Assert(t, le.problems(), qt.HasLen, 0)
 	})
 }
@@ -207,7 +207,7 @@
 		ra.kill(ri)
 		ra.addSized(ri.keeper.Self, 0)
 	case "release":
-		ri.keeper.Release(SilentAfter)
+		ri.keeper.Release(HeartbeatTimeout)
 	case "heal":
 		ra.setGates(standin.Fault{}, func(*rival) bool { return true })
 		ra.cut("", "", false)
@@ -276,7 +276,7 @@
 		{"it has read nothing yet", true, "e1-1", 0, 0, 3, false},
 	} {
 		ke := &Keeper{Process: "e1-1", known: !tc.unread, row: OwnerRow{Epoch: tc.row}, told: tc.told, Log: slog.New(slog.DiscardHandler)}
-		qt.Check(t, ke.Vouch(tc.epoch, tc.process), qt.Equals, tc.wantConfirm, qt.Commentf("%s", tc.name))
+		qt.Check(t, ke.Confirm(tc.epoch, tc.process), qt.Equals, tc.wantConfirm, qt.Commentf("%s", tc.name))
 	}
 }
 
@@ -335,7 +335,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		members := []registry.Member{{Name: "a", Process: "a-1"}, {Name: "b", Process: "b-1"}, {Name: "c", Process: "c-1"}}
 		ke := &Keeper{Cell: "c0", Log: slog.New(slog.DiscardHandler)}
-		ke.AskFunc = func(_ context.Context, addr string, _ int64) (Life, error) { return Life{}, errNobody }
+		ke.AskFunc = func(_ context.Context, addr string, _ int64) (HostStatus, error) { return HostStatus{}, errNobody }
 		wi := &witnesses{ke: ke, ctx: t.Context(), confirmedFunc: time.Now}
 		qt.Assert(t, wi.best(members), qt.DeepEquals, members)
 		qt.Assert(t, wi.best(nil), qt.HasLen, 0)
@@ -349,7 +349,7 @@
 		for _, retired := range []bool{false, true} {
 			writes := 0
 			ke := &Keeper{Cell: "c0", Log: slog.New(slog.DiscardHandler)}
-			ke.AskFunc = func(context.Context, string, int64) (Life, error) { return Life{}, errNobody }
+			ke.AskFunc = func(context.Context, string, int64) (HostStatus, error) { return HostStatus{}, errNobody }
 			ke.Table.CommitFunc = func(context.Context, store.Txn) (store.CommitReply, error) {
 				writes++
 				return store.CommitReply{}, nil
