--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -40,20 +40,20 @@
 	// other may own it.
 	BeforeTransfer func(ctx context.Context, gi Transfer)
 
-	mu       sync.Mutex
-	joined   bool
-	lost     bool
-	row      Member
-	rowVer   int64
-	end      time.Time
-	pending  *renewal
-	asg      Assignment
-	asgVer   int64
-	released map[string]bool
-	since    map[string]OwnershipStart
-	addrs    map[string]string
-	seen     map[string]sighting
-	said     promises
+	mu                sync.Mutex
+	joined            bool
+	lost              bool
+	row               Member
+	rowVersion        int64
+	end               time.Time
+	pending           *renewal
+	assignment        Assignment
+	assignmentVersion int64
+	released          map[string]bool
+	since             map[string]OwnershipStart
+	addrs             map[string]string
+	observed          map[string]observation
+	given             promises
 }
 
 // OwnershipStart is when a host began to own a resource.
@@ -87,13 +87,13 @@
 
 // renewal is a renewal of which it is not known whether it took effect.
 type renewal struct {
-	txn   store.Txn
-	row   Member
-	begun time.Time
+	txn    store.Txn
+	row    Member
+	sentAt time.Time
 }
 
 // sighting is since when another member's row is seen unchanged.
-type sighting struct {
+type observation struct {
 	row     Member
 	version int64
 	at      time.Time
@@ -106,32 +106,32 @@
 	return time.Now()
 }
 
-func (ke *Keeper) event(kind, peer string) {
+func (ke *Keeper) emit(kind, peer string) {
 	if ke.OnEvent != nil {
 		ke.OnEvent(Event{Kind: kind, Peer: peer})
 	}
 }
 
-func (ke *Keeper) prefix() string          { return "lease/" + ke.DC + "/" }
-func (ke *Keeper) asgKey() string          { return ke.prefix() + "assignment" }
-func (ke *Keeper) rowKey(id string) string { return ke.prefix() + "member/" + id }
+func (ke *Keeper) prefix() string             { return "lease/" + ke.DC + "/" }
+func (ke *Keeper) assignmentKey() string      { return ke.prefix() + "assignment" }
+func (ke *Keeper) memberKey(id string) string { return ke.prefix() + "member/" + id }
 
 // Owns reports whether the host owns the resource at this moment. Ask before
 // each effect, not once for several.
 func (ke *Keeper) Owns(resource string) bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return ke.holds() && ke.asg.Owners[resource].Owner == ke.ID && !ke.released[resource]
+	return ke.validLocked() && ke.assignment.Owners[resource].Owner == ke.ID && !ke.released[resource]
 }
 
 // Valid reports whether the host's tenure holds.
 func (ke *Keeper) Valid() bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return ke.holds()
+	return ke.validLocked()
 }
 
-func (ke *Keeper) holds() bool {
+func (ke *Keeper) validLocked() bool {
 	return ke.joined && !ke.lost && ke.now().Before(ke.end)
 }
 
@@ -146,7 +146,7 @@
 func (ke *Keeper) Owner(resource string) (id, addr string) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	id = ke.asg.Owners[resource].Owner
+	id = ke.assignment.Owners[resource].Owner
 	return id, ke.addrs[id]
 }
 
@@ -154,7 +154,7 @@
 func (ke *Keeper) Assignment() Assignment {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return ke.asg
+	return ke.assignment
 }
 
 // Join enters the host as a member. An answer lost is settled by asking
@@ -165,18 +165,18 @@
 			return fmt.Errorf("join: %w", err)
 		}
 		ke.mu.Lock()
-		if si, there := ke.seen[ke.ID]; there {
+		if si, there := ke.observed[ke.ID]; there {
 			// Written by an attempt that was not heard of, nobody knows how
 			// long ago: the next renewal begins the tenure.
-			ke.joined, ke.row, ke.rowVer = true, si.row, si.version
+			ke.joined, ke.row, ke.rowVersion = true, si.row, si.version
 			ke.mu.Unlock()
 			return nil
 		}
 		begun := ke.now()
-		row := Member{ID: ke.ID, Addr: ke.Addr, Beat: 1, Known: without(ke.asg.Members, ke.ID)}
-		asg, asgVer := ke.asg.WithMember(ke.ID, ke.Resources), ke.asgVer
+		row := Member{ID: ke.ID, Addr: ke.Addr, Beat: 1, Known: without(ke.assignment.Members, ke.ID)}
+		asg, asgVer := ke.assignment.WithMember(ke.ID, ke.Resources), ke.assignmentVersion
 		ke.mu.Unlock()
-		txn, err := twoRows(ke.asgKey(), asgVer, asg, ke.rowKey(ke.ID), 0, row)
+		txn, err := putTwoRows(ke.assignmentKey(), asgVer, asg, ke.memberKey(ke.ID), 0, row)
 		if err != nil {
 			return fmt.Errorf("join: %w", err)
 		}
@@ -189,15 +189,15 @@
 		}
 		ke.mu.Lock()
 		ke.joined = true
-		ke.row, ke.rowVer, ke.end = row, version, begun.Add(ke.Timing.TTL)
+		ke.row, ke.rowVersion, ke.end = row, version, begun.Add(ke.Timing.TTL)
 		ke.adopt(asg, version)
 		ke.mu.Unlock()
-		ke.event("joined", "")
+		ke.emit("joined", "")
 		return nil
 	}
 }
 
-func twoRows(keyA string, verA int64, a any, keyB string, verB int64, b any) (store.Txn, error) {
+func putTwoRows(keyA string, verA int64, a any, keyB string, verB int64, b any) (store.Txn, error) {
 	txn, err := store.NewTxn().WithPut(keyA, verA, a)
 	if err != nil {
 		return txn, err
@@ -219,10 +219,10 @@
 	at := ke.now()
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	seen := map[string]sighting{}
+	seen := map[string]observation{}
 	addrs := map[string]string{}
 	for _, row := range rows {
-		if row.Key == ke.asgKey() {
+		if row.Key == ke.assignmentKey() {
 			var asg Assignment
 			if err := json.Unmarshal(row.Value, &asg); err != nil {
 				return fmt.Errorf("decode row %s: %w", row.Key, err)
@@ -235,19 +235,19 @@
 			return fmt.Errorf("decode row %s: %w", row.Key, err)
 		}
 		addrs[me.ID] = me.Addr
-		seen[me.ID] = sighting{row: me, version: row.Version, at: at}
-		if old, ok := ke.seen[me.ID]; ok && old.version == row.Version {
+		seen[me.ID] = observation{row: me, version: row.Version, at: at}
+		if old, ok := ke.observed[me.ID]; ok && old.version == row.Version {
 			seen[me.ID] = old
 		}
 	}
-	ke.seen, ke.addrs = seen, addrs
+	ke.observed, ke.addrs = seen, addrs
 	return nil
 }
 
 // adopt takes an assignment, unless a later one is known. Reads can come back
 // out of order.
 func (ke *Keeper) adopt(asg Assignment, version int64) {
-	if version < ke.asgVer {
+	if version < ke.assignmentVersion {
 		return
 	}
 	since := map[string]OwnershipStart{}
@@ -257,10 +257,10 @@
 			since[re] = be
 		}
 	}
-	if version > ke.asgVer {
+	if version > ke.assignmentVersion {
 		ke.released = nil
 	}
-	ke.asg, ke.asgVer, ke.since = asg, version, since
+	ke.assignment, ke.assignmentVersion, ke.since = asg, version, since
 }
 
 // Renew renews the host's row, by one message to the table. After an answer
@@ -273,7 +273,7 @@
 	}
 	version, err := ke.Table.Commit(ctx, re.txn)
 	if errors.Is(err, store.ErrConflict) {
-		version, err = ke.ownWrite(ctx, re)
+		version, err = ke.confirmOwnWrite(ctx, re)
 	}
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -285,9 +285,9 @@
 		return fmt.Errorf("renew: %w", err)
 	}
 	ke.pending = nil
-	ke.row, ke.rowVer = re.row, version
+	ke.row, ke.rowVersion = re.row, version
 	// From the first sending: the row may have changed as early as that.
-	ke.extendTo(re.begun.Add(ke.Timing.TTL))
+	ke.extendUntil(re.sentAt.Add(ke.Timing.TTL))
 	return nil
 }
 
@@ -305,19 +305,19 @@
 	}
 	row := ke.row
 	row.Beat++
-	row.Known = without(ke.asg.Members, ke.ID)
-	txn, err := store.NewTxn().WithPut(ke.rowKey(ke.ID), ke.rowVer, row)
+	row.Known = without(ke.assignment.Members, ke.ID)
+	txn, err := store.NewTxn().WithPut(ke.memberKey(ke.ID), ke.rowVersion, row)
 	if err != nil {
 		return nil, err
 	}
-	ke.pending = &renewal{txn: txn, row: row, begun: ke.now()}
+	ke.pending = &renewal{txn: txn, row: row, sentAt: ke.now()}
 	return ke.pending, nil
 }
 
 // ownWrite tells a conflict with the renewal itself, sent before, from a
 // takeover.
-func (ke *Keeper) ownWrite(ctx context.Context, re *renewal) (int64, error) {
-	reply, err := ke.Table.ReadFunc(ctx, store.ReadRequest{Keys: []string{ke.rowKey(ke.ID)}})
+func (ke *Keeper) confirmOwnWrite(ctx context.Context, re *renewal) (int64, error) {
+	reply, err := ke.Table.ReadFunc(ctx, store.ReadRequest{Keys: []string{ke.memberKey(ke.ID)}})
 	if err != nil {
 		return 0, fmt.Errorf("read back: %w", err)
 	}
@@ -327,7 +327,7 @@
 	return 0, ErrTakenOver
 }
 
-func (ke *Keeper) extendTo(end time.Time) {
+func (ke *Keeper) extendUntil(end time.Time) {
 	if end.After(ke.end) {
 		ke.end = end
 	}
@@ -353,9 +353,9 @@
 		return false
 	}
 	ke.mu.Lock()
-	ke.extendTo(asked.Add(ke.Timing.Promise - ke.Timing.Margin))
+	ke.extendUntil(asked.Add(ke.Timing.Promise - ke.Timing.Margin))
 	ke.mu.Unlock()
-	ke.event("extended", "")
+	ke.emit("extended", "")
 	return true
 }
 
@@ -384,14 +384,14 @@
 func (ke *Keeper) AnswerPromise(req PromiseRequest) Answer {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return Answer{OK: ke.said.promise(req, ke.now(), ke.Timing.Promise)}
+	return Answer{OK: ke.given.promise(req, ke.now(), ke.Timing.Promise)}
 }
 
 // AnswerDenial answers another member's [DenialRequest].
 func (ke *Keeper) AnswerDenial(req DenialRequest) Answer {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return Answer{OK: ke.said.deny(req, ke.now())}
+	return Answer{OK: ke.given.deny(req, ke.now())}
 }
 
 // Watch reads the rows of the data centre and takes over from members that
@@ -401,8 +401,8 @@
 		return nil, fmt.Errorf("watch: %w", err)
 	}
 	var taken []string
-	for _, si := range ke.silent() {
-		if !ke.denied(ctx, si) {
+	for _, si := range ke.unresponsive() {
+		if !ke.obtainDenial(ctx, si) {
 			continue
 		}
 		if err := ke.takeOver(ctx, si); err != nil {
@@ -415,25 +415,25 @@
 
 // silent returns the sightings old enough that a tenure from the table has
 // ended.
-func (ke *Keeper) silent() []sighting {
+func (ke *Keeper) unresponsive() []observation {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	var silent []sighting
+	var silent []observation
 	if !ke.joined || ke.lost {
 		return nil
 	}
-	for id, si := range ke.seen {
+	for id, si := range ke.observed {
 		if id != ke.ID && ke.now().Sub(si.at) > ke.Timing.TTL+ke.Timing.Margin {
 			silent = append(silent, si)
 		}
 	}
-	slices.SortFunc(silent, func(a, b sighting) int { return strings.Compare(a.row.ID, b.row.ID) })
+	slices.SortFunc(silent, func(a, b observation) int { return strings.Compare(a.row.ID, b.row.ID) })
 	return silent
 }
 
 // denied gets one denial from the known set of a silent member. An empty
 // known set needs none: such a member cannot extend its tenure.
-func (ke *Keeper) denied(ctx context.Context, si sighting) bool {
+func (ke *Keeper) obtainDenial(ctx context.Context, si observation) bool {
 	req := DenialRequest{Holder: si.row.ID, Beat: si.row.Beat}
 	if len(si.row.Known) == 0 {
 		return true
@@ -455,9 +455,9 @@
 
 // takeOver removes a member, on condition that its row and the assignment are
 // as they were seen. Losing the race is no error.
-func (ke *Keeper) takeOver(ctx context.Context, si sighting) error {
+func (ke *Keeper) takeOver(ctx context.Context, si observation) error {
 	ke.mu.Lock()
-	asg, asgVer := ke.asg.WithoutMember(si.row.ID), ke.asgVer
+	asg, asgVer := ke.assignment.WithoutMember(si.row.ID), ke.assignmentVersion
 	ke.mu.Unlock()
 	version, err := ke.removeMember(ctx, si.row.ID, si.version, asg, asgVer)
 	if errors.Is(err, store.ErrConflict) {
@@ -468,16 +468,16 @@
 	}
 	ke.mu.Lock()
 	ke.adopt(asg, version)
-	delete(ke.seen, si.row.ID)
+	delete(ke.observed, si.row.ID)
 	ke.mu.Unlock()
-	ke.event("took-over", si.row.ID)
+	ke.emit("took-over", si.row.ID)
 	return nil
 }
 
 func (ke *Keeper) removeMember(ctx context.Context, id string, rowVer int64, asg Assignment, asgVer int64) (int64, error) {
-	txn, err := store.NewTxn().WithPut(ke.asgKey(), asgVer, asg)
+	txn, err := store.NewTxn().WithPut(ke.assignmentKey(), asgVer, asg)
 	if err != nil {
 		return 0, err
 	}
-	return ke.Table.Settle(ctx, txn.WithDelete(ke.rowKey(id), rowVer))
+	return ke.Table.Settle(ctx, txn.WithDelete(ke.memberKey(id), rowVer))
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -20,7 +20,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("cut")
 
 // Sizes of the model.
 const (
@@ -40,30 +40,30 @@
 	rate float64
 	// away cuts it off from the table, lossy has answers lost after the
 	// write, deaf has its messages to peers fail, dead ends it.
-	away, lossy, dead bool
+	tableCut, losesAnswers, dead bool
 	// lag is how long answers to its questions take to arrive.
-	lag time.Duration
+	answerDelay time.Duration
 	// busy is set while it is in the middle of a step.
-	busy bool
-	cut  map[int]bool
+	busy    bool
+	cutFrom map[int]bool
 }
 
 // model is a data centre of entry hosts over one table.
 type model struct {
-	rt     *rapid.T
-	table  standin.Table
-	hosts  []*modelHost
-	begun  time.Time
-	made   int
-	broken string
-	depth  int
-	events map[string]int
+	rt        *rapid.T
+	table     standin.Table
+	hosts     []*modelHost
+	startedAt time.Time
+	started   int
+	violation string
+	depth     int
+	events    map[string]int
 	// mu guards the faults, where keepers run beside the test.
 	mu sync.Mutex
 }
 
 func newModel(rt *rapid.T) *model {
-	mo := &model{rt: rt, begun: time.Now(), events: map[string]int{}}
+	mo := &model{rt: rt, startedAt: time.Now(), events: map[string]int{}}
 	for range modelHosts {
 		mo.add()
 	}
@@ -72,14 +72,14 @@
 
 // add starts a process, which joins.
 func (mo *model) add() {
-	mo.made++
-	mh := &modelHost{rate: 1 + maxDrift*float64(rapid.IntRange(-10, 10).Draw(mo.rt, "drift"))/10, cut: map[int]bool{}}
-	id := fmt.Sprintf("h%d", mo.made)
+	mo.started++
+	mh := &modelHost{rate: 1 + maxDrift*float64(rapid.IntRange(-10, 10).Draw(mo.rt, "drift"))/10, cutFrom: map[int]bool{}}
+	id := fmt.Sprintf("h%d", mo.started)
 	mh.ke = &Keeper{
 		ID: id, Addr: id, DC: "dc", Resources: modelResources, Timing: DefaultTiming,
 		Table: mo.tableOf(mh),
-		Peers: Peers{PromiseFunc: mo.promise(mh), DenialFunc: mo.denial(mh)},
-		Now:   func() time.Time { return mo.begun.Add(time.Duration(float64(time.Since(mo.begun)) * mh.rate)) },
+		Peers: Peers{PromiseFunc: mo.promiseFunc(mh), DenialFunc: mo.denialFunc(mh)},
+		Now:   func() time.Time { return mo.startedAt.Add(time.Duration(float64(time.Since(mo.startedAt)) * mh.rate)) },
 		OnEvent: func(ev Event) {
 			mo.events[ev.Kind]++
 		},
@@ -101,45 +101,45 @@
 		// Without jitter, so that rapid can repeat a sequence.
 		BackOffFunc: func() backoff.BackOff { return backoff.NewConstantBackOff(50 * time.Millisecond) },
 		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
-			mo.meanwhile()
-			if mo.is(&mh.away) {
-				return store.ReadReply{}, errCut
+			mo.interleave()
+			if mo.faulty(&mh.tableCut) {
+				return store.ReadReply{}, errUnreachable
 			}
 			reply, err := cl.ReadFunc(ctx, req)
-			mo.meanwhile()
+			mo.interleave()
 			return reply, err
 		},
 		CommitFunc: func(ctx context.Context, txn store.Txn) (store.CommitReply, error) {
-			mo.meanwhile()
-			if mo.is(&mh.away) {
-				return store.CommitReply{}, errCut
+			mo.interleave()
+			if mo.faulty(&mh.tableCut) {
+				return store.CommitReply{}, errUnreachable
 			}
 			reply, err := cl.CommitFunc(ctx, txn)
-			if mo.is(&mh.lossy) {
-				return store.CommitReply{}, errCut
+			if mo.faulty(&mh.losesAnswers) {
+				return store.CommitReply{}, errUnreachable
 			}
-			mo.meanwhile()
+			mo.interleave()
 			return reply, err
 		},
 	}
 }
 
 // is reads a fault.
-func (mo *model) is(fault *bool) bool {
+func (mo *model) faulty(fault *bool) bool {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
 	return *fault
 }
 
 // set changes faults while keepers run beside the test.
-func (mo *model) set(fn func()) {
+func (mo *model) setFaults(fn func()) {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
 	fn()
 }
 
 // meanwhile lets time pass and another host act, now and then.
-func (mo *model) meanwhile() {
+func (mo *model) interleave() {
 	mo.check()
 	if mo.depth >= 1 || rapid.IntRange(0, 5).Draw(mo.rt, "meanwhile") > 0 {
 		return
@@ -149,12 +149,12 @@
 	for range rapid.IntRange(1, 3).Draw(mo.rt, "rounds") {
 		time.Sleep(time.Duration(rapid.IntRange(0, 4000).Draw(mo.rt, "pause ms")) * time.Millisecond)
 		mo.check()
-		mo.tick()
+		mo.stepHosts()
 	}
 }
 
 // tick has all hosts but some do what they do each few seconds.
-func (mo *model) tick() {
+func (mo *model) stepHosts() {
 	skip := rapid.IntRange(-1, len(mo.hosts)-1).Draw(mo.rt, "skip")
 	for i, mh := range mo.hosts {
 		if i == skip || mh.dead || mh.busy || !mh.ke.joined {
@@ -168,15 +168,15 @@
 }
 
 // reach returns the host with the id, if a message from mh arrives there.
-func (mo *model) reach(mh *modelHost, id string) *modelHost {
+func (mo *model) reachable(mh *modelHost, id string) *modelHost {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
 	for i, other := range mo.hosts {
-		if other.ke.ID != id || other.dead || mh.cut[i] || mh.dead {
+		if other.ke.ID != id || other.dead || mh.cutFrom[i] || mh.dead {
 			continue
 		}
 		for j, me := range mo.hosts {
-			if me == mh && other.cut[j] {
+			if me == mh && other.cutFrom[j] {
 				return nil
 			}
 		}
@@ -185,31 +185,31 @@
 	return nil
 }
 
-func (mo *model) promise(mh *modelHost) func(context.Context, string, string, PromiseRequest) (Answer, error) {
+func (mo *model) promiseFunc(mh *modelHost) func(context.Context, string, string, PromiseRequest) (Answer, error) {
 	return func(_ context.Context, id, _ string, req PromiseRequest) (Answer, error) {
-		other := mo.reach(mh, id)
+		other := mo.reachable(mh, id)
 		if other == nil {
-			return Answer{}, errCut
+			return Answer{}, errUnreachable
 		}
 		ans := other.ke.AnswerPromise(req)
-		time.Sleep(mh.lag)
+		time.Sleep(mh.answerDelay)
 		return ans, nil
 	}
 }
 
-func (mo *model) denial(mh *modelHost) func(context.Context, string, string, DenialRequest) (Answer, error) {
+func (mo *model) denialFunc(mh *modelHost) func(context.Context, string, string, DenialRequest) (Answer, error) {
 	return func(_ context.Context, id, _ string, req DenialRequest) (Answer, error) {
-		mo.meanwhile()
-		other := mo.reach(mh, id)
+		mo.interleave()
+		other := mo.reachable(mh, id)
 		if other == nil {
-			return Answer{}, errCut
+			return Answer{}, errUnreachable
 		}
 		return other.ke.AnswerDenial(req), nil
 	}
 }
 
 // act has a host take one step of the protocol.
-func (mo *model) act(i int) {
+func (mo *model) randomStep(i int) {
 	mh := mo.hosts[i]
 	if mh.dead || mh.busy {
 		return
@@ -226,7 +226,7 @@
 	case 6, 7:
 		_, _ = mh.ke.Watch(ctx)
 	case 8:
-		_ = mh.ke.shed(ctx)
+		_ = mh.ke.rebalance(ctx)
 	case 9:
 		_ = mh.ke.Leave(ctx)
 	}
@@ -242,38 +242,38 @@
 				owners = append(owners, mh.ke.ID)
 			}
 		}
-		if len(owners) > 1 && mo.broken == "" {
-			mo.broken = fmt.Sprintf("%s is owned by %v", re, owners)
+		if len(owners) > 1 && mo.violation == "" {
+			mo.violation = fmt.Sprintf("%s is owned by %v", re, owners)
 		}
 	}
 }
 
 func (mo *model) actions() map[string]func(*rapid.T) {
 	pick := func(rt *rapid.T) *modelHost { return mo.hosts[rapid.IntRange(0, len(mo.hosts)-1).Draw(rt, "host")] }
-	step := func(rt *rapid.T) { mo.act(rapid.IntRange(0, len(mo.hosts)-1).Draw(rt, "host")) }
+	step := func(rt *rapid.T) { mo.randomStep(rapid.IntRange(0, len(mo.hosts)-1).Draw(rt, "host")) }
 	tick := func(rt *rapid.T) {
 		time.Sleep(time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * time.Millisecond)
-		mo.tick()
+		mo.stepHosts()
 	}
 	return map[string]func(*rapid.T){
 		"step": step, "step 2": step, "tick": tick, "tick 2": tick, "tick 3": tick, "tick 4": tick,
 		"time": func(rt *rapid.T) {
 			time.Sleep(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 		},
-		"table away": func(rt *rapid.T) { mh := pick(rt); mh.away = !mh.away },
+		"table away": func(rt *rapid.T) { mh := pick(rt); mh.tableCut = !mh.tableCut },
 		"table away for all": func(rt *rapid.T) {
 			away := rapid.Bool().Draw(rt, "away")
 			for _, mh := range mo.hosts {
-				mh.away = away
+				mh.tableCut = away
 			}
 		},
-		"lossy": func(rt *rapid.T) { mh := pick(rt); mh.lossy = !mh.lossy },
+		"lossy": func(rt *rapid.T) { mh := pick(rt); mh.losesAnswers = !mh.losesAnswers },
 		"answers lag": func(rt *rapid.T) {
-			pick(rt).lag = time.Duration(rapid.IntRange(0, 6).Draw(rt, "lag")) * time.Second
+			pick(rt).answerDelay = time.Duration(rapid.IntRange(0, 6).Draw(rt, "lag")) * time.Second
 		},
 		"cut": func(rt *rapid.T) {
 			mh, i := pick(rt), rapid.IntRange(0, len(mo.hosts)-1).Draw(rt, "from")
-			mh.cut[i] = !mh.cut[i]
+			mh.cutFrom[i] = !mh.cutFrom[i]
 		},
 		"kill": func(rt *rapid.T) {
 			if len(mo.hosts) < 3*modelHosts {
@@ -300,8 +300,8 @@
 			if mo == nil {
 				return
 			}
-			if mo.broken != "" {
-				rt.Fatal(mo.broken)
+			if mo.violation != "" {
+				rt.Fatal(mo.violation)
 			}
 			for kind, n := range mo.events {
 				events[kind] += n
@@ -319,22 +319,22 @@
 }
 
 // inBubble runs a test over hosts without faults.
-func inBubble(t *testing.T, fn func(c *qt.C, mo *model)) {
+func withModel(t *testing.T, fn func(c *qt.C, mo *model)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		mo := &model{begun: time.Now(), events: map[string]int{}, depth: 2}
+		mo := &model{startedAt: time.Now(), events: map[string]int{}, depth: 2}
 		fn(qt.New(t), mo)
 	})
 }
 
-func (mo *model) plain(n int) []*Keeper {
+func (mo *model) addReliable(n int) []*Keeper {
 	var kes []*Keeper
 	for i := range n {
-		mh := &modelHost{rate: 1, cut: map[int]bool{}}
+		mh := &modelHost{rate: 1, cutFrom: map[int]bool{}}
 		id := fmt.Sprintf("p%d", i)
 		mh.ke = &Keeper{
 			ID: id, Addr: id, DC: "dc", Resources: modelResources, Timing: DefaultTiming, Table: mo.tableOf(mh),
-			Peers: Peers{PromiseFunc: mo.promise(mh), DenialFunc: mo.denial(mh)},
+			Peers: Peers{PromiseFunc: mo.promiseFunc(mh), DenialFunc: mo.denialFunc(mh)},
 		}
 		mo.hosts = append(mo.hosts, mh)
 		kes = append(kes, mh.ke)
@@ -347,7 +347,7 @@
 }
 
 // start has all join and run until ctx ends.
-func start(ctx context.Context, c *qt.C, kes []*Keeper) {
+func startAll(ctx context.Context, c *qt.C, kes []*Keeper) {
 	for _, ke := range kes {
 		c.Assert(ke.Join(ctx), qt.IsNil)
 		go func() { _ = ke.Run(ctx) }()
@@ -356,15 +356,15 @@
 	time.Sleep(5 * time.Second)
 }
 
-func TestDataCentreCutOffWholeKeepsItsLeases(t *testing.T) {
-	inBubble(t, func(c *qt.C, mo *model) {
+func TestIsolatedDataCentreKeepsItsLeases(t *testing.T) {
+	withModel(t, func(c *qt.C, mo *model) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		kes := mo.plain(3)
-		start(ctx, c, kes)
-		mo.set(func() {
+		kes := mo.addReliable(3)
+		startAll(ctx, c, kes)
+		mo.setFaults(func() {
 			for _, mh := range mo.hosts {
-				mh.away = true
+				mh.tableCut = true
 			}
 		})
 		for range 600 {
@@ -376,15 +376,15 @@
 	})
 }
 
-func TestHostCutOffAloneLosesItsLeases(t *testing.T) {
-	inBubble(t, func(c *qt.C, mo *model) {
+func TestIsolatedHostLosesItsLeases(t *testing.T) {
+	withModel(t, func(c *qt.C, mo *model) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		kes := mo.plain(3)
-		start(ctx, c, kes)
-		mo.set(func() {
+		kes := mo.addReliable(3)
+		startAll(ctx, c, kes)
+		mo.setFaults(func() {
 			alone := mo.hosts[0]
-			alone.away, alone.cut[1], alone.cut[2] = true, true, true
+			alone.tableCut, alone.cutFrom[1], alone.cutFrom[2] = true, true, true
 		})
 		time.Sleep(DefaultTiming.TTL + time.Second)
 		c.Assert(owned(kes[0]), qt.Equals, 0)
@@ -398,16 +398,16 @@
 // TestJoinedAgain has a host join whose first attempt was written and never
 // heard of. Its row may have been watched since, so that joining again gives no
 // tenure: only a renewal does.
-func TestJoinedAgain(t *testing.T) {
-	inBubble(t, func(c *qt.C, mo *model) {
-		kes := mo.plain(2)
+func TestRepeatedJoinGrantsNoTenure(t *testing.T) {
+	withModel(t, func(c *qt.C, mo *model) {
+		kes := mo.addReliable(2)
 		c.Assert(kes[0].Join(context.Background()), qt.IsNil)
 		cl := kes[1].Table
 		kes[1].Table.CommitFunc = func(ctx context.Context, txn store.Txn) (store.CommitReply, error) {
 			_, err := cl.CommitFunc(ctx, txn)
 			c.Check(err, qt.IsNil)
 			<-ctx.Done()
-			return store.CommitReply{}, errCut
+			return store.CommitReply{}, errUnreachable
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -426,37 +426,37 @@
 // first peer got lost on its way, and it did not know whether it had arrived.
 // A promise of that peer must not extend the tenure: if the renewal did not
 // arrive, a takeover needs no denial.
-func TestNoPromiseMakesUpForAnEmptyKnownSet(t *testing.T) {
-	inBubble(t, func(c *qt.C, mo *model) {
+func TestNoExtensionFromEmptyKnownSet(t *testing.T) {
+	withModel(t, func(c *qt.C, mo *model) {
 		ctx := context.Background()
-		kes := mo.plain(2)
+		kes := mo.addReliable(2)
 		c.Assert(kes[0].Join(ctx), qt.IsNil)
 		c.Assert(kes[1].Join(ctx), qt.IsNil)
 		_, err := kes[0].Watch(ctx)
 		c.Assert(err, qt.IsNil)
-		mo.hosts[0].away = true
-		c.Assert(kes[0].Renew(ctx), qt.ErrorIs, errCut)
+		mo.hosts[0].tableCut = true
+		c.Assert(kes[0].Renew(ctx), qt.ErrorIs, errUnreachable)
 		c.Assert(kes[0].Extend(ctx), qt.IsFalse)
 	})
 }
 
 func TestDeclareDead(t *testing.T) {
-	inBubble(t, func(c *qt.C, mo *model) {
+	withModel(t, func(c *qt.C, mo *model) {
 		ctx, cancel := context.WithCancel(context.Background())
-		kes := mo.plain(4)
-		start(ctx, c, kes[:3])
+		kes := mo.addReliable(4)
+		startAll(ctx, c, kes[:3])
 		cancel()
 		time.Sleep(time.Minute)
 		// All members are gone at once: nobody of their known sets is left to
 		// deny, and only an operator can say so.
 		ctx, cancel = context.WithCancel(context.Background())
 		defer cancel()
-		mo.set(func() {
+		mo.setFaults(func() {
 			for i := range 3 {
 				mo.hosts[i].dead = true
 			}
 		})
-		start(ctx, c, kes[3:])
+		startAll(ctx, c, kes[3:])
 		time.Sleep(time.Minute)
 		c.Assert(owned(kes[3]), qt.Equals, 0)
 		members, err := kes[3].Members(ctx)
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -19,7 +19,7 @@
 	for {
 		err := ke.step(ctx)
 		if errors.Is(err, ErrTakenOver) {
-			ke.event("taken-over", "")
+			ke.emit("taken-over", "")
 			return err
 		}
 		select {
@@ -50,14 +50,14 @@
 	if _, err := ke.Watch(wctx); err != nil {
 		return err
 	}
-	return ke.shed(wctx)
+	return ke.rebalance(wctx)
 }
 
 // shed gives resources to the member with the fewest, while this host has at
 // least two more.
-func (ke *Keeper) shed(ctx context.Context) error {
+func (ke *Keeper) rebalance(ctx context.Context) error {
 	for {
-		re, to := ke.surplus()
+		re, to := ke.nextTransfer()
 		if re == "" {
 			return nil
 		}
@@ -69,16 +69,16 @@
 
 // surplus returns a resource to give away and its new owner. A cell is left
 // where it is: moving it costs a recovery and evens out nothing.
-func (ke *Keeper) surplus() (resource, to string) {
+func (ke *Keeper) nextTransfer() (resource, to string) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	count := map[string]int{}
-	for re, ow := range ke.asg.Owners {
+	for re, ow := range ke.assignment.Owners {
 		if !IsCell(re) {
 			count[ow.Owner]++
 		}
 	}
-	for _, id := range ke.asg.Members {
+	for _, id := range ke.assignment.Members {
 		if to == "" || count[id] < count[to] {
 			to = id
 		}
@@ -86,7 +86,7 @@
 	if ke.lost || to == ke.ID || count[ke.ID] < count[to]+2 {
 		return "", ""
 	}
-	for _, re := range ke.asg.OwnedBy(ke.ID) {
+	for _, re := range ke.assignment.OwnedBy(ke.ID) {
 		if !IsCell(re) {
 			return re, to
 		}
@@ -101,14 +101,14 @@
 	if ke.released == nil {
 		ke.released = map[string]bool{}
 	}
-	gi := Transfer{Resource: resource, To: to, Addr: ke.addrs[to], Epoch: ke.asg.Epoch, Since: ke.since[resource]}
+	gi := Transfer{Resource: resource, To: to, Addr: ke.addrs[to], Epoch: ke.assignment.Epoch, Since: ke.since[resource]}
 	ke.released[resource] = true
-	asg, asgVer := ke.asg.WithOwner(resource, to), ke.asgVer
+	asg, asgVer := ke.assignment.WithOwner(resource, to), ke.assignmentVersion
 	ke.mu.Unlock()
 	if ke.BeforeTransfer != nil {
 		ke.BeforeTransfer(ctx, gi)
 	}
-	txn, err := store.NewTxn().WithPut(ke.asgKey(), asgVer, asg)
+	txn, err := store.NewTxn().WithPut(ke.assignmentKey(), asgVer, asg)
 	if err != nil {
 		return err
 	}
@@ -140,9 +140,9 @@
 			return fmt.Errorf("leave: %w", err)
 		}
 		ke.mu.Lock()
-		si, there := ke.seen[ke.ID]
-		asg, asgVer := ke.asg.WithoutMember(ke.ID), ke.asgVer
-		gifts := ke.gifts(asg)
+		si, there := ke.observed[ke.ID]
+		asg, asgVer := ke.assignment.WithoutMember(ke.ID), ke.assignmentVersion
+		gifts := ke.transfers(asg)
 		ke.mu.Unlock()
 		if !there {
 			return nil
@@ -152,7 +152,7 @@
 		}
 		_, err := ke.removeMember(ctx, ke.ID, si.version, asg, asgVer)
 		if err == nil {
-			ke.event("left", "")
+			ke.emit("left", "")
 			return nil
 		}
 		if !errors.Is(err, store.ErrConflict) {
@@ -163,15 +163,15 @@
 
 // gifts returns what changes hands between the assignment of now and the
 // next.
-func (ke *Keeper) gifts(next Assignment) []Transfer {
+func (ke *Keeper) transfers(next Assignment) []Transfer {
 	if ke.BeforeTransfer == nil {
 		return nil
 	}
 	var gifts []Transfer
-	for _, re := range ke.asg.OwnedBy(ke.ID) {
+	for _, re := range ke.assignment.OwnedBy(ke.ID) {
 		to := next.Owners[re].Owner
 		if to != "" && ke.since[re] != (OwnershipStart{}) {
-			gifts = append(gifts, Transfer{Resource: re, To: to, Addr: ke.addrs[to], Epoch: ke.asg.Epoch, Since: ke.since[re]})
+			gifts = append(gifts, Transfer{Resource: re, To: to, Addr: ke.addrs[to], Epoch: ke.assignment.Epoch, Since: ke.since[re]})
 		}
 	}
 	return gifts
@@ -185,7 +185,7 @@
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	var members []Member
-	for _, si := range ke.seen {
+	for _, si := range ke.observed {
 		members = append(members, si.row)
 	}
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
@@ -203,7 +203,7 @@
 		return fmt.Errorf("declare %s dead: %w", id, err)
 	}
 	ke.mu.Lock()
-	si, there := ke.seen[id]
+	si, there := ke.observed[id]
 	ke.mu.Unlock()
 	switch {
 	case !there:
@@ -219,7 +219,7 @@
 		return fmt.Errorf("declare %s dead: %w", id, err)
 	}
 	ke.mu.Lock()
-	_, there = ke.seen[id]
+	_, there = ke.observed[id]
 	ke.mu.Unlock()
 	if there {
 		return fmt.Errorf("declare %s dead: %w", id, ErrRenewed)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -33,12 +33,12 @@
 const (
 	// spreadMost spreads the rows of hosts that start together: the store takes
 	// 150 writes a second of one part, and some 150 hosts start within 0.3 s.
-	spreadMost = 2 * time.Second
+	maxAnnounceDelay = 2 * time.Second
 	// callTimeout bounds one write: 12 ms, up to 100 times slower in bad times.
 	callTimeout = 1500 * time.Millisecond
 	// retryFirst and retryMost are the pauses after a write that failed.
-	retryFirst = 200 * time.Millisecond
-	retryMost  = 2 * time.Second
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
 // Member is an entry host.
@@ -73,11 +73,11 @@
 		log.Error("row of this host cannot be encoded", "err", err)
 		return
 	}
-	if !clock.Sleep(ctx, time.Duration(rand.Int64N(int64(spreadMost)))) {
+	if !clock.Sleep(ctx, time.Duration(rand.Int64N(int64(maxAnnounceDelay)))) {
 		return
 	}
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = retryFirst, retryMost
+	bo.InitialInterval, bo.MaxInterval = minRetryDelay, maxRetryDelay
 	for {
 		err := write(ctx, tbl, store.Put{Key: Key(me.Name), Value: value})
 		if err == nil {
--- a/internal/tenure/former.go
+++ b/internal/tenure/former_owners.go
@@ -10,99 +10,99 @@
 )
 
 // clocksDiffer is the part by which the clocks of two hosts differ at most: a twentieth.
-const clocksDiffer = 20
+const clockDriftDivisor = 20
 
 // former finds out whether former owners may still act.
-type former struct {
+type formerOwners struct {
 	ke *Keeper
 	// row is the last owner's, epoch that of the new one.
-	row   OwnerRow
-	epoch int64
+	lastRow OwnerRow
+	epoch   int64
 	// claimed is when the new owner's claim was known to have taken effect.
-	claimed time.Time
+	claimedAt time.Time
 	// earlier is when all owners before the last one have ceased to act at the
 	// latest, zero if they had before it did.
-	earlier time.Time
+	earlierCeased time.Time
 
 	mu sync.Mutex
 	// at is when the last owner had ceased to act, or last told a worker a lease if it
 	// said so, zero if neither is known.
-	at time.Time
+	lastCeased time.Time
 	// lapse is until when the last owner said that leases run at the latest, or zero.
-	lapse time.Time
+	reportedEnd time.Time
 	// witnessed is set while witnesses may confirm a former owner, and retiredAt is when it
 	// was known that they don't any more, or zero if none could.
-	witnessed bool
-	retiredAt time.Time
+	witnessesActive bool
+	retiredAt       time.Time
 }
 
 // newFormer returns the owners before a claim of an epoch over the last one's row, of which
 // those before it may act until earlier.
-func (ke *Keeper) newFormer(last OwnerRow, epoch int64, earlier time.Time) *former {
+func (ke *Keeper) newFormerOwners(last OwnerRow, epoch int64, earlier time.Time) *formerOwners {
 	witnessed := last.Owner != "" || !last.FormerCeased && last.Epoch > 0
-	return &former{ke: ke, row: last, epoch: epoch, earlier: earlier, witnessed: witnessed}
+	return &formerOwners{ke: ke, lastRow: last, epoch: epoch, earlierCeased: earlier, witnessesActive: witnessed}
 }
 
 // when returns when all former owners have certainly ceased to act, or zero if that is
 // not known of the last one.
-func (fo *former) when() time.Time {
+func (fo *formerOwners) ceasedAt() time.Time {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	if fo.at.IsZero() || fo.at.After(fo.earlier) {
-		return fo.at
+	if fo.lastCeased.IsZero() || fo.lastCeased.After(fo.earlierCeased) {
+		return fo.lastCeased
 	}
 	// The last owner may have ended before one that it replaced.
-	if most := fo.retiredAt.Add(ExtendFor); !fo.retiredAt.IsZero() && most.Before(fo.earlier) {
+	if most := fo.retiredAt.Add(ExtendFor); !fo.retiredAt.IsZero() && most.Before(fo.earlierCeased) {
 		return most
 	}
-	return fo.earlier
+	return fo.earlierCeased
 }
 
 // unconfirmedSince returns since when nothing confirms a former owner, neither the store nor
 // witnesses, or zero if that is not known.
-func (fo *former) unconfirmedSince() time.Time {
+func (fo *formerOwners) unconfirmedSince() time.Time {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	switch {
-	case fo.witnessed:
+	case fo.witnessesActive:
 		return time.Time{}
 	case fo.retiredAt.IsZero():
-		return fo.claimed
+		return fo.claimedAt
 	}
 	return fo.retiredAt
 }
 
 // extendsUntil returns the last moment at which a former owner can extend leases, by what is
 // known of what confirms it.
-func (fo *former) extendsUntil() time.Time {
+func (fo *formerOwners) extendsUntil() time.Time {
 	if since := fo.unconfirmedSince(); !since.IsZero() {
 		return since.Add(ExtendFor)
 	}
-	return fo.claimed.Add(WitnessedLeaseLimit)
+	return fo.claimedAt.Add(WitnessedLeaseLimit)
 }
 
 // last returns the last moment at which a former owner can have told a worker a lease.
-func (fo *former) last() time.Time {
-	if at := fo.when(); !at.IsZero() {
+func (fo *formerOwners) lastExtension() time.Time {
+	if at := fo.ceasedAt(); !at.IsZero() {
 		return at
 	}
 	return fo.extendsUntil()
 }
 
 // saidLapse returns until when leases run at the latest by what the last owner said, or zero.
-func (fo *former) saidLapse() time.Time {
+func (fo *formerOwners) reportedLeasesEnd() time.Time {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.lapse
+	return fo.reportedEnd
 }
 
 // lapses returns until when leases run at the latest that former owners told.
-func (fo *former) lapses() time.Time {
-	most := fo.claimed.Add(WitnessedLeaseLimit)
+func (fo *formerOwners) leasesEnd() time.Time {
+	most := fo.claimedAt.Add(WitnessedLeaseLimit)
 	if since := fo.unconfirmedSince(); !since.IsZero() {
-		most = since.Add(lapseFor)
+		most = since.Add(leaseLimitWithDrift)
 	}
-	if said := fo.saidLapse(); !said.IsZero() && said.Before(most) {
+	if said := fo.reportedLeasesEnd(); !said.IsZero() && said.Before(most) {
 		return said
 	}
 	return most
@@ -110,63 +110,65 @@
 
 // alone reports whether all former owners have ceased to act: so they have also if
 // nothing is known of them, once none can have been confirmed for long enough.
-func (fo *former) alone() bool {
+func (fo *formerOwners) allCeased() bool {
 	now := time.Now()
-	ended := fo.when()
+	ended := fo.ceasedAt()
 	return !ended.IsZero() && !ended.After(now) || now.After(fo.extendsUntil())
 }
 
 // retired reports whether no witness will confirm a former owner.
-func (fo *former) retired() bool { return !fo.unconfirmedSince().IsZero() || fo.alone() }
+func (fo *formerOwners) witnessesRetired() bool {
+	return !fo.unconfirmedSince().IsZero() || fo.allCeased()
+}
 
 // ended notes that the last owner has ceased to act, and what is known of the leases that it
 // told.
-func (fo *former) ended(why string, sinceLease, leasesLeft time.Duration) {
+func (fo *formerOwners) recordCeased(why string, sinceLease, leasesLeft time.Duration) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	now := time.Now()
-	fo.at = now.Add(-sinceLease)
+	fo.lastCeased = now.Add(-sinceLease)
 	if leasesLeft > 0 {
-		fo.lapse = now.Add(leasesLeft + leasesLeft/clocksDiffer)
+		fo.reportedEnd = now.Add(leasesLeft + leasesLeft/clockDriftDivisor)
 	}
-	fo.ke.Log.Info("former owner has ceased to act", "cell", fo.ke.Cell, "former", fo.row.Owner, "process", fo.row.Process, "why", why,
-		"since_lease", sinceLease, "leases_left", leasesLeft, "earlier_may_act_for", max(time.Until(fo.earlier), 0))
+	fo.ke.Log.Info("former owner has ceased to act", "cell", fo.ke.Cell, "former", fo.lastRow.Owner, "process", fo.lastRow.Process, "why", why,
+		"since_lease", sinceLease, "leases_left", leasesLeft, "earlier_may_act_for", max(time.Until(fo.earlierCeased), 0))
 }
 
 // begin takes in what the last owner's row says of it, or asks its host.
-func (fo *former) begin(ctx context.Context) {
-	switch fo.row.Owner {
+func (fo *formerOwners) start(ctx context.Context) {
+	switch fo.lastRow.Owner {
 	case "":
-		fo.ended("it released the cell, or there was none", 0, 0)
+		fo.recordCeased("it released the cell, or there was none", 0, 0)
 	case fo.ke.Self:
-		fo.ended("it was an earlier process of this host", 0, 0)
+		fo.recordCeased("it was an earlier process of this host", 0, 0)
 	default:
-		go fo.ask(ctx)
+		go fo.askLastOwner(ctx)
 	}
-	if fo.witnessed {
+	if fo.witnessesActive {
 		go fo.retireWitnesses(ctx)
 	}
 }
 
-func (fo *former) noteRetired(at time.Time) {
+func (fo *formerOwners) recordRetired(at time.Time) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	fo.witnessed, fo.retiredAt = false, at
+	fo.witnessesActive, fo.retiredAt = false, at
 }
 
 // ask asks the former owner's host until it answers.
-func (fo *former) ask(ctx context.Context) {
+func (fo *formerOwners) askLastOwner(ctx context.Context) {
 	for {
 		actx, cancel := context.WithTimeout(ctx, askEvery)
-		li, err := fo.ke.AskFunc(actx, fo.row.Addr, fo.epoch)
+		hs, err := fo.ke.AskFunc(actx, fo.lastRow.Addr, fo.epoch)
 		cancel()
 		switch {
 		case err != nil:
-		case li.Process == fo.row.Process:
-			fo.ended("it was told of its replacement", li.SinceLease, li.LeasesLeft)
+		case hs.Process == fo.lastRow.Process:
+			fo.recordCeased("it was told of its replacement", hs.SinceLease, hs.LeasesLeft)
 			return
 		default:
-			fo.ended("another process runs on its host", 0, 0)
+			fo.recordCeased("another process runs on its host", 0, 0)
 			return
 		}
 		if !clock.Sleep(ctx, askEvery) {
@@ -177,7 +179,7 @@
 
 // retireWitnesses tells the witnesses that former owners named of their replacement, until
 // so many were told or have ended that no former owner is confirmed any more.
-func (fo *former) retireWitnesses(ctx context.Context) {
+func (fo *formerOwners) retireWitnesses(ctx context.Context) {
 	row, ok := fo.readWitnesses(ctx)
 	if !ok {
 		return
@@ -186,7 +188,7 @@
 	// An owner without a row was confirmed by the store alone, which is over with the claim.
 	for row.Epoch > 0 && retired < retireNeed(len(row.Witnesses)) {
 		var silent []registry.Member
-		for i, done := range askAll(ctx, asked, fo.retire) {
+		for i, done := range askAll(ctx, asked, fo.retireWitness) {
 			if !done {
 				silent = append(silent, asked[i])
 			}
@@ -198,14 +200,14 @@
 		}
 	}
 	now := time.Now()
-	fo.noteRetired(now)
+	fo.recordRetired(now)
 	fo.ke.Log.Info("witnesses confirm no former owner", "cell", fo.ke.Cell, "epoch", fo.epoch, "named_by", row.Epoch,
-		"witnesses", len(row.Witnesses), "retired", retired, "after", now.Sub(fo.claimed))
+		"witnesses", len(row.Witnesses), "retired", retired, "after", now.Sub(fo.claimedAt))
 }
 
 // readWitnesses reads the row of witnesses as it was at the claim, after which no former
 // owner can write it.
-func (fo *former) readWitnesses(ctx context.Context) (witnessRow, bool) {
+func (fo *formerOwners) readWitnesses(ctx context.Context) (witnessRow, bool) {
 	for {
 		var row witnessRow
 		rctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -223,10 +225,10 @@
 
 // retire tells a witness of the new owner, and reports whether it confirms no former one any
 // more: also if its process has ended and another runs on its host.
-func (fo *former) retire(ctx context.Context, me registry.Member) bool {
+func (fo *formerOwners) retireWitness(ctx context.Context, me registry.Member) bool {
 	if me.Process == fo.ke.Process {
 		return true
 	}
-	li, err := fo.ke.AskFunc(ctx, me.Addr, fo.epoch)
-	return err == nil && li.Host == me.Name
+	hs, err := fo.ke.AskFunc(ctx, me.Addr, fo.epoch)
+	return err == nil && hs.Host == me.Name
 }
--- a/internal/tenure/heart.go
+++ b/internal/tenure/heartbeat.go
@@ -10,41 +10,41 @@
 )
 
 // heart writes the heartbeats of one tenure.
-type heart struct {
+type heartbeater struct {
 	ke *Keeper
 	// ctx is the tenure's.
 	ctx   context.Context
 	epoch int64
 	// claimed is when the claim was sent.
-	claimed time.Time
+	claimSent time.Time
 	// aloneFunc reports whether all earlier owners have ceased to act.
-	aloneFunc func() bool
+	formerCeasedFunc func() bool
 }
 
 // last returns a moment after which the store still showed the tenure: the
 // watch of the owner's row answers, and ends the tenure when it shows another.
-func (he *heart) last() time.Time {
+func (he *heartbeater) lastConfirmed() time.Time {
 	contact, _ := he.ke.watch.Contact()
 	// The answer that ends a tenure counts as contact too, but only after it did.
-	if he.ctx.Err() != nil || contact.Before(he.claimed) {
-		return he.claimed
+	if he.ctx.Err() != nil || contact.Before(he.claimSent) {
+		return he.claimSent
 	}
 	return contact
 }
 
-func (he *heart) run() {
+func (he *heartbeater) run() {
 	ctx := he.ctx
 	// The claim was just written.
-	he.ke.noteBeat(time.Now(), true)
+	he.ke.recordBeat(time.Now(), true)
 	for n := int64(1); ; n++ {
 		sent := time.Now()
 		cctx, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := he.ke.Table.CommitFunc(cctx, he.beat(n))
+		_, err := he.ke.Table.CommitFunc(cctx, he.heartbeatTxn(n))
 		cancel()
 		if err != nil && ctx.Err() == nil {
 			he.ke.Log.Warn("heartbeat not written", "cell", he.ke.Cell, "epoch", he.epoch, "n", n, "err", err)
 		}
-		he.ke.noteBeat(sent, err == nil)
+		he.ke.recordBeat(sent, err == nil)
 		if !clock.Sleep(ctx, HeartbeatInterval) {
 			return
 		}
@@ -52,29 +52,29 @@
 }
 
 // noteBeat notes whether a heartbeat was written.
-func (ke *Keeper) noteBeat(sent time.Time, written bool) {
+func (ke *Keeper) recordBeat(sent time.Time, written bool) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	if written {
-		ke.missed, ke.beaten = 0, sent
+		ke.missedBeats, ke.lastWritten = 0, sent
 		return
 	}
-	ke.missed++
+	ke.missedBeats++
 }
 
 // written returns when the last heartbeat was sent that the store took.
-func (ke *Keeper) written() time.Time {
+func (ke *Keeper) heartbeatWritten() time.Time {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return ke.beaten
+	return ke.lastWritten
 }
 
 // beat returns the write of a heartbeat. It has no condition: it names its
 // epoch, and one that is of a former owner, or comes late, tells nobody
 // anything.
-func (he *heart) beat(n int64) store.Txn {
+func (he *heartbeater) heartbeatTxn(n int64) store.Txn {
 	txn := store.NewTxn()
-	value, err := json.Marshal(beatRow{Epoch: he.epoch, N: n, FormerCeased: he.aloneFunc()})
+	value, err := json.Marshal(beatRow{Epoch: he.epoch, N: n, FormerCeased: he.formerCeasedFunc()})
 	if err != nil {
 		he.ke.Log.Error("heartbeat cannot be encoded", "err", err)
 	}
--- a/internal/tenure/probe.go
+++ b/internal/tenure/probe.go
@@ -9,16 +9,16 @@
 const (
 	// suspectAfter is the silence after which a host asks the owner's host
 	// whether it lives: two heartbeats, and the time that one takes to be told.
-	suspectAfter = 1200 * time.Millisecond
+	probeAfter = 1200 * time.Millisecond
 	// probeTimeout is how long the answer may take: 3 ms of way, and some
 	// processor time of a host that may be short of it.
 	probeTimeout = 500 * time.Millisecond
 	// UnreachableTimeout replaces HeartbeatTimeout when the owner's host neither writes
 	// heartbeats nor answers.
-	UnreachableTimeout = suspectAfter + probeTimeout
+	UnreachableTimeout = probeAfter + probeTimeout
 	// missedMost is how many heartbeats in a row an owner fails to write before it
 	// says that the store refuses it: one may fail while the store is slow.
-	missedMost = 2
+	maxMissedBeats = 2
 )
 
 // HostStatus is what a host says of itself when it is asked.
@@ -42,46 +42,46 @@
 func (ke *Keeper) HostStatus() HostStatus {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	li := HostStatus{Host: ke.Self, Process: ke.Process, Refused: ke.missed >= missedMost}
-	if last := ke.lastLease(); !last.IsZero() {
-		li.SinceLease = max(time.Since(last), 0)
-		li.LeasesLeft = max(time.Until(ke.lastLapse()), time.Millisecond)
+	hs := HostStatus{Host: ke.Self, Process: ke.Process, Refused: ke.missedBeats >= maxMissedBeats}
+	if last := ke.lastExtension(); !last.IsZero() {
+		hs.SinceLease = max(time.Since(last), 0)
+		hs.LeasesLeft = max(time.Until(ke.latestLeaseEnd()), time.Millisecond)
 	}
-	return li
+	return hs
 }
 
 // lastLease returns when this process last told a worker a lease, or an owner before it
 // can have if that is later, or zero if that is not known.
-func (ke *Keeper) lastLease() time.Time {
-	if ke.leased.IsZero() || ke.former == nil {
+func (ke *Keeper) lastExtension() time.Time {
+	if ke.lastExtended.IsZero() || ke.former == nil {
 		return time.Time{}
 	}
-	if before := ke.former.last(); before.After(ke.leased) {
+	if before := ke.former.lastExtension(); before.After(ke.lastExtended) {
 		return before
 	}
-	return ke.leased
+	return ke.lastExtended
 }
 
 // lastLapse returns until when leases run at the latest that this process or an owner before
 // it told.
-func (ke *Keeper) lastLapse() time.Time {
-	if before := ke.former.lapses(); before.After(ke.lapses) {
+func (ke *Keeper) latestLeaseEnd() time.Time {
+	if before := ke.former.leasesEnd(); before.After(ke.leasesEnd) {
 		return before
 	}
-	return ke.lapses
+	return ke.leasesEnd
 }
 
 // extending notes that workers are about to be told leases by an owner that was last
 // confirmed at a moment, and reports whether they may be.
-func (ke *Keeper) extending(epoch int64, confirmed time.Time) bool {
+func (ke *Keeper) recordExtension(epoch int64, confirmed time.Time) bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	if ke.told > epoch {
+	if ke.notifiedEpoch > epoch {
 		return false
 	}
-	ke.leased = time.Now()
-	if lapse := confirmed.Add(lapseFor); lapse.After(ke.lapses) {
-		ke.lapses = lapse
+	ke.lastExtended = time.Now()
+	if lapse := confirmed.Add(leaseLimitWithDrift); lapse.After(ke.leasesEnd) {
+		ke.leasesEnd = lapse
 	}
 	return true
 }
@@ -94,32 +94,32 @@
 func (ke *Keeper) probe(ctx context.Context) {
 	ke.mu.Lock()
 	row, asked := ke.row, ke.probed
-	due := ke.known && row.Owner != "" && row.Process != ke.Process && !asked && time.Since(ke.beatSeen) > suspectAfter
+	due := ke.known && row.Owner != "" && row.Process != ke.Process && !asked && time.Since(ke.lastContact) > probeAfter
 	ke.probed = asked || due
 	ke.mu.Unlock()
 	if due {
-		go ke.ask(ctx, row)
+		go ke.probeHost(ctx, row)
 	}
 }
 
-func (ke *Keeper) ask(ctx context.Context, row OwnerRow) {
+func (ke *Keeper) probeHost(ctx context.Context, row OwnerRow) {
 	actx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	li, err := ke.AskFunc(actx, row.Addr, row.Epoch)
-	ke.Log.Info("asked a silent owner's host", "cell", ke.Cell, "owner", row.Owner, "epoch", row.Epoch, "process", li.Process, "refused", li.Refused, "err", err)
-	lives := err == nil && li.Process == row.Process
-	if lives && !li.Refused {
+	hs, err := ke.AskFunc(actx, row.Addr, row.Epoch)
+	ke.Log.Info("asked a silent owner's host", "cell", ke.Cell, "owner", row.Owner, "epoch", row.Epoch, "process", hs.Process, "refused", hs.Refused, "err", err)
+	lives := err == nil && hs.Process == row.Process
+	if lives && !hs.Refused {
 		return
 	}
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	if ke.row.Epoch == row.Epoch && ke.probed {
-		ke.unreachable, ke.turnedAway = !lives, lives
+		ke.unreachable, ke.storeRefuses = !lives, lives
 	}
 }
 
 // heard notes a sign of life of the owner.
-func (ke *Keeper) heard() {
-	ke.beatSeen = time.Now()
-	ke.probed, ke.unreachable, ke.turnedAway = false, false, false
+func (ke *Keeper) recordContact() {
+	ke.lastContact = time.Now()
+	ke.probed, ke.unreachable, ke.storeRefuses = false, false, false
 }
--- a/internal/tenure/row.go
+++ b/internal/tenure/row.go
@@ -27,7 +27,7 @@
 
 // bounds reports whether leases keep to LeaseLimit that owners tell who follow on this one.
 // They may not be said to where an owner of an earlier version may still have told one.
-func (or OwnerRow) bounds() bool {
+func (or OwnerRow) boundsSuccessors() bool {
 	return or.Bounded || or.Owner == "" && (or.FormerCeased || or.Epoch == 0)
 }
 
--- a/internal/tenure/row_test.go
+++ b/internal/tenure/row_test.go
@@ -8,7 +8,7 @@
 
 // TestBounds checks after which rows leases are said to be bounded: never while an owner of
 // an earlier version may have told one.
-func TestBounds(t *testing.T) {
+func TestLeasesBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		row  OwnerRow
@@ -21,6 +21,6 @@
 		{"the same, when all before had ceased", OwnerRow{Epoch: 3, FormerCeased: true}, true},
 		{"released by one that keeps to it", OwnerRow{Epoch: 3, Bounded: true}, true},
 	} {
-		qt.Check(t, tc.row.bounds(), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
+		qt.Check(t, tc.row.boundsSuccessors(), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
 }
--- a/internal/tenure/still.go
+++ b/internal/tenure/stall.go
@@ -10,46 +10,46 @@
 // Numbers of processes that stand still.
 const (
 	// lookAtClocksEvery is the time between looks at the clocks.
-	lookAtClocksEvery = 200 * time.Millisecond
+	clockCheckInterval = 200 * time.Millisecond
 	// stillAfter is how long a process must not have looked at them to have stood still:
 	// less than a host of a tenth of a core may wait for its turn would count as that.
-	stillAfter = time.Second
+	stallAfter = time.Second
 	// suspendedAfter is how much more time must have passed than the steady clock counts
 	// for the host to have been suspended: some clocks tick each 10 ms.
-	suspendedAfter = 50 * time.Millisecond
+	minSuspension = 50 * time.Millisecond
 )
 
 // stillness tells when a process has not run for a while: it was stopped or starved, or its
 // host was suspended, which the steady clock does not count. What the process believes to
 // be so by the time that has passed may then not be so any more. The zero value is ready.
-type stillness struct {
+type stallDetector struct {
 	// bootFunc returns the time since the host was booted, with that of suspensions; nil
 	// is not known.
 	bootFunc func() time.Duration
 	// looked is when the clocks were last read, boot what the other one then read.
-	looked time.Time
-	boot   time.Duration
+	checkedAt time.Time
+	boot      time.Duration
 	// woke is when the process last went on, or zero, and suspended is set if its host had
 	// been suspended.
-	woke      time.Time
+	resumedAt time.Time
 	suspended bool
 }
 
 // look reads the clocks, and returns for how long the process stood still, or zero.
-func (st *stillness) look() time.Duration {
+func (sd *stallDetector) check() time.Duration {
 	now := time.Now()
 	var boot time.Duration
-	if st.bootFunc != nil {
-		boot = st.bootFunc()
+	if sd.bootFunc != nil {
+		boot = sd.bootFunc()
 	}
-	first, steady, all := st.looked.IsZero(), now.Sub(st.looked), boot-st.boot
+	first, steady, all := sd.checkedAt.IsZero(), now.Sub(sd.checkedAt), boot-sd.boot
 	// At most so much steady time passed between the readings of the other clock.
-	suspended := all-time.Since(st.looked) >= suspendedAfter
-	st.looked, st.boot = now, boot
-	if first || steady < stillAfter && !suspended {
+	suspended := all-time.Since(sd.checkedAt) >= minSuspension
+	sd.checkedAt, sd.boot = now, boot
+	if first || steady < stallAfter && !suspended {
 		return 0
 	}
-	st.woke, st.suspended = time.Now(), suspended
+	sd.resumedAt, sd.suspended = time.Now(), suspended
 	return max(steady, all)
 }
 
@@ -57,16 +57,16 @@
 // stood still it must have been confirmed anew. A store that failed a call since can't
 // confirm anything, and replaces no owner; but time that was spent suspended is not in the
 // age of what it confirmed last.
-func (st *stillness) trusts(confirmed, failed time.Time) bool {
-	return st.woke.IsZero() || confirmed.After(st.woke) || failed.After(st.woke) && !st.suspended
+func (sd *stallDetector) confirmationValid(confirmed, failed time.Time) bool {
+	return sd.resumedAt.IsZero() || confirmed.After(sd.resumedAt) || failed.After(sd.resumedAt) && !sd.suspended
 }
 
 // lookAtClocks notes when the process stood still, until ctx ends: also while another host
 // owns the cell, as a new owner can't wait for one more answer before it extends leases.
-func (ke *Keeper) lookAtClocks(ctx context.Context) {
-	for clock.Sleep(ctx, lookAtClocksEvery) {
+func (ke *Keeper) watchClocks(ctx context.Context) {
+	for clock.Sleep(ctx, clockCheckInterval) {
 		ke.mu.Lock()
-		ke.lookOnce()
+		ke.checkClocks()
 		ke.mu.Unlock()
 	}
 }
@@ -78,15 +78,15 @@
 func (ke *Keeper) mayExtend(epoch int64, confirmed time.Time) bool {
 	failed := ke.watch.Failed()
 	ke.mu.Lock()
-	ke.lookOnce()
-	trusts := ke.still.trusts(confirmed, failed)
+	ke.checkClocks()
+	trusts := ke.stalls.confirmationValid(confirmed, failed)
 	ke.mu.Unlock()
-	return trusts && ke.extending(epoch, confirmed)
+	return trusts && ke.recordExtension(epoch, confirmed)
 }
 
-func (ke *Keeper) lookOnce() {
-	ke.still.bootFunc = ke.BootFunc
-	if d := ke.still.look(); d > 0 {
-		ke.Log.Warn("process stood still", "cell", ke.Cell, "for", d, "suspended", ke.still.suspended)
+func (ke *Keeper) checkClocks() {
+	ke.stalls.bootFunc = ke.BootFunc
+	if d := ke.stalls.check(); d > 0 {
+		ke.Log.Warn("process stood still", "cell", ke.Cell, "for", d, "suspended", ke.stalls.suspended)
 	}
 }
--- a/internal/tenure/still_test.go
+++ b/internal/tenure/stall_test.go
@@ -24,13 +24,13 @@
 // waits for a whole lease from then on. Evidence: "attempts of a lost worker ended ..
 // why="its leases have lapsed" quiet=14.39s" at 27.9 s for workers lost at 11.9 s, in two of
 // six plays; in the others, in which the answer came before the looks, at 22.2 s.
-func TestOwnerThatStoodStillTellsNoLease(t *testing.T) {
+func TestStalledOwnerExtendsNoLeaseUntilConfirmed(t *testing.T) {
 	const stood = 5600 * time.Millisecond
 	still := func(t *testing.T, test func(ke *Keeper, confirmed time.Time)) {
 		t.Helper()
 		synctest.Test(t, func(t *testing.T) {
 			ke := &Keeper{Log: slog.New(slog.DiscardHandler)}
-			ke.former = &former{at: time.Now()}
+			ke.former = &formerOwners{lastCeased: time.Now()}
 			confirmed := time.Now()
 			qt.Assert(t, ke.mayExtend(3, confirmed), qt.IsTrue)
 			time.Sleep(stood)
@@ -49,8 +49,8 @@
 	t.Run("unless the store is away", func(t *testing.T) {
 		still(t, func(ke *Keeper, confirmed time.Time) {
 			time.Sleep(time.Millisecond)
-			qt.Check(t, ke.still.trusts(confirmed, time.Now()), qt.IsTrue)
-			qt.Check(t, ke.still.trusts(confirmed, ke.still.woke.Add(-time.Millisecond)), qt.IsFalse)
+			qt.Check(t, ke.stalls.confirmationValid(confirmed, time.Now()), qt.IsTrue)
+			qt.Check(t, ke.stalls.confirmationValid(confirmed, ke.stalls.resumedAt.Add(-time.Millisecond)), qt.IsFalse)
 		})
 	})
 	t.Run("unlike one that runs", func(t *testing.T) {
@@ -58,7 +58,7 @@
 			ke := &Keeper{Log: slog.New(slog.DiscardHandler)}
 			ctx, end := context.WithCancel(t.Context())
 			defer end()
-			go ke.lookAtClocks(ctx)
+			go ke.watchClocks(ctx)
 			confirmed := time.Now()
 			time.Sleep(stood)
 			qt.Check(t, ke.mayExtend(3, confirmed), qt.IsTrue)
@@ -69,29 +69,29 @@
 // TestOwnerAgainTellsLeasesAtOnce has a host own the cell once more after another did for a
 // while: it did not stand still in between, and what a takeover leaves of leases is too
 // short to wait for one more answer of the store.
-func TestOwnerAgainTellsLeasesAtOnce(t *testing.T) {
+func TestReelectedOwnerExtendsLeasesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		told := map[int64]bool{}
-		ra := &race{t: t, serveFunc: func(ctx context.Context, te Tenure) (map[string]int64, error) {
+		cl := &cluster{t: t, serveFunc: func(ctx context.Context, te Tenure) (map[string]int64, error) {
 			mu.Lock()
 			told[te.Epoch] = te.MayExtend()
 			mu.Unlock()
 			<-ctx.Done()
 			return nil, nil
 		}}
-		ra.addSized("e0", 0.8)
+		cl.addSized("e0", 0.8)
 		time.Sleep(2 * time.Second)
-		ra.addSized("e1", 0.8)
+		cl.addSized("e1", 0.8)
 		time.Sleep(time.Second)
-		first, second := ra.last("e0"), ra.last("e1")
+		first, second := cl.lastProcess("e0"), cl.lastProcess("e1")
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		time.Sleep(HeartbeatTimeout + 2*time.Second)
 		first.gate.Set(standin.Fault{})
 		time.Sleep(10 * time.Second)
-		ra.kill(second)
+		cl.kill(second)
 		time.Sleep(HeartbeatTimeout + 2*time.Second)
-		ra.stop()
+		cl.stop()
 		mu.Lock()
 		defer mu.Unlock()
 		qt.Assert(t, told, qt.DeepEquals, map[int64]bool{1: true, 2: true, 3: true})
@@ -101,7 +101,7 @@
 // TestSuspendedOwner moves the clock that counts suspensions apart from the steady one: a
 // host that was suspended tells no lease before the store has confirmed it anew, whether
 // the store is away or not, and clocks that are read one after the other are no suspension.
-func TestSuspendedOwner(t *testing.T) {
+func TestSuspendedOwnerNeedsConfirmation(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
 		steady, boot    time.Duration
@@ -117,16 +117,16 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			boot := time.Hour
-			st := stillness{bootFunc: func() time.Duration { return boot }}
+			sd := stallDetector{bootFunc: func() time.Duration { return boot }}
 			confirmed := time.Now()
-			qt.Assert(t, st.look(), qt.Equals, time.Duration(0))
+			qt.Assert(t, sd.check(), qt.Equals, time.Duration(0))
 			time.Sleep(tc.steady)
 			boot += tc.boot
-			st.look()
+			sd.check()
 			time.Sleep(time.Millisecond)
-			qt.Check(t, st.trusts(confirmed, time.Time{}), qt.Equals, tc.trusts, qt.Commentf("%s", tc.name))
-			qt.Check(t, st.trusts(confirmed, time.Now()), qt.Equals, tc.outages, qt.Commentf("%s", tc.name))
-			qt.Check(t, st.trusts(time.Now(), time.Time{}), qt.IsTrue, qt.Commentf("%s", tc.name))
+			qt.Check(t, sd.confirmationValid(confirmed, time.Time{}), qt.Equals, tc.trusts, qt.Commentf("%s", tc.name))
+			qt.Check(t, sd.confirmationValid(confirmed, time.Now()), qt.Equals, tc.outages, qt.Commentf("%s", tc.name))
+			qt.Check(t, sd.confirmationValid(time.Now(), time.Time{}), qt.IsTrue, qt.Commentf("%s", tc.name))
 		})
 	}
 }
--- a/internal/tenure/stop_test.go
+++ b/internal/tenure/stop_test.go
@@ -34,18 +34,18 @@
 // at the claim any more, also without a stop.
 //
 // Evidence: one second after the claim nobody owns the cell below.
-func TestStopInTheMidstOfAClaim(t *testing.T) {
+func TestStopDuringClaimReleasesCell(t *testing.T) {
 	for name, lose := range map[string]bool{"answered": false, "answer and row lost": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ra := &race{t: t}
-				defer ra.stop()
-				fc := firstClaim{lose: lose, then: func(ri *rival) { ri.keeper.Release(time.Second) }}
-				ra.committed, ra.unread = fc.committed, fc.unread
-				ra.add("e0")
-				ra.add("e1")
+				cl := &cluster{t: t}
+				defer cl.stop()
+				cf := claimFault{loseAnswer: lose, onClaim: func(ho *clusterHost) { ho.keeper.Release(time.Second) }}
+				cl.committedFunc, cl.readFunc = cf.committed, cf.read
+				cl.add("e0")
+				cl.add("e1")
 				time.Sleep(1200 * time.Millisecond)
-				qt.Assert(t, ra.owner(), qt.Not(qt.Equals), fc.by)
+				qt.Assert(t, cl.owner(), qt.Not(qt.Equals), cf.claimant)
 			})
 		})
 	}
@@ -53,66 +53,66 @@
 
 // TestClaimWithoutAnAnswer loses the answer of a claim, and the row that is read for
 // it: the claim is served once the row is seen.
-func TestClaimWithoutAnAnswer(t *testing.T) {
+func TestClaimWithLostAnswerIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ra := &race{t: t}
-		defer ra.stop()
-		fc := firstClaim{lose: true, then: func(*rival) {}}
-		ra.committed, ra.unread = fc.committed, fc.unread
-		ra.add("e0")
-		ra.add("e1")
+		cl := &cluster{t: t}
+		defer cl.stop()
+		cf := claimFault{loseAnswer: true, onClaim: func(*clusterHost) {}}
+		cl.committedFunc, cl.readFunc = cf.committed, cf.read
+		cl.add("e0")
+		cl.add("e1")
 		time.Sleep(1200 * time.Millisecond)
-		qt.Assert(t, ra.owner(), qt.Equals, fc.by)
-		qt.Assert(t, ra.tenures(), qt.DeepEquals, []int64{1})
+		qt.Assert(t, cl.owner(), qt.Equals, cf.claimant)
+		qt.Assert(t, cl.tenures(), qt.DeepEquals, []int64{1})
 	})
 }
 
 // firstClaim is what happens to the first claim that takes effect.
-type firstClaim struct {
+type claimFault struct {
 	// lose has its answer be lost, and that of the next read; then is called before.
-	lose bool
-	then func(ri *rival)
+	loseAnswer bool
+	onClaim    func(ho *clusterHost)
 
 	mu sync.Mutex
 	// by is the host whose claim it is; reads counts reads to be lost.
-	by    *rival
-	reads int
+	claimant    *clusterHost
+	readsToLose int
 }
 
-func (fc *firstClaim) committed(ri *rival, txn store.Txn) error {
-	fc.mu.Lock()
-	defer fc.mu.Unlock()
-	if fc.by != nil || !isClaim(txn) {
+func (cf *claimFault) committed(ho *clusterHost, txn store.Txn) error {
+	cf.mu.Lock()
+	defer cf.mu.Unlock()
+	if cf.claimant != nil || !isClaim(txn) {
 		return nil
 	}
-	fc.by = ri
-	fc.then(ri)
-	if !fc.lose {
+	cf.claimant = ho
+	cf.onClaim(ho)
+	if !cf.loseAnswer {
 		return nil
 	}
-	fc.reads = 1
+	cf.readsToLose = 1
 	return errLost
 }
 
-func (fc *firstClaim) unread(ri *rival) error {
-	fc.mu.Lock()
-	defer fc.mu.Unlock()
-	if ri != fc.by || fc.reads == 0 {
+func (cf *claimFault) read(ho *clusterHost) error {
+	cf.mu.Lock()
+	defer cf.mu.Unlock()
+	if ho != cf.claimant || cf.readsToLose == 0 {
 		return nil
 	}
-	fc.reads--
+	cf.readsToLose--
 	return errLost
 }
 
 // release has a host give its cell up, with so much time to stop.
-func release(ri *rival, within time.Duration) { ri.keeper.Release(within) }
+func release(ho *clusterHost, within time.Duration) { ho.keeper.Release(within) }
 
 // goneWithin reports whether the host takes part no longer after d.
-func (ri *rival) goneWithin(d time.Duration) bool {
+func (ho *clusterHost) stopsWithin(d time.Duration) bool {
 	time.Sleep(d)
 	synctest.Wait()
 	select {
-	case <-ri.gone:
+	case <-ho.stopped:
 		return true
 	default:
 		return false
@@ -127,20 +127,20 @@
 // up, whether it began with that at the stop or before it, as its tenure had ended.
 //
 // Evidence: 1 s after the stop the host below still takes part.
-func TestReleaseEndsWithTheTimeToStop(t *testing.T) {
+func TestReleaseEndsAtStopDeadline(t *testing.T) {
 	for name, before := range map[string]bool{"release begins with the stop": false, "release under way": true} {
 		t.Run(name, func(t *testing.T) {
-			raceOf(t, 1, func(ra *race) {
-				first := ra.owner()
+			withCluster(t, 1, func(cl *cluster) {
+				first := cl.owner()
 				first.gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 				if before {
-					first.renounce(errors.New("a write of another"))
+					first.endTenure(errors.New("a write of another"))
 					time.Sleep(100 * time.Millisecond)
 				}
 				release(first, time.Second)
 				time.Sleep(500 * time.Millisecond)
 				first.end()
-				qt.Assert(ra.t, first.goneWithin(510*time.Millisecond), qt.IsTrue)
+				qt.Assert(cl.t, first.stopsWithin(510*time.Millisecond), qt.IsTrue)
 			})
 		})
 	}
@@ -154,21 +154,21 @@
 // when the store is back the others wait for its silence.
 //
 // Evidence: 1 s after the store is back nobody owns the cell below.
-func TestReleaseGoesOnWhileThereIsTime(t *testing.T) {
+func TestReleaseRetriesUntilStopDeadline(t *testing.T) {
 	for name, before := range map[string]bool{"release begins with the stop": false, "release under way": true} {
 		t.Run(name, func(t *testing.T) {
-			raceOf(t, 3, func(ra *race) {
-				first := ra.owner()
-				ra.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+			withCluster(t, 3, func(cl *cluster) {
+				first := cl.owner()
+				cl.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 				if before {
-					first.renounce(errors.New("a write of another"))
+					first.endTenure(errors.New("a write of another"))
 					time.Sleep(2 * time.Second)
 				}
 				release(first, 10*time.Second)
 				time.Sleep(5 * time.Second)
-				ra.table.Gate.Set(standin.Fault{})
+				cl.table.Gate.Set(standin.Fault{})
 				time.Sleep(time.Second)
-				qt.Assert(ra.t, ra.owner(), qt.Not(qt.Equals), first)
+				qt.Assert(cl.t, cl.owner(), qt.Not(qt.Equals), first)
 			})
 		})
 	}
@@ -177,38 +177,38 @@
 // TestReplacedBeforeItBegan: a host's claim is answered late; another host, which saw the
 // row and then silence, owns the cell by then and has told this one, whose answer counts
 // for its end. It began all the same, and could extend leases for seconds.
-func TestReplacedBeforeItBegan(t *testing.T) {
+func TestHostReplacedBeforeServingDoesNotServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ra := &race{t: t}
-		defer ra.stop()
-		fc := firstClaim{then: func(ri *rival) { ri.keeper.NotifyReplaced(2) }}
-		ra.committed = fc.committed
-		ra.add("e0")
+		cl := &cluster{t: t}
+		defer cl.stop()
+		cf := claimFault{onClaim: func(ho *clusterHost) { ho.keeper.NotifyReplaced(2) }}
+		cl.committedFunc = cf.committed
+		cl.add("e0")
 		time.Sleep(2 * time.Second)
-		qt.Assert(t, ra.tenures(), qt.HasLen, 0)
+		qt.Assert(t, cl.tenures(), qt.HasLen, 0)
 	})
 }
 
 // TestWritten: the store answers reads and takes no writes. What tells of the one does not
 // tell of the other.
-func TestWritten(t *testing.T) {
+func TestHeartbeatWrittenIndependentOfReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := make(chan Tenure, 1)
 		var lost atomic.Bool
-		ra := &race{t: t}
-		defer ra.stop()
-		ra.serveFunc = func(ctx context.Context, te Tenure) (map[string]int64, error) {
+		cl := &cluster{t: t}
+		defer cl.stop()
+		cl.serveFunc = func(ctx context.Context, te Tenure) (map[string]int64, error) {
 			began <- te
 			<-ctx.Done()
 			return nil, nil
 		}
-		ra.committed = func(*rival, store.Txn) error {
+		cl.committedFunc = func(*clusterHost, store.Txn) error {
 			if lost.Load() {
 				return errLost
 			}
 			return nil
 		}
-		ra.add("e0")
+		cl.add("e0")
 		te := <-began
 		time.Sleep(2 * time.Second)
 		lost.Store(true)
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -37,7 +37,7 @@
 	// connections: its process has ended.
 	RefusedTimeout = 900 * time.Millisecond
 	// jitterMost spreads the claims of several hosts.
-	jitterMost = 150 * time.Millisecond
+	maxJitter = 150 * time.Millisecond
 	// checkEvery is how often silence is measured.
 	checkEvery = 50 * time.Millisecond
 	// callTimeout bounds one call of the store.
@@ -52,7 +52,7 @@
 	LeaseLimit = 8 * time.Second
 	// lapseFor is LeaseLimit by a worker's clock that is 2% slow, as measured by an owner's
 	// that is 2% fast.
-	lapseFor = 8400 * time.Millisecond
+	leaseLimitWithDrift = 8400 * time.Millisecond
 	// releaseWithin is how long a host that goes on tries to give its cell up; by then
 	// the others notice its silence. One that stops has its time to stop for that.
 	releaseWithin = HeartbeatTimeout
@@ -146,44 +146,44 @@
 	known   bool
 	// earlier is when all owners before that of the row have ceased to act at the
 	// latest, by this host's clock; zero if they had when that one said so.
-	earlier  time.Time
-	beat     beatRow
-	beatSeen time.Time
-	refused  bool
+	formerCeased time.Time
+	lastBeat     beatRow
+	lastContact  time.Time
+	portRefused  bool
 	// probed is set once the owner's host was asked in this silence, unreachable
 	// if it did not answer, or another process did, turnedAway if it said that the
 	// store refuses it.
-	probed      bool
-	unreachable bool
-	turnedAway  bool
+	probed       bool
+	unreachable  bool
+	storeRefuses bool
 	// missed counts the heartbeats that this host, as the owner, failed to write
 	// since the last one that it wrote.
-	missed int
+	missedBeats int
 	// beaten is when the last heartbeat was sent that was written, or the claim.
-	beaten time.Time
+	lastWritten time.Time
 	// told is the highest epoch that this host was told of by its owner, vouches that of the
 	// owner which it confirmed when it was last asked, or 0.
-	told    int64
-	vouches int64
+	notifiedEpoch  int64
+	confirmedEpoch int64
 	// leased is when this process last told a worker a lease, or was about to.
-	leased time.Time
+	lastExtended time.Time
 	// lapses is until when leases run at the latest that it told.
-	lapses time.Time
+	leasesEnd time.Time
 	// former are the owners before this host, in its last tenure.
-	former   *former
+	former   *formerOwners
 	stopping bool
 	// releaseBy is when a host that stops gives up giving its cell up.
 	releaseBy time.Time
 	// bound ends a release under way, or is nil.
-	bound *time.Timer
-	end   context.CancelCauseFunc
-	watch watch.Watch
+	releaseTimer *time.Timer
+	endTenure    context.CancelCauseFunc
+	watch        watch.Watch
 	// still tells when this process stood still.
-	still stillness
+	stalls stallDetector
 	// yields counts the tenures left to larger hosts.
-	yields int
+	yieldCount int
 	// doubted is the last claim whose outcome is not known.
-	doubted *claimed
+	unsettledClaim *sentClaim
 }
 
 func (ke *Keeper) ownerKey() string { return tableName + "/" + ke.Cell + "/owner" }
@@ -204,8 +204,8 @@
 func (ke *Keeper) NotifyPortRefused(process string) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	if process == ke.row.Process && !ke.refused {
-		ke.refused = true
+	if process == ke.row.Process && !ke.portRefused {
+		ke.portRefused = true
 		ke.Log.Warn("owner's port refuses connections", "cell", ke.Cell, "owner", ke.row.Owner, "epoch", ke.row.Epoch)
 	}
 }
@@ -216,11 +216,11 @@
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	ke.stopping, ke.releaseBy = true, time.Now().Add(within)
-	if ke.bound != nil {
-		ke.bound.Reset(within)
+	if ke.releaseTimer != nil {
+		ke.releaseTimer.Reset(within)
 	}
-	if ke.end != nil {
-		ke.end(errStopping)
+	if ke.endTenure != nil {
+		ke.endTenure(errStopping)
 	}
 }
 
@@ -230,10 +230,10 @@
 	defer ke.mu.Unlock()
 	// The answer counts for the end of all earlier tenures, also of one that this host
 	// has claimed and not begun.
-	ke.told = max(ke.told, epoch)
-	if ke.end != nil && ke.row.Epoch < epoch {
+	ke.notifiedEpoch = max(ke.notifiedEpoch, epoch)
+	if ke.endTenure != nil && ke.row.Epoch < epoch {
 		ke.Log.Warn("told of a new owner", "cell", ke.Cell, "epoch", epoch)
-		ke.end(ErrReplaced)
+		ke.endTenure(ErrReplaced)
 	}
 }
 
@@ -246,15 +246,15 @@
 func (ke *Keeper) Run(ctx context.Context) {
 	ke.watch = watch.Watch{Table: ke.Table, Name: tableName, Under: tableName + "/" + ke.Cell + "/", Also: ke.beatPart(), OnRows: ke.onRows, Log: ke.Log}
 	go ke.watch.Run(ctx)
-	go ke.lookAtClocks(ctx)
+	go ke.watchClocks(ctx)
 	for clock.Sleep(ctx, checkEvery) {
-		ke.serveDoubted(ctx)
+		ke.serveUnsettledClaim(ctx)
 		ke.probe(ctx)
 		row, version, due, why := ke.claimDue()
 		if !due {
 			continue
 		}
-		if !clock.Sleep(ctx, time.Duration(rand.Int64N(int64(jitterMost)))) {
+		if !clock.Sleep(ctx, time.Duration(rand.Int64N(int64(maxJitter)))) {
 			return
 		}
 		if _, still, due, _ := ke.claimDue(); !due || still != version {
@@ -270,19 +270,19 @@
 	defer ke.mu.Unlock()
 	if whole && !ke.known {
 		ke.known = true
-		ke.heard()
+		ke.recordContact()
 	}
 	for _, row := range rows {
 		switch row.Key {
 		case ke.ownerKey():
-			ke.sawOwner(row.Row)
+			ke.applyOwnerRow(row.Row)
 		case ke.beatKey():
-			ke.sawBeat(row.Row)
+			ke.applyBeatRow(row.Row)
 		}
 	}
 }
 
-func (ke *Keeper) sawOwner(row store.Row) {
+func (ke *Keeper) applyOwnerRow(row store.Row) {
 	if row.Version <= ke.version {
 		return
 	}
@@ -293,32 +293,32 @@
 	}
 	switch {
 	case or.FormerCeased:
-		ke.earlier = time.Time{}
+		ke.formerCeased = time.Time{}
 	case or.Epoch != ke.row.Epoch:
 		// From here on the store confirms none of those before it.
-		ke.earlier = time.Now().Add(WitnessedLeaseLimit)
+		ke.formerCeased = time.Now().Add(WitnessedLeaseLimit)
 	}
 	ke.row, ke.version = or, row.Version
-	ke.refused = false
-	ke.heard()
+	ke.portRefused = false
+	ke.recordContact()
 	ke.Log.Info("owner of the cell", "cell", ke.Cell, "owner", or.Owner, "epoch", or.Epoch, "version", row.Version)
-	if ke.end != nil && or.Process != ke.Process {
-		ke.end(ErrReplaced)
+	if ke.endTenure != nil && or.Process != ke.Process {
+		ke.endTenure(ErrReplaced)
 	}
 }
 
-func (ke *Keeper) sawBeat(row store.Row) {
+func (ke *Keeper) applyBeatRow(row store.Row) {
 	var be beatRow
 	if err := json.Unmarshal(row.Value, &be); err != nil {
 		ke.Log.Error("heartbeat cannot be read", "cell", ke.Cell, "version", row.Version, "err", err)
 		return
 	}
 	// A heartbeat of a former owner says nothing of this one.
-	if be.Epoch == ke.row.Epoch && be != ke.beat {
-		ke.beat = be
-		ke.heard()
+	if be.Epoch == ke.row.Epoch && be != ke.lastBeat {
+		ke.lastBeat = be
+		ke.recordContact()
 		if be.FormerCeased {
-			ke.earlier = time.Time{}
+			ke.formerCeased = time.Time{}
 		}
 	}
 }
@@ -334,25 +334,25 @@
 		return row, version, false, ""
 	}
 	if row.Owner == "" {
-		return row, version, time.Since(ke.beatSeen) >= ke.handicap(row), "nobody owns it"
+		return row, version, time.Since(ke.lastContact) >= ke.claimDelay(row), "nobody owns it"
 	}
 	if row.Owner == ke.Self && row.Process != ke.Process {
-		return row, version, time.Since(ke.beatSeen) >= ke.handicap(row), "owned by an earlier process of this host"
+		return row, version, time.Since(ke.lastContact) >= ke.claimDelay(row), "owned by an earlier process of this host"
 	}
-	seen := ke.beatSeen
+	seen := ke.lastContact
 	if since.After(seen) {
 		seen = since
 	}
 	limit := HeartbeatTimeout
 	switch {
-	case ke.refused:
+	case ke.portRefused:
 		limit = RefusedTimeout
-	case ke.turnedAway:
-		limit = suspectAfter
+	case ke.storeRefuses:
+		limit = probeAfter
 	case ke.unreachable:
 		limit = UnreachableTimeout
 	}
-	if silent := time.Since(seen); silent > limit+ke.handicap(row) {
+	if silent := time.Since(seen); silent > limit+ke.claimDelay(row) {
 		return row, version, true, fmt.Sprintf("owner silent for %v", silent.Round(time.Millisecond))
 	}
 	return row, version, false, ""
@@ -361,23 +361,23 @@
 // claim writes the owner's row and, if that took effect, serves the cell.
 func (ke *Keeper) claim(ctx context.Context, last OwnerRow, version int64, why string) {
 	ke.mu.Lock()
-	earlier, changed := ke.earlier, ke.version != version
+	earlier, changed := ke.formerCeased, ke.version != version
 	ke.mu.Unlock()
 	if changed {
 		return
 	}
-	row := OwnerRow{Owner: ke.Self, Process: ke.Process, Addr: ke.Addr, MostCores: max(ke.Cores, last.MostCores), Epoch: last.Epoch + 1, Bounded: last.bounds()}
+	row := OwnerRow{Owner: ke.Self, Process: ke.Process, Addr: ke.Addr, MostCores: max(ke.Cores, last.MostCores), Epoch: last.Epoch + 1, Bounded: last.boundsSuccessors()}
 	ke.Log.Info("claiming the cell", "cell", ke.Cell, "epoch", row.Epoch, "former", last.Owner, "version", version, "why", why)
-	fo := ke.newFormer(last, row.Epoch, earlier)
-	cl := claimed{row: row, fo: fo, version: version, sent: time.Now()}
+	fo := ke.newFormerOwners(last, row.Epoch, earlier)
+	cl := sentClaim{row: row, former: fo, version: version, sent: time.Now()}
 	won, err := ke.write(ctx, row, version)
 	if err != nil {
 		ke.Log.Info("claim failed", "cell", ke.Cell, "epoch", row.Epoch, "err", err)
-		ke.doubted = &cl
+		ke.unsettledClaim = &cl
 		return
 	}
-	ke.doubted = nil
-	fo.claimed = time.Now()
+	ke.unsettledClaim = nil
+	fo.claimedAt = time.Now()
 	ke.serve(ctx, row, won, fo, cl.sent)
 }
 
@@ -408,11 +408,11 @@
 }
 
 // serve runs the cell and writes heartbeats until the tenure ends.
-func (ke *Keeper) serve(ctx context.Context, row OwnerRow, version int64, fo *former, sent time.Time) {
+func (ke *Keeper) serve(ctx context.Context, row OwnerRow, version int64, fo *formerOwners, sent time.Time) {
 	sctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
 	ke.mu.Lock()
-	if ke.version > version || ke.told > row.Epoch {
+	if ke.version > version || ke.notifiedEpoch > row.Epoch {
 		ke.mu.Unlock()
 		return
 	}
@@ -421,39 +421,39 @@
 	if ke.stopping {
 		end(errStopping)
 	}
-	ke.row, ke.version, ke.end, ke.former = row, version, end, fo
-	ke.earlier = fo.claimed.Add(WitnessedLeaseLimit)
-	ke.heard()
+	ke.row, ke.version, ke.endTenure, ke.former = row, version, end, fo
+	ke.formerCeased = fo.claimedAt.Add(WitnessedLeaseLimit)
+	ke.recordContact()
 	ke.mu.Unlock()
-	fo.begin(sctx)
-	hb := &heart{ke: ke, ctx: sctx, epoch: row.Epoch, claimed: sent, aloneFunc: fo.alone}
+	fo.start(sctx)
+	hb := &heartbeater{ke: ke, ctx: sctx, epoch: row.Epoch, claimSent: sent, formerCeasedFunc: fo.allCeased}
 	go hb.run()
 	go ke.yield(sctx, row, end)
-	wi := &witnesses{ke: ke, ctx: sctx, row: row, version: version, confirmedFunc: hb.last, retiredFunc: fo.retired, said: map[string]time.Time{}}
+	wi := &witnesses{ke: ke, ctx: sctx, row: row, version: version, confirmedFunc: hb.lastConfirmed, retiredFunc: fo.witnessesRetired, confirmedAt: map[string]time.Time{}}
 	go wi.run()
 	ke.Log.Info("owning the cell", "cell", ke.Cell, "epoch", row.Epoch, "version", version)
 	silent, err := ke.Serve(sctx, Tenure{
-		Epoch: row.Epoch, Key: ke.ownerKey(), Version: version, Former: fo.row, FormerEnded: fo.when, FormerUnconfirmedSince: fo.unconfirmedSince, FormerLeasesEnd: fo.saidLapse,
-		Confirmed: hb.last, HeartbeatWritten: ke.written, ConfirmedByAny: wi.last, SetHosts: wi.setHosts, End: end,
+		Epoch: row.Epoch, Key: ke.ownerKey(), Version: version, Former: fo.lastRow, FormerEnded: fo.ceasedAt, FormerUnconfirmedSince: fo.unconfirmedSince, FormerLeasesEnd: fo.reportedLeasesEnd,
+		Confirmed: hb.lastConfirmed, HeartbeatWritten: ke.heartbeatWritten, ConfirmedByAny: wi.lastConfirmed, SetHosts: wi.setHosts, End: end,
 		MayExtend: func() bool {
-			backed := wi.last()
+			backed := wi.lastConfirmed()
 			return sctx.Err() == nil && ke.mayExtend(row.Epoch, backed)
 		},
 	})
 	cause := context.Cause(sctx)
 	end(err)
 	ke.mu.Lock()
-	ke.end = nil
+	ke.endTenure = nil
 	ke.mu.Unlock()
 	ke.Log.Info("tenure ended", "cell", ke.Cell, "epoch", row.Epoch, "err", err, "cause", cause)
 	if !errors.Is(cause, ErrReplaced) {
-		ke.release(context.WithoutCancel(ctx), OwnerRow{Epoch: row.Epoch, MostCores: row.MostCores, LeaseLapseMS: silent, FormerCeased: fo.alone(), Bounded: row.Bounded}, version)
+		ke.release(context.WithoutCancel(ctx), OwnerRow{Epoch: row.Epoch, MostCores: row.MostCores, LeaseLapseMS: silent, FormerCeased: fo.allCeased(), Bounded: row.Bounded}, version)
 	}
 }
 
 // release gives the cell up, so that another host need not wait for silence.
 func (ke *Keeper) release(ctx context.Context, row OwnerRow, version int64) {
-	ctx, cancel := ke.bounded(ctx)
+	ctx, cancel := ke.releaseContext(ctx)
 	defer cancel()
 	for ctx.Err() == nil {
 		_, err := ke.write(ctx, row, version)
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -18,96 +18,96 @@
 )
 
 // race is a cell with several hosts that may own it.
-type race struct {
+type cluster struct {
 	t     *testing.T
 	table standin.Table
 
 	mu    sync.Mutex
-	hosts []*rival
+	hosts []*clusterHost
 	// epochs are the tenures begun, in order.
-	epochs []int64
+	tenureEpochs []int64
 	// serveFunc runs the cell, if set.
 	serveFunc func(context.Context, Tenure) (map[string]int64, error)
 	// committed, if set, is told of each write that took effect, and may lose its
 	// answer.
-	committed func(ri *rival, txn store.Txn) error
+	committedFunc func(ho *clusterHost, txn store.Txn) error
 	// unread, if set, may lose the answer to a read.
-	unread func(ri *rival) error
+	readFunc func(ho *clusterHost) error
 	// cuts has the pairs of hosts that do not reach each other.
-	cuts map[[2]string]bool
+	partitions map[[2]string]bool
 	// wayFunc returns how long a question or its answer is on its way, if set.
-	wayFunc func() time.Duration
+	delayFunc func() time.Duration
 }
 
 // rival is one host.
-type rival struct {
-	ra     *race
-	keeper *Keeper
-	end    context.CancelFunc
+type clusterHost struct {
+	cluster *cluster
+	keeper  *Keeper
+	end     context.CancelFunc
 	// gate is the host's own way to the store.
 	gate standin.Gate
 	// dark hosts do not answer others.
-	dark bool
+	unreachable bool
 	// gone is closed once the host takes part no longer.
-	gone chan struct{}
+	stopped chan struct{}
 
-	mu       sync.Mutex
-	serves   bool
-	ended    error
-	renounce func(error)
-	dead     bool
+	mu        sync.Mutex
+	isServing bool
+	endCause  error
+	endTenure func(error)
+	killed    bool
 }
 
-func (ra *race) add(name string) { ra.addSized(name, 0) }
+func (cl *cluster) add(name string) { cl.addSized(name, 0) }
 
 // addSized adds a host with so much processor, in cores.
-func (ra *race) addSized(name string, cores float64) {
-	ri := &rival{ra: ra, gone: make(chan struct{})}
-	table := ra.table.Client()
-	ri.keeper = &Keeper{
-		Cell: "c0", Cores: cores, Self: name, Process: fmt.Sprintf("%s-%d", name, len(ra.hosts)), Addr: name, Table: ri.through(table),
-		Serve: ri.serve, AskFunc: ri.ask, ConfirmFunc: ri.vouch, Log: slog.New(slog.DiscardHandler),
+func (cl *cluster) addSized(name string, cores float64) {
+	ho := &clusterHost{cluster: cl, stopped: make(chan struct{})}
+	table := cl.table.Client()
+	ho.keeper = &Keeper{
+		Cell: "c0", Cores: cores, Self: name, Process: fmt.Sprintf("%s-%d", name, len(cl.hosts)), Addr: name, Table: ho.gatedTable(table),
+		Serve: ho.serve, AskFunc: ho.ask, ConfirmFunc: ho.confirm, Log: slog.New(slog.DiscardHandler),
 	}
-	if ra.serveFunc != nil {
-		ri.keeper.Serve = ra.serveFunc
+	if cl.serveFunc != nil {
+		ho.keeper.Serve = cl.serveFunc
 	}
 	ctx, end := context.WithCancel(context.Background())
-	ri.end = end
-	ra.mu.Lock()
-	ra.hosts = append(ra.hosts, ri)
-	ra.mu.Unlock()
+	ho.end = end
+	cl.mu.Lock()
+	cl.hosts = append(cl.hosts, ho)
+	cl.mu.Unlock()
 	go func() {
-		defer close(ri.gone)
-		ri.keeper.Run(ctx)
+		defer close(ho.stopped)
+		ho.keeper.Run(ctx)
 	}()
 }
 
 // through puts the host's gate before the table.
-func (ri *rival) through(tbl store.Table) store.Table {
+func (ho *clusterHost) gatedTable(tbl store.Table) store.Table {
 	return store.Table{
 		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
-			if _, err := ri.gate.Before(ctx); err != nil {
+			if _, err := ho.gate.Before(ctx); err != nil {
 				return store.ReadReply{}, err
 			}
-			if ri.ra.unread != nil {
-				if err := ri.ra.unread(ri); err != nil {
+			if ho.cluster.readFunc != nil {
+				if err := ho.cluster.readFunc(ho); err != nil {
 					return store.ReadReply{}, err
 				}
 			}
 			return tbl.ReadFunc(ctx, req)
 		},
 		CommitFunc: func(ctx context.Context, txn store.Txn) (store.CommitReply, error) {
-			if _, err := ri.gate.Before(ctx); err != nil {
+			if _, err := ho.gate.Before(ctx); err != nil {
 				return store.CommitReply{}, err
 			}
 			reply, err := tbl.CommitFunc(ctx, txn)
-			if err == nil && ri.ra.committed != nil {
-				err = ri.ra.committed(ri, txn)
+			if err == nil && ho.cluster.committedFunc != nil {
+				err = ho.cluster.committedFunc(ho, txn)
 			}
 			return reply, err
 		},
 		FeedFunc: func(ctx context.Context, req store.FeedRequest) (store.FeedReply, error) {
-			if _, err := ri.gate.Before(ctx); err != nil {
+			if _, err := ho.gate.Before(ctx); err != nil {
 				return store.FeedReply{}, err
 			}
 			return tbl.FeedFunc(ctx, req)
@@ -115,152 +115,152 @@
 	}
 }
 
-var errNobody = errors.New("nobody there")
+var errUnreachable = errors.New("nobody there")
 
 // ask asks the last process of a host for its life.
-func (ri *rival) ask(_ context.Context, addr string, epoch int64) (HostStatus, error) {
-	return exchange(ri, addr, func(ke *Keeper) HostStatus {
+func (ho *clusterHost) ask(_ context.Context, addr string, epoch int64) (HostStatus, error) {
+	return exchange(ho, addr, func(ke *Keeper) HostStatus {
 		ke.NotifyReplaced(epoch)
 		return ke.HostStatus()
 	})
 }
 
 // vouch asks the last process of a host whether it confirms an owner.
-func (ri *rival) vouch(_ context.Context, addr string, epoch int64, process string) (bool, error) {
-	return exchange(ri, addr, func(ke *Keeper) bool { return ke.Confirm(epoch, process) })
+func (ho *clusterHost) confirm(_ context.Context, addr string, epoch int64, process string) (bool, error) {
+	return exchange(ho, addr, func(ke *Keeper) bool { return ke.Confirm(epoch, process) })
 }
 
 // exchange carries a question to the last process of a host, and its answer back.
-func exchange[Answer any](ri *rival, addr string, question func(ke *Keeper) Answer) (Answer, error) {
+func exchange[Answer any](ho *clusterHost, addr string, question func(ke *Keeper) Answer) (Answer, error) {
 	var none Answer
-	ri.ra.way()
-	other := ri.ra.reached(ri, addr)
+	ho.cluster.delay()
+	other := ho.cluster.reachable(ho, addr)
 	if other == nil {
-		return none, errNobody
+		return none, errUnreachable
 	}
 	answer := question(other.keeper)
-	ri.ra.way()
-	if ri.ra.reached(ri, addr) != other {
-		return none, errNobody
+	ho.cluster.delay()
+	if ho.cluster.reachable(ho, addr) != other {
+		return none, errUnreachable
 	}
 	return answer, nil
 }
 
-func (ra *race) way() {
-	if ra.wayFunc != nil {
-		time.Sleep(ra.wayFunc())
+func (cl *cluster) delay() {
+	if cl.delayFunc != nil {
+		time.Sleep(cl.delayFunc())
 	}
 }
 
 // reached returns the last process of a host if another reaches it.
-func (ra *race) reached(from *rival, addr string) *rival {
-	ra.mu.Lock()
-	defer ra.mu.Unlock()
-	for _, ri := range slices.Backward(ra.hosts) {
-		if ri.keeper.Addr == addr && ri.end != nil && !ri.dark && !ra.cuts[pair(from.keeper.Self, addr)] {
-			return ri
+func (cl *cluster) reachable(from *clusterHost, addr string) *clusterHost {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for _, ho := range slices.Backward(cl.hosts) {
+		if ho.keeper.Addr == addr && ho.end != nil && !ho.unreachable && !cl.partitions[hostPair(from.keeper.Self, addr)] {
+			return ho
 		}
 	}
 	return nil
 }
 
 // pair is a key for two hosts.
-func pair(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
-
-func (ri *rival) serve(ctx context.Context, te Tenure) (map[string]int64, error) {
-	ri.ra.mu.Lock()
-	ri.ra.epochs = append(ri.ra.epochs, te.Epoch)
-	ri.ra.mu.Unlock()
-	ri.set(true)
-	ri.mu.Lock()
-	ri.renounce = te.End
-	ri.mu.Unlock()
+func hostPair(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
+
+func (ho *clusterHost) serve(ctx context.Context, te Tenure) (map[string]int64, error) {
+	ho.cluster.mu.Lock()
+	ho.cluster.tenureEpochs = append(ho.cluster.tenureEpochs, te.Epoch)
+	ho.cluster.mu.Unlock()
+	ho.setServing(true)
+	ho.mu.Lock()
+	ho.endTenure = te.End
+	ho.mu.Unlock()
 	<-ctx.Done()
-	ri.set(false)
-	ri.mu.Lock()
-	ri.ended = context.Cause(ctx)
-	ri.mu.Unlock()
+	ho.setServing(false)
+	ho.mu.Lock()
+	ho.endCause = context.Cause(ctx)
+	ho.mu.Unlock()
 	return nil, nil
 }
 
-func (ri *rival) set(serves bool) {
-	ri.mu.Lock()
-	defer ri.mu.Unlock()
-	ri.serves = serves
+func (ho *clusterHost) setServing(serves bool) {
+	ho.mu.Lock()
+	defer ho.mu.Unlock()
+	ho.isServing = serves
 }
 
-func (ri *rival) serving() bool {
-	ri.mu.Lock()
-	defer ri.mu.Unlock()
-	return ri.serves
+func (ho *clusterHost) serving() bool {
+	ho.mu.Lock()
+	defer ho.mu.Unlock()
+	return ho.isServing
 }
 
 // cause returns why its last tenure ended.
-func (ri *rival) cause() error {
-	ri.mu.Lock()
-	defer ri.mu.Unlock()
-	return ri.ended
+func (ho *clusterHost) cause() error {
+	ho.mu.Lock()
+	defer ho.mu.Unlock()
+	return ho.endCause
 }
 
 // tenures returns the epochs of the tenures so far.
-func (ra *race) tenures() []int64 {
-	ra.mu.Lock()
-	defer ra.mu.Unlock()
-	return slices.Clone(ra.epochs)
+func (cl *cluster) tenures() []int64 {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return slices.Clone(cl.tenureEpochs)
 }
 
 // owner returns the only host that serves the cell.
-func (ra *race) owner() *rival {
-	var owner *rival
-	for _, ri := range ra.hosts {
-		if ri.serving() {
-			qt.Assert(ra.t, owner, qt.IsNil)
-			owner = ri
+func (cl *cluster) owner() *clusterHost {
+	var owner *clusterHost
+	for _, ho := range cl.hosts {
+		if ho.serving() {
+			qt.Assert(cl.t, owner, qt.IsNil)
+			owner = ho
 		}
 	}
-	qt.Assert(ra.t, owner, qt.IsNotNil)
+	qt.Assert(cl.t, owner, qt.IsNotNil)
 	return owner
 }
 
-func (ra *race) stop() {
-	for _, ri := range ra.hosts {
-		ri.end()
+func (cl *cluster) stop() {
+	for _, ho := range cl.hosts {
+		ho.end()
 	}
 	synctest.Wait()
 	time.Sleep(5 * time.Second)
 }
 
 // raceOf runs a test with so many hosts.
-func raceOf(t *testing.T, hosts int, test func(ra *race)) {
+func withCluster(t *testing.T, hosts int, test func(cl *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ra := &race{t: t}
-		defer ra.stop()
+		cl := &cluster{t: t}
+		defer cl.stop()
 		for i := range hosts {
-			ra.add(fmt.Sprint("e", i))
+			cl.add(fmt.Sprint("e", i))
 		}
 		time.Sleep(time.Second)
-		test(ra)
+		test(cl)
 	})
 }
 
-func TestOneOfSeveralOwns(t *testing.T) {
-	raceOf(t, 5, func(ra *race) {
-		first := ra.owner()
+func TestSingleOwner(t *testing.T) {
+	withCluster(t, 5, func(cl *cluster) {
+		first := cl.owner()
 		time.Sleep(20 * time.Second)
-		qt.Assert(t, ra.owner(), qt.Equals, first)
-		qt.Assert(t, ra.tenures(), qt.DeepEquals, []int64{1})
+		qt.Assert(t, cl.owner(), qt.Equals, first)
+		qt.Assert(t, cl.tenures(), qt.DeepEquals, []int64{1})
 	})
 }
 
 func TestOwnerKilled(t *testing.T) {
 	for _, refused := range []bool{true, false} {
-		raceOf(t, 3, func(ra *race) {
-			first := ra.owner()
+		withCluster(t, 3, func(cl *cluster) {
+			first := cl.owner()
 			first.gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 			if refused {
-				for _, ri := range ra.hosts {
-					ri.keeper.NotifyPortRefused(first.keeper.Process)
+				for _, ho := range cl.hosts {
+					ho.keeper.NotifyPortRefused(first.keeper.Process)
 				}
 			}
 			within := HeartbeatTimeout + HeartbeatInterval + 500*time.Millisecond
@@ -268,174 +268,174 @@
 				within = RefusedTimeout + HeartbeatInterval + 500*time.Millisecond
 			}
 			time.Sleep(within)
-			qt.Assert(t, len(ra.tenures()), qt.Equals, 2)
+			qt.Assert(t, len(cl.tenures()), qt.Equals, 2)
 		})
 	}
 }
 
 // TestOwnerLosesPower has the owner's host neither write nor answer.
 func TestOwnerLosesPower(t *testing.T) {
-	raceOf(t, 3, func(ra *race) {
-		first := ra.owner()
+	withCluster(t, 3, func(cl *cluster) {
+		first := cl.owner()
 		first.gate.Set(standin.Fault{Mode: standin.ModeFreeze})
-		ra.mu.Lock()
-		first.dark = true
-		ra.mu.Unlock()
+		cl.mu.Lock()
+		first.unreachable = true
+		cl.mu.Unlock()
 		// Before silence alone would do, even if the last heartbeat was as old as
 		// it can be.
 		time.Sleep(HeartbeatTimeout - HeartbeatInterval - 200*time.Millisecond)
-		qt.Assert(t, len(ra.tenures()), qt.Equals, 2)
+		qt.Assert(t, len(cl.tenures()), qt.Equals, 2)
 	})
 }
 
 // TestOwnerRefusedByTheStore has the store refuse the owner alone, whose host says
 // so when asked.
 func TestOwnerRefusedByTheStore(t *testing.T) {
-	raceOf(t, 3, func(ra *race) {
-		first := ra.owner()
+	withCluster(t, 3, func(cl *cluster) {
+		first := cl.owner()
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		time.Sleep(HeartbeatTimeout - HeartbeatInterval - 200*time.Millisecond)
-		qt.Assert(t, ra.owner(), qt.Not(qt.Equals), first)
-		qt.Assert(t, len(ra.tenures()), qt.Equals, 2)
+		qt.Assert(t, cl.owner(), qt.Not(qt.Equals), first)
+		qt.Assert(t, len(cl.tenures()), qt.Equals, 2)
 	})
 }
 
 // TestOwnerThatAnswersIsLeftInPeace has an owner whose heartbeats stay away for
 // a while, as on a slow store, while its host answers.
-func TestOwnerThatAnswersIsLeftInPeace(t *testing.T) {
-	raceOf(t, 3, func(ra *race) {
-		first := ra.owner()
+func TestOwnerThatAnswersProbesIsNotReplaced(t *testing.T) {
+	withCluster(t, 3, func(cl *cluster) {
+		first := cl.owner()
 		first.gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(UnreachableTimeout + 400*time.Millisecond)
 		first.gate.Set(standin.Fault{})
 		time.Sleep(3 * time.Second)
-		qt.Assert(t, ra.tenures(), qt.DeepEquals, []int64{1})
+		qt.Assert(t, cl.tenures(), qt.DeepEquals, []int64{1})
 	})
 }
 
 func TestOwnerReleases(t *testing.T) {
-	raceOf(t, 3, func(ra *race) {
-		first := ra.owner()
+	withCluster(t, 3, func(cl *cluster) {
+		first := cl.owner()
 		first.keeper.Release(time.Second)
 		time.Sleep(400 * time.Millisecond)
-		qt.Assert(t, ra.owner(), qt.Not(qt.Equals), first)
+		qt.Assert(t, cl.owner(), qt.Not(qt.Equals), first)
 	})
 }
 
-func TestOwnerCutFromTheStore(t *testing.T) {
-	raceOf(t, 3, func(ra *race) {
-		first := ra.owner()
+func TestOwnerPartitionedFromStore(t *testing.T) {
+	withCluster(t, 3, func(cl *cluster) {
+		first := cl.owner()
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		time.Sleep(HeartbeatTimeout + 2*time.Second)
-		next := ra.owner()
+		next := cl.owner()
 		qt.Assert(t, next, qt.Not(qt.Equals), first)
 		qt.Assert(t, errors.Is(first.cause(), ErrReplaced), qt.IsTrue)
 		first.gate.Set(standin.Fault{})
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, ra.owner(), qt.Equals, next)
+		qt.Assert(t, cl.owner(), qt.Equals, next)
 	})
 }
 
-func TestStoreAwayForAll(t *testing.T) {
-	raceOf(t, 3, func(ra *race) {
-		first := ra.owner()
-		ra.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+func TestOwnerKeptWhileStoreUnavailable(t *testing.T) {
+	withCluster(t, 3, func(cl *cluster) {
+		first := cl.owner()
+		cl.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		time.Sleep(20 * time.Second)
 		qt.Assert(t, first.serving(), qt.IsTrue)
-		ra.table.Gate.Set(standin.Fault{})
+		cl.table.Gate.Set(standin.Fault{})
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, ra.owner(), qt.Equals, first)
+		qt.Assert(t, cl.owner(), qt.Equals, first)
 	})
 }
 
-func TestStoreSlow(t *testing.T) {
-	raceOf(t, 3, func(ra *race) {
-		first := ra.owner()
-		ra.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 700})
+func TestOwnerKeptWhileStoreSlow(t *testing.T) {
+	withCluster(t, 3, func(cl *cluster) {
+		first := cl.owner()
+		cl.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 700})
 		time.Sleep(20 * time.Second)
-		qt.Assert(t, ra.owner(), qt.Equals, first)
+		qt.Assert(t, cl.owner(), qt.Equals, first)
 	})
 }
 
 func TestAnotherProcessOfTheSameHost(t *testing.T) {
-	raceOf(t, 1, func(ra *race) {
-		first := ra.owner()
+	withCluster(t, 1, func(cl *cluster) {
+		first := cl.owner()
 		first.end()
 		first.gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(100 * time.Millisecond)
-		ra.add("e0")
+		cl.add("e0")
 		time.Sleep(500 * time.Millisecond)
-		qt.Assert(t, ra.owner(), qt.Not(qt.Equals), first)
-		qt.Assert(t, ra.tenures(), qt.DeepEquals, []int64{1, 2})
+		qt.Assert(t, cl.owner(), qt.Not(qt.Equals), first)
+		qt.Assert(t, cl.tenures(), qt.DeepEquals, []int64{1, 2})
 	})
 }
 
-func TestHistoryForgotten(t *testing.T) {
-	raceOf(t, 3, func(ra *race) {
-		first := ra.owner()
-		ra.table.ForgetHistory()
+func TestReleaseAfterStoreLosesHistory(t *testing.T) {
+	withCluster(t, 3, func(cl *cluster) {
+		first := cl.owner()
+		cl.table.ForgetHistory()
 		time.Sleep(5 * time.Second)
 		first.keeper.Release(time.Second)
 		time.Sleep(time.Second)
-		qt.Assert(t, ra.owner(), qt.Not(qt.Equals), first)
+		qt.Assert(t, cl.owner(), qt.Not(qt.Equals), first)
 	})
 }
 
 // TestLargeHostsOwn has the small hosts come first, then lose the owner, and
 // then stop it as planned.
-func TestLargeHostsOwn(t *testing.T) {
+func TestLargeHostsPreferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ra := &race{t: t}
-		defer ra.stop()
+		cl := &cluster{t: t}
+		defer cl.stop()
 		for i := range 6 {
-			ra.addSized(fmt.Sprint("small", i), 0.11)
+			cl.addSized(fmt.Sprint("small", i), 0.11)
 		}
 		time.Sleep(50 * time.Millisecond)
 		for i := range 3 {
-			ra.addSized(fmt.Sprint("large", i), 0.8)
+			cl.addSized(fmt.Sprint("large", i), 0.8)
 		}
 		time.Sleep(5 * time.Second)
-		first := ra.owner()
+		first := cl.owner()
 		qt.Assert(t, first.keeper.Cores, qt.Equals, 0.8)
 		first.end()
 		time.Sleep(5 * time.Second)
-		second := ra.owner()
+		second := cl.owner()
 		qt.Assert(t, second.keeper.Cores, qt.Equals, 0.8)
 		second.keeper.Release(time.Second)
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, ra.owner().keeper.Cores, qt.Equals, 0.8)
+		qt.Assert(t, cl.owner().keeper.Cores, qt.Equals, 0.8)
 	})
 }
 
 // TestSmallHostsOwnWithoutLargeOnes loses the only large host.
-func TestSmallHostsOwnWithoutLargeOnes(t *testing.T) {
+func TestSmallHostOwnsWithoutLargeOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ra := &race{t: t}
-		defer ra.stop()
-		ra.addSized("large", 0.8)
-		ra.addSized("small", 0.11)
+		cl := &cluster{t: t}
+		defer cl.stop()
+		cl.addSized("large", 0.8)
+		cl.addSized("small", 0.11)
 		time.Sleep(5 * time.Second)
-		ra.owner().end()
+		cl.owner().end()
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, ra.owner().keeper.Self, qt.Equals, "small")
+		qt.Assert(t, cl.owner().keeper.Self, qt.Equals, "small")
 	})
 }
 
 // TestSmallOwnerYields has a large host come back after a small one took over.
 func TestSmallOwnerYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ra := &race{t: t}
-		defer ra.stop()
-		ra.addSized("large", 0.8)
-		ra.addSized("small", 0.11)
+		cl := &cluster{t: t}
+		defer cl.stop()
+		cl.addSized("large", 0.8)
+		cl.addSized("small", 0.11)
 		time.Sleep(5 * time.Second)
-		ra.owner().gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		cl.owner().gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(5 * time.Second)
-		for _, ri := range ra.hosts {
-			ri.gate.Set(standin.Fault{})
+		for _, ho := range cl.hosts {
+			ho.gate.Set(standin.Fault{})
 		}
 		time.Sleep(12 * time.Second)
-		qt.Assert(t, ra.owner().keeper.Self, qt.Equals, "large")
+		qt.Assert(t, cl.owner().keeper.Self, qt.Equals, "large")
 	})
 }
 
@@ -444,14 +444,14 @@
 		yields int
 		want   time.Duration
 	}{{0, 2 * time.Second}, {1, 4 * time.Second}, {4, 32 * time.Second}, {5, 32 * time.Second}, {100, 32 * time.Second}} {
-		qt.Check(t, yieldStay(tc.yields), qt.Equals, tc.want)
+		qt.Check(t, yieldDelay(tc.yields), qt.Equals, tc.want)
 	}
 }
 
-func (ra *race) setDark(ri *rival, dark bool) {
-	ra.mu.Lock()
-	defer ra.mu.Unlock()
-	ri.dark = dark
+func (cl *cluster) setUnreachable(ho *clusterHost, dark bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	ho.unreachable = dark
 }
 
 // TestConfirmedEndsWithTheTenure: tasks could run twice. An owner that was cut off hears
@@ -461,29 +461,29 @@
 func TestConfirmedEndsWithTheTenure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var first Tenure
-		ra := &race{t: t}
-		ra.serveFunc = func(ctx context.Context, te Tenure) (map[string]int64, error) {
+		cl := &cluster{t: t}
+		cl.serveFunc = func(ctx context.Context, te Tenure) (map[string]int64, error) {
 			if te.Epoch == 1 {
-				ra.mu.Lock()
+				cl.mu.Lock()
 				first = te
-				ra.mu.Unlock()
+				cl.mu.Unlock()
 			}
 			<-ctx.Done()
 			return nil, nil
 		}
-		defer ra.stop()
-		ra.add("e0")
+		defer cl.stop()
+		cl.add("e0")
 		time.Sleep(time.Second)
-		ra.add("e1")
+		cl.add("e1")
 		time.Sleep(time.Second)
-		ra.hosts[0].gate.Set(standin.Fault{Mode: standin.ModeDown})
-		ra.setDark(ra.hosts[0], true)
+		cl.hosts[0].gate.Set(standin.Fault{Mode: standin.ModeDown})
+		cl.setUnreachable(cl.hosts[0], true)
 		cut := time.Now()
 		time.Sleep(20 * time.Second)
-		ra.hosts[0].gate.Set(standin.Fault{})
+		cl.hosts[0].gate.Set(standin.Fault{})
 		time.Sleep(2 * time.Second)
-		ra.mu.Lock()
-		defer ra.mu.Unlock()
+		cl.mu.Lock()
+		defer cl.mu.Unlock()
 		qt.Assert(t, first.Confirmed().After(cut), qt.IsFalse)
 	})
 }
--- a/internal/tenure/witness.go
+++ b/internal/tenure/witness.go
@@ -31,7 +31,7 @@
 // Numbers of witnesses.
 const (
 	// witnessesMost is how many are named: two of them may be lost.
-	witnessesMost = 5
+	maxWitnesses = 5
 	// confirmAfter is how long after the store last confirmed it an owner asks its witnesses:
 	// longer than one call of a watch waits for a change.
 	confirmAfter = 2500 * time.Millisecond
@@ -41,7 +41,7 @@
 	// reviewEvery is the time between looks at whether the witnesses still run.
 	reviewEvery = 10 * time.Second
 	// witnessedMost is how long after the store last confirmed an owner witnesses may.
-	witnessedMost = 13 * time.Second
+	maxWitnessed = 13 * time.Second
 	// WitnessedLeaseLimit is for how long after the store last confirmed its owner a lease may run
 	// with the help of witnesses: for witnessedMost and LeaseLimit, by the slowest clock.
 	WitnessedLeaseLimit = 22 * time.Second
@@ -74,13 +74,13 @@
 	answering := known && ke.watch.Answering()
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	yes := known && process == ke.Process && !answering && ke.told <= epoch && ke.row.Epoch <= epoch
-	if yes != (ke.vouches == epoch) {
-		ke.vouches = 0
+	yes := known && process == ke.Process && !answering && ke.notifiedEpoch <= epoch && ke.row.Epoch <= epoch
+	if yes != (ke.confirmedEpoch == epoch) {
+		ke.confirmedEpoch = 0
 		if yes {
-			ke.vouches = epoch
+			ke.confirmedEpoch = epoch
 		}
-		ke.Log.Info("asked to confirm the owner", "cell", ke.Cell, "epoch", epoch, "known_epoch", ke.row.Epoch, "told_epoch", ke.told, "store_answers", answering, "confirmed", yes)
+		ke.Log.Info("asked to confirm the owner", "cell", ke.Cell, "epoch", epoch, "known_epoch", ke.row.Epoch, "told_epoch", ke.notifiedEpoch, "store_answers", answering, "confirmed", yes)
 	}
 	return yes
 }
@@ -102,18 +102,18 @@
 	// hosts are the entry hosts that there are, by name, or nil if that is not known.
 	hosts map[string]registry.Member
 	// sets are those that the row may name; named is set once it surely names one of them.
-	sets  [][]registry.Member
-	named bool
+	sets    [][]registry.Member
+	written bool
 	// rowVersion is the row's, doubtful is set while that is not known.
 	rowVersion int64
-	doubtful   bool
+	unsettled  bool
 	// said is when the last question was sent that a process answered with yes, by process.
-	said map[string]time.Time
+	confirmedAt map[string]time.Time
 	// reviewed is when the set was last looked at, changed is set when hosts are new.
 	reviewed time.Time
 	changed  bool
 	// leaning is set while witnesses confirm the tenure and the store does not.
-	leaning bool
+	relied bool
 }
 
 // setHosts takes in rows of the list of entry hosts. If whole is set they are all there are.
@@ -133,15 +133,15 @@
 }
 
 // last returns when the store or the witnesses last confirmed the tenure.
-func (wi *witnesses) last() time.Time {
+func (wi *witnesses) lastConfirmed() time.Time {
 	stored := wi.confirmedFunc()
 	if wi.ctx.Err() != nil {
 		return stored
 	}
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	by := wi.confirmedBy()
-	if most := stored.Add(witnessedMost); by.After(most) {
+	by := wi.witnessesConfirmed()
+	if most := stored.Add(maxWitnessed); by.After(most) {
 		by = most
 	}
 	if by.After(stored) {
@@ -151,13 +151,13 @@
 }
 
 // confirmedBy returns when the witnesses last confirmed the tenure, or zero.
-func (wi *witnesses) confirmedBy() time.Time {
-	if !wi.named {
+func (wi *witnesses) witnessesConfirmed() time.Time {
+	if !wi.written {
 		return time.Time{}
 	}
 	by := time.Now()
 	for _, set := range wi.sets {
-		if at := wi.saidBy(set); at.Before(by) {
+		if at := wi.setConfirmed(set); at.Before(by) {
 			by = at
 		}
 	}
@@ -165,14 +165,14 @@
 }
 
 // saidBy returns when the last question was sent to which enough of a set said yes.
-func (wi *witnesses) saidBy(set []registry.Member) time.Time {
+func (wi *witnesses) setConfirmed(set []registry.Member) time.Time {
 	need := confirmNeed(len(set))
 	if need == 0 {
 		return time.Now()
 	}
 	times := make([]time.Time, len(set))
 	for i, me := range set {
-		times[i] = wi.said[me.Process]
+		times[i] = wi.confirmedAt[me.Process]
 	}
 	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
 	return times[need-1]
@@ -181,7 +181,7 @@
 // run names witnesses and asks them, until the tenure ends.
 func (wi *witnesses) run() {
 	for clock.Sleep(wi.ctx, confirmEvery) {
-		if wi.storeSilent() {
+		if wi.storeUnresponsive() {
 			wi.confirm()
 			continue
 		}
@@ -190,7 +190,7 @@
 }
 
 // storeSilent reports whether witnesses are to confirm the tenure.
-func (wi *witnesses) storeSilent() bool { return time.Since(wi.confirmedFunc()) >= confirmAfter }
+func (wi *witnesses) storeUnresponsive() bool { return time.Since(wi.confirmedFunc()) >= confirmAfter }
 
 // confirm asks all witnesses whether they confirm the tenure.
 func (wi *witnesses) confirm() {
@@ -208,7 +208,7 @@
 		}
 		wi.mu.Lock()
 		defer wi.mu.Unlock()
-		wi.said[me.Process] = sent
+		wi.confirmedAt[me.Process] = sent
 		return true
 	})
 	yes := 0
@@ -219,8 +219,8 @@
 	}
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	if leaning := time.Since(wi.confirmedBy()) < confirmAfter; leaning != wi.leaning {
-		wi.leaning = leaning
+	if leaning := time.Since(wi.witnessesConfirmed()) < confirmAfter; leaning != wi.relied {
+		wi.relied = leaning
 		wi.ke.Log.Info("witnesses of the owner", "cell", wi.ke.Cell, "epoch", wi.row.Epoch, "asked", len(asked), "confirm", yes, "suffices", leaning, "store_silent_for", time.Since(wi.confirmedFunc()))
 	}
 }
@@ -243,7 +243,7 @@
 // review names witnesses, and others in the place of those that run no longer.
 func (wi *witnesses) review() {
 	wi.mu.Lock()
-	due := wi.hosts != nil && wi.ke.AskFunc != nil && (wi.changed || wi.doubtful || time.Since(wi.reviewed) >= reviewEvery)
+	due := wi.hosts != nil && wi.ke.AskFunc != nil && (wi.changed || wi.unsettled || time.Since(wi.reviewed) >= reviewEvery)
 	hosts := slices.Collect(maps.Values(wi.hosts))
 	current := wi.current()
 	wi.mu.Unlock()
@@ -253,9 +253,9 @@
 	wi.mu.Lock()
 	wi.reviewed, wi.changed = time.Now(), false
 	wi.mu.Unlock()
-	next := wi.best(orderWitnesses(hosts, current, wi.ke.Self))
-	if !wi.storeSilent() && wi.ctx.Err() == nil && (wi.isDoubtful() || !sameProcesses(next, current)) {
-		wi.name(next)
+	next := wi.selectWitnesses(orderWitnesses(hosts, current, wi.ke.Self))
+	if !wi.storeUnresponsive() && wi.ctx.Err() == nil && (wi.needsWrite() || !sameProcesses(next, current)) {
+		wi.writeSet(next)
 	}
 }
 
@@ -267,10 +267,10 @@
 	return wi.sets[len(wi.sets)-1]
 }
 
-func (wi *witnesses) isDoubtful() bool {
+func (wi *witnesses) needsWrite() bool {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	return wi.doubtful || !wi.named
+	return wi.unsettled || !wi.written
 }
 
 // orderWitnesses orders the hosts other than the owner's by how well they serve as witnesses:
@@ -322,12 +322,12 @@
 // best returns the first hosts whose processes answer, and where these are too few others: an
 // owner that reaches nobody must not be taken to need nobody. It ends early once the store
 // is silent, as most hosts that are listed may be gone, and each keeps it waiting.
-func (wi *witnesses) best(ordered []registry.Member) []registry.Member {
+func (wi *witnesses) selectWitnesses(ordered []registry.Member) []registry.Member {
 	var alive, silent []registry.Member
-	for chunk := range slices.Chunk(ordered, witnessesMost) {
+	for chunk := range slices.Chunk(ordered, maxWitnesses) {
 		answers := askAll(wi.ctx, chunk, func(ctx context.Context, me registry.Member) bool {
-			li, err := wi.ke.AskFunc(ctx, me.Addr, wi.row.Epoch)
-			return err == nil && li.Process == me.Process
+			hs, err := wi.ke.AskFunc(ctx, me.Addr, wi.row.Epoch)
+			return err == nil && hs.Process == me.Process
 		})
 		for i, me := range chunk {
 			if answers[i] {
@@ -336,12 +336,12 @@
 				silent = append(silent, me)
 			}
 		}
-		if len(alive) >= witnessesMost || wi.storeSilent() {
+		if len(alive) >= maxWitnesses || wi.storeUnresponsive() {
 			break
 		}
 	}
 	list := slices.Concat(alive, silent)
-	return list[:min(len(list), witnessesMost)]
+	return list[:min(len(list), maxWitnesses)]
 }
 
 func sameProcesses(a, b []registry.Member) bool {
@@ -358,12 +358,12 @@
 
 // name writes the set into the row. Until that is known to have been done, the row may name
 // the sets before as well.
-func (wi *witnesses) name(set []registry.Member) {
+func (wi *witnesses) writeSet(set []registry.Member) {
 	wi.mu.Lock()
 	if len(wi.sets) == 0 || !sameProcesses(set, wi.current()) {
 		wi.sets = append(wi.sets, set)
 	}
-	wi.doubtful = true
+	wi.unsettled = true
 	version := wi.rowVersion
 	wi.mu.Unlock()
 	txn, err := store.NewTxn().WithPut(wi.ke.witnessKey(), version, witnessRow{Epoch: wi.row.Epoch, Witnesses: set})
@@ -375,10 +375,10 @@
 	cctx, cancel := context.WithTimeout(wi.ctx, callTimeout)
 	defer cancel()
 	reply, err := wi.ke.Table.CommitFunc(cctx, txn)
-	wi.wrote(set, reply.Version, err)
+	wi.recordWrite(set, reply.Version, err)
 }
 
-func (wi *witnesses) wrote(set []registry.Member, version int64, err error) {
+func (wi *witnesses) recordWrite(set []registry.Member, version int64, err error) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
 	var conflict *store.ConflictError
@@ -391,7 +391,7 @@
 		wi.ke.Log.Info("witnesses not written", "cell", wi.ke.Cell, "epoch", wi.row.Epoch, "err", err)
 		return
 	}
-	wi.rowVersion, wi.doubtful, wi.named = version, false, true
+	wi.rowVersion, wi.unsettled, wi.written = version, false, true
 	wi.sets = [][]registry.Member{set}
 	names := make([]string, len(set))
 	for i, me := range set {
