--- a/internal/tenure/claim.go
+++ b/internal/tenure/claim.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// claimed is a claim that was sent.
+// sentClaim is a claim that was sent to the store.
 type sentClaim struct {
-	// row was written over the last owner's, which had the version.
+	// row was written over the last owner's row, which had this version.
 	row     OwnerRow
 	former  *formerOwners
 	version int64
 	sent    time.Time
 }
 
-// serveDoubted serves the cell if the row shows that a claim taken for failed took
-// effect: the others would wait for the silence of an owner that does not serve.
+// serveUnsettledClaim serves the cell if the row shows that a claim that seemed to have
+// failed took effect. Otherwise the other hosts would have to wait for the heartbeat
+// timeout of an owner that does not serve.
 func (ke *Keeper) serveUnsettledClaim(ctx context.Context) {
 	cl := ke.unsettledClaim
 	if cl == nil {
@@ -29,14 +30,15 @@
 	}
 	ke.unsettledClaim = nil
 	if row.Epoch == cl.row.Epoch && row.Process == ke.Process {
-		ke.Log.Info("claim took effect after all", "cell", ke.Cell, "epoch", row.Epoch, "version", version)
+		ke.Log.Info("claim of unknown outcome took effect", "cell", ke.Cell, "epoch", row.Epoch, "version", version)
 		cl.former.claimedAt = time.Now()
 		ke.serve(ctx, cl.row, version, cl.former, cl.sent)
 	}
 }
 
-// bounded returns a context that ends with the time in which a cell can be given up:
-// the host's own once it is told to stop, be that before or later.
+// releaseContext returns a context that bounds the release of the cell. Once the host is
+// told to stop, before the release or during it, the time allowed for the stop applies
+// instead.
 func (ke *Keeper) releaseContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	ke.mu.Lock()
--- a/internal/tenure/former_owners.go
+++ b/internal/tenure/former_owners.go
@@ -9,41 +9,41 @@
 	"github.com/pepperhatch/pepperhatch/internal/registry"
 )
 
-// clocksDiffer is the part by which the clocks of two hosts differ at most: a twentieth.
+// clockDriftDivisor bounds the clock drift between two hosts to 1/20 of the elapsed time.
 const clockDriftDivisor = 20
 
-// former finds out whether former owners may still act.
+// formerOwners tracks until when the owners before this tenure may still act.
 type formerOwners struct {
 	ke *Keeper
-	// row is the last owner's, epoch that of the new one.
+	// lastRow is the row of the last owner, epoch the epoch of the new one.
 	lastRow OwnerRow
 	epoch   int64
-	// claimed is when the new owner's claim was known to have taken effect.
+	// claimedAt is when the new owner knew that its claim had taken effect.
 	claimedAt time.Time
-	// earlier is when all owners before the last one have ceased to act at the
-	// latest, zero if they had before it did.
+	// earlierCeased is the latest time at which all owners before the last one cease to
+	// act. It is zero if they had ceased before the last one did.
 	earlierCeased time.Time
 
 	mu sync.Mutex
-	// at is when the last owner had ceased to act, or last told a worker a lease if it
-	// said so, zero if neither is known.
+	// lastCeased is when the last owner ceased to act, or when it last extended a lease if
+	// it reported that. It is zero if neither is known.
 	lastCeased time.Time
-	// lapse is until when the last owner said that leases run at the latest, or zero.
+	// reportedEnd is the latest end of any lease, as reported by the last owner, or zero.
 	reportedEnd time.Time
-	// witnessed is set while witnesses may confirm a former owner, and retiredAt is when it
-	// was known that they don't any more, or zero if none could.
+	// witnessesActive is set while witnesses may confirm a former owner. retiredAt is when
+	// they were known to have stopped, or zero if there were none that could.
 	witnessesActive bool
 	retiredAt       time.Time
 }
 
-// newFormer returns the owners before a claim of an epoch over the last one's row, of which
-// those before it may act until earlier.
+// newFormerOwners returns the state of the owners replaced by a claim of the given epoch.
+// Owners before the last one may act until earlier.
 func (ke *Keeper) newFormerOwners(last OwnerRow, epoch int64, earlier time.Time) *formerOwners {
 	witnessed := last.Owner != "" || !last.FormerCeased && last.Epoch > 0
 	return &formerOwners{ke: ke, lastRow: last, epoch: epoch, earlierCeased: earlier, witnessesActive: witnessed}
 }
 
-// when returns when all former owners have certainly ceased to act, or zero if that is
+// ceasedAt returns when all former owners have certainly ceased to act, or zero if that is
 // not known of the last one.
 func (fo *formerOwners) ceasedAt() time.Time {
 	fo.mu.Lock()
@@ -52,14 +52,14 @@
 		return fo.lastCeased
 	}
 	// The last owner may have ended before one that it replaced.
-	if most := fo.retiredAt.Add(ExtendFor); !fo.retiredAt.IsZero() && most.Before(fo.earlierCeased) {
-		return most
+	if latest := fo.retiredAt.Add(ExtendFor); !fo.retiredAt.IsZero() && latest.Before(fo.earlierCeased) {
+		return latest
 	}
 	return fo.earlierCeased
 }
 
-// unconfirmedSince returns since when nothing confirms a former owner, neither the store nor
-// witnesses, or zero if that is not known.
+// unconfirmedSince returns since when neither the store nor witnesses confirm any former
+// owner, or zero if that is not known.
 func (fo *formerOwners) unconfirmedSince() time.Time {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -72,8 +72,8 @@
 	return fo.retiredAt
 }
 
-// extendsUntil returns the last moment at which a former owner can extend leases, by what is
-// known of what confirms it.
+// extendsUntil returns the latest time at which a former owner can extend leases, given
+// what may still confirm it.
 func (fo *formerOwners) extendsUntil() time.Time {
 	if since := fo.unconfirmedSince(); !since.IsZero() {
 		return since.Add(ExtendFor)
@@ -81,7 +81,7 @@
 	return fo.claimedAt.Add(WitnessedLeaseLimit)
 }
 
-// last returns the last moment at which a former owner can have told a worker a lease.
+// lastExtension returns the latest time at which a former owner can have extended a lease.
 func (fo *formerOwners) lastExtension() time.Time {
 	if at := fo.ceasedAt(); !at.IsZero() {
 		return at
@@ -89,40 +89,41 @@
 	return fo.extendsUntil()
 }
 
-// saidLapse returns until when leases run at the latest by what the last owner said, or zero.
+// reportedLeasesEnd returns the latest end of leases as reported by the last owner, or
+// zero.
 func (fo *formerOwners) reportedLeasesEnd() time.Time {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.reportedEnd
 }
 
-// lapses returns until when leases run at the latest that former owners told.
+// leasesEnd returns the latest end of the leases that former owners extended.
 func (fo *formerOwners) leasesEnd() time.Time {
-	most := fo.claimedAt.Add(WitnessedLeaseLimit)
+	latest := fo.claimedAt.Add(WitnessedLeaseLimit)
 	if since := fo.unconfirmedSince(); !since.IsZero() {
-		most = since.Add(leaseLimitWithDrift)
+		latest = since.Add(leaseLimitWithDrift)
 	}
-	if said := fo.reportedLeasesEnd(); !said.IsZero() && said.Before(most) {
-		return said
+	if reported := fo.reportedLeasesEnd(); !reported.IsZero() && reported.Before(latest) {
+		return reported
 	}
-	return most
+	return latest
 }
 
-// alone reports whether all former owners have ceased to act: so they have also if
-// nothing is known of them, once none can have been confirmed for long enough.
+// allCeased reports whether all former owners have ceased to act. If nothing is known of
+// them, they have once none can have been confirmed recently enough to extend leases.
 func (fo *formerOwners) allCeased() bool {
 	now := time.Now()
-	ended := fo.ceasedAt()
-	return !ended.IsZero() && !ended.After(now) || now.After(fo.extendsUntil())
+	ceased := fo.ceasedAt()
+	return !ceased.IsZero() && !ceased.After(now) || now.After(fo.extendsUntil())
 }
 
-// retired reports whether no witness will confirm a former owner.
+// witnessesRetired reports whether no witness will confirm a former owner any more.
 func (fo *formerOwners) witnessesRetired() bool {
 	return !fo.unconfirmedSince().IsZero() || fo.allCeased()
 }
 
-// ended notes that the last owner has ceased to act, and what is known of the leases that it
-// told.
+// recordCeased records that the last owner has ceased to act, and what is known of the
+// leases that it extended.
 func (fo *formerOwners) recordCeased(why string, sinceLease, leasesLeft time.Duration) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -135,7 +136,8 @@
 		"since_lease", sinceLease, "leases_left", leasesLeft, "earlier_may_act_for", max(time.Until(fo.earlierCeased), 0))
 }
 
-// begin takes in what the last owner's row says of it, or asks its host.
+// start evaluates the last owner's row, or asks its host if the row doesn't tell whether
+// the owner has ceased to act.
 func (fo *formerOwners) start(ctx context.Context) {
 	switch fo.lastRow.Owner {
 	case "":
@@ -156,7 +158,7 @@
 	fo.witnessesActive, fo.retiredAt = false, at
 }
 
-// ask asks the former owner's host until it answers.
+// askLastOwner asks the last owner's host until it answers.
 func (fo *formerOwners) askLastOwner(ctx context.Context) {
 	for {
 		actx, cancel := context.WithTimeout(ctx, askEvery)
@@ -165,7 +167,7 @@
 		switch {
 		case err != nil:
 		case hs.Process == fo.lastRow.Process:
-			fo.recordCeased("it was told of its replacement", hs.SinceLease, hs.LeasesLeft)
+			fo.recordCeased("it was notified of its replacement", hs.SinceLease, hs.LeasesLeft)
 			return
 		default:
 			fo.recordCeased("another process runs on its host", 0, 0)
@@ -177,24 +179,25 @@
 	}
 }
 
-// retireWitnesses tells the witnesses that former owners named of their replacement, until
-// so many were told or have ended that no former owner is confirmed any more.
+// retireWitnesses notifies the witnesses of former owners of the new owner, until so many
+// were notified or have ended that they can't confirm a former owner.
 func (fo *formerOwners) retireWitnesses(ctx context.Context) {
 	row, ok := fo.readWitnesses(ctx)
 	if !ok {
 		return
 	}
 	asked, retired := row.Witnesses, 0
-	// An owner without a row was confirmed by the store alone, which is over with the claim.
+	// An owner without a witness row was confirmed only by the store, which ends with the
+	// claim.
 	for row.Epoch > 0 && retired < retireNeed(len(row.Witnesses)) {
-		var silent []registry.Member
+		var pending []registry.Member
 		for i, done := range askAll(ctx, asked, fo.retireWitness) {
 			if !done {
-				silent = append(silent, asked[i])
+				pending = append(pending, asked[i])
 			}
 		}
-		retired += len(asked) - len(silent)
-		asked = silent
+		retired += len(asked) - len(pending)
+		asked = pending
 		if retired < retireNeed(len(row.Witnesses)) && !clock.Sleep(ctx, askEvery) {
 			return
 		}
@@ -205,8 +208,8 @@
 		"witnesses", len(row.Witnesses), "retired", retired, "after", now.Sub(fo.claimedAt))
 }
 
-// readWitnesses reads the row of witnesses as it was at the claim, after which no former
-// owner can write it.
+// readWitnesses reads the witness row as it was at the claim. No former owner can write it
+// after that.
 func (fo *formerOwners) readWitnesses(ctx context.Context) (witnessRow, bool) {
 	for {
 		var row witnessRow
@@ -223,8 +226,9 @@
 	}
 }
 
-// retire tells a witness of the new owner, and reports whether it confirms no former one any
-// more: also if its process has ended and another runs on its host.
+// retireWitness notifies a witness of the new owner. It reports whether the witness no
+// longer confirms a former one, which also holds if its process has ended and another runs
+// on its host.
 func (fo *formerOwners) retireWitness(ctx context.Context, me registry.Member) bool {
 	if me.Process == fo.ke.Process {
 		return true
--- a/internal/tenure/heartbeat.go
+++ b/internal/tenure/heartbeat.go
@@ -9,23 +9,24 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// heart writes the heartbeats of one tenure.
+// heartbeater writes the heartbeats of one tenure.
 type heartbeater struct {
 	ke *Keeper
-	// ctx is the tenure's.
+	// ctx is the context of the tenure.
 	ctx   context.Context
 	epoch int64
-	// claimed is when the claim was sent.
+	// claimSent is when the claim was sent.
 	claimSent time.Time
-	// aloneFunc reports whether all earlier owners have ceased to act.
+	// formerCeasedFunc reports whether all former owners have ceased to act.
 	formerCeasedFunc func() bool
 }
 
-// last returns a moment after which the store still showed the tenure: the
-// watch of the owner's row answers, and ends the tenure when it shows another.
+// lastConfirmed returns a time after which the store still showed this tenure. The watch
+// of the owner's row provides it, and ends the tenure when the row names another owner.
 func (he *heartbeater) lastConfirmed() time.Time {
 	contact, _ := he.ke.watch.Contact()
-	// The answer that ends a tenure counts as contact too, but only after it did.
+	// The reply that ends the tenure also counts as contact, but only after it has ended
+	// it.
 	if he.ctx.Err() != nil || contact.Before(he.claimSent) {
 		return he.claimSent
 	}
@@ -34,7 +35,7 @@
 
 func (he *heartbeater) run() {
 	ctx := he.ctx
-	// The claim was just written.
+	// The claim has just been written and counts as a heartbeat.
 	he.ke.recordBeat(time.Now(), true)
 	for n := int64(1); ; n++ {
 		sent := time.Now()
@@ -51,7 +52,7 @@
 	}
 }
 
-// noteBeat notes whether a heartbeat was written.
+// recordBeat records whether a heartbeat was written.
 func (ke *Keeper) recordBeat(sent time.Time, written bool) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -62,16 +63,15 @@
 	ke.missedBeats++
 }
 
-// written returns when the last heartbeat was sent that the store took.
+// heartbeatWritten returns when the last heartbeat that the store accepted was sent.
 func (ke *Keeper) heartbeatWritten() time.Time {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return ke.lastWritten
 }
 
-// beat returns the write of a heartbeat. It has no condition: it names its
-// epoch, and one that is of a former owner, or comes late, tells nobody
-// anything.
+// heartbeatTxn returns the write of the n-th heartbeat. It needs no condition: readers
+// ignore a heartbeat whose epoch is not the current one.
 func (he *heartbeater) heartbeatTxn(n int64) store.Txn {
 	txn := store.NewTxn()
 	value, err := json.Marshal(beatRow{Epoch: he.epoch, N: n, FormerCeased: he.formerCeasedFunc()})
--- a/internal/tenure/probe.go
+++ b/internal/tenure/probe.go
@@ -5,40 +5,42 @@
 	"time"
 )
 
-// Numbers of probes.
+// Intervals and limits of probes.
 const (
-	// suspectAfter is the silence after which a host asks the owner's host
-	// whether it lives: two heartbeats, and the time that one takes to be told.
+	// probeAfter is the time without a heartbeat after which a host probes the owner's
+	// host: two heartbeat intervals plus the time until a heartbeat is received.
 	probeAfter = 1200 * time.Millisecond
-	// probeTimeout is how long the answer may take: 3 ms of way, and some
-	// processor time of a host that may be short of it.
+	// probeTimeout bounds a probe: 3 ms on the network, and the time a host that is short
+	// of processor takes to answer.
 	probeTimeout = 500 * time.Millisecond
 	// UnreachableTimeout replaces HeartbeatTimeout when the owner's host neither writes
-	// heartbeats nor answers.
+	// heartbeats nor answers probes.
 	UnreachableTimeout = probeAfter + probeTimeout
-	// missedMost is how many heartbeats in a row an owner fails to write before it
-	// says that the store refuses it: one may fail while the store is slow.
+	// maxMissedBeats is how many consecutive heartbeats an owner fails to write before it
+	// reports that the store refuses them. A single one may fail while the store is slow.
 	maxMissedBeats = 2
 )
 
-// HostStatus is what a host says of itself when it is asked.
+// HostStatus is a host's answer to a probe or to a notification of a new owner.
 type HostStatus struct {
-	// Host is the host's name, Process its process.
+	// Host is the name of the host, Process that of its process.
 	Host    string
 	Process string
-	// Refused is set if the store refused its last heartbeats as an owner.
+	// Refused is set if the store refused the last heartbeats that the host wrote as an
+	// owner.
 	Refused bool
-	// SinceLease is how long ago this process, or an owner before it, last told a worker a
-	// lease, zero if one did just now or that is not known. A host that stood still knows
-	// that it told none: the next owner took its workers' leases to begin as it woke, and
-	// tasks of a lost worker ran nowhere for 10.5 s more.
+	// SinceLease is how long ago this process or an owner before it last extended a lease.
+	// It is zero if one did just now or if that is not known. A host that was stalled
+	// reports that it extended none meanwhile. Otherwise the next owner would count the
+	// leases from when the host resumed, and tasks of a lost worker would wait another
+	// 10.5 s for a restart.
 	SinceLease time.Duration
-	// LeasesLeft is for how long leases may still run that this process or an owner before it
-	// told, by the slowest clock, or zero if that is not known.
+	// LeasesLeft is how long leases that this process or an owner before it extended may
+	// still run, by the slowest clock, or zero if that is not known.
 	LeasesLeft time.Duration
 }
 
-// HostStatus returns what this host says of itself.
+// HostStatus returns the status that this host reports when it is asked.
 func (ke *Keeper) HostStatus() HostStatus {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -50,8 +52,8 @@
 	return hs
 }
 
-// lastLease returns when this process last told a worker a lease, or an owner before it
-// can have if that is later, or zero if that is not known.
+// lastExtension returns when this process, or possibly an owner before it, last extended a
+// lease. It is zero if that is not known.
 func (ke *Keeper) lastExtension() time.Time {
 	if ke.lastExtended.IsZero() || ke.former == nil {
 		return time.Time{}
@@ -62,8 +64,8 @@
 	return ke.lastExtended
 }
 
-// lastLapse returns until when leases run at the latest that this process or an owner before
-// it told.
+// latestLeaseEnd returns the latest end of the leases that this process or an owner before
+// it extended.
 func (ke *Keeper) latestLeaseEnd() time.Time {
 	if before := ke.former.leasesEnd(); before.After(ke.leasesEnd) {
 		return before
@@ -71,8 +73,9 @@
 	return ke.leasesEnd
 }
 
-// extending notes that workers are about to be told leases by an owner that was last
-// confirmed at a moment, and reports whether they may be.
+// recordExtension records that an owner of the given epoch, last confirmed at the given
+// time, is about to extend leases. It reports false if the host was notified of a later
+// owner.
 func (ke *Keeper) recordExtension(epoch int64, confirmed time.Time) bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -89,8 +92,8 @@
 // StoreAnswers reports whether the store answers this host.
 func (ke *Keeper) StoreAnswers() bool { return ke.watch.Answering() }
 
-// probe asks a silent owner's host, once in a silence, whether the owner's
-// process lives.
+// probe asks the host of an unresponsive owner whether the owner's process still runs. It
+// asks once until the next contact.
 func (ke *Keeper) probe(ctx context.Context) {
 	ke.mu.Lock()
 	row, asked := ke.row, ke.probed
@@ -107,18 +110,18 @@
 	defer cancel()
 	hs, err := ke.AskFunc(actx, row.Addr, row.Epoch)
 	ke.Log.Info("asked a silent owner's host", "cell", ke.Cell, "owner", row.Owner, "epoch", row.Epoch, "process", hs.Process, "refused", hs.Refused, "err", err)
-	lives := err == nil && hs.Process == row.Process
-	if lives && !hs.Refused {
+	running := err == nil && hs.Process == row.Process
+	if running && !hs.Refused {
 		return
 	}
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	if ke.row.Epoch == row.Epoch && ke.probed {
-		ke.unreachable, ke.storeRefuses = !lives, lives
+		ke.unreachable, ke.storeRefuses = !running, running
 	}
 }
 
-// heard notes a sign of life of the owner.
+// recordContact records a sign that the owner runs. The caller holds ke.mu.
 func (ke *Keeper) recordContact() {
 	ke.lastContact = time.Now()
 	ke.probed, ke.unreachable, ke.storeRefuses = false, false, false
--- a/internal/tenure/stall.go
+++ b/internal/tenure/stall.go
@@ -7,35 +7,37 @@
 	"github.com/pepperhatch/pepperhatch/internal/clock"
 )
 
-// Numbers of processes that stand still.
+// Intervals and thresholds for detecting stalls.
 const (
-	// lookAtClocksEvery is the time between looks at the clocks.
+	// clockCheckInterval is the time between checks of the clocks.
 	clockCheckInterval = 200 * time.Millisecond
-	// stillAfter is how long a process must not have looked at them to have stood still:
-	// less than a host of a tenth of a core may wait for its turn would count as that.
+	// stallAfter is the time between two checks that counts as a stall. With a lower
+	// threshold, a host with a tenth of a core that waits to be scheduled would count as
+	// stalled.
 	stallAfter = time.Second
-	// suspendedAfter is how much more time must have passed than the steady clock counts
-	// for the host to have been suspended: some clocks tick each 10 ms.
+	// minSuspension is by how much the boot clock must advance more than the monotonic
+	// clock for the host to count as suspended. Some clocks tick every 10 ms.
 	minSuspension = 50 * time.Millisecond
 )
 
-// stillness tells when a process has not run for a while: it was stopped or starved, or its
-// host was suspended, which the steady clock does not count. What the process believes to
-// be so by the time that has passed may then not be so any more. The zero value is ready.
+// stallDetector detects that the process did not run for a while: it was stopped or
+// starved, or its host was suspended, which the monotonic clock does not count.
+// Conclusions that the process drew from elapsed time may then be outdated. The zero value
+// is ready to use.
 type stallDetector struct {
-	// bootFunc returns the time since the host was booted, with that of suspensions; nil
-	// is not known.
+	// bootFunc returns the time since the host was booted, including suspensions. It is nil
+	// if that is not known.
 	bootFunc func() time.Duration
-	// looked is when the clocks were last read, boot what the other one then read.
+	// checkedAt is when the clocks were last read, boot the reading of the boot clock then.
 	checkedAt time.Time
 	boot      time.Duration
-	// woke is when the process last went on, or zero, and suspended is set if its host had
+	// resumedAt is when the process last resumed, or zero. suspended is set if its host had
 	// been suspended.
 	resumedAt time.Time
 	suspended bool
 }
 
-// look reads the clocks, and returns for how long the process stood still, or zero.
+// check reads the clocks and returns how long the process was stalled, or zero.
 func (sd *stallDetector) check() time.Duration {
 	now := time.Now()
 	var boot time.Duration
@@ -43,7 +45,7 @@
 		boot = sd.bootFunc()
 	}
 	first, steady, all := sd.checkedAt.IsZero(), now.Sub(sd.checkedAt), boot-sd.boot
-	// At most so much steady time passed between the readings of the other clock.
+	// At most this much monotonic time passed between the two readings of the boot clock.
 	suspended := all-time.Since(sd.checkedAt) >= minSuspension
 	sd.checkedAt, sd.boot = now, boot
 	if first || steady < stallAfter && !suspended {
@@ -53,16 +55,18 @@
 	return max(steady, all)
 }
 
-// trusts reports whether what was confirmed at a moment still counts: since the process
-// stood still it must have been confirmed anew. A store that failed a call since can't
-// confirm anything, and replaces no owner; but time that was spent suspended is not in the
-// age of what it confirmed last.
+// confirmationValid reports whether a confirmation at the given time still counts. After a
+// stall the tenure must be confirmed anew, unless a call of the store has failed since: a
+// store that is down can't confirm the tenure, and can't accept another owner's claim
+// either. That exception does not hold after a suspension, as the age of the last
+// confirmation does not include it.
 func (sd *stallDetector) confirmationValid(confirmed, failed time.Time) bool {
 	return sd.resumedAt.IsZero() || confirmed.After(sd.resumedAt) || failed.After(sd.resumedAt) && !sd.suspended
 }
 
-// lookAtClocks notes when the process stood still, until ctx ends: also while another host
-// owns the cell, as a new owner can't wait for one more answer before it extends leases.
+// watchClocks records stalls until ctx ends. It also runs while another host owns the
+// cell, since a new owner can't wait for one more answer of the store before it extends
+// leases.
 func (ke *Keeper) watchClocks(ctx context.Context) {
 	for clock.Sleep(ctx, clockCheckInterval) {
 		ke.mu.Lock()
@@ -71,10 +75,11 @@
 	}
 }
 
-// mayExtend reports whether workers may be told leases by an owner that was last confirmed
-// at a moment, and notes that they are about to be. An owner that stood still told leases as
-// it woke, before it knew that it had been replaced, and so had the next one wait for
-// these: 177 lasting tasks of lost workers were free 5.6 s later than by the leases before.
+// mayExtend reports whether an owner last confirmed at the given time may extend leases of
+// workers, and records that it is about to. Without the check for stalls, an owner that
+// resumes would extend leases before it learns that it was replaced, and the next owner
+// would wait for these leases: 177 long-running tasks of lost workers were free to restart
+// 5.6 s late that way.
 func (ke *Keeper) mayExtend(epoch int64, confirmed time.Time) bool {
 	failed := ke.watch.Failed()
 	ke.mu.Lock()
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -1,13 +1,13 @@
 // Package tenure decides which entry host owns a cell.
 //
-// The owner's row in the store's table is the only authority: each owner
-// writes it once, under the condition that it is as it was read, with an epoch
-// one higher. Every write of an owner is conditional on that row's version, so
-// a replaced owner can write nothing, and the epoch is the fencing token that
-// workers obey. Time decides nothing but when somebody tries to replace a
-// silent owner: an owner writes a heartbeat to another row, which all hosts
-// watch, and a host that sees none for a while while the store answers claims
-// the cell.
+// The owner's row in the store's table is the only authority. Each owner writes it once,
+// on condition that it is unchanged since it was read, with an epoch one higher. Every
+// write of an owner is conditional on the version of that row, so that a replaced owner
+// can write nothing, and the epoch is the fencing token that workers check. Time only
+// decides when a host tries to replace an unresponsive owner: an owner writes a heartbeat
+// to another row, which all hosts watch, and a host that sees no heartbeat for a while,
+// although the store answers, claims the cell. A host doesn't claim a cell while the store
+// doesn't answer it.
 package tenure
 
 import (
@@ -26,83 +26,87 @@
 	"github.com/pepperhatch/pepperhatch/internal/watch"
 )
 
-// Intervals of ownership.
+// Intervals and limits of ownership.
 const (
 	// HeartbeatInterval is the time between heartbeats.
 	HeartbeatInterval = 500 * time.Millisecond
-	// HeartbeatTimeout is the silence after which an owner is replaced: a store 120
-	// times slower than usual takes 1.4 s for a write.
+	// HeartbeatTimeout is the time without a heartbeat after which an owner is replaced. A
+	// store 120 times slower than usual takes 1.4 s for a write.
 	HeartbeatTimeout = 2800 * time.Millisecond
-	// RefusedTimeout replaces HeartbeatTimeout when the owner's port refuses
-	// connections: its process has ended.
+	// RefusedTimeout replaces HeartbeatTimeout when the owner's port refuses connections,
+	// since its process has then ended.
 	RefusedTimeout = 900 * time.Millisecond
-	// jitterMost spreads the claims of several hosts.
+	// maxJitter spreads the claims of several hosts.
 	maxJitter = 150 * time.Millisecond
-	// checkEvery is how often silence is measured.
+	// checkEvery is the time between checks for a missing heartbeat.
 	checkEvery = 50 * time.Millisecond
 	// callTimeout bounds one call of the store.
 	callTimeout = 1500 * time.Millisecond
-	// ExtendFor is how long after it was last confirmed, by the store or by witnesses, an
-	// owner goes on extending the leases of what runs. A new owner that can reach neither
-	// a worker nor its former owner waits for what that means for leases, see LeaseLimit.
+	// ExtendFor is how long after its last confirmation, by the store or by witnesses, an
+	// owner may extend leases. A new owner that can reach neither a worker nor the former
+	// owner waits accordingly, see LeaseLimit.
 	ExtendFor = 8 * time.Second
-	// LeaseLimit is for how long after its owner was last confirmed a lease may run, by the
-	// slowest clock: the next owner then waits for that from when nothing confirms its
-	// predecessors any more, and not for ExtendFor and a whole lease.
+	// LeaseLimit is how long after the owner's last confirmation a lease may run, by the
+	// slowest clock. The next owner waits this long from when nothing confirms its
+	// predecessors any more, instead of ExtendFor plus a whole lease.
 	LeaseLimit = 8 * time.Second
-	// lapseFor is LeaseLimit by a worker's clock that is 2% slow, as measured by an owner's
-	// that is 2% fast.
+	// leaseLimitWithDrift is LeaseLimit by a worker's clock that is 2% slow, as measured by
+	// an owner's clock that is 2% fast.
 	leaseLimitWithDrift = 8400 * time.Millisecond
-	// releaseWithin is how long a host that goes on tries to give its cell up; by then
-	// the others notice its silence. One that stops has its time to stop for that.
+	// releaseWithin is how long a host that keeps running tries to release its cell; by
+	// then the other hosts have missed its heartbeats. A host that stops uses the time
+	// allowed for its stop instead.
 	releaseWithin = HeartbeatTimeout
-	// askEvery is the time between questions to a former owner's host.
+	// askEvery is the time between requests to a former owner's host.
 	askEvery = 500 * time.Millisecond
 )
 
-// Table names of the rows.
+// The table of the owner rows and heartbeats.
 const (
 	tableName = "cells"
 )
 
-// Tenure is one host's time as owner.
+// Tenure is the time during which one host owns the cell.
 type Tenure struct {
 	// Epoch is the fencing token.
 	Epoch int64
-	// Key and Version name the owner's row, on which writes are conditional.
+	// Key and Version identify the owner's row on which writes are conditional.
 	Key     string
 	Version int64
-	// Former is who had the cell before.
+	// Former is the row of the previous owner.
 	Former OwnerRow
-	// FormerEnded returns when all former owners will certainly have ceased to act,
-	// which may be in the future, or zero if that is not known of the last one: its
-	// host has yet to answer that the process is gone, or that it was told of its
-	// replacement.
+	// FormerEnded returns when all former owners will certainly have ceased to act, which
+	// may be in the future. It is zero if that is not known of the last one: its host has
+	// yet to answer that the process has ended or was notified of its replacement.
 	FormerEnded func() time.Time
-	// Confirmed returns when the store last confirmed the tenure, by an answer to a
-	// read, and Written when it last took a heartbeat: it may do the one without the other.
+	// Confirmed returns when the store last confirmed the tenure by answering a read.
+	// HeartbeatWritten returns when it last accepted a heartbeat; a store may answer reads
+	// and refuse writes.
 	Confirmed        func() time.Time
 	HeartbeatWritten func() time.Time
-	// ConfirmedByAny returns when the tenure was last confirmed, by the store or else by witnesses:
-	// leases rest on that. If nil it is as Confirmed.
+	// ConfirmedByAny returns when the tenure was last confirmed, by the store or by
+	// witnesses. Leases depend on it. If it is nil, Confirmed applies.
 	ConfirmedByAny func() time.Time
-	// FormerUnconfirmedSince returns since when nothing confirms any former owner, or zero if that
-	// is not known: then none is [WitnessedLeaseLimit] after the claim. If nil none is since then.
+	// FormerUnconfirmedSince returns since when nothing confirms any former owner. It is
+	// zero if that is not known; none is confirmed [WitnessedLeaseLimit] after the claim.
+	// If it is nil, none is confirmed from the claim on.
 	FormerUnconfirmedSince func() time.Time
-	// FormerLeasesEnd returns until when leases that former owners told run at the latest, or zero
-	// if the last one has not said so. If nil none has.
+	// FormerLeasesEnd returns the latest end of leases that former owners extended, or zero
+	// if the last one has not reported it. If it is nil, none has.
 	FormerLeasesEnd func() time.Time
-	// SetHosts takes in rows of the list of entry hosts, of which some are named as
-	// witnesses. If whole is set they are all there are. It is nil where none are.
+	// SetHosts applies rows of the list of entry hosts, some of which are chosen as
+	// witnesses. If whole is set, listed has all rows. SetHosts is nil where there are no
+	// witnesses.
 	SetHosts func(listed []registry.Member, gone []string, whole bool)
 	// End ends the tenure when something showed that it is over.
 	End func(reason error)
-	// Extending is called before workers are told leases, and reports whether they may
-	// be: not once this host was told of a new owner, to which it said when the last was.
+	// MayExtend is called before leases are extended, and reports whether they may be. They
+	// may not once this host was notified of a new owner, to which it reported the time of
+	// its last extension.
 	MayExtend func() bool
 }
 
-// LastConfirmed returns when the tenure was last confirmed, by the store or else by witnesses.
+// LastConfirmed returns when the tenure was last confirmed, by the store or by witnesses.
 func (te *Tenure) LastConfirmed() time.Time {
 	if te.ConfirmedByAny == nil {
 		return te.Confirmed()
@@ -110,86 +114,88 @@
 	return te.ConfirmedByAny()
 }
 
-// ErrReplaced is the cause when a tenure ended because another host has the cell.
+// ErrReplaced is the cause when a tenure ended because another host owns the cell.
 var ErrReplaced = errors.New("another entry host owns the cell")
 
-// Keeper takes part in the ownership of one cell. Set the fields, then call
+// Keeper takes part in the election of the owner of one cell. Set the fields, then call
 // [Keeper.Run].
 type Keeper struct {
-	// Cell names the cell; Self, Process and Addr are this host's.
+	// Cell names the cell; Self, Process and Addr identify this host.
 	Cell    string
 	Self    string
 	Process string
 	Addr    string
-	// Cores is the processor that this host has, in cores; 0 is not known.
+	// Cores is the number of cores of this host; 0 if not known.
 	Cores float64
-	// Table is the store's.
+	// Table is the table of the store.
 	Table store.Table
-	// Serve runs the cell while the host owns it, until ctx ends, and returns
-	// what the next owner should know: see [OwnerRow].
-	Serve func(ctx context.Context, te Tenure) (silentMS map[string]int64, err error)
-	// BootFunc returns the time since the host was booted, with that of suspensions; if
-	// nil these are not noticed.
+	// Serve runs the cell while the host owns it, until ctx ends. It returns the lapse of
+	// leases for the next owner, see [OwnerRow.LeaseLapseMS].
+	Serve func(ctx context.Context, te Tenure) (lapseMS map[string]int64, err error)
+	// BootFunc returns the time since the host was booted, including suspensions. If it is
+	// nil, suspensions are not detected.
 	BootFunc func() time.Duration
-	// AskFunc tells the host at addr that the cell has a new owner, and returns
-	// its process.
+	// AskFunc notifies the host at addr that the cell has an owner of the given epoch, and
+	// returns the status of that host.
 	AskFunc func(ctx context.Context, addr string, epoch int64) (HostStatus, error)
 	// ConfirmFunc asks a process at addr whether it confirms the owner of an epoch, see
 	// [Keeper.Confirm].
 	ConfirmFunc func(ctx context.Context, addr string, epoch int64, process string) (bool, error)
-	// Log gets events.
+	// Log receives events.
 	Log *slog.Logger
 
 	mu      sync.Mutex
 	row     OwnerRow
 	version int64
 	known   bool
-	// earlier is when all owners before that of the row have ceased to act at the
-	// latest, by this host's clock; zero if they had when that one said so.
+	// formerCeased is the latest time at which all owners before that of the row cease to
+	// act, by this host's clock. It is zero if they had ceased when that owner reported so.
 	formerCeased time.Time
 	lastBeat     beatRow
 	lastContact  time.Time
 	portRefused  bool
-	// probed is set once the owner's host was asked in this silence, unreachable
-	// if it did not answer, or another process did, turnedAway if it said that the
-	// store refuses it.
+	// probed is set once the owner's host was probed since the last contact. unreachable is
+	// set if it did not answer, or if another process did. storeRefuses is set if it
+	// reported that the store refuses its heartbeats.
 	probed       bool
 	unreachable  bool
 	storeRefuses bool
-	// missed counts the heartbeats that this host, as the owner, failed to write
-	// since the last one that it wrote.
+	// missedBeats counts the heartbeats that this host, as the owner, failed to write since
+	// the last one that it wrote.
 	missedBeats int
-	// beaten is when the last heartbeat was sent that was written, or the claim.
+	// lastWritten is when the last heartbeat that the store accepted, or the claim, was
+	// sent.
 	lastWritten time.Time
-	// told is the highest epoch that this host was told of by its owner, vouches that of the
-	// owner which it confirmed when it was last asked, or 0.
+	// notifiedEpoch is the highest epoch of which this host was notified by its owner.
+	// confirmedEpoch is the epoch of the owner that this host confirmed when it was last
+	// asked, or 0.
 	notifiedEpoch  int64
 	confirmedEpoch int64
-	// leased is when this process last told a worker a lease, or was about to.
+	// lastExtended is when this process last extended a lease, or was about to.
 	lastExtended time.Time
-	// lapses is until when leases run at the latest that it told.
+	// leasesEnd is the latest end of the leases that this process extended.
 	leasesEnd time.Time
-	// former are the owners before this host, in its last tenure.
+	// former has the owners before this host's last tenure.
 	former   *formerOwners
 	stopping bool
-	// releaseBy is when a host that stops gives up giving its cell up.
+	// releaseBy is when a host that stops gives up releasing its cell.
 	releaseBy time.Time
-	// bound ends a release under way, or is nil.
+	// releaseTimer ends a release in progress, or is nil.
 	releaseTimer *time.Timer
 	endTenure    context.CancelCauseFunc
 	watch        watch.Watch
-	// still tells when this process stood still.
+	// stalls detects when this process was stalled.
 	stalls stallDetector
-	// yields counts the tenures left to larger hosts.
+	// yieldCount counts the tenures yielded to larger hosts.
 	yieldCount int
-	// doubted is the last claim whose outcome is not known.
+	// unsettledClaim is the last claim whose outcome is not known.
 	unsettledClaim *sentClaim
 }
 
 func (ke *Keeper) ownerKey() string { return tableName + "/" + ke.Cell + "/owner" }
 
-// beatPart is apart from the cell's rows: the store writes those of one part in
-// turn, and heartbeats must not wait behind a cell's work.
+// beatPart is separate from the part of the cell's rows: the store writes the rows of one
+// part one after another, and heartbeats must not wait for the writes of a cell.
 func (ke *Keeper) beatPart() string { return tableName + "/" + ke.Cell + ".beat/" }
 func (ke *Keeper) beatKey() string  { return ke.beatPart() + "beat" }
 
@@ -200,7 +206,7 @@
 	return ke.row, ke.known && ke.row.Owner != ""
 }
 
-// NotifyPortRefused tells that the owner's port refused a connection.
+// NotifyPortRefused records that the port of the owner's process refused a connection.
 func (ke *Keeper) NotifyPortRefused(process string) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -210,8 +216,8 @@
 	}
 }
 
-// Release ends the host's tenure, if it has one, and keeps it from claiming. What has
-// to be written for that is tried for so long.
+// Release ends the host's tenure, if it has one, and keeps it from claiming again. The
+// write that releases the cell is retried for the given time.
 func (ke *Keeper) Release(within time.Duration) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -228,8 +234,8 @@
 func (ke *Keeper) NotifyReplaced(epoch int64) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	// The answer counts for the end of all earlier tenures, also of one that this host
-	// has claimed and not begun.
+	// The answer to this notification tells that all earlier tenures of this host have
+	// ended. That includes one that it has claimed and not begun.
 	ke.notifiedEpoch = max(ke.notifiedEpoch, epoch)
 	if ke.endTenure != nil && ke.row.Epoch < epoch {
 		ke.Log.Warn("told of a new owner", "cell", ke.Cell, "epoch", epoch)
@@ -239,10 +245,10 @@
 
 var (
 	errStopping = errors.New("planned stop")
-	errYielding = errors.New("left to a larger host")
+	errYielding = errors.New("cell left to a larger host")
 )
 
-// Run takes part until ctx ends.
+// Run takes part in the election until ctx ends.
 func (ke *Keeper) Run(ctx context.Context) {
 	ke.watch = watch.Watch{Table: ke.Table, Name: tableName, Under: tableName + "/" + ke.Cell + "/", Also: ke.beatPart(), OnRows: ke.onRows, Log: ke.Log}
 	go ke.watch.Run(ctx)
@@ -257,14 +263,14 @@
 		if !clock.Sleep(ctx, time.Duration(rand.Int64N(int64(maxJitter)))) {
 			return
 		}
-		if _, still, due, _ := ke.claimDue(); !due || still != version {
+		if _, latest, due, _ := ke.claimDue(); !due || latest != version {
 			continue
 		}
 		ke.claim(ctx, row, version, why)
 	}
 }
 
-// onRows takes in changes of the owner's row and of the heartbeat.
+// onRows applies changes of the owner's row and of the heartbeat.
 func (ke *Keeper) onRows(rows []store.FeedRow, whole bool) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -295,7 +301,7 @@
 	case or.FormerCeased:
 		ke.formerCeased = time.Time{}
 	case or.Epoch != ke.row.Epoch:
-		// From here on the store confirms none of those before it.
+		// From here on the store confirms none of the owners before this one.
 		ke.formerCeased = time.Now().Add(WitnessedLeaseLimit)
 	}
 	ke.row, ke.version = or, row.Version
@@ -313,7 +319,7 @@
 		ke.Log.Error("heartbeat cannot be read", "cell", ke.Cell, "version", row.Version, "err", err)
 		return
 	}
-	// A heartbeat of a former owner says nothing of this one.
+	// A heartbeat of a former owner doesn't count for this one.
 	if be.Epoch == ke.row.Epoch && be != ke.lastBeat {
 		ke.lastBeat = be
 		ke.recordContact()
@@ -334,7 +340,7 @@
 		return row, version, false, ""
 	}
 	if row.Owner == "" {
-		return row, version, time.Since(ke.lastContact) >= ke.claimDelay(row), "nobody owns it"
+		return row, version, time.Since(ke.lastContact) >= ke.claimDelay(row), "cell has no owner"
 	}
 	if row.Owner == ke.Self && row.Process != ke.Process {
 		return row, version, time.Since(ke.lastContact) >= ke.claimDelay(row), "owned by an earlier process of this host"
@@ -352,8 +358,8 @@
 	case ke.unreachable:
 		limit = UnreachableTimeout
 	}
-	if silent := time.Since(seen); silent > limit+ke.claimDelay(row) {
-		return row, version, true, fmt.Sprintf("owner silent for %v", silent.Round(time.Millisecond))
+	if elapsed := time.Since(seen); elapsed > limit+ke.claimDelay(row) {
+		return row, version, true, fmt.Sprintf("no heartbeat of the owner for %v", elapsed.Round(time.Millisecond))
 	}
 	return row, version, false, ""
 }
@@ -393,7 +399,7 @@
 	if err == nil {
 		return won, nil
 	}
-	// The answer may be lost: the row then names this process.
+	// The answer may be lost; the row then names this process.
 	rctx, cancelRead := context.WithTimeout(ctx, callTimeout)
 	defer cancelRead()
 	var now OwnerRow
@@ -416,8 +422,8 @@
 		ke.mu.Unlock()
 		return
 	}
-	// A host that was told to stop meanwhile has the row too, and must release it: its
-	// tenure ends as it begins.
+	// A host that was told to stop meanwhile owns the row too and must release it. Its
+	// tenure ends as soon as it begins.
 	if ke.stopping {
 		end(errStopping)
 	}
@@ -432,12 +438,12 @@
 	wi := &witnesses{ke: ke, ctx: sctx, row: row, version: version, confirmedFunc: hb.lastConfirmed, retiredFunc: fo.witnessesRetired, confirmedAt: map[string]time.Time{}}
 	go wi.run()
 	ke.Log.Info("owning the cell", "cell", ke.Cell, "epoch", row.Epoch, "version", version)
-	silent, err := ke.Serve(sctx, Tenure{
+	lapseMS, err := ke.Serve(sctx, Tenure{
 		Epoch: row.Epoch, Key: ke.ownerKey(), Version: version, Former: fo.lastRow, FormerEnded: fo.ceasedAt, FormerUnconfirmedSince: fo.unconfirmedSince, FormerLeasesEnd: fo.reportedLeasesEnd,
 		Confirmed: hb.lastConfirmed, HeartbeatWritten: ke.heartbeatWritten, ConfirmedByAny: wi.lastConfirmed, SetHosts: wi.setHosts, End: end,
 		MayExtend: func() bool {
-			backed := wi.lastConfirmed()
-			return sctx.Err() == nil && ke.mayExtend(row.Epoch, backed)
+			confirmed := wi.lastConfirmed()
+			return sctx.Err() == nil && ke.mayExtend(row.Epoch, confirmed)
 		},
 	})
 	cause := context.Cause(sctx)
@@ -447,11 +453,12 @@
 	ke.mu.Unlock()
 	ke.Log.Info("tenure ended", "cell", ke.Cell, "epoch", row.Epoch, "err", err, "cause", cause)
 	if !errors.Is(cause, ErrReplaced) {
-		ke.release(context.WithoutCancel(ctx), OwnerRow{Epoch: row.Epoch, MostCores: row.MostCores, LeaseLapseMS: silent, FormerCeased: fo.allCeased(), Bounded: row.Bounded}, version)
+		ke.release(context.WithoutCancel(ctx), OwnerRow{Epoch: row.Epoch, MostCores: row.MostCores, LeaseLapseMS: lapseMS, FormerCeased: fo.allCeased(), Bounded: row.Bounded}, version)
 	}
 }
 
-// release gives the cell up, so that another host need not wait for silence.
+// release gives up the cell, so that the other hosts need not wait for the heartbeat
+// timeout.
 func (ke *Keeper) release(ctx context.Context, row OwnerRow, version int64) {
 	ctx, cancel := ke.releaseContext(ctx)
 	defer cancel()
--- a/internal/tenure/witness.go
+++ b/internal/tenure/witness.go
@@ -15,39 +15,42 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// Witnesses confirm an owner while the store answers nobody, so that leases may run on
-// without having each next owner wait for as long as that.
+// Witnesses confirm an owner while the store is unavailable, so that leases may run on
+// without each next owner having to wait for an outage of that length.
 //
-// An owner names some processes of other hosts in a row. It counts as confirmed when it sent
-// a question to which half of them, rounded up, said yes. A process that was told of a later
-// owner never says yes to an earlier one, and one that has ended says nothing more, so once
-// more than a half were told or have ended, none of the confirmations that follow is of a
-// former owner. Nothing else is kept, and the store alone decides who owns the cell.
+// An owner names some processes of other hosts in a row. It counts as confirmed since it
+// last sent a request to which half of them, rounded up, answered yes. A process that was
+// notified of a later owner never confirms an earlier one, and one that has ended confirms
+// nothing more. So once more than half of them were notified or have ended, no later
+// confirmation is of a former owner. Witnesses store nothing else, and the store alone
+// decides who owns the cell.
 //
-// The row is written on condition that the owner's is unchanged, and read after a claim: no
-// set takes effect later. An owner names none before those that its predecessors named can
-// confirm nobody, so that one set is all that a next owner has to ask.
+// The row is written on condition that the owner's row is unchanged, and read after a
+// claim, so that no set takes effect later. An owner names no witnesses until those of its
+// predecessors can confirm nobody, so that a next owner has to ask only one set.
 
-// Numbers of witnesses.
+// Intervals and limits of witnesses.
 const (
-	// witnessesMost is how many are named: two of them may be lost.
+	// maxWitnesses is how many witnesses are named. Two of them may be lost.
 	maxWitnesses = 5
-	// confirmAfter is how long after the store last confirmed it an owner asks its witnesses:
-	// longer than one call of a watch waits for a change.
+	// confirmAfter is how long after the store last confirmed it an owner asks its
+	// witnesses. It is longer than one call of a watch waits for a change.
 	confirmAfter = 2500 * time.Millisecond
-	// confirmEvery is the time between questions, confirmTimeout how long an answer may take.
+	// confirmEvery is the time between requests for confirmation; confirmTimeout bounds one
+	// of them.
 	confirmEvery   = 500 * time.Millisecond
 	confirmTimeout = 500 * time.Millisecond
-	// reviewEvery is the time between looks at whether the witnesses still run.
+	// reviewEvery is the time between checks whether the witnesses still run.
 	reviewEvery = 10 * time.Second
-	// witnessedMost is how long after the store last confirmed an owner witnesses may.
+	// maxWitnessed is how long after the store last confirmed an owner witnesses may
+	// confirm it.
 	maxWitnessed = 13 * time.Second
-	// WitnessedLeaseLimit is for how long after the store last confirmed its owner a lease may run
-	// with the help of witnesses: for witnessedMost and LeaseLimit, by the slowest clock.
+	// WitnessedLeaseLimit is how long after the store last confirmed its owner a lease may
+	// run with the help of witnesses: maxWitnessed plus LeaseLimit, by the slowest clock.
 	WitnessedLeaseLimit = 22 * time.Second
 )
 
-// witnessTable has the row.
+// witnessTable has the witness row.
 const witnessTable = "witnesses"
 
 // witnessRow names an owner's witnesses.
@@ -56,17 +59,17 @@
 	Witnesses []registry.Member `json:"witnesses,omitempty"`
 }
 
-// witnessKey is of the same part as the owner's row, on which its writes are conditional.
+// witnessKey is in the same part as the owner's row, on which its writes are conditional.
 func (ke *Keeper) witnessKey() string { return witnessTable + "/" + ke.Cell + "/row" }
 
-// confirmNeed is how many of n witnesses confirm an owner, retireNeed how many must not be
-// able to any more for it to be confirmed by none.
+// confirmNeed returns how many of n witnesses confirm an owner. retireNeed returns how
+// many must be unable to confirm it before none of the sets that confirm it is left.
 func confirmNeed(n int) int { return n - n/2 }
 func retireNeed(n int) int  { return n/2 + 1 }
 
-// Confirm reports whether this process confirms the owner of an epoch, which asks a process by
-// its name. It does not while the store answers, which then confirms owners itself, nor before
-// it has read anything there.
+// Confirm reports whether this process, asked by the name of its process, confirms the
+// owner of an epoch. It doesn't while the store answers, which then confirms owners
+// itself, nor before it has read the owner's row.
 func (ke *Keeper) Confirm(epoch int64, process string) bool {
 	ke.mu.Lock()
 	known := ke.known
@@ -85,38 +88,41 @@
 	return yes
 }
 
-// witnesses are those of an owner in one tenure.
+// witnesses manages the witnesses of an owner during one tenure.
 type witnesses struct {
 	ke *Keeper
-	// ctx is the tenure's.
+	// ctx is the context of the tenure.
 	ctx context.Context
 	row OwnerRow
 	// version is that of the owner's row.
 	version int64
-	// confirmedFunc returns when the store last confirmed the tenure, retiredFunc reports
-	// whether the witnesses of former owners confirm none of them any more.
+	// confirmedFunc returns when the store last confirmed the tenure. retiredFunc reports
+	// whether the witnesses of former owners can't confirm any of them any more.
 	confirmedFunc func() time.Time
 	retiredFunc   func() bool
 
 	mu sync.Mutex
-	// hosts are the entry hosts that there are, by name, or nil if that is not known.
+	// hosts has the known entry hosts by name, or is nil if they are not known.
 	hosts map[string]registry.Member
-	// sets are those that the row may name; named is set once it surely names one of them.
+	// sets are those that the row may name. written is set once it certainly names one of
+	// them.
 	sets    [][]registry.Member
 	written bool
-	// rowVersion is the row's, doubtful is set while that is not known.
+	// rowVersion is the version of the witness row; unsettled is set while it is not known.
 	rowVersion int64
 	unsettled  bool
-	// said is when the last question was sent that a process answered with yes, by process.
+	// confirmedAt has, by process, when the last request was sent that the process answered
+	// with yes.
 	confirmedAt map[string]time.Time
-	// reviewed is when the set was last looked at, changed is set when hosts are new.
+	// reviewed is when the set was last checked; changed is set when the list of hosts has
+	// changed.
 	reviewed time.Time
 	changed  bool
-	// leaning is set while witnesses confirm the tenure and the store does not.
+	// relied is set while witnesses confirm the tenure and the store does not.
 	relied bool
 }
 
-// setHosts takes in rows of the list of entry hosts. If whole is set they are all there are.
+// setHosts applies rows of the list of entry hosts. If whole is set, listed has all rows.
 func (wi *witnesses) setHosts(listed []registry.Member, gone []string, whole bool) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
@@ -132,25 +138,25 @@
 	wi.changed = true
 }
 
-// last returns when the store or the witnesses last confirmed the tenure.
+// lastConfirmed returns when the store or the witnesses last confirmed the tenure.
 func (wi *witnesses) lastConfirmed() time.Time {
-	stored := wi.confirmedFunc()
+	byStore := wi.confirmedFunc()
 	if wi.ctx.Err() != nil {
-		return stored
+		return byStore
 	}
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
 	by := wi.witnessesConfirmed()
-	if most := stored.Add(maxWitnessed); by.After(most) {
-		by = most
+	if latest := byStore.Add(maxWitnessed); by.After(latest) {
+		by = latest
 	}
-	if by.After(stored) {
+	if by.After(byStore) {
 		return by
 	}
-	return stored
+	return byStore
 }
 
-// confirmedBy returns when the witnesses last confirmed the tenure, or zero.
+// witnessesConfirmed returns when the witnesses last confirmed the tenure, or zero.
 func (wi *witnesses) witnessesConfirmed() time.Time {
 	if !wi.written {
 		return time.Time{}
@@ -164,7 +170,8 @@
 	return by
 }
 
-// saidBy returns when the last question was sent to which enough of a set said yes.
+// setConfirmed returns when the last request was sent to which enough of a set answered
+// yes.
 func (wi *witnesses) setConfirmed(set []registry.Member) time.Time {
 	need := confirmNeed(len(set))
 	if need == 0 {
@@ -178,7 +185,7 @@
 	return times[need-1]
 }
 
-// run names witnesses and asks them, until the tenure ends.
+// run names witnesses and asks them for confirmation, until the tenure ends.
 func (wi *witnesses) run() {
 	for clock.Sleep(wi.ctx, confirmEvery) {
 		if wi.storeUnresponsive() {
@@ -189,7 +196,7 @@
 	}
 }
 
-// storeSilent reports whether witnesses are to confirm the tenure.
+// storeUnresponsive reports whether witnesses are to confirm the tenure.
 func (wi *witnesses) storeUnresponsive() bool { return time.Since(wi.confirmedFunc()) >= confirmAfter }
 
 // confirm asks all witnesses whether they confirm the tenure.
@@ -219,13 +226,13 @@
 	}
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	if leaning := time.Since(wi.witnessesConfirmed()) < confirmAfter; leaning != wi.relied {
-		wi.relied = leaning
-		wi.ke.Log.Info("witnesses of the owner", "cell", wi.ke.Cell, "epoch", wi.row.Epoch, "asked", len(asked), "confirm", yes, "suffices", leaning, "store_silent_for", time.Since(wi.confirmedFunc()))
+	if relied := time.Since(wi.witnessesConfirmed()) < confirmAfter; relied != wi.relied {
+		wi.relied = relied
+		wi.ke.Log.Info("witnesses of the owner", "cell", wi.ke.Cell, "epoch", wi.row.Epoch, "asked", len(asked), "confirm", yes, "suffices", relied, "store_silent_for", time.Since(wi.confirmedFunc()))
 	}
 }
 
-// askAll calls fn for each host at once, and returns the results of all.
+// askAll calls fn for all hosts concurrently and returns the results in their order.
 func askAll(ctx context.Context, hosts []registry.Member, fn func(context.Context, registry.Member) bool) []bool {
 	results := make([]bool, len(hosts))
 	var wg sync.WaitGroup
@@ -240,7 +247,7 @@
 	return results
 }
 
-// review names witnesses, and others in the place of those that run no longer.
+// review names witnesses, and replaces those that no longer run.
 func (wi *witnesses) review() {
 	wi.mu.Lock()
 	due := wi.hosts != nil && wi.ke.AskFunc != nil && (wi.changed || wi.unsettled || time.Since(wi.reviewed) >= reviewEvery)
@@ -259,7 +266,7 @@
 	}
 }
 
-// current returns the set that was last written, which the row may not name yet.
+// current returns the set that was last sent to the store. The row may not name it yet.
 func (wi *witnesses) current() []registry.Member {
 	if len(wi.sets) == 0 {
 		return nil
@@ -273,36 +280,36 @@
 	return wi.unsettled || !wi.written
 }
 
-// orderWitnesses orders the hosts other than the owner's by how well they serve as witnesses:
-// data centres take turns, the owner's own comes last, and those that are named already come
-// first in each.
+// orderWitnesses orders the hosts other than the owner's by their suitability as
+// witnesses: data centres alternate, the owner's own comes last, and within each data
+// centre hosts that are already named come first.
 func orderWitnesses(hosts, current []registry.Member, self string) []registry.Member {
 	named := map[string]bool{}
 	for _, me := range current {
 		named[me.Process] = true
 	}
 	own := ""
-	byPlace := map[string][]registry.Member{}
+	byDataCentre := map[string][]registry.Member{}
 	for _, me := range hosts {
 		if me.Name == self {
 			own = me.DataCentre
 			continue
 		}
-		byPlace[me.DataCentre] = append(byPlace[me.DataCentre], me)
+		byDataCentre[me.DataCentre] = append(byDataCentre[me.DataCentre], me)
 	}
-	places := slices.SortedFunc(maps.Keys(byPlace), func(a, b string) int {
+	dataCentres := slices.SortedFunc(maps.Keys(byDataCentre), func(a, b string) int {
 		return cmp.Or(compareBool(a == own, b == own), strings.Compare(a, b))
 	})
-	for _, members := range byPlace {
+	for _, members := range byDataCentre {
 		slices.SortFunc(members, func(a, b registry.Member) int {
 			return cmp.Or(compareBool(named[b.Process], named[a.Process]), strings.Compare(a.Name, b.Name))
 		})
 	}
 	var ordered []registry.Member
-	for turn := 0; len(places) > 0; turn++ {
-		places = slices.DeleteFunc(places, func(place string) bool { return turn >= len(byPlace[place]) })
-		for _, place := range places {
-			ordered = append(ordered, byPlace[place][turn])
+	for turn := 0; len(dataCentres) > 0; turn++ {
+		dataCentres = slices.DeleteFunc(dataCentres, func(dc string) bool { return turn >= len(byDataCentre[dc]) })
+		for _, dc := range dataCentres {
+			ordered = append(ordered, byDataCentre[dc][turn])
 		}
 	}
 	return ordered
@@ -319,11 +326,12 @@
 	return 1
 }
 
-// best returns the first hosts whose processes answer, and where these are too few others: an
-// owner that reaches nobody must not be taken to need nobody. It ends early once the store
-// is silent, as most hosts that are listed may be gone, and each keeps it waiting.
+// selectWitnesses returns the first hosts whose processes answer. If these are too few it
+// adds others: an owner that reaches no host must not be treated as one that needs no
+// confirmation. It ends early once the store is unresponsive, since most of the listed
+// hosts may be lost, and each of them takes a timeout.
 func (wi *witnesses) selectWitnesses(ordered []registry.Member) []registry.Member {
-	var alive, silent []registry.Member
+	var alive, unanswered []registry.Member
 	for chunk := range slices.Chunk(ordered, maxWitnesses) {
 		answers := askAll(wi.ctx, chunk, func(ctx context.Context, me registry.Member) bool {
 			hs, err := wi.ke.AskFunc(ctx, me.Addr, wi.row.Epoch)
@@ -333,14 +341,14 @@
 			if answers[i] {
 				alive = append(alive, me)
 			} else {
-				silent = append(silent, me)
+				unanswered = append(unanswered, me)
 			}
 		}
 		if len(alive) >= maxWitnesses || wi.storeUnresponsive() {
 			break
 		}
 	}
-	list := slices.Concat(alive, silent)
+	list := slices.Concat(alive, unanswered)
 	return list[:min(len(list), maxWitnesses)]
 }
 
@@ -356,8 +364,8 @@
 	return slices.Equal(processes(a), processes(b))
 }
 
-// name writes the set into the row. Until that is known to have been done, the row may name
-// the sets before as well.
+// writeSet writes the set into the row. Until the write is known to have taken effect, the
+// row may also name the sets before.
 func (wi *witnesses) writeSet(set []registry.Member) {
 	wi.mu.Lock()
 	if len(wi.sets) == 0 || !sameProcesses(set, wi.current()) {
@@ -384,7 +392,8 @@
 	var conflict *store.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		// The row is another owner's, or a write before took effect unseen.
+		// The row was written by another owner, or by an earlier write whose answer was
+		// lost.
 		wi.rowVersion = conflict.Row(wi.ke.witnessKey()).Version
 		return
 	case err != nil:
--- a/internal/tenure/yield.go
+++ b/internal/tenure/yield.go
@@ -7,26 +7,26 @@
 	"github.com/pepperhatch/pepperhatch/internal/clock"
 )
 
-// Numbers of hosts that are smaller than others.
+// Parameters of the preference for larger hosts.
 const (
-	// handicapMost is how much later at most a small host claims a cell than a
-	// large one: longer than the jitter and the spread of the news.
+	// maxClaimDelay is how much later than a large host a small one claims a cell at most.
+	// It is longer than the jitter plus the spread in which hosts receive changes of the
+	// owner's row.
 	maxClaimDelay = 500 * time.Millisecond
-	// ampleCores is the processor that the first owner is taken to want, in
-	// cores: 350 workers were seen to need 0.35 on average.
+	// defaultCores is the number of cores that the first owner is assumed to need. 350
+	// workers were seen to need 0.35 on average.
 	defaultCores = 0.8
-	// yieldUnder is the part of the processor of the largest former owner under
-	// which an owner leaves the cell to a larger host, yieldAfter how long it
-	// stays before, twice as long each time that none had come, up to yieldMost:
-	// each change costs some 0.5 s without an owner.
+	// yieldShare is the share of the largest former owner's cores below which an owner
+	// leaves the cell to a larger host. It stays yieldAfter first, and twice as long each
+	// time that no larger host claimed the cell, up to maxYieldAfter: each change costs
+	// some 0.5 s without an owner.
 	yieldShare    = 0.5
 	yieldAfter    = 2 * time.Second
 	maxYieldAfter = 32 * time.Second
 )
 
-// handicap is how much later than others this host claims the cell: a host with
-// less processor than former owners had, or than a first owner may need, leaves
-// it to larger ones.
+// claimDelay returns by how much this host delays its claim. A host with fewer cores than
+// former owners had, or than a first owner may need, lets larger hosts claim first.
 func (ke *Keeper) claimDelay(last OwnerRow) time.Duration {
 	want := last.MostCores
 	if want == 0 {
@@ -38,9 +38,9 @@
 	return time.Duration((1 - ke.Cores/want) * float64(maxClaimDelay))
 }
 
-// yield ends the tenure of a host that is much smaller than former owners were,
-// after a while in which larger ones may have come back. If none has, this host
-// claims the cell again, and stays longer.
+// yield ends the tenure of a host that is much smaller than former owners, after a delay
+// in which larger hosts may have come back. If none claims the cell, this host does so
+// again and then stays longer.
 func (ke *Keeper) yield(ctx context.Context, row OwnerRow, end context.CancelCauseFunc) {
 	if ke.Cores <= 0 || ke.Cores >= yieldShare*row.MostCores {
 		return
@@ -57,8 +57,7 @@
 	}
 }
 
-// yieldStay is how long a small owner stays after so many times that no larger
-// host came.
+// yieldDelay returns how long a small owner stays after the given number of yields.
 func yieldDelay(yields int) time.Duration {
 	stay := yieldAfter
 	for range yields {
