--- a/internal/tenure/former_owners_test.go
+++ b/internal/tenure/former_owners_test.go
@@ -17,17 +17,19 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin"
 )
 
-// acts notes what owners may have done, by epoch.
+// extensionRecord records, by epoch, when owners could extend leases and what they assumed
+// about former owners.
 type extensionRecord struct {
 	mu sync.Mutex
-	// extended is when an owner last could extend leases, assumed the earliest moment
-	// by which it took all former owners to have ceased to act, once that was past.
+	// lastExtended is when an owner last could extend leases. assumedCeased is the earliest
+	// time by which it assumed all former owners to have ceased to act, recorded once that
+	// time has passed.
 	lastExtended, assumedCeased map[int64]time.Time
-	// every is the time between two extensions of an owner.
+	// interval is the time between two extensions of an owner.
 	interval time.Duration
 }
 
-// serve stands for an owner that extends leases whenever it may.
+// serve simulates an owner that extends leases whenever it may.
 func (er *extensionRecord) serve(ctx context.Context, te Tenure) (map[string]int64, error) {
 	const step = 20 * time.Millisecond
 	opened := time.Now()
@@ -48,8 +50,8 @@
 		er.lastExtended[te.Epoch] = now
 	}
 	ended := opened.Add(ExtendFor)
-	if told := te.FormerEnded(); !told.IsZero() && told.Before(ended) {
-		ended = told
+	if reported := te.FormerEnded(); !reported.IsZero() && reported.Before(ended) {
+		ended = reported
 	}
 	was, known := er.assumedCeased[te.Epoch]
 	if !ended.After(now) && (!known || ended.Before(was)) {
@@ -57,7 +59,7 @@
 	}
 }
 
-// problems lists the owners that took another for ended that acted later.
+// problems lists the owners that acted after a later one assumed that they had ceased.
 func (er *extensionRecord) problems() []string {
 	er.mu.Lock()
 	defer er.mu.Unlock()
@@ -65,23 +67,24 @@
 	for epoch, ended := range er.assumedCeased {
 		for other, last := range er.lastExtended {
 			if other < epoch && last.After(ended) {
-				list = append(list, fmt.Sprintf("owner %d could extend leases %v after owner %d took it for ended", other, last.Sub(ended), epoch))
+				list = append(list, fmt.Sprintf("owner %d could extend leases %v after owner %d assumed that it had ceased", other, last.Sub(ended), epoch))
 			}
 		}
 	}
 	return list
 }
 
-// TestOwnersThatComeAndGo plays random sequences in which owners are cut off, die, start
-// again, stop and yield. None may take former owners to have ceased to act before the last
-// moment at which any of them could extend leases: what it then takes for lapsed has lapsed.
+// TestFormerOwnersCeaseBeforeAssumed runs random sequences in which owners are
+// partitioned, killed, restarted, stopped, and yield. No owner may assume that former
+// owners have ceased to act before the last time at which any of them could extend leases.
+// Otherwise it would take leases for lapsed that still run.
 func TestFormerOwnersCeaseBeforeAssumed(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: randomOwners}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
 			er := &extensionRecord{lastExtended: map[int64]time.Time{}, assumedCeased: map[int64]time.Time{}}
 			er.interval = rapid.SampledFrom([]time.Duration{0, 0, 2 * time.Second, 7 * time.Second}).Draw(rt, "every")
 			cl := &cluster{t: t, serveFunc: er.serve}
-			// Small hosts leave the cell to larger ones, and claim it again if none comes.
+			// Small hosts yield the cell to larger ones, and claim it again if none does.
 			for i, cores := range []float64{0.8, 0.2, 0.2} {
 				cl.addSized(fmt.Sprint("e", i), cores)
 			}
@@ -98,16 +101,16 @@
 	})
 }
 
-// randomOwners is the number of sequences; PEPPERHATCH_SEED plays others.
+// randomOwners is the number of sequences; PEPPERHATCH_SEED selects others.
 const randomOwners = 150
 
-// act does one random thing to a host, mostly to the owner's.
+// randomFault applies one random fault to a host, mostly to the owner's.
 func (cl *cluster) randomFault(rt *rapid.T) {
 	ho := cl.lastProcess(fmt.Sprint("e", rapid.IntRange(0, 2).Draw(rt, "host")))
 	if rapid.IntRange(0, 3).Draw(rt, "owner") > 0 {
 		ho = cl.likelyOwner(ho)
 	}
-	switch rapid.SampledFrom([]string{"cut", "cut", "refuse", "freeze", "heal", "die", "die", "reborn", "release"}).Draw(rt, "act") {
+	switch rapid.SampledFrom([]string{"cut", "cut", "refuse", "freeze", "heal", "kill", "kill", "restart", "release"}).Draw(rt, "act") {
 	case "cut":
 		ho.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		cl.setUnreachable(ho, true)
@@ -122,9 +125,9 @@
 				cl.setUnreachable(ho, false)
 			}
 		}
-	case "die":
+	case "kill":
 		cl.kill(ho)
-	case "reborn":
+	case "restart":
 		cl.kill(ho)
 		cl.addSized(ho.keeper.Self, ho.keeper.Cores)
 	case "release":
@@ -132,7 +135,7 @@
 	}
 }
 
-// last returns the last process of a host.
+// lastProcess returns the last process of a host.
 func (cl *cluster) lastProcess(name string) *clusterHost {
 	var last *clusterHost
 	for _, ho := range cl.hosts {
@@ -143,7 +146,8 @@
 	return last
 }
 
-// likelyOwner returns the process that serves with the highest epoch, or another.
+// likelyOwner returns the process that serves with the highest epoch, or other if there is
+// none.
 func (cl *cluster) likelyOwner(other *clusterHost) *clusterHost {
 	epoch := int64(0)
 	for _, ho := range cl.hosts {
@@ -154,7 +158,7 @@
 	return other
 }
 
-// kill ends a process at once: it writes nothing more.
+// kill ends a process at once, so that it writes nothing more.
 func (cl *cluster) kill(ho *clusterHost) {
 	ho.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	cl.setUnreachable(ho, true)
@@ -170,31 +174,32 @@
 	return !ho.killed
 }
 
-// TestLastLeaseCoversFormerOwners: the third owner asks only the second one's host, so that
-// one's answer must hold for the first as well.
+// TestLastLeaseCoversFormerOwners: the third owner asks only the second one's host, so the
+// answer of that host must hold for the first owner as well.
 func TestLastLeaseCoversFormerOwners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ago := func(d time.Duration) time.Time { return time.Now().Add(-d) }
 		for _, tc := range []struct {
-			name   string
-			leased time.Time
-			fo     *formerOwners
-			want   time.Duration
+			name     string
+			extended time.Time
+			fo       *formerOwners
+			want     time.Duration
 		}{
-			{"none was told", time.Time{}, &formerOwners{lastCeased: ago(9 * time.Second)}, 0},
+			{"no lease extended", time.Time{}, &formerOwners{lastCeased: ago(9 * time.Second)}, 0},
 			{"the former owner ended before", ago(4 * time.Second), &formerOwners{lastCeased: ago(9 * time.Second)}, 4 * time.Second},
-			{"the former owner told the last", ago(4 * time.Second), &formerOwners{lastCeased: ago(3 * time.Second)}, 3 * time.Second},
-			{"one before it may have", ago(4 * time.Second), &formerOwners{lastCeased: ago(9 * time.Second), earlierCeased: ago(2 * time.Second)}, 2 * time.Second},
+			{"the former owner extended last", ago(4 * time.Second), &formerOwners{lastCeased: ago(3 * time.Second)}, 3 * time.Second},
+			{"an owner before it may have", ago(4 * time.Second), &formerOwners{lastCeased: ago(9 * time.Second), earlierCeased: ago(2 * time.Second)}, 2 * time.Second},
 			{"nothing is known of the former owner", ago(4 * time.Second), &formerOwners{claimedAt: ago(ExtendFor + time.Second)}, time.Second},
 			{"the former owner may still act", ago(4 * time.Second), &formerOwners{claimedAt: ago(5 * time.Second)}, 0},
 		} {
-			ke := &Keeper{lastExtended: tc.leased, former: tc.fo}
+			ke := &Keeper{lastExtended: tc.extended, former: tc.fo}
 			qt.Check(t, ke.HostStatus().SinceLease, qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 		}
 	})
 }
 
-// TestNoLeaseAfterTheAnswer: a host that said when it last told a lease tells none after.
+// TestNoExtensionAfterNotifiedOfReplacement: a host that has reported its last extension
+// to a new owner extends no lease after that.
 func TestNoExtensionAfterNotifiedOfReplacement(t *testing.T) {
 	ke := &Keeper{Log: slog.New(slog.DiscardHandler)}
 	qt.Assert(t, ke.recordExtension(3, time.Now()), qt.IsTrue)
@@ -203,27 +208,27 @@
 	qt.Assert(t, ke.recordExtension(4, time.Now()), qt.IsTrue)
 }
 
-// TestLeasesLeftCoverFormerOwners: the third owner asks only the second one's host, so that
-// one's answer must hold for the leases of the first as well.
+// TestLeasesLeftCoverFormerOwners: the third owner asks only the second one's host, so the
+// answer of that host must hold for the leases of the first owner as well.
 func TestLeasesLeftCoverFormerOwners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := func(d time.Duration) time.Time { return time.Now().Add(d) }
 		for _, tc := range []struct {
-			name   string
-			leased time.Time
-			lapses time.Time
-			fo     *formerOwners
-			want   time.Duration
+			name      string
+			extended  time.Time
+			leasesEnd time.Time
+			fo        *formerOwners
+			want      time.Duration
 		}{
-			{"none was told", time.Time{}, time.Time{}, &formerOwners{claimedAt: in(-time.Minute)}, 0},
-			{"its own end last", in(0), in(5 * time.Second), &formerOwners{claimedAt: in(-time.Minute)}, 5 * time.Second},
-			{"all have ended", in(-time.Minute), in(-time.Second), &formerOwners{claimedAt: in(-time.Minute)}, time.Millisecond},
-			{"a former owner's end last", in(0), in(5 * time.Second), &formerOwners{claimedAt: in(-time.Second)}, leaseLimitWithDrift - time.Second},
-			{"a former owner may be confirmed yet", in(0), in(5 * time.Second), &formerOwners{claimedAt: in(-time.Second), witnessesActive: true}, WitnessedLeaseLimit - time.Second},
-			{"it was since its witnesses were told", in(0), in(5 * time.Second), &formerOwners{claimedAt: in(-3 * time.Second), retiredAt: in(-time.Second)}, leaseLimitWithDrift - time.Second},
-			{"it said so", in(0), in(2 * time.Second), &formerOwners{claimedAt: in(-time.Second), reportedEnd: in(3 * time.Second)}, 3 * time.Second},
+			{"no lease extended", time.Time{}, time.Time{}, &formerOwners{claimedAt: in(-time.Minute)}, 0},
+			{"its own leases end last", in(0), in(5 * time.Second), &formerOwners{claimedAt: in(-time.Minute)}, 5 * time.Second},
+			{"all leases have ended", in(-time.Minute), in(-time.Second), &formerOwners{claimedAt: in(-time.Minute)}, time.Millisecond},
+			{"a former owner's leases end last", in(0), in(5 * time.Second), &formerOwners{claimedAt: in(-time.Second)}, leaseLimitWithDrift - time.Second},
+			{"a former owner may still be confirmed", in(0), in(5 * time.Second), &formerOwners{claimedAt: in(-time.Second), witnessesActive: true}, WitnessedLeaseLimit - time.Second},
+			{"unconfirmed since its witnesses were notified", in(0), in(5 * time.Second), &formerOwners{claimedAt: in(-3 * time.Second), retiredAt: in(-time.Second)}, leaseLimitWithDrift - time.Second},
+			{"the former owner reported the end", in(0), in(2 * time.Second), &formerOwners{claimedAt: in(-time.Second), reportedEnd: in(3 * time.Second)}, 3 * time.Second},
 		} {
-			ke := &Keeper{lastExtended: tc.leased, leasesEnd: tc.lapses, former: tc.fo}
+			ke := &Keeper{lastExtended: tc.extended, leasesEnd: tc.leasesEnd, former: tc.fo}
 			qt.Check(t, ke.HostStatus().LeasesLeft, qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 		}
 	})
--- a/internal/tenure/row_test.go
+++ b/internal/tenure/row_test.go
@@ -6,8 +6,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestBounds checks after which rows leases are said to be bounded: never while an owner of
-// an earlier version may have told one.
+// TestLeasesBounded checks after which rows leases are marked as bounded: never while an
+// owner of an earlier version may have extended one.
 func TestLeasesBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/tenure/stop_test.go
+++ b/internal/tenure/stop_test.go
@@ -24,16 +24,15 @@
 	return len(txn.Puts) == 1 && strings.HasSuffix(txn.Puts[0].Key, "/owner")
 }
 
-// TestStopInTheMidstOfAClaim is the story of a cell whose owner has gone before it began.
+// TestStopDuringClaimReleasesCell guards against a rolling stop that leaves the cell
+// without an owner for 2.8 s instead of 0.1 s.
 //
-// What users see: a rolling stop costs 2.8 s without an owner, now and then, instead of
-// 0.1 s. Order of events: a host sends a claim, the store carries it out, and before
-// the host has the answer it is told to stop. It does not serve the cell, as it stops,
-// nor release it; the row names it, and the others wait for its silence. It is worse
-// if the answer is lost and so is the question what the row says: then nobody looks
-// at the claim any more, also without a stop.
+// A host sends a claim and the store carries it out, but the host is told to stop before
+// it has the answer. It neither served nor released the cell, and the other hosts waited
+// for its heartbeat timeout. If both the answer and the read of the row are lost, the
+// claim went unnoticed even without a stop.
 //
-// Evidence: one second after the claim nobody owns the cell below.
+// One second after the claim another host must own the cell.
 func TestStopDuringClaimReleasesCell(t *testing.T) {
 	for name, lose := range map[string]bool{"answered": false, "answer and row lost": true} {
 		t.Run(name, func(t *testing.T) {
@@ -51,8 +50,8 @@
 	}
 }
 
-// TestClaimWithoutAnAnswer loses the answer of a claim, and the row that is read for
-// it: the claim is served once the row is seen.
+// TestClaimWithLostAnswerIsServed loses the answer of a claim and the read that follows
+// it. The claim is served once the row is seen.
 func TestClaimWithLostAnswerIsServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := &cluster{t: t}
@@ -67,14 +66,15 @@
 	})
 }
 
-// firstClaim is what happens to the first claim that takes effect.
+// claimFault injects faults into the first claim that takes effect.
 type claimFault struct {
-	// lose has its answer be lost, and that of the next read; then is called before.
+	// loseAnswer loses the answer of the claim and that of the next read. onClaim is called
+	// before that.
 	loseAnswer bool
 	onClaim    func(ho *clusterHost)
 
 	mu sync.Mutex
-	// by is the host whose claim it is; reads counts reads to be lost.
+	// claimant is the host whose claim it is; readsToLose counts reads still to be lost.
 	claimant    *clusterHost
 	readsToLose int
 }
@@ -104,10 +104,10 @@
 	return errLost
 }
 
-// release has a host give its cell up, with so much time to stop.
+// release has a host release its cell, with the given time for its stop.
 func release(ho *clusterHost, within time.Duration) { ho.keeper.Release(within) }
 
-// goneWithin reports whether the host takes part no longer after d.
+// stopsWithin reports whether the host's keeper has stopped after d.
 func (ho *clusterHost) stopsWithin(d time.Duration) bool {
 	time.Sleep(d)
 	synctest.Wait()
@@ -119,22 +119,20 @@
 	}
 }
 
-// TestReleaseEndsWithTheTimeToStop is the story of a planned stop that ends by force.
+// TestReleaseEndsAtStopDeadline guards against a planned stop that ends with the host
+// killed while callers are connected.
 //
-// What users see: a host that is stopped while the store does not answer is killed at
-// the end of its time to stop, with callers on its connections. Order of events: the
-// store stands still, the host has 1 s to stop, and tries for 2.8 s to give its cell
-// up, whether it began with that at the stop or before it, as its tenure had ended.
-//
-// Evidence: 1 s after the stop the host below still takes part.
+// The store hangs, the host has 1 s to stop, and it tried for 2.8 s to release its cell,
+// whether the release began with the stop or earlier with the end of its tenure. The host
+// must have stopped within 1 s.
 func TestReleaseEndsAtStopDeadline(t *testing.T) {
-	for name, before := range map[string]bool{"release begins with the stop": false, "release under way": true} {
+	for name, before := range map[string]bool{"release begins with the stop": false, "release in progress": true} {
 		t.Run(name, func(t *testing.T) {
 			withCluster(t, 1, func(cl *cluster) {
 				first := cl.owner()
 				first.gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 				if before {
-					first.endTenure(errors.New("a write of another"))
+					first.endTenure(errors.New("write of another owner"))
 					time.Sleep(100 * time.Millisecond)
 				}
 				release(first, time.Second)
@@ -146,22 +144,21 @@
 	}
 }
 
-// TestReleaseGoesOnWhileThereIsTime is the story of a host that gives up giving up.
-//
-// What users see: after an outage of the store during a rolling stop, nobody owns the
-// cell for another 2.8 s. Order of events: the store is away for 5 s as the owner is
-// told to stop, with 10 s for it; after 2.8 s it tries no more to release the cell, and
-// when the store is back the others wait for its silence.
+// TestReleaseRetriesUntilStopDeadline guards against a cell without an owner for another
+// 2.8 s after an outage of the store during a rolling stop.
 //
-// Evidence: 1 s after the store is back nobody owns the cell below.
+// The store is unavailable for 5 s as the owner is told to stop, with 10 s for it. The
+// owner gave up releasing the cell after 2.8 s, and when the store was back the other
+// hosts waited for the heartbeat timeout. One second after the store is back another host
+// must own the cell.
 func TestReleaseRetriesUntilStopDeadline(t *testing.T) {
-	for name, before := range map[string]bool{"release begins with the stop": false, "release under way": true} {
+	for name, before := range map[string]bool{"release begins with the stop": false, "release in progress": true} {
 		t.Run(name, func(t *testing.T) {
 			withCluster(t, 3, func(cl *cluster) {
 				first := cl.owner()
 				cl.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 				if before {
-					first.endTenure(errors.New("a write of another"))
+					first.endTenure(errors.New("write of another owner"))
 					time.Sleep(2 * time.Second)
 				}
 				release(first, 10*time.Second)
@@ -174,9 +171,10 @@
 	}
 }
 
-// TestReplacedBeforeItBegan: a host's claim is answered late; another host, which saw the
-// row and then silence, owns the cell by then and has told this one, whose answer counts
-// for its end. It began all the same, and could extend leases for seconds.
+// TestHostReplacedBeforeServingDoesNotServe: a host's claim is answered late. Another host
+// has seen the row without a heartbeat, owns the cell by then, and has notified the first
+// one, whose answer tells that its tenure has ended. The first host must not serve, since
+// it could extend leases for seconds.
 func TestHostReplacedBeforeServingDoesNotServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := &cluster{t: t}
@@ -189,8 +187,8 @@
 	})
 }
 
-// TestWritten: the store answers reads and takes no writes. What tells of the one does not
-// tell of the other.
+// TestHeartbeatWrittenIndependentOfReads has the store answer reads and refuse writes.
+// HeartbeatWritten must not advance then, although Confirmed does.
 func TestHeartbeatWrittenIndependentOfReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := make(chan Tenure, 1)
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -17,38 +17,38 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// race is a cell with several hosts that may own it.
+// cluster is a cell with several hosts that may own it.
 type cluster struct {
 	t     *testing.T
 	table standin.Table
 
 	mu    sync.Mutex
 	hosts []*clusterHost
-	// epochs are the tenures begun, in order.
+	// tenureEpochs are the epochs of the tenures begun, in order.
 	tenureEpochs []int64
 	// serveFunc runs the cell, if set.
 	serveFunc func(context.Context, Tenure) (map[string]int64, error)
-	// committed, if set, is told of each write that took effect, and may lose its
-	// answer.
+	// committedFunc, if set, is called after each write that took effect. An error from it
+	// replaces the reply.
 	committedFunc func(ho *clusterHost, txn store.Txn) error
-	// unread, if set, may lose the answer to a read.
+	// readFunc, if set, is called before each read. An error from it replaces the reply.
 	readFunc func(ho *clusterHost) error
-	// cuts has the pairs of hosts that do not reach each other.
+	// partitions has the pairs of hosts that do not reach each other.
 	partitions map[[2]string]bool
-	// wayFunc returns how long a question or its answer is on its way, if set.
+	// delayFunc, if set, returns how long a request or its reply takes to arrive.
 	delayFunc func() time.Duration
 }
 
-// rival is one host.
+// clusterHost is one process of a host.
 type clusterHost struct {
 	cluster *cluster
 	keeper  *Keeper
 	end     context.CancelFunc
-	// gate is the host's own way to the store.
+	// gate injects faults between this host and the store.
 	gate standin.Gate
-	// dark hosts do not answer others.
+	// unreachable hosts do not answer others.
 	unreachable bool
-	// gone is closed once the host takes part no longer.
+	// stopped is closed once the keeper has stopped.
 	stopped chan struct{}
 
 	mu        sync.Mutex
@@ -60,7 +60,7 @@
 
 func (cl *cluster) add(name string) { cl.addSized(name, 0) }
 
-// addSized adds a host with so much processor, in cores.
+// addSized adds a host with the given number of cores.
 func (cl *cluster) addSized(name string, cores float64) {
 	ho := &clusterHost{cluster: cl, stopped: make(chan struct{})}
 	table := cl.table.Client()
@@ -82,7 +82,7 @@
 	}()
 }
 
-// through puts the host's gate before the table.
+// gatedTable returns the table with the host's faults injected.
 func (ho *clusterHost) gatedTable(tbl store.Table) store.Table {
 	return store.Table{
 		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
@@ -115,9 +115,9 @@
 	}
 }
 
-var errUnreachable = errors.New("nobody there")
+var errUnreachable = errors.New("host unreachable")
 
-// ask asks the last process of a host for its life.
+// ask notifies the last process of a host of an epoch and returns its status.
 func (ho *clusterHost) ask(_ context.Context, addr string, epoch int64) (HostStatus, error) {
 	return exchange(ho, addr, func(ke *Keeper) HostStatus {
 		ke.NotifyReplaced(epoch)
@@ -125,12 +125,12 @@
 	})
 }
 
-// vouch asks the last process of a host whether it confirms an owner.
+// confirm asks the last process of a host whether it confirms an owner.
 func (ho *clusterHost) confirm(_ context.Context, addr string, epoch int64, process string) (bool, error) {
 	return exchange(ho, addr, func(ke *Keeper) bool { return ke.Confirm(epoch, process) })
 }
 
-// exchange carries a question to the last process of a host, and its answer back.
+// exchange sends a request to the last process of a host and returns its reply.
 func exchange[Answer any](ho *clusterHost, addr string, question func(ke *Keeper) Answer) (Answer, error) {
 	var none Answer
 	ho.cluster.delay()
@@ -152,7 +152,7 @@
 	}
 }
 
-// reached returns the last process of a host if another reaches it.
+// reachable returns the last process of a host if from can reach it, or nil.
 func (cl *cluster) reachable(from *clusterHost, addr string) *clusterHost {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// pair is a key for two hosts.
+// hostPair is a key for two hosts, in either order.
 func hostPair(a, b string) [2]string { return [2]string{min(a, b), max(a, b)} }
 
 func (ho *clusterHost) serve(ctx context.Context, te Tenure) (map[string]int64, error) {
@@ -230,7 +230,7 @@
 	time.Sleep(5 * time.Second)
 }
 
-// raceOf runs a test with so many hosts.
+// withCluster runs a test with the given number of hosts.
 func withCluster(t *testing.T, hosts int, test func(cl *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -273,7 +273,7 @@
 	}
 }
 
-// TestOwnerLosesPower has the owner's host neither write nor answer.
+// TestOwnerLosesPower has the owner's host neither write heartbeats nor answer probes.
 func TestOwnerLosesPower(t *testing.T) {
 	withCluster(t, 3, func(cl *cluster) {
 		first := cl.owner()
@@ -281,15 +281,15 @@
 		cl.mu.Lock()
 		first.unreachable = true
 		cl.mu.Unlock()
-		// Before silence alone would do, even if the last heartbeat was as old as
-		// it can be.
+		// This is before the heartbeat timeout alone could have led to a claim, even if the
+		// last heartbeat was as old as it can be.
 		time.Sleep(HeartbeatTimeout - HeartbeatInterval - 200*time.Millisecond)
 		qt.Assert(t, len(cl.tenures()), qt.Equals, 2)
 	})
 }
 
-// TestOwnerRefusedByTheStore has the store refuse the owner alone, whose host says
-// so when asked.
+// TestOwnerRefusedByTheStore has the store refuse only the owner, whose host reports so
+// when probed.
 func TestOwnerRefusedByTheStore(t *testing.T) {
 	withCluster(t, 3, func(cl *cluster) {
 		first := cl.owner()
@@ -300,8 +300,8 @@
 	})
 }
 
-// TestOwnerThatAnswersIsLeftInPeace has an owner whose heartbeats stay away for
-// a while, as on a slow store, while its host answers.
+// TestOwnerThatAnswersProbesIsNotReplaced delays an owner's heartbeats, as on a slow
+// store, while its host answers probes.
 func TestOwnerThatAnswersProbesIsNotReplaced(t *testing.T) {
 	withCluster(t, 3, func(cl *cluster) {
 		first := cl.owner()
@@ -381,8 +381,8 @@
 	})
 }
 
-// TestLargeHostsOwn has the small hosts come first, then lose the owner, and
-// then stop it as planned.
+// TestLargeHostsPreferred starts the small hosts first, then kills the owner, and then
+// stops the next one as planned.
 func TestLargeHostsPreferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := &cluster{t: t}
@@ -407,7 +407,7 @@
 	})
 }
 
-// TestSmallHostsOwnWithoutLargeOnes loses the only large host.
+// TestSmallHostOwnsWithoutLargeOnes stops the only large host.
 func TestSmallHostOwnsWithoutLargeOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := &cluster{t: t}
@@ -454,10 +454,10 @@
 	ho.unreachable = dark
 }
 
-// TestConfirmedEndsWithTheTenure: tasks could run twice. An owner that was cut off hears
-// of its replacement by the same answer of the store that counts as contact with it. Until
-// what runs has taken note, it would be taken for confirmed just now, and extend leases
-// that others reckon to lapse.
+// TestConfirmedEndsWithTheTenure guards against tasks that run twice. An owner that was
+// partitioned learns of its replacement from the same reply of the store that counts as
+// contact with it. Until its tenure has ended, the owner would count as confirmed just
+// now, and extend leases that others take for lapsed.
 func TestConfirmedEndsWithTheTenure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var first Tenure
--- a/internal/tenure/witness_test.go
+++ b/internal/tenure/witness_test.go
@@ -21,7 +21,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// members are the last processes of all hosts, two in a data centre.
+// members returns the last processes of all hosts, two in each data centre.
 func (cl *cluster) members() []registry.Member {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -37,26 +37,27 @@
 	return list
 }
 
-// leases notes until when leases of owners run, and when their successors act on what
-// the leases protected.
+// leaseRecord records until when leases of owners run, and when the next owners act on
+// what the leases protected.
 type leaseRecord struct {
 	cluster *cluster
 
 	mu sync.Mutex
-	// until is the latest end of a lease, acted when a next owner first took those of all
-	// former owners for ended, by epoch. soon counts those that did so before WitnessedLeaseLimit.
+	// until is the latest end of a lease, acted when an owner first assumed that the leases
+	// of all former owners had ended, both by epoch. early counts the owners that did so
+	// before WitnessedLeaseLimit.
 	until, acted map[int64]time.Time
 	early        int
 }
 
-// serve stands for an owner that tells leases whenever it may.
+// serve simulates an owner that extends leases whenever it may.
 func (lr *leaseRecord) serve(ctx context.Context, te Tenure) (map[string]int64, error) {
 	const step = 50 * time.Millisecond
-	opened, told := time.Now(), time.Time{}
+	opened, listed := time.Now(), time.Time{}
 	for {
-		if now := time.Now(); now.Sub(told) > time.Second {
+		if now := time.Now(); now.Sub(listed) > time.Second {
 			te.SetHosts(lr.cluster.members(), nil, true)
-			told = now
+			listed = now
 		}
 		lr.record(te, opened)
 		if !clock.Sleep(ctx, step) {
@@ -69,14 +70,14 @@
 	lr.mu.Lock()
 	defer lr.mu.Unlock()
 	now := time.Now()
-	if backed := te.LastConfirmed(); now.Sub(backed) <= ExtendFor && te.MayExtend() {
-		lr.until[te.Epoch] = laterTime(lr.until[te.Epoch], backed.Add(LeaseLimit))
+	if confirmed := te.LastConfirmed(); now.Sub(confirmed) <= ExtendFor && te.MayExtend() {
+		lr.until[te.Epoch] = laterTime(lr.until[te.Epoch], confirmed.Add(LeaseLimit))
 	}
 	if _, ok := lr.acted[te.Epoch]; ok {
 		return
 	}
-	unconfirmed, said := te.FormerUnconfirmedSince(), te.FormerLeasesEnd()
-	if !unconfirmed.IsZero() && now.After(unconfirmed.Add(LeaseLimit)) || !said.IsZero() && now.After(said) || now.After(opened.Add(WitnessedLeaseLimit)) {
+	unconfirmed, reported := te.FormerUnconfirmedSince(), te.FormerLeasesEnd()
+	if !unconfirmed.IsZero() && now.After(unconfirmed.Add(LeaseLimit)) || !reported.IsZero() && now.After(reported) || now.After(opened.Add(WitnessedLeaseLimit)) {
 		lr.acted[te.Epoch] = now
 		if now.Before(opened.Add(WitnessedLeaseLimit)) {
 			lr.early++
@@ -91,7 +92,7 @@
 	return b
 }
 
-// problems lists the leases that ran on as a next owner acted.
+// problems lists the leases that still ran when a later owner acted.
 func (lr *leaseRecord) problems() []string {
 	lr.mu.Lock()
 	defer lr.mu.Unlock()
@@ -106,11 +107,11 @@
 	return list
 }
 
-// TestLeasesOfFormerOwnersHaveEnded plays random outages, cuts, losses, restarts and stops,
-// with questions and answers that come late. No next owner may act while a lease of a former
-// one runs.
+// TestSuccessorWaitsForFormerLeases runs random outages, partitions, losses, restarts and
+// stops, with requests and replies that are delayed. No owner may act while a lease of a
+// former one runs.
 func TestSuccessorWaitsForFormerLeases(t *testing.T) {
-	soon, all := 0, 0
+	early, all := 0, 0
 	proptest.Check(t, proptest.Size{Checks: randomWitnesses}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
 			lr := &leaseRecord{until: map[int64]time.Time{}, acted: map[int64]time.Time{}}
@@ -132,19 +133,20 @@
 			}
 			time.Sleep(WitnessedLeaseLimit)
 			cl.stop()
-			soon, all = soon+lr.early, all+len(lr.acted)
+			early, all = early+lr.early, all+len(lr.acted)
 			for _, problem := range lr.problems() {
 				rt.Error(problem)
 			}
 		})
 	})
-	t.Logf("%d takeovers, %d of them with the short wait", all, soon)
-	qt.Assert(t, soon > all/4, qt.IsTrue)
-	qt.Assert(t, soon < all, qt.IsTrue)
+	t.Logf("%d takeovers, %d of them before WitnessedLeaseLimit", all, early)
+	qt.Assert(t, early > all/4, qt.IsTrue)
+	qt.Assert(t, early < all, qt.IsTrue)
 }
 
-// TestWitnessesOfAnOwnerTwoBefore: the second owner is lost before it could tell most of the
-// first one's witnesses of it, which still confirm the first as the third takes over.
+// TestWitnessesOfFirstOwnerConfirmDuringThirdTakeover: the second owner is lost before it
+// could notify most witnesses of the first one, which still confirm the first owner as the
+// third takes over.
 func TestWitnessesOfFirstOwnerConfirmDuringThirdTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lr := &leaseRecord{until: map[int64]time.Time{}, acted: map[int64]time.Time{}}
@@ -164,19 +166,19 @@
 		cl.kill(second)
 		time.Sleep(WitnessedLeaseLimit + 5*time.Second)
 		lr.mu.Lock()
-		longer := lr.until[1].Sub(lr.until[2])
+		remaining := lr.until[1].Sub(lr.until[2])
 		lr.mu.Unlock()
-		qt.Assert(t, longer > LeaseLimit, qt.IsTrue)
+		qt.Assert(t, remaining > LeaseLimit, qt.IsTrue)
 		qt.Assert(t, lr.problems(), qt.HasLen, 0)
 	})
 }
 
-// randomWitnesses is the number of sequences; PEPPERHATCH_SEED plays others.
+// randomWitnesses is the number of sequences; PEPPERHATCH_SEED selects others.
 const randomWitnesses = 100
 
 const witnessHosts = 6
 
-// disturb does one random thing, mostly to the owner's host.
+// randomWitnessFault applies one random fault, mostly to the owner's host.
 func (cl *cluster) randomWitnessFault(rt *rapid.T) {
 	host := func(label string) string {
 		return fmt.Sprint("e", rapid.IntRange(0, witnessHosts-1).Draw(rt, label))
@@ -193,8 +195,8 @@
 		ho.gate.Set(down)
 	case "split":
 		refused := rapid.IntRange(0, 1<<witnessHosts-1).Draw(rt, "refused")
-		apart := rapid.IntRange(0, 1<<witnessHosts-1).Draw(rt, "apart")
-		cl.splitStore(ho, down, refused, apart)
+		partitioned := rapid.IntRange(0, 1<<witnessHosts-1).Draw(rt, "apart")
+		cl.splitStore(ho, down, refused, partitioned)
 	case "cut":
 		cl.partition(ho.keeper.Self, host("from"), true)
 	case "cut off":
@@ -214,23 +216,24 @@
 	}
 }
 
-// split has the store refuse a host and others, and some of them not reach the rest.
-func (cl *cluster) splitStore(alone *clusterHost, fault standin.Fault, refused, apart int) {
+// splitStore has the store refuse one host and a set of others, and partitions some of
+// these from the rest.
+func (cl *cluster) splitStore(isolated *clusterHost, fault standin.Fault, refused, partitioned int) {
 	in := func(set int, name string) bool {
-		return name == alone.keeper.Self || set&(1<<(name[1]-'0')) != 0
+		return name == isolated.keeper.Self || set&(1<<(name[1]-'0')) != 0
 	}
 	cl.setGates(fault, func(ho *clusterHost) bool { return in(refused, ho.keeper.Self) })
 	for i := range witnessHosts {
 		for j := range witnessHosts {
 			a, b := fmt.Sprint("e", i), fmt.Sprint("e", j)
-			if in(refused&apart, a) && !in(refused, b) {
+			if in(refused&partitioned, a) && !in(refused, b) {
 				cl.partition(a, b, true)
 			}
 		}
 	}
 }
 
-// setGates sets the way to the store of the hosts that live and are wanted.
+// setGates sets the fault between the store and each running host that is wanted.
 func (cl *cluster) setGates(fault standin.Fault, wanted func(*clusterHost) bool) {
 	for _, ho := range cl.hosts {
 		if ho.running() && wanted(ho) {
@@ -239,7 +242,7 @@
 	}
 }
 
-// cut cuts two hosts off from each other, or ends all cuts.
+// partition partitions two hosts from each other, or ends all partitions.
 func (cl *cluster) partition(a, b string, partition bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -250,44 +253,45 @@
 	cl.partitions[hostPair(a, b)] = true
 }
 
-// TestHowManyWitnesses: any set that confirms an owner has one in common with any that
-// confirms it no more.
+// TestWitnessQuorumsOverlap: any set that confirms an owner shares a witness with any set
+// that no longer does.
 func TestWitnessQuorumsOverlap(t *testing.T) {
 	for n := range 10 {
 		qt.Check(t, confirmNeed(n)+retireNeed(n) > n, qt.IsTrue, qt.Commentf("%d", n))
 	}
 }
 
-// TestVouch has a process be asked to confirm owners.
+// TestConfirm asks a process to confirm owners.
 func TestConfirm(t *testing.T) {
 	for _, tc := range []struct {
-		name        string
-		unread      bool
-		process     string
-		row, told   int64
-		epoch       int64
-		wantConfirm bool
+		name          string
+		unread        bool
+		process       string
+		row, notified int64
+		epoch         int64
+		wantConfirm   bool
 	}{
 		{"the owner that it knows", false, "e1-1", 3, 0, 3, true},
 		{"one that it does not know yet", false, "e1-1", 2, 0, 3, true},
-		{"it was told of a later one", false, "e1-1", 3, 4, 3, false},
+		{"it was notified of a later one", false, "e1-1", 3, 4, 3, false},
 		{"it knows of a later one", false, "e1-1", 4, 0, 3, false},
 		{"another process is meant", false, "e1-0", 3, 0, 3, false},
 		{"it has read nothing yet", true, "e1-1", 0, 0, 3, false},
 	} {
-		ke := &Keeper{Process: "e1-1", known: !tc.unread, row: OwnerRow{Epoch: tc.row}, notifiedEpoch: tc.told, Log: slog.New(slog.DiscardHandler)}
+		ke := &Keeper{Process: "e1-1", known: !tc.unread, row: OwnerRow{Epoch: tc.row}, notifiedEpoch: tc.notified, Log: slog.New(slog.DiscardHandler)}
 		qt.Check(t, ke.Confirm(tc.epoch, tc.process), qt.Equals, tc.wantConfirm, qt.Commentf("%s", tc.name))
 	}
 }
 
-// TestWitnessRowIsOfTheOwnersPart: the platform takes no write of rows of several parts.
+// TestWitnessRowSharesPartOfOwnerRow: the platform accepts no write of rows of several
+// parts.
 func TestWitnessRowSharesPartOfOwnerRow(t *testing.T) {
 	ke := &Keeper{Cell: "c0"}
 	part := func(key string) string { return strings.Split(key, "/")[1] }
 	qt.Assert(t, part(ke.witnessKey()), qt.Equals, part(ke.ownerKey()))
 }
 
-// TestOrderOfWitnesses: data centres take turns, and those that are named stay.
+// TestOrderWitnesses: data centres alternate, and hosts that are already named stay.
 func TestOrderWitnesses(t *testing.T) {
 	me := func(name, dc string) registry.Member {
 		return registry.Member{Name: name, Process: name + "-1", DataCentre: dc}
@@ -308,8 +312,8 @@
 	}
 }
 
-// TestSetsOfWitnessesWhoseWriteIsInDoubt: the row may name the last set or the one before, so
-// both have to confirm the owner; and none does before the first is surely written.
+// TestUnsettledWitnessSetsMustAllConfirm: the row may name the last set or the one before,
+// so both have to confirm the owner. None does before the first set is certainly written.
 func TestUnsettledWitnessSetsMustAllConfirm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := registry.Member{Name: "a", Process: "a-1"}, registry.Member{Name: "b", Process: "b-1"}
@@ -331,8 +335,9 @@
 	})
 }
 
-// TestOwnerThatReachesNobodyNamesWitnesses: it named none, so that nobody could be told of a
-// claim and the next owner waited for as long as leases run at all.
+// TestOwnerWithoutReachableHostsNamesWitnesses guards against an owner that names no
+// witnesses as it reaches no host. No witness could then be notified of a claim, and the
+// next owner waited for the longest possible lease.
 func TestOwnerWithoutReachableHostsNamesWitnesses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		members := []registry.Member{{Name: "a", Process: "a-1"}, {Name: "b", Process: "b-1"}, {Name: "c", Process: "c-1"}}
@@ -344,8 +349,9 @@
 	})
 }
 
-// TestNoWitnessesBeforeFormerOnesAreTold: the row would no longer show the next owner whom to
-// tell of its claim, while those that it had named still confirm a former owner.
+// TestNoWitnessesBeforeFormerOnesRetire: a new set in the row would hide from the next
+// owner which witnesses to notify of its claim, while the former ones may still confirm a
+// former owner.
 func TestNoWitnessesBeforeFormerOnesRetire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, retired := range []bool{false, true} {
