--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -13,32 +13,32 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// Keeper keeps one entry host's membership and tenure. Its methods are the
-// steps of the protocol; [Keeper.Run] takes them in turn.
+// Keeper maintains one entry host's membership and tenure. Its methods are the steps of
+// the protocol; [Keeper.Run] performs them in turn.
 type Keeper struct {
-	// ID and Addr are the member's own.
+	// ID and Addr are those of this host's row, see [Member].
 	ID   string
 	Addr string
 	// DC is the data centre.
 	DC string
-	// Resources are what there is to own in the data centre.
+	// Resources are all resources of the data centre.
 	Resources []string
-	// Table is the platform's.
+	// Table is the platform's table.
 	Table store.Table
-	// Peers asks other members.
+	// Peers sends requests to other members.
 	Peers Peers
-	// Timing has the lengths of time.
+	// Timing has the durations of the protocol.
 	Timing Timing
-	// Now is the clock; nil is the runtime's. Tests give hosts clocks of
-	// different rates.
+	// Now returns the time; nil means time.Now. Tests use clocks that run at different
+	// rates.
 	Now func() time.Time
-	// OnEvent is told of takeovers, extensions and losses; nil is not.
+	// OnEvent is called for joins, takeovers, extensions and departures, unless it is nil.
 	OnEvent func(Event)
-	// BeforeTransfer is called for a resource that the host owned and has ceased
-	// to act on, before the table says that another member owns it. Epoch is
-	// that of the assignment so far; the next one is the first in which the
-	// other may own it.
-	BeforeTransfer func(ctx context.Context, gi Transfer)
+	// BeforeTransfer is called for a resource that the host owned and no longer acts on,
+	// before the table says that another member owns it. The epoch of the transfer is that
+	// of the current assignment; the next one is the first in which the other member may
+	// own the resource.
+	BeforeTransfer func(ctx context.Context, tr Transfer)
 
 	mu                sync.Mutex
 	joined            bool
@@ -58,22 +58,22 @@
 
 // OwnershipStart is when a host began to own a resource.
 type OwnershipStart struct {
-	// At is by its wall clock.
+	// At is the wall clock time of the host.
 	At time.Time
-	// Epoch is that of the first assignment that said so.
+	// Epoch is that of the first assignment that named the host as the owner.
 	Epoch int64
 }
 
-// Transfer is a resource that changes hands by agreement.
+// Transfer is a planned change of a resource's owner.
 type Transfer struct {
-	// Resource is what changes hands.
+	// Resource is the resource that is transferred.
 	Resource string
-	// To and Addr are the next owner.
+	// To and Addr are the id and the address of the next owner.
 	To   string
 	Addr string
-	// Epoch is that of the assignment before.
+	// Epoch is that of the assignment before the transfer.
 	Epoch int64
-	// Since is when the giver began to own it.
+	// Since is when the host began to own the resource.
 	Since OwnershipStart
 }
 
@@ -85,14 +85,14 @@
 	Peer string
 }
 
-// renewal is a renewal of which it is not known whether it took effect.
+// renewal is a renewal whose outcome is not known.
 type renewal struct {
 	txn    store.Txn
 	row    Member
 	sentAt time.Time
 }
 
-// sighting is since when another member's row is seen unchanged.
+// observation has another member's row, and since when it has been unchanged.
 type observation struct {
 	row     Member
 	version int64
@@ -116,15 +116,15 @@
 func (ke *Keeper) assignmentKey() string      { return ke.prefix() + "assignment" }
 func (ke *Keeper) memberKey(id string) string { return ke.prefix() + "member/" + id }
 
-// Owns reports whether the host owns the resource at this moment. Ask before
-// each effect, not once for several.
+// Owns reports whether the host owns the resource at this moment. Callers must check it
+// before each effect, not once for several.
 func (ke *Keeper) Owns(resource string) bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return ke.validLocked() && ke.assignment.Owners[resource].Owner == ke.ID && !ke.released[resource]
 }
 
-// Valid reports whether the host's tenure holds.
+// Valid reports whether the host's tenure is valid.
 func (ke *Keeper) Valid() bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -142,7 +142,7 @@
 	return ke.since[resource]
 }
 
-// Owner returns who owns the resource, with its address, as last read.
+// Owner returns the id and the address of the resource's owner as last read.
 func (ke *Keeper) Owner(resource string) (id, addr string) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -157,22 +157,22 @@
 	return ke.assignment
 }
 
-// Join enters the host as a member. An answer lost is settled by asking
-// again, and so Join may take as long as the table is away.
+// Join adds the host to the members. It retries after a lost answer, and so may take as
+// long as the table is unavailable.
 func (ke *Keeper) Join(ctx context.Context) error {
 	for {
 		if err := ke.read(ctx); err != nil {
 			return fmt.Errorf("join: %w", err)
 		}
 		ke.mu.Lock()
-		if si, there := ke.observed[ke.ID]; there {
-			// Written by an attempt that was not heard of, nobody knows how
-			// long ago: the next renewal begins the tenure.
+		if si, found := ke.observed[ke.ID]; found {
+			// An earlier attempt wrote the row, but its answer was lost and its time is not
+			// known. The next renewal begins the tenure.
 			ke.joined, ke.row, ke.rowVersion = true, si.row, si.version
 			ke.mu.Unlock()
 			return nil
 		}
-		begun := ke.now()
+		sentAt := ke.now()
 		row := Member{ID: ke.ID, Addr: ke.Addr, Beat: 1, Known: without(ke.assignment.Members, ke.ID)}
 		asg, asgVer := ke.assignment.WithMember(ke.ID, ke.Resources), ke.assignmentVersion
 		ke.mu.Unlock()
@@ -189,7 +189,7 @@
 		}
 		ke.mu.Lock()
 		ke.joined = true
-		ke.row, ke.rowVersion, ke.end = row, version, begun.Add(ke.Timing.TTL)
+		ke.row, ke.rowVersion, ke.end = row, version, sentAt.Add(ke.Timing.TTL)
 		ke.adopt(asg, version)
 		ke.mu.Unlock()
 		ke.emit("joined", "")
@@ -209,13 +209,13 @@
 	return slices.DeleteFunc(slices.Clone(ids), func(other string) bool { return other == id })
 }
 
-// read reads all rows of the data centre in one message.
+// read reads all rows of the data centre with one request.
 func (ke *Keeper) read(ctx context.Context) error {
 	rows, err := ke.Table.List(ctx, ke.prefix())
 	if err != nil {
 		return err
 	}
-	// Taken after the reply: a row seen now was renewed before now.
+	// Taken after the reply: a row in it was renewed before this time.
 	at := ke.now()
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -244,7 +244,7 @@
 	return nil
 }
 
-// adopt takes an assignment, unless a later one is known. Reads can come back
+// adopt applies an assignment, unless a later one is known: replies to reads may arrive
 // out of order.
 func (ke *Keeper) adopt(asg Assignment, version int64) {
 	if version < ke.assignmentVersion {
@@ -263,9 +263,9 @@
 	ke.assignment, ke.assignmentVersion, ke.since = asg, version, since
 }
 
-// Renew renews the host's row, by one message to the table. After an answer
-// lost, the next call sends the same renewal again: until it is settled, the
-// known set is that of both rows.
+// Renew renews the host's row with one write to the table. After a lost answer, the next
+// call sends the same renewal again. Until its outcome is known, the known set is the
+// union of those of both rows.
 func (ke *Keeper) Renew(ctx context.Context) error {
 	re, err := ke.nextRenewal()
 	if err != nil {
@@ -286,7 +286,7 @@
 	}
 	ke.pending = nil
 	ke.row, ke.rowVersion = re.row, version
-	// From the first sending: the row may have changed as early as that.
+	// The tenure counts from the first attempt, which may already have changed the row.
 	ke.extendUntil(re.sentAt.Add(ke.Timing.TTL))
 	return nil
 }
@@ -314,8 +314,8 @@
 	return ke.pending, nil
 }
 
-// ownWrite tells a conflict with the renewal itself, sent before, from a
-// takeover.
+// confirmOwnWrite distinguishes a conflict with an earlier attempt of the same renewal
+// from a takeover.
 func (ke *Keeper) confirmOwnWrite(ctx context.Context, re *renewal) (int64, error) {
 	reply, err := ke.Table.ReadFunc(ctx, store.ReadRequest{Keys: []string{ke.memberKey(ke.ID)}})
 	if err != nil {
@@ -333,13 +333,13 @@
 	}
 }
 
-// Extend asks every host of the known set for a promise, and extends the
-// tenure if there is one and all give it. It reports whether they did.
+// Extend asks every host of the known set for a promise, and extends the tenure if the set
+// is not empty and all of them promise. It reports whether they did.
 func (ke *Keeper) Extend(ctx context.Context) bool {
 	ke.mu.Lock()
 	asked := ke.now()
 	known := slices.Clone(ke.row.Known)
-	// Whichever row the table has, a takeover must need a denial.
+	// A takeover must need a denial, whichever of the two rows the table has.
 	guarded := len(known) > 0
 	if ke.pending != nil {
 		known = union(known, ke.pending.row.Known)
@@ -394,45 +394,45 @@
 	return Answer{OK: ke.given.deny(req, ke.now())}
 }
 
-// Watch reads the rows of the data centre and takes over from members that
-// have been silent for too long. It returns the members taken over from.
+// Watch reads the rows of the data centre and takes over from members that have been
+// unresponsive for too long. It returns the ids of these members.
 func (ke *Keeper) Watch(ctx context.Context) ([]string, error) {
 	if err := ke.read(ctx); err != nil {
 		return nil, fmt.Errorf("watch: %w", err)
 	}
-	var taken []string
+	var takenOver []string
 	for _, si := range ke.unresponsive() {
 		if !ke.obtainDenial(ctx, si) {
 			continue
 		}
 		if err := ke.takeOver(ctx, si); err != nil {
-			return taken, err
+			return takenOver, err
 		}
-		taken = append(taken, si.row.ID)
+		takenOver = append(takenOver, si.row.ID)
 	}
-	return taken, nil
+	return takenOver, nil
 }
 
-// silent returns the sightings old enough that a tenure from the table has
-// ended.
+// unresponsive returns the members whose rows have been unchanged for so long that a
+// tenure from the table has ended.
 func (ke *Keeper) unresponsive() []observation {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	var silent []observation
+	var stale []observation
 	if !ke.joined || ke.lost {
 		return nil
 	}
 	for id, si := range ke.observed {
 		if id != ke.ID && ke.now().Sub(si.at) > ke.Timing.TTL+ke.Timing.Margin {
-			silent = append(silent, si)
+			stale = append(stale, si)
 		}
 	}
-	slices.SortFunc(silent, func(a, b observation) int { return strings.Compare(a.row.ID, b.row.ID) })
-	return silent
+	slices.SortFunc(stale, func(a, b observation) int { return strings.Compare(a.row.ID, b.row.ID) })
+	return stale
 }
 
-// denied gets one denial from the known set of a silent member. An empty
-// known set needs none: such a member cannot extend its tenure.
+// obtainDenial obtains one denial from the known set of an unresponsive member. An empty
+// known set needs none, since such a member cannot extend its tenure.
 func (ke *Keeper) obtainDenial(ctx context.Context, si observation) bool {
 	req := DenialRequest{Holder: si.row.ID, Beat: si.row.Beat}
 	if len(si.row.Known) == 0 {
@@ -453,8 +453,8 @@
 	return false
 }
 
-// takeOver removes a member, on condition that its row and the assignment are
-// as they were seen. Losing the race is no error.
+// takeOver removes a member, on condition that its row and the assignment are unchanged
+// since they were read. A conflict is not an error.
 func (ke *Keeper) takeOver(ctx context.Context, si observation) error {
 	ke.mu.Lock()
 	asg, asgVer := ke.assignment.WithoutMember(si.row.ID), ke.assignmentVersion
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,26 +1,25 @@
-// Package lease decides which entry host of a data centre owns what: the
-// shards of request ids, and the cell of workers.
+// Package lease decides which entry host of a data centre owns each shard of request ids
+// and the cell of workers.
 //
-// Every entry host has a row in the platform's table, renewed by
-// compare-and-set, and one more row, the assignment, says who owns what. An
-// owner acts only within its tenure. Taking over from a silent owner is one
-// conditional write.
+// Every entry host has a row in the platform's table, renewed by compare-and-set. One more
+// row, the assignment, maps resources to owners. An owner acts only within its tenure. A
+// takeover from an unresponsive owner is one conditional write.
 //
-// The table may be away for long, and a data centre that is cut off whole has
-// to go on. So a tenure has a second source. An owner that cannot renew asks
-// every host of its known set, the members it recorded at its last renewal,
-// for a promise not to help anyone take over from it for a while. If all of
-// them promise, its tenure is extended by that while. For a takeover, one host
-// of the known set has to deny: "my promise has run out and I give no more,
-// until the row changes". All on one side and any one on the other exclude
-// each other, so that nothing needs to be replicated or voted on.
+// The table may be unavailable for long, and a data centre that is partitioned as a whole
+// must keep working. So a tenure can be extended in a second way. An owner that cannot
+// renew asks every host of its known set, the members that it recorded at its last
+// renewal, for a promise not to support a takeover from it for a certain time. If all of
+// them promise, its tenure is extended by that time. A takeover needs a denial from one
+// host of the known set: a statement that its promise has expired and that it gives no
+// more until the row changes. Promises of all hosts and a denial of any host exclude each
+// other, so nothing needs to be replicated or voted on.
 //
-// A process that starts is a new member and cannot speak for an earlier one.
-// If no host of the known set is left to deny, an operator has to declare the
-// owner dead ([Keeper.DeclareDead]).
+// A restarted process is a new member and cannot answer for an earlier one. If no host of
+// the known set is left to deny, an operator has to declare the owner dead
+// ([Keeper.DeclareDead]).
 //
-// Time is monotonic and local: nothing compares two hosts' clocks, only their
-// rates, for which [Timing.Margin] allows.
+// Time is monotonic and local: only the rates of clocks are compared between hosts, never
+// their readings, and [Timing.Margin] allows for different rates.
 package lease
 
 import (
@@ -33,19 +32,20 @@
 	"github.com/pepperhatch/pepperhatch/internal/spread"
 )
 
-// Timing has the lengths of time; all hosts of a data centre use the same.
+// Timing has the durations of the protocol. All hosts of a data centre must use the same.
 type Timing struct {
-	// TTL is how long a renewal in the table lasts.
+	// TTL is how long a renewal in the table is valid.
 	TTL time.Duration
-	// Promise is how long a promise lasts.
+	// Promise is how long a promise is valid.
 	Promise time.Duration
 	// Margin allows for clocks that run at different rates.
 	Margin time.Duration
-	// Interval is the time between renewals, and between looks at the others.
+	// Interval is the time between renewals, and between checks of the other members.
 	Interval time.Duration
 }
 
-// DefaultTiming is for few hosts; docs/CAPACITY.md has the writes it costs.
+// DefaultTiming suits a data centre with few hosts; docs/CAPACITY.md lists the writes that
+// it costs.
 var DefaultTiming = Timing{
 	TTL:      6 * time.Second,
 	Promise:  6 * time.Second,
@@ -55,34 +55,34 @@
 
 // Member is the row of one entry host.
 type Member struct {
-	// ID names the process; another process has another id.
+	// ID identifies the process; a restarted process has another id.
 	ID string `json:"id"`
-	// Addr is where its peers reach it.
+	// Addr is the address for requests of other members.
 	Addr string `json:"addr"`
-	// Beat counts its renewals.
+	// Beat counts the renewals of the row.
 	Beat int64 `json:"beat"`
-	// Known is its known set, itself left out.
+	// Known is the known set, without the member itself.
 	Known []string `json:"known,omitempty"`
 }
 
-// Assignment is the row that says who owns what in a data centre.
+// Assignment is the row that maps the resources of a data centre to owners.
 type Assignment struct {
-	// Epoch counts changes of it.
+	// Epoch is incremented with each change.
 	Epoch int64 `json:"epoch"`
-	// Members are the entry hosts.
+	// Members are the ids of the entry hosts.
 	Members []string `json:"members"`
 	// Owners has the owner of each resource.
 	Owners map[string]Ownership `json:"owners"`
 }
 
-// Ownership says who owns a resource, and from which epoch on.
+// Ownership is the owner of a resource and the epoch since which it owns it.
 type Ownership struct {
 	Owner string `json:"owner"`
 	Epoch int64  `json:"epoch"`
 }
 
-// WithMember returns the assignment with one more member, which is given
-// what has no owner.
+// WithMember returns the assignment with one more member, which gets the resources without
+// an owner.
 func (as Assignment) WithMember(id string, resources []string) Assignment {
 	next := as.next()
 	if !slices.Contains(next.Members, id) {
@@ -97,40 +97,40 @@
 	return next
 }
 
-// WithoutMember returns the assignment without a member, whose resources go
-// to the others, evenly.
+// WithoutMember returns the assignment without a member, whose resources are spread evenly
+// over the others.
 func (as Assignment) WithoutMember(id string) Assignment {
 	next := as.next()
 	next.Members = slices.DeleteFunc(next.Members, func(me string) bool { return me == id })
-	var orphans []string
+	var unowned []string
 	for re, ow := range next.Owners {
 		if ow.Owner == id {
-			orphans = append(orphans, re)
+			unowned = append(unowned, re)
 		}
 	}
-	slices.Sort(orphans)
-	heirs := spread.Even(orphans, next.Members)
-	for _, re := range orphans {
-		next.Owners[re] = Ownership{Owner: heirs[re], Epoch: next.Epoch}
+	slices.Sort(unowned)
+	owners := spread.Even(unowned, next.Members)
+	for _, re := range unowned {
+		next.Owners[re] = Ownership{Owner: owners[re], Epoch: next.Epoch}
 	}
 	return next
 }
 
-// WithOwner returns the assignment with a resource given to a member.
+// WithOwner returns the assignment with a resource transferred to a member.
 func (as Assignment) WithOwner(resource, id string) Assignment {
 	next := as.next()
 	next.Owners[resource] = Ownership{Owner: id, Epoch: next.Epoch}
 	return next
 }
 
-// next returns a copy of the following epoch.
+// next returns a copy with the next epoch.
 func (as Assignment) next() Assignment {
 	owners := make(map[string]Ownership, len(as.Owners))
 	maps.Copy(owners, as.Owners)
 	return Assignment{Epoch: as.Epoch + 1, Members: slices.Clone(as.Members), Owners: owners}
 }
 
-// OwnedBy returns a member's resources, in order.
+// OwnedBy returns a member's resources, sorted.
 func (as Assignment) OwnedBy(id string) []string {
 	var owned []string
 	for re, ow := range as.Owners {
@@ -142,29 +142,29 @@
 	return owned
 }
 
-// PromiseRequest asks for a promise not to help a takeover.
+// PromiseRequest asks for a promise not to support a takeover.
 type PromiseRequest struct {
-	// Holder asks.
+	// Holder is the member that asks.
 	Holder string `json:"holder"`
-	// Beat is the lowest beat that the holder's row can be at.
+	// Beat is the lowest beat that the holder's row can have.
 	Beat int64 `json:"beat"`
 }
 
-// DenialRequest asks for a denial, on behalf of a takeover.
+// DenialRequest asks for a denial, as needed for a takeover.
 type DenialRequest struct {
-	// Holder is to be taken over from.
+	// Holder is the member to take over from.
 	Holder string `json:"holder"`
-	// Beat is the beat of its row as the taker saw it.
+	// Beat is the beat of the holder's row as last read.
 	Beat int64 `json:"beat"`
 }
 
-// Answer is the reply to both.
+// Answer is the reply to a [PromiseRequest] or a [DenialRequest].
 type Answer struct {
-	// OK is set if the promise, or the denial, was given.
+	// OK is set if the promise or the denial was given.
 	OK bool `json:"ok"`
 }
 
-// Peers carries the questions to other members.
+// Peers sends requests to other members.
 type Peers struct {
 	// PromiseFunc asks the member at addr for a promise.
 	PromiseFunc func(ctx context.Context, id, addr string, req PromiseRequest) (Answer, error)
@@ -172,22 +172,22 @@
 	DenialFunc func(ctx context.Context, id, addr string, req DenialRequest) (Answer, error)
 }
 
-// ErrTakenOver is returned when the member's own row is gone: others own now
-// what it owned, and the process has to begin anew as another member.
+// ErrTakenOver is returned when the member's own row was removed. Other members own its
+// resources, and the process has to join as a new member.
 var ErrTakenOver = errors.New("lease taken over")
 
-// errNotMember is returned for steps that only a member can take.
+// errNotMember is returned for operations that only a member can perform.
 var errNotMember = errors.New("not a member yet")
 
-// promises is what this process said to others. It answers for this process
-// only, and is lost with it.
+// promises has the promises and denials that this process gave. They do not outlive the
+// process.
 type promises struct {
 	until  map[string]time.Time
 	denied map[string]int64
 }
 
-// promise gives a promise, unless a denial stands that may concern the row as
-// it is now.
+// promise gives a promise, unless a denial was given that may concern the row as it is
+// now.
 func (pr *promises) promise(req PromiseRequest, now time.Time, length time.Duration) bool {
 	if beat, ok := pr.denied[req.Holder]; ok && beat >= req.Beat {
 		return false
@@ -200,8 +200,8 @@
 	return true
 }
 
-// deny gives a denial once no promise runs. It stands until the holder shows
-// that its row has moved on.
+// deny gives a denial if no promise is valid any more. It holds until the holder shows
+// that its row has a higher beat.
 func (pr *promises) deny(req DenialRequest, now time.Time) bool {
 	if now.Before(pr.until[req.Holder]) {
 		return false
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -20,14 +20,14 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-var errUnreachable = errors.New("cut")
+var errUnreachable = errors.New("host unreachable")
 
-// Sizes of the model.
+// Sizes and parameters of the model.
 const (
 	modelHosts  = 3
 	modelChecks = 1500
 	modelSteps  = 40
-	// maxDrift is the most by which the rate of a clock is off.
+	// maxDrift is the largest relative error of a clock's rate.
 	maxDrift = 0.005
 	callTime = 300 * time.Millisecond
 )
@@ -38,17 +38,17 @@
 type modelHost struct {
 	ke   *Keeper
 	rate float64
-	// away cuts it off from the table, lossy has answers lost after the
-	// write, deaf has its messages to peers fail, dead ends it.
+	// tableCut cuts the host off from the table, losesAnswers loses the answers to its
+	// writes, dead ends it.
 	tableCut, losesAnswers, dead bool
-	// lag is how long answers to its questions take to arrive.
+	// answerDelay is how long the answers to its requests take to arrive.
 	answerDelay time.Duration
-	// busy is set while it is in the middle of a step.
+	// busy is set while the host performs a step.
 	busy    bool
 	cutFrom map[int]bool
 }
 
-// model is a data centre of entry hosts over one table.
+// model is a data centre of entry hosts that share one table.
 type model struct {
 	rt        *rapid.T
 	table     standin.Table
@@ -58,7 +58,7 @@
 	violation string
 	depth     int
 	events    map[string]int
-	// mu guards the faults, where keepers run beside the test.
+	// mu guards the faults in tests that run keepers concurrently.
 	mu sync.Mutex
 }
 
@@ -92,13 +92,13 @@
 	mh.busy = false
 }
 
-// tableOf returns the table as a host reaches it. Time may pass, and others
-// may act, before the table has the message and before the host the answer:
-// that is what a pause of the host looks like to everyone else.
+// tableOf returns the table with a host's faults injected. Before a request reaches the
+// table and before the answer reaches the host, time may pass and other hosts may act, as
+// they would while the host is paused.
 func (mo *model) tableOf(mh *modelHost) store.Table {
 	cl := mo.table.Client()
 	return store.Table{
-		// Without jitter, so that rapid can repeat a sequence.
+		// There is no jitter, so that rapid can repeat a sequence.
 		BackOffFunc: func() backoff.BackOff { return backoff.NewConstantBackOff(50 * time.Millisecond) },
 		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
 			mo.interleave()
@@ -124,21 +124,21 @@
 	}
 }
 
-// is reads a fault.
+// faulty reads a fault.
 func (mo *model) faulty(fault *bool) bool {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
 	return *fault
 }
 
-// set changes faults while keepers run beside the test.
+// setFaults changes faults while keepers run.
 func (mo *model) setFaults(fn func()) {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
 	fn()
 }
 
-// meanwhile lets time pass and another host act, now and then.
+// interleave sometimes lets time pass and other hosts act.
 func (mo *model) interleave() {
 	mo.check()
 	if mo.depth >= 1 || rapid.IntRange(0, 5).Draw(mo.rt, "meanwhile") > 0 {
@@ -153,7 +153,7 @@
 	}
 }
 
-// tick has all hosts but some do what they do each few seconds.
+// stepHosts has all hosts except possibly one perform their periodic step.
 func (mo *model) stepHosts() {
 	skip := rapid.IntRange(-1, len(mo.hosts)-1).Draw(mo.rt, "skip")
 	for i, mh := range mo.hosts {
@@ -167,7 +167,7 @@
 	}
 }
 
-// reach returns the host with the id, if a message from mh arrives there.
+// reachable returns the host with the id, or nil if a message from mh doesn't reach it.
 func (mo *model) reachable(mh *modelHost, id string) *modelHost {
 	mo.mu.Lock()
 	defer mo.mu.Unlock()
@@ -208,7 +208,7 @@
 	}
 }
 
-// act has a host take one step of the protocol.
+// randomStep has a host perform one random operation of the protocol.
 func (mo *model) randomStep(i int) {
 	mh := mo.hosts[i]
 	if mh.dead || mh.busy {
@@ -233,7 +233,7 @@
 	mo.check()
 }
 
-// check finds resources that two hosts own at this moment.
+// check records a violation if two hosts own a resource at this moment.
 func (mo *model) check() {
 	for _, re := range modelResources {
 		var owners []string
@@ -289,9 +289,8 @@
 	}
 }
 
-// TestOneOwner drives the real keepers through cuts, pauses, kills, joiners,
-// answers lost and clocks of different rates, and checks at every moment that
-// no resource has two owners.
+// TestOneOwner runs keepers through partitions, pauses, kills, joins, lost answers and
+// clocks of different rates, and checks at every step that no resource has two owners.
 func TestOneOwner(t *testing.T) {
 	events := map[string]int{}
 	proptest.Check(t, proptest.Size{Checks: modelChecks, Steps: modelSteps}, func(rt *rapid.T) {
@@ -318,7 +317,7 @@
 	}
 }
 
-// inBubble runs a test over hosts without faults.
+// withModel runs a test with a model without faults.
 func withModel(t *testing.T, fn func(c *qt.C, mo *model)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -346,7 +345,7 @@
 	return len(slices.DeleteFunc(slices.Clone(modelResources), func(re string) bool { return !ke.Owns(re) }))
 }
 
-// start has all join and run until ctx ends.
+// startAll has all keepers join, and runs them until ctx ends.
 func startAll(ctx context.Context, c *qt.C, kes []*Keeper) {
 	for _, ke := range kes {
 		c.Assert(ke.Join(ctx), qt.IsNil)
@@ -383,8 +382,8 @@
 		kes := mo.addReliable(3)
 		startAll(ctx, c, kes)
 		mo.setFaults(func() {
-			alone := mo.hosts[0]
-			alone.tableCut, alone.cutFrom[1], alone.cutFrom[2] = true, true, true
+			isolated := mo.hosts[0]
+			isolated.tableCut, isolated.cutFrom[1], isolated.cutFrom[2] = true, true, true
 		})
 		time.Sleep(DefaultTiming.TTL + time.Second)
 		c.Assert(owned(kes[0]), qt.Equals, 0)
@@ -395,9 +394,9 @@
 	})
 }
 
-// TestJoinedAgain has a host join whose first attempt was written and never
-// heard of. Its row may have been watched since, so that joining again gives no
-// tenure: only a renewal does.
+// TestRepeatedJoinGrantsNoTenure has a host join again after its first attempt was written
+// and its answer lost. Other members may have watched its row since then, so that only a
+// renewal, not the second attempt, begins a tenure.
 func TestRepeatedJoinGrantsNoTenure(t *testing.T) {
 	withModel(t, func(c *qt.C, mo *model) {
 		kes := mo.addReliable(2)
@@ -421,11 +420,10 @@
 	})
 }
 
-// TestNoPromiseMakesUpForAnEmptyKnownSet is a counterexample that the model
-// found. The first host recorded an empty known set; the renewal with its
-// first peer got lost on its way, and it did not know whether it had arrived.
-// A promise of that peer must not extend the tenure: if the renewal did not
-// arrive, a takeover needs no denial.
+// TestNoExtensionFromEmptyKnownSet guards against two owners. The first host has recorded
+// an empty known set, and does not know whether the renewal that recorded its first peer
+// reached the table. A promise of that peer must not extend the tenure, since a takeover
+// needs no denial if the renewal did not reach the table.
 func TestNoExtensionFromEmptyKnownSet(t *testing.T) {
 	withModel(t, func(c *qt.C, mo *model) {
 		ctx := context.Background()
@@ -447,8 +445,8 @@
 		startAll(ctx, c, kes[:3])
 		cancel()
 		time.Sleep(time.Minute)
-		// All members are gone at once: nobody of their known sets is left to
-		// deny, and only an operator can say so.
+		// All members are lost at once. No host of their known sets is left to deny, so only
+		// an operator can declare them dead.
 		ctx, cancel = context.WithCancel(context.Background())
 		defer cancel()
 		mo.setFaults(func() {
@@ -480,10 +478,10 @@
 	c.Assert(as.OwnedBy("a"), qt.HasLen, len(modelResources))
 	two := as.WithMember("b", modelResources).WithOwner("ids/0", "b")
 	c.Assert(two.OwnedBy("b"), qt.DeepEquals, []string{"ids/0"})
-	c.Assert(as.OwnedBy("a"), qt.HasLen, len(modelResources), qt.Commentf("the former one changed"))
-	gone := two.WithoutMember("a")
-	c.Assert(gone.OwnedBy("b"), qt.HasLen, len(modelResources))
-	c.Assert(slices.Sorted(maps.Keys(gone.Owners)), qt.HasLen, len(modelResources))
-	c.Assert(gone.Owners["ids/0"].Epoch, qt.Equals, two.Epoch)
-	c.Assert(gone.Owners["ids/1"].Epoch, qt.Equals, gone.Epoch)
+	c.Assert(as.OwnedBy("a"), qt.HasLen, len(modelResources), qt.Commentf("the original assignment changed"))
+	rest := two.WithoutMember("a")
+	c.Assert(rest.OwnedBy("b"), qt.HasLen, len(modelResources))
+	c.Assert(slices.Sorted(maps.Keys(rest.Owners)), qt.HasLen, len(modelResources))
+	c.Assert(rest.Owners["ids/0"].Epoch, qt.Equals, two.Epoch)
+	c.Assert(rest.Owners["ids/1"].Epoch, qt.Equals, rest.Epoch)
 }
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -11,8 +11,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// Run takes the steps of the protocol until ctx ends or the lease is taken
-// over, which it returns as [ErrTakenOver]. The host must have joined.
+// Run performs the steps of the protocol until ctx ends or the lease is taken over, for
+// which it returns [ErrTakenOver]. The host must have joined.
 func (ke *Keeper) Run(ctx context.Context) error {
 	ti := time.NewTicker(ke.Timing.Interval)
 	defer ti.Stop()
@@ -30,8 +30,9 @@
 	}
 }
 
-// step renews, or else extends, and looks at the others. The table gets half
-// of a step's time, so that promises are asked for well before the end.
+// step renews the lease, or extends it if that fails, and checks the other members. The
+// renewal gets half of the interval, so that promises are requested well before the tenure
+// ends.
 func (ke *Keeper) step(ctx context.Context) error {
 	rctx, cancel := context.WithTimeout(ctx, ke.Timing.Interval/2)
 	defer cancel()
@@ -53,7 +54,7 @@
 	return ke.rebalance(wctx)
 }
 
-// shed gives resources to the member with the fewest, while this host has at
+// rebalance transfers resources to the member with the fewest, while this host has at
 // least two more.
 func (ke *Keeper) rebalance(ctx context.Context) error {
 	for {
@@ -67,8 +68,8 @@
 	}
 }
 
-// surplus returns a resource to give away and its new owner. A cell is left
-// where it is: moving it costs a recovery and evens out nothing.
+// nextTransfer returns a resource to transfer and its new owner, or empty strings. A cell
+// is never transferred: that costs a recovery and balances no load.
 func (ke *Keeper) nextTransfer() (resource, to string) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -94,19 +95,19 @@
 	return "", ""
 }
 
-// Transfer hands a resource to another member. The host stops owning it before
-// the table is asked; if the answer is lost it is settled by the next read.
+// Transfer hands a resource to another member. The host stops owning it before it writes
+// to the table. If the answer is lost, the next read shows the outcome.
 func (ke *Keeper) Transfer(ctx context.Context, resource, to string) error {
 	ke.mu.Lock()
 	if ke.released == nil {
 		ke.released = map[string]bool{}
 	}
-	gi := Transfer{Resource: resource, To: to, Addr: ke.addrs[to], Epoch: ke.assignment.Epoch, Since: ke.since[resource]}
+	tr := Transfer{Resource: resource, To: to, Addr: ke.addrs[to], Epoch: ke.assignment.Epoch, Since: ke.since[resource]}
 	ke.released[resource] = true
 	asg, asgVer := ke.assignment.WithOwner(resource, to), ke.assignmentVersion
 	ke.mu.Unlock()
 	if ke.BeforeTransfer != nil {
-		ke.BeforeTransfer(ctx, gi)
+		ke.BeforeTransfer(ctx, tr)
 	}
 	txn, err := store.NewTxn().WithPut(ke.assignmentKey(), asgVer, asg)
 	if err != nil {
@@ -117,7 +118,7 @@
 		return ke.read(ctx)
 	}
 	if err != nil {
-		return fmt.Errorf("give %s to %s: %w", resource, to, err)
+		return fmt.Errorf("transfer %s to %s: %w", resource, to, err)
 	}
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// Leave removes the host from the members and gives what it owns to the
-// others. Nothing is owned from the moment that Leave is called.
+// Leave removes the host from the members and distributes its resources among the others.
+// The host owns nothing from the moment that Leave is called.
 func (ke *Keeper) Leave(ctx context.Context) error {
 	ke.mu.Lock()
 	ke.lost = true
@@ -140,15 +141,15 @@
 			return fmt.Errorf("leave: %w", err)
 		}
 		ke.mu.Lock()
-		si, there := ke.observed[ke.ID]
+		si, found := ke.observed[ke.ID]
 		asg, asgVer := ke.assignment.WithoutMember(ke.ID), ke.assignmentVersion
-		gifts := ke.transfers(asg)
+		planned := ke.transfers(asg)
 		ke.mu.Unlock()
-		if !there {
+		if !found {
 			return nil
 		}
-		for _, gi := range gifts {
-			ke.BeforeTransfer(ctx, gi)
+		for _, tr := range planned {
+			ke.BeforeTransfer(ctx, tr)
 		}
 		_, err := ke.removeMember(ctx, ke.ID, si.version, asg, asgVer)
 		if err == nil {
@@ -161,23 +162,22 @@
 	}
 }
 
-// gifts returns what changes hands between the assignment of now and the
-// next.
+// transfers returns the transfers from the current assignment to the next.
 func (ke *Keeper) transfers(next Assignment) []Transfer {
 	if ke.BeforeTransfer == nil {
 		return nil
 	}
-	var gifts []Transfer
+	var planned []Transfer
 	for _, re := range ke.assignment.OwnedBy(ke.ID) {
 		to := next.Owners[re].Owner
 		if to != "" && ke.since[re] != (OwnershipStart{}) {
-			gifts = append(gifts, Transfer{Resource: re, To: to, Addr: ke.addrs[to], Epoch: ke.assignment.Epoch, Since: ke.since[re]})
+			planned = append(planned, Transfer{Resource: re, To: to, Addr: ke.addrs[to], Epoch: ke.assignment.Epoch, Since: ke.since[re]})
 		}
 	}
-	return gifts
+	return planned
 }
 
-// Members returns the members of the data centre as the table has them now.
+// Members returns the members of the data centre as read from the table now, sorted by id.
 func (ke *Keeper) Members(ctx context.Context) ([]Member, error) {
 	if err := ke.read(ctx); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
@@ -192,21 +192,22 @@
 	return members, nil
 }
 
-// ErrRenewed is returned for a member that has renewed since.
+// ErrRenewed is returned by [Keeper.DeclareDead] for a member that has renewed its row
+// since.
 var ErrRenewed = errors.New("member has renewed since")
 
-// DeclareDead removes a member on an operator's word that its process is no
-// more, without a denial, if its row is still at the beat. A wrong word can
-// make two owners. A member that is not there is no error: it was removed.
+// DeclareDead removes a member without a denial, on an operator's statement that its
+// process has ended, if its row still has the given beat. A wrong statement can lead to
+// two owners. A member without a row is no error: it was removed already.
 func (ke *Keeper) DeclareDead(ctx context.Context, id string, beat int64) error {
 	if err := ke.read(ctx); err != nil {
 		return fmt.Errorf("declare %s dead: %w", id, err)
 	}
 	ke.mu.Lock()
-	si, there := ke.observed[id]
+	si, found := ke.observed[id]
 	ke.mu.Unlock()
 	switch {
-	case !there:
+	case !found:
 		return nil
 	case si.row.Beat != beat || id == ke.ID:
 		return fmt.Errorf("declare %s dead: %w", id, ErrRenewed)
@@ -214,23 +215,23 @@
 	if err := ke.takeOver(ctx, si); err != nil {
 		return err
 	}
-	// A race lost is no error of a takeover, but here it has to be told.
+	// takeOver ignores a conflict, but here it must be reported.
 	if err := ke.read(ctx); err != nil {
 		return fmt.Errorf("declare %s dead: %w", id, err)
 	}
 	ke.mu.Lock()
-	_, there = ke.observed[id]
+	_, found = ke.observed[id]
 	ke.mu.Unlock()
-	if there {
+	if found {
 		return fmt.Errorf("declare %s dead: %w", id, ErrRenewed)
 	}
 	return nil
 }
 
-// cellPrefix begins the names of cells among the resources.
+// cellPrefix is the prefix of the resources that are cells.
 const cellPrefix = "cell/"
 
-// CellResource returns the resource of a data centre's cell.
+// CellResource returns the resource for the cell of a data centre.
 func CellResource(dc string) string { return cellPrefix + dc }
 
 // IsCell reports whether a resource is a cell.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,10 +1,10 @@
-// Package registry keeps the list of entry hosts in the store's table, for
-// owners that share their work with others.
+// Package registry maintains the list of entry hosts in the store's table, for owners that
+// share their work with other hosts.
 //
-// A host writes its row once, when it starts, and removes it when it stops as
-// planned. A row therefore says that there was such a host, not that it lives:
-// whoever wants to use one has to ask it. There are no heartbeats, since they
-// would cost the store one write a host and second, and nobody needs them.
+// A host writes its row once when it starts, and removes it at a planned stop. A row
+// therefore only says that the host has run, not that it still does; a caller that wants
+// to use a host has to ask it. There are no heartbeats: they would cost one write per host
+// and second, and no caller needs them.
 package registry
 
 import (
@@ -21,40 +21,42 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// The rows' place in the table.
+// The location of the rows in the table.
 const (
-	// Table is the table's name.
+	// Table is the name of the table.
 	Table = "hosts"
-	// Prefix is that of the rows' keys.
+	// Prefix is the prefix of the keys of the rows.
 	Prefix = Table + "/all/"
 )
 
-// Times of a row.
+// Delays and timeouts of writes.
 const (
-	// spreadMost spreads the rows of hosts that start together: the store takes
-	// 150 writes a second of one part, and some 150 hosts start within 0.3 s.
+	// maxAnnounceDelay spreads the writes of hosts that start together: the store accepts
+	// 150 writes per second to one part of the table, and some 150 hosts start within
+	// 0.3 s.
 	maxAnnounceDelay = 2 * time.Second
-	// callTimeout bounds one write: 12 ms, up to 100 times slower in bad times.
+	// callTimeout bounds one write, which usually takes 12 ms and up to 100 times as long
+	// when the store is slow.
 	callTimeout = 1500 * time.Millisecond
-	// retryFirst and retryMost are the pauses after a write that failed.
+	// minRetryDelay and maxRetryDelay bound the delay after a failed write.
 	minRetryDelay = 200 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 )
 
-// Member is an entry host.
+// Member is the row of an entry host.
 type Member struct {
-	// Name is the host's, Process that of its process.
+	// Name identifies the host, Process its process.
 	Name    string `json:"name"`
 	Process string `json:"process"`
-	// Addr is where it takes requests of other entry hosts.
+	// Addr is where it accepts requests of other entry hosts.
 	Addr string `json:"addr"`
-	// DataCentre is where it stands.
+	// DataCentre is the data centre of the host.
 	DataCentre string `json:"data_centre"`
-	// Cores is the processor that it has, in cores; 0 is not known.
+	// Cores is the number of cores of the host; 0 if not known.
 	Cores float64 `json:"cores,omitempty"`
 }
 
-// Key names the row of the host of that name.
+// Key returns the key of the row of the host with this name.
 func Key(name string) string { return Prefix + name }
 
 // Decode decodes a row.
@@ -66,7 +68,7 @@
 	return me, nil
 }
 
-// Announce writes the host's row, until the store has taken it or ctx ends.
+// Announce writes the host's row, and retries until the store has accepted it or ctx ends.
 func Announce(ctx context.Context, tbl store.Table, me Member, log *slog.Logger) {
 	value, err := json.Marshal(me)
 	if err != nil {
@@ -91,7 +93,8 @@
 	}
 }
 
-// Withdraw removes a host's row. One that stays does no harm.
+// Withdraw removes a host's row. It makes one attempt, since a row that remains does no
+// harm.
 func Withdraw(ctx context.Context, tbl store.Table, name string, log *slog.Logger) {
 	if err := write(ctx, tbl, store.Put{Key: Key(name), Delete: true}); err != nil {
 		log.Info("not removed from the list of entry hosts", "name", name, "err", err)
--- a/internal/tenure/stall_test.go
+++ b/internal/tenure/stall_test.go
@@ -20,8 +20,8 @@
 // over. When the former owner resumes, its last confirmation is 6 s old, below the 8 s for
 // which an owner may extend leases. So it sends polls that extend leases before it learns
 // of its replacement, and then reports that it extended leases just now. The next owner
-// waits for a whole lease from then on: attempts of workers lost at 11.9 s ended at 27.9
-// s, with why="its leases have lapsed" and quiet=14.39s, instead of at 22.2 s. This was
+// waits for a whole lease from then on: attempts of workers lost at 11.9 s ended at
+// 27.9 s, with why="its leases have lapsed" and quiet=14.39s, instead of at 22.2 s. This was
 // seen in two of six runs; in the others the report came before the polls.
 func TestStalledOwnerExtendsNoLeaseUntilConfirmed(t *testing.T) {
 	const stall = 5600 * time.Millisecond
