--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -260,11 +260,11 @@
 		"time": func(rt *rapid.T) {
 			time.Sleep(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond)
 		},
-		"table away": func(rt *rapid.T) { mh := pick(rt); mh.tableCut = !mh.tableCut },
-		"table away for all": func(rt *rapid.T) {
-			away := rapid.Bool().Draw(rt, "away")
+		"table cut": func(rt *rapid.T) { mh := pick(rt); mh.tableCut = !mh.tableCut },
+		"table cut for all": func(rt *rapid.T) {
+			isCut := rapid.Bool().Draw(rt, "cut")
 			for _, mh := range mo.hosts {
-				mh.tableCut = away
+				mh.tableCut = isCut
 			}
 		},
 		"lossy": func(rt *rapid.T) { mh := pick(rt); mh.losesAnswers = !mh.losesAnswers },
--- a/internal/tenure/former_owners.go
+++ b/internal/tenure/former_owners.go
@@ -136,7 +136,7 @@
 		"since_lease", sinceLease, "leases_left", leasesLeft, "earlier_may_act_for", max(time.Until(fo.earlierCeased), 0))
 }
 
-// start evaluates the last owner's row, or asks its host if the row doesn't tell whether
+// start evaluates the last owner's row, or asks its host if the row doesn't show whether
 // the owner has ceased to act.
 func (fo *formerOwners) start(ctx context.Context) {
 	switch fo.lastRow.Owner {
--- a/internal/tenure/stall.go
+++ b/internal/tenure/stall.go
@@ -44,15 +44,15 @@
 	if sd.bootFunc != nil {
 		boot = sd.bootFunc()
 	}
-	first, steady, all := sd.checkedAt.IsZero(), now.Sub(sd.checkedAt), boot-sd.boot
+	first, monotonic, all := sd.checkedAt.IsZero(), now.Sub(sd.checkedAt), boot-sd.boot
 	// At most this much monotonic time passed between the two readings of the boot clock.
 	suspended := all-time.Since(sd.checkedAt) >= minSuspension
 	sd.checkedAt, sd.boot = now, boot
-	if first || steady < stallAfter && !suspended {
+	if first || monotonic < stallAfter && !suspended {
 		return 0
 	}
 	sd.resumedAt, sd.suspended = time.Now(), suspended
-	return max(steady, all)
+	return max(monotonic, all)
 }
 
 // confirmationValid reports whether a confirmation at the given time still counts. After a
--- a/internal/tenure/stall_test.go
+++ b/internal/tenure/stall_test.go
@@ -104,7 +104,7 @@
 func TestSuspendedOwnerNeedsConfirmation(t *testing.T) {
 	for _, tc := range []struct {
 		name                 string
-		steady, boot         time.Duration
+		monotonic, boot      time.Duration
 		valid, validInOutage bool
 	}{
 		{"not suspended", 300 * time.Millisecond, 300 * time.Millisecond, true, true},
@@ -120,7 +120,7 @@
 			sd := stallDetector{bootFunc: func() time.Duration { return boot }}
 			confirmed := time.Now()
 			qt.Assert(t, sd.check(), qt.Equals, time.Duration(0))
-			time.Sleep(tc.steady)
+			time.Sleep(tc.monotonic)
 			boot += tc.boot
 			sd.check()
 			time.Sleep(time.Millisecond)
--- a/internal/tenure/stop_test.go
+++ b/internal/tenure/stop_test.go
@@ -173,7 +173,7 @@
 
 // TestHostReplacedBeforeServingDoesNotServe: a host's claim is answered late. Another host
 // has seen the row without a heartbeat, owns the cell by then, and has notified the first
-// one, whose answer tells that its tenure has ended. The first host must not serve, since
+// one, whose answer implies that its tenure has ended. The first host must not serve, since
 // it could extend leases for seconds.
 func TestHostReplacedBeforeServingDoesNotServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -97,7 +97,7 @@
 	// SetHosts applies rows of the list of entry hosts, some of which are chosen as
 	// witnesses. If whole is set, listed has all rows. SetHosts is nil where there are no
 	// witnesses.
-	SetHosts func(listed []registry.Member, gone []string, whole bool)
+	SetHosts func(listed []registry.Member, removed []string, whole bool)
 	// End ends the tenure when something showed that it is over.
 	End func(reason error)
 	// MayExtend is called before leases are extended, and reports whether they may be. They
@@ -234,7 +234,7 @@
 func (ke *Keeper) NotifyReplaced(epoch int64) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	// The answer to this notification tells that all earlier tenures of this host have
+	// The answer to this notification implies that all earlier tenures of this host have
 	// ended. That includes one that it has claimed and not begun.
 	ke.notifiedEpoch = max(ke.notifiedEpoch, epoch)
 	if ke.endTenure != nil && ke.row.Epoch < epoch {
--- a/internal/tenure/witness.go
+++ b/internal/tenure/witness.go
@@ -26,8 +26,9 @@
 // decides who owns the cell.
 //
 // The row is written on condition that the owner's row is unchanged, and read after a
-// claim, so that no set takes effect later. An owner names no witnesses until those of its
-// predecessors can confirm nobody, so that a next owner has to ask only one set.
+// claim, so that no set takes effect later. An owner names no witnesses until those
+// named before can no longer confirm a former owner, so that a next owner has to ask only
+// one set.
 
 // Intervals and limits of witnesses.
 const (
@@ -63,11 +64,11 @@
 func (ke *Keeper) witnessKey() string { return witnessTable + "/" + ke.Cell + "/row" }
 
 // confirmNeed returns how many of n witnesses confirm an owner. retireNeed returns how
-// many must be unable to confirm it before none of the sets that confirm it is left.
+// many must no longer be able to confirm it for no set of confirmNeed to be left.
 func confirmNeed(n int) int { return n - n/2 }
 func retireNeed(n int) int  { return n/2 + 1 }
 
-// Confirm reports whether this process, asked by the name of its process, confirms the
+// Confirm reports whether this process, if it is the one named, confirms the
 // owner of an epoch. It doesn't while the store answers, which then confirms owners
 // itself, nor before it has read the owner's row.
 func (ke *Keeper) Confirm(epoch int64, process string) bool {
@@ -118,12 +119,12 @@
 	// changed.
 	reviewed time.Time
 	changed  bool
-	// relied is set while witnesses confirm the tenure and the store does not.
-	relied bool
+	// confirming is set while witnesses confirm the tenure and the store does not.
+	confirming bool
 }
 
 // setHosts applies rows of the list of entry hosts. If whole is set, listed has all rows.
-func (wi *witnesses) setHosts(listed []registry.Member, gone []string, whole bool) {
+func (wi *witnesses) setHosts(listed []registry.Member, removed []string, whole bool) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
 	if whole || wi.hosts == nil {
@@ -132,7 +133,7 @@
 	for _, me := range listed {
 		wi.hosts[me.Name] = me
 	}
-	for _, name := range gone {
+	for _, name := range removed {
 		delete(wi.hosts, name)
 	}
 	wi.changed = true
@@ -226,9 +227,9 @@
 	}
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	if relied := time.Since(wi.witnessesConfirmed()) < confirmAfter; relied != wi.relied {
-		wi.relied = relied
-		wi.ke.Log.Info("witnesses of the owner", "cell", wi.ke.Cell, "epoch", wi.row.Epoch, "asked", len(asked), "confirm", yes, "suffices", relied, "store_silent_for", time.Since(wi.confirmedFunc()))
+	if confirming := time.Since(wi.witnessesConfirmed()) < confirmAfter; confirming != wi.confirming {
+		wi.confirming = confirming
+		wi.ke.Log.Info("witnesses of the owner", "cell", wi.ke.Cell, "epoch", wi.row.Epoch, "asked", len(asked), "confirm", yes, "suffices", confirming, "store_silent_for", time.Since(wi.confirmedFunc()))
 	}
 }
 
