--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -20,7 +20,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-var errUnreachable = errors.New("host unreachable")
+var errUnreachable = errors.New("cut")
 
 // Sizes and parameters of the model.
 const (
--- a/internal/tenure/witness.go
+++ b/internal/tenure/witness.go
@@ -68,9 +68,9 @@
 func confirmNeed(n int) int { return n - n/2 }
 func retireNeed(n int) int  { return n/2 + 1 }
 
-// Confirm reports whether this process, if it is the one named, confirms the
-// owner of an epoch. It doesn't while the store answers, which then confirms owners
-// itself, nor before it has read the owner's row.
+// Confirm reports whether this process, if it is the one named, confirms the owner of an
+// epoch. It doesn't while the store answers, which then confirms owners itself, nor before
+// it has read the owner's row.
 func (ke *Keeper) Confirm(epoch int64, process string) bool {
 	ke.mu.Lock()
 	known := ke.known
--- a/internal/tenure/witness_test.go
+++ b/internal/tenure/witness_test.go
@@ -195,7 +195,7 @@
 		ho.gate.Set(down)
 	case "split":
 		refused := rapid.IntRange(0, 1<<witnessHosts-1).Draw(rt, "refused")
-		partitioned := rapid.IntRange(0, 1<<witnessHosts-1).Draw(rt, "partitioned")
+		partitioned := rapid.IntRange(0, 1<<witnessHosts-1).Draw(rt, "apart")
 		cl.splitStore(ho, down, refused, partitioned)
 	case "cut":
 		cl.partition(ho.keeper.Self, host("from"), true)
