--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -13,68 +13,68 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// Keeper keeps one entry host's membership and tenure. Its methods are the
-// steps of the protocol; [Keeper.Run] takes them in turn.
+// Keeper maintains one entry host's membership and tenure. Its methods are the steps of
+// the protocol; [Keeper.Run] performs them in turn.
 type Keeper struct {
-	// ID and Addr are the member's own.
+	// ID and Addr are those of this host's row, see [Member].
 	ID   string
 	Addr string
 	// DC is the data centre.
 	DC string
-	// Resources are what there is to own in the data centre.
+	// Resources are all resources of the data centre.
 	Resources []string
-	// Table is the platform's.
+	// Table is the platform's table.
 	Table store.Table
-	// Peers asks other members.
+	// Peers sends requests to other members.
 	Peers Peers
-	// Timing has the lengths of time.
+	// Timing has the durations of the protocol.
 	Timing Timing
-	// Now is the clock; nil is the runtime's. Tests give hosts clocks of
-	// different rates.
+	// Now returns the time; nil means time.Now. Tests use clocks that run at different
+	// rates.
 	Now func() time.Time
-	// OnEvent is told of takeovers, extensions and losses; nil is not.
+	// OnEvent is called for joins, takeovers, extensions and departures, unless it is nil.
 	OnEvent func(Event)
-	// BeforeGive is called for a resource that the host owned and has ceased
-	// to act on, before the table says that another member owns it. Epoch is
-	// that of the assignment so far; the next one is the first in which the
-	// other may own it.
-	BeforeGive func(ctx context.Context, gi Gift)
-
-	mu       sync.Mutex
-	joined   bool
-	lost     bool
-	row      Member
-	rowVer   int64
-	end      time.Time
-	pending  *renewal
-	asg      Assignment
-	asgVer   int64
-	released map[string]bool
-	since    map[string]Beginning
-	addrs    map[string]string
-	seen     map[string]sighting
-	said     promises
-}
-
-// Beginning is when a host began to own a resource.
-type Beginning struct {
-	// At is by its wall clock.
+	// BeforeTransfer is called for a resource that the host owned and no longer acts on,
+	// before the table says that another member owns it. The epoch of the transfer is that
+	// of the current assignment; the next one is the first in which the other member may
+	// own the resource.
+	BeforeTransfer func(ctx context.Context, tr Transfer)
+
+	mu                sync.Mutex
+	joined            bool
+	lost              bool
+	row               Member
+	rowVersion        int64
+	end               time.Time
+	pending           *renewal
+	assignment        Assignment
+	assignmentVersion int64
+	released          map[string]bool
+	since             map[string]OwnershipStart
+	addrs             map[string]string
+	observed          map[string]observation
+	given             promises
+}
+
+// OwnershipStart is when a host began to own a resource.
+type OwnershipStart struct {
+	// At is the wall clock time of the host.
 	At time.Time
-	// Epoch is that of the first assignment that said so.
+	// Epoch is that of the first assignment that named the host as the owner.
 	Epoch int64
 }
 
-// Gift is a resource that changes hands by agreement.
-type Gift struct {
-	// Resource is what changes hands.
+// Transfer is a planned change of a resource's owner.
+type Transfer struct {
+	// Resource is the resource that is transferred.
 	Resource string
-	// To and Addr are the next owner.
+	// To and Addr are the id and the address of the next owner.
 	To   string
 	Addr string
-	// Epoch is that of the assignment before.
+	// Epoch is that of the assignment before the transfer.
 	Epoch int64
-	// Since is when the giver began to own it.
-	Since Beginning
+	// Since is when the host began to own the resource.
+	Since OwnershipStart
 }
 
 // Event is something that the keeper did.
@@ -85,15 +85,15 @@
 	Peer string
 }
 
-// renewal is a renewal of which it is not known whether it took effect.
+// renewal is a renewal whose outcome is not known.
 type renewal struct {
-	txn   store.Txn
-	row   Member
-	begun time.Time
+	txn    store.Txn
+	row    Member
+	sentAt time.Time
 }
 
-// sighting is since when another member's row is seen unchanged.
-type sighting struct {
+// observation has another member's row, and since when it has been unchanged.
+type observation struct {
 	row     Member
 	version int64
 	at      time.Time
@@ -106,47 +106,47 @@
 	return time.Now()
 }
 
-func (ke *Keeper) event(kind, peer string) {
+func (ke *Keeper) emit(kind, peer string) {
 	if ke.OnEvent != nil {
 		ke.OnEvent(Event{Kind: kind, Peer: peer})
 	}
 }
 
-func (ke *Keeper) prefix() string          { return "lease/" + ke.DC + "/" }
-func (ke *Keeper) asgKey() string          { return ke.prefix() + "assignment" }
-func (ke *Keeper) rowKey(id string) string { return ke.prefix() + "member/" + id }
+func (ke *Keeper) prefix() string             { return "lease/" + ke.DC + "/" }
+func (ke *Keeper) assignmentKey() string      { return ke.prefix() + "assignment" }
+func (ke *Keeper) memberKey(id string) string { return ke.prefix() + "member/" + id }
 
-// Owns reports whether the host owns the resource at this moment. Ask before
-// each effect, not once for several.
+// Owns reports whether the host owns the resource at this moment. Callers must check it
+// before each effect, not once for several.
 func (ke *Keeper) Owns(resource string) bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return ke.holds() && ke.asg.Owners[resource].Owner == ke.ID && !ke.released[resource]
+	return ke.validLocked() && ke.assignment.Owners[resource].Owner == ke.ID && !ke.released[resource]
 }
 
-// Valid reports whether the host's tenure holds.
+// Valid reports whether the host's tenure is valid.
 func (ke *Keeper) Valid() bool {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return ke.holds()
+	return ke.validLocked()
 }
 
-func (ke *Keeper) holds() bool {
+func (ke *Keeper) validLocked() bool {
 	return ke.joined && !ke.lost && ke.now().Before(ke.end)
 }
 
 // Since returns when the host began to own the resource.
-func (ke *Keeper) Since(resource string) Beginning {
+func (ke *Keeper) Since(resource string) OwnershipStart {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return ke.since[resource]
 }
 
-// Owner returns who owns the resource, with its address, as last read.
+// Owner returns the id and the address of the resource's owner as last read.
 func (ke *Keeper) Owner(resource string) (id, addr string) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	id = ke.asg.Owners[resource].Owner
+	id = ke.assignment.Owners[resource].Owner
 	return id, ke.addrs[id]
 }
 
@@ -154,29 +154,29 @@
 func (ke *Keeper) Assignment() Assignment {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return ke.asg
+	return ke.assignment
 }
 
-// Join enters the host as a member. An answer lost is settled by asking
-// again, and so Join may take as long as the table is away.
+// Join adds the host to the members. It retries after a lost answer, and so may take as
+// long as the table is unavailable.
 func (ke *Keeper) Join(ctx context.Context) error {
 	for {
 		if err := ke.read(ctx); err != nil {
 			return fmt.Errorf("join: %w", err)
 		}
 		ke.mu.Lock()
-		if si, there := ke.seen[ke.ID]; there {
-			// Written by an attempt that was not heard of, nobody knows how
-			// long ago: the next renewal begins the tenure.
-			ke.joined, ke.row, ke.rowVer = true, si.row, si.version
+		if si, found := ke.observed[ke.ID]; found {
+			// An earlier attempt wrote the row, but its answer was lost and its time is not
+			// known. The next renewal begins the tenure.
+			ke.joined, ke.row, ke.rowVersion = true, si.row, si.version
 			ke.mu.Unlock()
 			return nil
 		}
-		begun := ke.now()
-		row := Member{ID: ke.ID, Addr: ke.Addr, Beat: 1, Known: without(ke.asg.Members, ke.ID)}
-		asg, asgVer := ke.asg.WithMember(ke.ID, ke.Resources), ke.asgVer
+		sentAt := ke.now()
+		row := Member{ID: ke.ID, Addr: ke.Addr, Beat: 1, Known: without(ke.assignment.Members, ke.ID)}
+		asg, asgVer := ke.assignment.WithMember(ke.ID, ke.Resources), ke.assignmentVersion
 		ke.mu.Unlock()
-		txn, err := twoRows(ke.asgKey(), asgVer, asg, ke.rowKey(ke.ID), 0, row)
+		txn, err := putTwoRows(ke.assignmentKey(), asgVer, asg, ke.memberKey(ke.ID), 0, row)
 		if err != nil {
 			return fmt.Errorf("join: %w", err)
 		}
@@ -189,15 +189,15 @@
 		}
 		ke.mu.Lock()
 		ke.joined = true
-		ke.row, ke.rowVer, ke.end = row, version, begun.Add(ke.Timing.TTL)
+		ke.row, ke.rowVersion, ke.end = row, version, sentAt.Add(ke.Timing.TTL)
 		ke.adopt(asg, version)
 		ke.mu.Unlock()
-		ke.event("joined", "")
+		ke.emit("joined", "")
 		return nil
 	}
 }
 
-func twoRows(keyA string, verA int64, a any, keyB string, verB int64, b any) (store.Txn, error) {
+func putTwoRows(keyA string, verA int64, a any, keyB string, verB int64, b any) (store.Txn, error) {
 	txn, err := store.NewTxn().WithPut(keyA, verA, a)
 	if err != nil {
 		return txn, err
@@ -209,20 +209,20 @@
 	return slices.DeleteFunc(slices.Clone(ids), func(other string) bool { return other == id })
 }
 
-// read reads all rows of the data centre in one message.
+// read reads all rows of the data centre with one request.
 func (ke *Keeper) read(ctx context.Context) error {
 	rows, err := ke.Table.List(ctx, ke.prefix())
 	if err != nil {
 		return err
 	}
-	// Taken after the reply: a row seen now was renewed before now.
+	// Taken after the reply: a row in it was renewed before this time.
 	at := ke.now()
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	seen := map[string]sighting{}
+	seen := map[string]observation{}
 	addrs := map[string]string{}
 	for _, row := range rows {
-		if row.Key == ke.asgKey() {
+		if row.Key == ke.assignmentKey() {
 			var asg Assignment
 			if err := json.Unmarshal(row.Value, &asg); err != nil {
 				return fmt.Errorf("decode row %s: %w", row.Key, err)
@@ -235,37 +235,37 @@
 			return fmt.Errorf("decode row %s: %w", row.Key, err)
 		}
 		addrs[me.ID] = me.Addr
-		seen[me.ID] = sighting{row: me, version: row.Version, at: at}
-		if old, ok := ke.seen[me.ID]; ok && old.version == row.Version {
+		seen[me.ID] = observation{row: me, version: row.Version, at: at}
+		if old, ok := ke.observed[me.ID]; ok && old.version == row.Version {
 			seen[me.ID] = old
 		}
 	}
-	ke.seen, ke.addrs = seen, addrs
+	ke.observed, ke.addrs = seen, addrs
 	return nil
 }
 
-// adopt takes an assignment, unless a later one is known. Reads can come back
+// adopt applies an assignment, unless a later one is known: replies to reads may arrive
 // out of order.
 func (ke *Keeper) adopt(asg Assignment, version int64) {
-	if version < ke.asgVer {
+	if version < ke.assignmentVersion {
 		return
 	}
-	since := map[string]Beginning{}
+	since := map[string]OwnershipStart{}
 	for _, re := range asg.OwnedBy(ke.ID) {
-		since[re] = Beginning{At: time.Now(), Epoch: asg.Owners[re].Epoch}
+		since[re] = OwnershipStart{At: time.Now(), Epoch: asg.Owners[re].Epoch}
 		if be, ok := ke.since[re]; ok && be.Epoch == asg.Owners[re].Epoch {
 			since[re] = be
 		}
 	}
-	if version > ke.asgVer {
+	if version > ke.assignmentVersion {
 		ke.released = nil
 	}
-	ke.asg, ke.asgVer, ke.since = asg, version, since
+	ke.assignment, ke.assignmentVersion, ke.since = asg, version, since
 }
 
-// Renew renews the host's row, by one message to the table. After an answer
-// lost, the next call sends the same renewal again: until it is settled, the
-// known set is that of both rows.
+// Renew renews the host's row with one write to the table. After a lost answer, the next
+// call sends the same renewal again. Until its outcome is known, the known set is the
+// union of those of both rows.
 func (ke *Keeper) Renew(ctx context.Context) error {
 	re, err := ke.nextRenewal()
 	if err != nil {
@@ -273,7 +273,7 @@
 	}
 	version, err := ke.Table.Commit(ctx, re.txn)
 	if errors.Is(err, store.ErrConflict) {
-		version, err = ke.ownWrite(ctx, re)
+		version, err = ke.confirmOwnWrite(ctx, re)
 	}
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -285,9 +285,9 @@
 		return fmt.Errorf("renew: %w", err)
 	}
 	ke.pending = nil
-	ke.row, ke.rowVer = re.row, version
-	// From the first sending: the row may have changed as early as that.
-	ke.extendTo(re.begun.Add(ke.Timing.TTL))
+	ke.row, ke.rowVersion = re.row, version
+	// The tenure counts from the first attempt, which may already have changed the row.
+	ke.extendUntil(re.sentAt.Add(ke.Timing.TTL))
 	return nil
 }
 
@@ -305,19 +305,19 @@
 	}
 	row := ke.row
 	row.Beat++
-	row.Known = without(ke.asg.Members, ke.ID)
-	txn, err := store.NewTxn().WithPut(ke.rowKey(ke.ID), ke.rowVer, row)
+	row.Known = without(ke.assignment.Members, ke.ID)
+	txn, err := store.NewTxn().WithPut(ke.memberKey(ke.ID), ke.rowVersion, row)
 	if err != nil {
 		return nil, err
 	}
-	ke.pending = &renewal{txn: txn, row: row, begun: ke.now()}
+	ke.pending = &renewal{txn: txn, row: row, sentAt: ke.now()}
 	return ke.pending, nil
 }
 
-// ownWrite tells a conflict with the renewal itself, sent before, from a
-// takeover.
-func (ke *Keeper) ownWrite(ctx context.Context, re *renewal) (int64, error) {
-	reply, err := ke.Table.ReadFunc(ctx, store.ReadRequest{Keys: []string{ke.rowKey(ke.ID)}})
+// confirmOwnWrite distinguishes a conflict with an earlier attempt of the same renewal
+// from a takeover.
+func (ke *Keeper) confirmOwnWrite(ctx context.Context, re *renewal) (int64, error) {
+	reply, err := ke.Table.ReadFunc(ctx, store.ReadRequest{Keys: []string{ke.memberKey(ke.ID)}})
 	if err != nil {
 		return 0, fmt.Errorf("read back: %w", err)
 	}
@@ -327,19 +327,19 @@
 	return 0, ErrTakenOver
 }
 
-func (ke *Keeper) extendTo(end time.Time) {
+func (ke *Keeper) extendUntil(end time.Time) {
 	if end.After(ke.end) {
 		ke.end = end
 	}
 }
 
-// Extend asks every host of the known set for a promise, and extends the
-// tenure if there is one and all give it. It reports whether they did.
+// Extend asks every host of the known set for a promise, and extends the tenure if the set
+// is not empty and all of them promise. It reports whether they did.
 func (ke *Keeper) Extend(ctx context.Context) bool {
 	ke.mu.Lock()
 	asked := ke.now()
 	known := slices.Clone(ke.row.Known)
-	// Whichever row the table has, a takeover must need a denial.
+	// A takeover must need a denial, whichever of the two rows the table has.
 	guarded := len(known) > 0
 	if ke.pending != nil {
 		known = union(known, ke.pending.row.Known)
@@ -353,9 +353,9 @@
 		return false
 	}
 	ke.mu.Lock()
-	ke.extendTo(asked.Add(ke.Timing.Promise - ke.Timing.Margin))
+	ke.extendUntil(asked.Add(ke.Timing.Promise - ke.Timing.Margin))
 	ke.mu.Unlock()
-	ke.event("extended", "")
+	ke.emit("extended", "")
 	return true
 }
 
@@ -384,56 +384,56 @@
 func (ke *Keeper) AnswerPromise(req PromiseRequest) Answer {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return Answer{OK: ke.said.promise(req, ke.now(), ke.Timing.Promise)}
+	return Answer{OK: ke.given.promise(req, ke.now(), ke.Timing.Promise)}
 }
 
 // AnswerDenial answers another member's [DenialRequest].
 func (ke *Keeper) AnswerDenial(req DenialRequest) Answer {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	return Answer{OK: ke.said.deny(req, ke.now())}
+	return Answer{OK: ke.given.deny(req, ke.now())}
 }
 
-// Watch reads the rows of the data centre and takes over from members that
-// have been silent for too long. It returns the members taken over from.
+// Watch reads the rows of the data centre and takes over from members that have been
+// unresponsive for too long. It returns the ids of these members.
 func (ke *Keeper) Watch(ctx context.Context) ([]string, error) {
 	if err := ke.read(ctx); err != nil {
 		return nil, fmt.Errorf("watch: %w", err)
 	}
-	var taken []string
-	for _, si := range ke.silent() {
-		if !ke.denied(ctx, si) {
+	var takenOver []string
+	for _, si := range ke.unresponsive() {
+		if !ke.obtainDenial(ctx, si) {
 			continue
 		}
 		if err := ke.takeOver(ctx, si); err != nil {
-			return taken, err
+			return takenOver, err
 		}
-		taken = append(taken, si.row.ID)
+		takenOver = append(takenOver, si.row.ID)
 	}
-	return taken, nil
+	return takenOver, nil
 }
 
-// silent returns the sightings old enough that a tenure from the table has
-// ended.
-func (ke *Keeper) silent() []sighting {
+// unresponsive returns the members whose rows have been unchanged for so long that a
+// tenure from the table has ended.
+func (ke *Keeper) unresponsive() []observation {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	var silent []sighting
+	var stale []observation
 	if !ke.joined || ke.lost {
 		return nil
 	}
-	for id, si := range ke.seen {
+	for id, si := range ke.observed {
 		if id != ke.ID && ke.now().Sub(si.at) > ke.Timing.TTL+ke.Timing.Margin {
-			silent = append(silent, si)
+			stale = append(stale, si)
 		}
 	}
-	slices.SortFunc(silent, func(a, b sighting) int { return strings.Compare(a.row.ID, b.row.ID) })
-	return silent
+	slices.SortFunc(stale, func(a, b observation) int { return strings.Compare(a.row.ID, b.row.ID) })
+	return stale
 }
 
-// denied gets one denial from the known set of a silent member. An empty
-// known set needs none: such a member cannot extend its tenure.
-func (ke *Keeper) denied(ctx context.Context, si sighting) bool {
+// obtainDenial obtains one denial from the known set of an unresponsive member. An empty
+// known set needs none, since such a member cannot extend its tenure.
+func (ke *Keeper) obtainDenial(ctx context.Context, si observation) bool {
 	req := DenialRequest{Holder: si.row.ID, Beat: si.row.Beat}
 	if len(si.row.Known) == 0 {
 		return true
@@ -453,11 +453,11 @@
 	return false
 }
 
-// takeOver removes a member, on condition that its row and the assignment are
-// as they were seen. Losing the race is no error.
-func (ke *Keeper) takeOver(ctx context.Context, si sighting) error {
+// takeOver removes a member, on condition that its row and the assignment are unchanged
+// since they were read. A conflict is not an error.
+func (ke *Keeper) takeOver(ctx context.Context, si observation) error {
 	ke.mu.Lock()
-	asg, asgVer := ke.asg.WithoutMember(si.row.ID), ke.asgVer
+	asg, asgVer := ke.assignment.WithoutMember(si.row.ID), ke.assignmentVersion
 	ke.mu.Unlock()
 	version, err := ke.removeMember(ctx, si.row.ID, si.version, asg, asgVer)
 	if errors.Is(err, store.ErrConflict) {
@@ -468,16 +468,16 @@
 	}
 	ke.mu.Lock()
 	ke.adopt(asg, version)
-	delete(ke.seen, si.row.ID)
+	delete(ke.observed, si.row.ID)
 	ke.mu.Unlock()
-	ke.event("took-over", si.row.ID)
+	ke.emit("took-over", si.row.ID)
 	return nil
 }
 
 func (ke *Keeper) removeMember(ctx context.Context, id string, rowVer int64, asg Assignment, asgVer int64) (int64, error) {
-	txn, err := store.NewTxn().WithPut(ke.asgKey(), asgVer, asg)
+	txn, err := store.NewTxn().WithPut(ke.assignmentKey(), asgVer, asg)
 	if err != nil {
 		return 0, err
 	}
-	return ke.Table.Settle(ctx, txn.WithDelete(ke.rowKey(id), rowVer))
+	return ke.Table.Settle(ctx, txn.WithDelete(ke.memberKey(id), rowVer))
 }
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -11,15 +11,15 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// Run takes the steps of the protocol until ctx ends or the lease is taken
-// over, which it returns as [ErrTakenOver]. The host must have joined.
+// Run performs the steps of the protocol until ctx ends or the lease is taken over, for
+// which it returns [ErrTakenOver]. The host must have joined.
 func (ke *Keeper) Run(ctx context.Context) error {
-	ti := time.NewTicker(ke.Timing.Every)
+	ti := time.NewTicker(ke.Timing.Interval)
 	defer ti.Stop()
 	for {
 		err := ke.step(ctx)
 		if errors.Is(err, ErrTakenOver) {
-			ke.event("taken-over", "")
+			ke.emit("taken-over", "")
 			return err
 		}
 		select {
@@ -30,55 +30,56 @@
 	}
 }
 
-// step renews, or else extends, and looks at the others. The table gets half
-// of a step's time, so that promises are asked for well before the end.
+// step renews the lease, or extends it if that fails, and checks the other members. The
+// renewal gets half of the interval, so that promises are requested well before the tenure
+// ends.
 func (ke *Keeper) step(ctx context.Context) error {
-	rctx, cancel := context.WithTimeout(ctx, ke.Timing.Every/2)
+	rctx, cancel := context.WithTimeout(ctx, ke.Timing.Interval/2)
 	defer cancel()
 	err := ke.Renew(rctx)
 	if errors.Is(err, ErrTakenOver) {
 		return err
 	}
 	if err != nil {
-		pctx, pcancel := context.WithTimeout(ctx, ke.Timing.Every/2)
+		pctx, pcancel := context.WithTimeout(ctx, ke.Timing.Interval/2)
 		defer pcancel()
 		ke.Extend(pctx)
 		return fmt.Errorf("step: %w", err)
 	}
-	wctx, wcancel := context.WithTimeout(ctx, ke.Timing.Every)
+	wctx, wcancel := context.WithTimeout(ctx, ke.Timing.Interval)
 	defer wcancel()
 	if _, err := ke.Watch(wctx); err != nil {
 		return err
 	}
-	return ke.shed(wctx)
+	return ke.rebalance(wctx)
 }
 
-// shed gives resources to the member with the fewest, while this host has at
+// rebalance transfers resources to the member with the fewest, while this host has at
 // least two more.
-func (ke *Keeper) shed(ctx context.Context) error {
+func (ke *Keeper) rebalance(ctx context.Context) error {
 	for {
-		re, to := ke.surplus()
+		re, to := ke.nextTransfer()
 		if re == "" {
 			return nil
 		}
-		if err := ke.Give(ctx, re, to); err != nil {
+		if err := ke.Transfer(ctx, re, to); err != nil {
 			return err
 		}
 	}
 }
 
-// surplus returns a resource to give away and its new owner. A cell is left
-// where it is: moving it costs a recovery and evens out nothing.
-func (ke *Keeper) surplus() (resource, to string) {
+// nextTransfer returns a resource to transfer and its new owner, or empty strings. A cell
+// is never transferred: that costs a recovery and balances no load.
+func (ke *Keeper) nextTransfer() (resource, to string) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	count := map[string]int{}
-	for re, ow := range ke.asg.Owners {
+	for re, ow := range ke.assignment.Owners {
 		if !IsCell(re) {
 			count[ow.Owner]++
 		}
 	}
-	for _, id := range ke.asg.Members {
+	for _, id := range ke.assignment.Members {
 		if to == "" || count[id] < count[to] {
 			to = id
 		}
@@ -86,7 +87,7 @@
 	if ke.lost || to == ke.ID || count[ke.ID] < count[to]+2 {
 		return "", ""
 	}
-	for _, re := range ke.asg.OwnedBy(ke.ID) {
+	for _, re := range ke.assignment.OwnedBy(ke.ID) {
 		if !IsCell(re) {
 			return re, to
 		}
@@ -94,21 +95,21 @@
 	return "", ""
 }
 
-// Give hands a resource to another member. The host stops owning it before
-// the table is asked; if the answer is lost it is settled by the next read.
-func (ke *Keeper) Give(ctx context.Context, resource, to string) error {
+// Transfer hands a resource to another member. The host stops owning it before it writes
+// to the table. If the answer is lost, the next read shows the outcome.
+func (ke *Keeper) Transfer(ctx context.Context, resource, to string) error {
 	ke.mu.Lock()
 	if ke.released == nil {
 		ke.released = map[string]bool{}
 	}
-	gi := Gift{Resource: resource, To: to, Addr: ke.addrs[to], Epoch: ke.asg.Epoch, Since: ke.since[resource]}
+	tr := Transfer{Resource: resource, To: to, Addr: ke.addrs[to], Epoch: ke.assignment.Epoch, Since: ke.since[resource]}
 	ke.released[resource] = true
-	asg, asgVer := ke.asg.WithOwner(resource, to), ke.asgVer
+	asg, asgVer := ke.assignment.WithOwner(resource, to), ke.assignmentVersion
 	ke.mu.Unlock()
-	if ke.BeforeGive != nil {
-		ke.BeforeGive(ctx, gi)
+	if ke.BeforeTransfer != nil {
+		ke.BeforeTransfer(ctx, tr)
 	}
-	txn, err := store.NewTxn().WithPut(ke.asgKey(), asgVer, asg)
+	txn, err := store.NewTxn().WithPut(ke.assignmentKey(), asgVer, asg)
 	if err != nil {
 		return err
 	}
@@ -117,7 +118,7 @@
 		return ke.read(ctx)
 	}
 	if err != nil {
-		return fmt.Errorf("give %s to %s: %w", resource, to, err)
+		return fmt.Errorf("transfer %s to %s: %w", resource, to, err)
 	}
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// Leave removes the host from the members and gives what it owns to the
-// others. Nothing is owned from the moment that Leave is called.
+// Leave removes the host from the members and distributes its resources among the others.
+// The host owns nothing from the moment that Leave is called.
 func (ke *Keeper) Leave(ctx context.Context) error {
 	ke.mu.Lock()
 	ke.lost = true
@@ -140,19 +141,19 @@
 			return fmt.Errorf("leave: %w", err)
 		}
 		ke.mu.Lock()
-		si, there := ke.seen[ke.ID]
-		asg, asgVer := ke.asg.WithoutMember(ke.ID), ke.asgVer
-		gifts := ke.gifts(asg)
+		si, found := ke.observed[ke.ID]
+		asg, asgVer := ke.assignment.WithoutMember(ke.ID), ke.assignmentVersion
+		planned := ke.transfers(asg)
 		ke.mu.Unlock()
-		if !there {
+		if !found {
 			return nil
 		}
-		for _, gi := range gifts {
-			ke.BeforeGive(ctx, gi)
+		for _, tr := range planned {
+			ke.BeforeTransfer(ctx, tr)
 		}
 		_, err := ke.removeMember(ctx, ke.ID, si.version, asg, asgVer)
 		if err == nil {
-			ke.event("left", "")
+			ke.emit("left", "")
 			return nil
 		}
 		if !errors.Is(err, store.ErrConflict) {
@@ -161,23 +162,22 @@
 	}
 }
 
-// gifts returns what changes hands between the assignment of now and the
-// next.
-func (ke *Keeper) gifts(next Assignment) []Gift {
-	if ke.BeforeGive == nil {
+// transfers returns the transfers from the current assignment to the next.
+func (ke *Keeper) transfers(next Assignment) []Transfer {
+	if ke.BeforeTransfer == nil {
 		return nil
 	}
-	var gifts []Gift
-	for _, re := range ke.asg.OwnedBy(ke.ID) {
+	var planned []Transfer
+	for _, re := range ke.assignment.OwnedBy(ke.ID) {
 		to := next.Owners[re].Owner
-		if to != "" && ke.since[re] != (Beginning{}) {
-			gifts = append(gifts, Gift{Resource: re, To: to, Addr: ke.addrs[to], Epoch: ke.asg.Epoch, Since: ke.since[re]})
+		if to != "" && ke.since[re] != (OwnershipStart{}) {
+			planned = append(planned, Transfer{Resource: re, To: to, Addr: ke.addrs[to], Epoch: ke.assignment.Epoch, Since: ke.since[re]})
 		}
 	}
-	return gifts
+	return planned
 }
 
-// Members returns the members of the data centre as the table has them now.
+// Members returns the members of the data centre as read from the table now, sorted by id.
 func (ke *Keeper) Members(ctx context.Context) ([]Member, error) {
 	if err := ke.read(ctx); err != nil {
 		return nil, fmt.Errorf("members: %w", err)
@@ -185,53 +185,54 @@
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	var members []Member
-	for _, si := range ke.seen {
+	for _, si := range ke.observed {
 		members = append(members, si.row)
 	}
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	return members, nil
 }
 
-// ErrAlive is returned for a member that has renewed since.
-var ErrAlive = errors.New("member has renewed since")
+// ErrRenewed is returned by [Keeper.DeclareDead] for a member that has renewed its row
+// since.
+var ErrRenewed = errors.New("member has renewed since")
 
-// DeclareDead removes a member on an operator's word that its process is no
-// more, without a denial, if its row is still at the beat. A wrong word can
-// make two owners. A member that is not there is no error: it was removed.
+// DeclareDead removes a member without a denial, on an operator's statement that its
+// process has ended, if its row still has the given beat. A wrong statement can lead to
+// two owners. A member without a row is no error: it was removed already.
 func (ke *Keeper) DeclareDead(ctx context.Context, id string, beat int64) error {
 	if err := ke.read(ctx); err != nil {
 		return fmt.Errorf("declare %s dead: %w", id, err)
 	}
 	ke.mu.Lock()
-	si, there := ke.seen[id]
+	si, found := ke.observed[id]
 	ke.mu.Unlock()
 	switch {
-	case !there:
+	case !found:
 		return nil
 	case si.row.Beat != beat || id == ke.ID:
-		return fmt.Errorf("declare %s dead: %w", id, ErrAlive)
+		return fmt.Errorf("declare %s dead: %w", id, ErrRenewed)
 	}
 	if err := ke.takeOver(ctx, si); err != nil {
 		return err
 	}
-	// A race lost is no error of a takeover, but here it has to be told.
+	// takeOver ignores a conflict, but here it must be reported.
 	if err := ke.read(ctx); err != nil {
 		return fmt.Errorf("declare %s dead: %w", id, err)
 	}
 	ke.mu.Lock()
-	_, there = ke.seen[id]
+	_, found = ke.observed[id]
 	ke.mu.Unlock()
-	if there {
-		return fmt.Errorf("declare %s dead: %w", id, ErrAlive)
+	if found {
+		return fmt.Errorf("declare %s dead: %w", id, ErrRenewed)
 	}
 	return nil
 }
 
-// cellPrefix begins the names of cells among the resources.
+// cellPrefix is the prefix of the resources that are cells.
 const cellPrefix = "cell/"
 
-// Cell returns the resource of a data centre's cell.
-func Cell(dc string) string { return cellPrefix + dc }
+// CellResource returns the resource for the cell of a data centre.
+func CellResource(dc string) string { return cellPrefix + dc }
 
 // IsCell reports whether a resource is a cell.
 func IsCell(resource string) bool {
--- /dev/null
+++ b/internal/tenure/claim.go
@@ -0,0 +1,52 @@
+package tenure
+
+import (
+	"context"
+	"time"
+)
+
+// sentClaim is a claim that was sent to the store.
+type sentClaim struct {
+	// row was written over the last owner's row, which had this version.
+	row     OwnerRow
+	former  *formerOwners
+	version int64
+	sent    time.Time
+}
+
+// serveUnsettledClaim serves the cell if the row shows that a claim that seemed to have
+// failed took effect. Otherwise the other hosts would have to wait for the heartbeat
+// timeout of an owner that does not serve.
+func (ke *Keeper) serveUnsettledClaim(ctx context.Context) {
+	cl := ke.unsettledClaim
+	if cl == nil {
+		return
+	}
+	ke.mu.Lock()
+	row, version := ke.row, ke.version
+	ke.mu.Unlock()
+	if version <= cl.version {
+		return
+	}
+	ke.unsettledClaim = nil
+	if row.Epoch == cl.row.Epoch && row.Process == ke.Process {
+		ke.Log.Info("claim of unknown outcome took effect", "cell", ke.Cell, "epoch", row.Epoch, "version", version)
+		cl.former.claimedAt = time.Now()
+		ke.serve(ctx, cl.row, version, cl.former, cl.sent)
+	}
+}
+
+// releaseContext returns a context that bounds the release of the cell. Once the host is
+// told to stop, before the release or during it, the time allowed for the stop applies
+// instead.
+func (ke *Keeper) releaseContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithCancel(ctx)
+	ke.mu.Lock()
+	defer ke.mu.Unlock()
+	within := releaseWithin
+	if ke.stopping {
+		within = time.Until(ke.releaseBy)
+	}
+	ke.releaseTimer = time.AfterFunc(within, cancel)
+	return ctx, cancel
+}
--- a/internal/tenure/row_test.go
+++ b/internal/tenure/row_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestBounds checks after which rows leases are said to be bounded: never while an owner of
-// an earlier version may have told one.
-func TestBounds(t *testing.T) {
+// TestLeasesBounded checks after which rows leases are marked as bounded: never while an
+// owner of an earlier version may have extended one.
+func TestLeasesBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		row  OwnerRow
@@ -18,9 +18,9 @@
 		{"an owner that keeps to it", OwnerRow{Owner: "a", Epoch: 3, Bounded: true}, true},
 		{"an owner of an earlier version", OwnerRow{Owner: "a", Epoch: 3}, false},
 		{"released by one of an earlier version", OwnerRow{Epoch: 3}, false},
-		{"the same, when all before had ceased", OwnerRow{Epoch: 3, Alone: true}, true},
+		{"the same, when all before had ceased", OwnerRow{Epoch: 3, FormerCeased: true}, true},
 		{"released by one that keeps to it", OwnerRow{Epoch: 3, Bounded: true}, true},
 	} {
-		qt.Check(t, tc.row.bounds(), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
+		qt.Check(t, tc.row.boundsSuccessors(), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
 }
