--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -141,7 +141,7 @@
 	if ow := do.Local(); ow != nil {
 		resp, err := local(ctx, ow)
 		// What the tenure's end left unsettled is for the store to tell.
-		if !errors.Is(err, sched.ErrOver) {
+		if !errors.Is(err, sched.ErrTenureOver) {
 			return resp, err
 		}
 	}
@@ -197,7 +197,7 @@
 // inItsPlace reports whether a job that the owner refused, as the store does not
 // take its writes, can be written by this host: if the store answers it.
 func (do *Door) inItsPlace(ve sched.Verdict) bool {
-	if ve.Outcome != sched.Refused || ve.Reason != sched.ReasonStoreAway || do.Local() != nil {
+	if ve.Outcome != sched.Refused || ve.Reason != sched.ReasonStoreUnavailable || do.Local() != nil {
 		return false
 	}
 	return do.Keeper.StoreAnswers() && time.Now().UnixNano() >= do.doubtUntil.Load()
@@ -283,7 +283,7 @@
 	state, known, rerr := do.stored(ctx, id)
 	switch {
 	case rerr != nil:
-		ve = sched.Verdict{Outcome: sched.Unknown, Reason: sched.ReasonStoreAway, RetryAfter: retryAfter}
+		ve = sched.Verdict{Outcome: sched.Unknown, Reason: sched.ReasonStoreUnavailable, RetryAfter: retryAfter}
 	case !known:
 		ve = sched.Verdict{Outcome: sched.NoJob}
 	case state.Final():
--- a/internal/door/peer.go
+++ b/internal/door/peer.go
@@ -116,9 +116,9 @@
 		}
 		resp, err := fn(ctx, ow, req)
 		switch {
-		case errors.Is(err, sched.ErrOver):
+		case errors.Is(err, sched.ErrTenureOver):
 			err = &wire.Error{Status: http.StatusMisdirectedRequest, Code: codeNotOwner, Message: err.Error()}
-		case errors.Is(err, sched.ErrUnsettled):
+		case errors.Is(err, sched.ErrOutcomeUnknown):
 			err = &wire.Error{Status: http.StatusServiceUnavailable, Code: codeUnsettled, Message: err.Error()}
 		}
 		return resp, err
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -249,7 +249,7 @@
 		return fmt.Errorf("encode pairs: %w", err)
 	}
 	txn := store.NewTxn()
-	txn.Puts = []store.Put{{Key: sched.LearntTable + "/c0/pairs", Value: value}}
+	txn.Puts = []store.Put{{Key: sched.InterferenceTable + "/c0/pairs", Value: value}}
 	if _, err := pl.table.Client().Commit(ctx, txn); err != nil {
 		return fmt.Errorf("tell pairs: %w", err)
 	}
--- a/internal/sched/api.go
+++ b/internal/sched/api.go
@@ -29,11 +29,11 @@
 
 // The reasons.
 const (
-	ReasonStoreAway   Reason = "store-away"
-	ReasonNotOwner    Reason = "not-owner"
-	ReasonCellFull    Reason = "cell-full"
-	ReasonTimedOut    Reason = "timed-out"
-	ReasonUnreachable Reason = "unreachable"
+	ReasonStoreUnavailable Reason = "store-away"
+	ReasonNotOwner         Reason = "not-owner"
+	ReasonCellFull         Reason = "cell-full"
+	ReasonTimedOut         Reason = "timed-out"
+	ReasonUnreachable      Reason = "unreachable"
 )
 
 // Verdict is the answer to a request to change something.
@@ -49,27 +49,27 @@
 // Errors of an owner whose tenure is over.
 var (
 	// ErrOver: it did not take the request.
-	ErrOver = errors.New("tenure is over")
+	ErrTenureOver = errors.New("tenure is over")
 	// ErrUnsettled: its tenure ended with the request on its way, which may
 	// have taken effect.
-	ErrUnsettled = errors.New("tenure ended with the request on its way")
+	ErrOutcomeUnknown = errors.New("tenure ended with the request on its way")
 )
 
 // Limits on what is taken on.
 const (
 	// jobsMost bounds the jobs that are not over, which bounds memory: some
 	// 4 kB a job.
-	jobsMost = 20_000
+	maxJobs = 20_000
 	// retryAfter is when a caller is told to come back.
 	retryAfter = time.Second
 )
 
 // ask runs fn in the loop, which calls its argument once with the answer.
-func ask[T any](ctx context.Context, ow *Owner, fn func(func(T))) (T, error) {
+func call[T any](ctx context.Context, ow *Owner, fn func(func(T))) (T, error) {
 	var zero T
 	out := make(chan T, 1)
 	if !ow.post(func() { fn(func(t T) { out <- t }) }) {
-		return zero, ErrOver
+		return zero, ErrTenureOver
 	}
 	select {
 	case t := <-out:
@@ -77,41 +77,41 @@
 	case <-ctx.Done():
 		return zero, ctx.Err()
 	case <-ow.ended:
-		return zero, ErrUnsettled
+		return zero, ErrOutcomeUnknown
 	}
 }
 
 // Submit takes a job on. If ctx ends first the outcome is unknown.
 func (ow *Owner) Submit(ctx context.Context, id string, te job.Terms, sp job.Spec) (Verdict, error) {
-	return ask(ctx, ow, func(answer func(Verdict)) { ow.submit(id, te, sp, answer) })
+	return call(ctx, ow, func(answer func(Verdict)) { ow.submit(id, te, sp, answer) })
 }
 
 func (ow *Owner) submit(id string, te job.Terms, sp job.Spec, answer func(Verdict)) {
 	if en := ow.entries[id]; en != nil {
-		ow.submitAgain(en, answer)
+		ow.resubmit(en, answer)
 		return
 	}
 	if ow.storeDown() {
-		answer(ow.refuse(id, ReasonStoreAway))
+		answer(ow.refuse(id, ReasonStoreUnavailable))
 		return
 	}
-	if len(ow.entries) >= jobsMost {
+	if len(ow.entries) >= maxJobs {
 		answer(ow.refuse(id, ReasonCellFull))
 		return
 	}
-	en := ow.add(job.New(id, te, sp))
+	en := ow.addJob(job.New(id, te, sp))
 	en.waiters = append(en.waiters, answer)
-	ow.touch(en)
+	ow.markDirty(en)
 }
 
 // submitAgain answers for a job that was handed in before.
-func (ow *Owner) submitAgain(en *entry, answer func(Verdict)) {
+func (ow *Owner) resubmit(en *entry, answer func(Verdict)) {
 	switch {
-	case en.progVer > 0:
-		ow.Log.Info("job handed in again", "job", en.jo.ID, "state", en.shown, "version", en.progVer)
+	case en.progressVersion > 0:
+		ow.Log.Info("job handed in again", "job", en.jo.ID, "state", en.writtenState, "version", en.progressVersion)
 		answer(Verdict{Outcome: Accepted})
 	case ow.storeDown():
-		answer(Verdict{Outcome: Unknown, Reason: ReasonStoreAway})
+		answer(Verdict{Outcome: Unknown, Reason: ReasonStoreUnavailable})
 	default:
 		en.waiters = append(en.waiters, answer)
 	}
@@ -124,7 +124,7 @@
 }
 
 // answer tells those who wait for a job's first write.
-func (ow *Owner) answer(en *entry, ve Verdict) {
+func (ow *Owner) answerWaiters(en *entry, ve Verdict) {
 	for _, fn := range en.waiters {
 		ow.Metrics.Add(telemetry.JobVerdicts, 1, "outcome", string(ve.Outcome), "reason", string(ve.Reason))
 		fn(ve)
@@ -134,42 +134,42 @@
 
 // Cancel ends a job for its caller.
 func (ow *Owner) Cancel(ctx context.Context, id string) (Verdict, error) {
-	return ask(ctx, ow, func(answer func(Verdict)) { ow.cancel(id, answer) })
+	return call(ctx, ow, func(answer func(Verdict)) { ow.cancel(id, answer) })
 }
 
 func (ow *Owner) cancel(id string, answer func(Verdict)) {
 	en := ow.entries[id]
-	if en == nil || en.progVer == 0 {
+	if en == nil || en.progressVersion == 0 {
 		answer(Verdict{Outcome: NoJob})
 		return
 	}
-	if en.shown.Final() {
+	if en.writtenState.Final() {
 		answer(Verdict{Outcome: Accepted})
 		return
 	}
 	if !en.jo.State().Final() {
 		en.jo.Cancelled = true
 		ow.Log.Info("job cancelled", "job", id, "running", len(en.attempts))
-		ow.finish(en)
-		ow.touch(en)
+		ow.stopFinished(en)
+		ow.markDirty(en)
 	}
 	if ow.storeDown() {
-		answer(Verdict{Outcome: Unknown, Reason: ReasonStoreAway})
+		answer(Verdict{Outcome: Unknown, Reason: ReasonStoreUnavailable})
 		return
 	}
 	if en.dirty || en.writing {
-		en.effects = append(en.effects, func() { answer(Verdict{Outcome: Accepted}) })
+		en.onWritten = append(en.onWritten, func() { answer(Verdict{Outcome: Accepted}) })
 		if !en.dirty {
-			ow.touch(en)
+			ow.markDirty(en)
 		}
 	}
 }
 
 // State returns a job's state; ok is false if the owner knows no such job.
 func (ow *Owner) State(ctx context.Context, id string) (state job.State, ok bool, err error) {
-	state, err = ask(ctx, ow, func(answer func(job.State)) {
+	state, err = call(ctx, ow, func(answer func(job.State)) {
 		if en := ow.entries[id]; en != nil {
-			answer(en.visible())
+			answer(en.reportedState())
 			return
 		}
 		answer("")
@@ -179,10 +179,10 @@
 
 // Pending counts the jobs of a queue none of whose tasks has begun.
 func (ow *Owner) Pending(ctx context.Context, queue string) (int, error) {
-	return ask(ctx, ow, func(answer func(int)) {
+	return call(ctx, ow, func(answer func(int)) {
 		n := 0
 		for _, en := range ow.entries {
-			if en.jo.Terms.Queue == queue && en.shown == job.Queued {
+			if en.jo.Terms.Queue == queue && en.writtenState == job.Queued {
 				n++
 			}
 		}
--- a/internal/sched/aside_test.go
+++ b/internal/sched/aside_test.go
@@ -11,12 +11,12 @@
 )
 
 // firstFailing is the number of the first job whose tasks fail at once.
-const firstFailing = 100
+const firstFailingJob = 100
 
 // failingJobs has the tasks of jobs from firstFailing on fail at once.
-func failingJobs(la *lab, healthy func(worker.Attempt) (time.Duration, string)) {
+func failTasksOfJobs(la *lab, healthy func(worker.Attempt) (time.Duration, string)) {
 	la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
-		if at.Task >= jobID(firstFailing) {
+		if at.Task >= jobID(firstFailingJob) {
 			return 10 * time.Millisecond, "failed"
 		}
 		return healthy(at)
@@ -36,12 +36,12 @@
 func TestFailingJobsLeaveWorkersToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
-		failingJobs(la, func(worker.Attempt) (time.Duration, string) { return time.Second, "done" })
+		failTasksOfJobs(la, func(worker.Attempt) (time.Duration, string) { return time.Second, "done" })
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
 		for n := range 40 {
-			la.submit(ow, firstFailing+n, batch(1, 4))
+			la.submit(ow, firstFailingJob+n, batch(1, 4))
 			time.Sleep(100 * time.Millisecond)
 		}
 		la.submit(ow, 1, batch(1, 1))
@@ -66,12 +66,12 @@
 		ow := la.withLasting(2*16 - 1)
 		ow.post(func() {
 			for _, ho := range ow.hosts {
-				ho.failures, ho.asides = asideFailures, asideDoublings
+				ho.failures, ho.asides = quarantineFailures, maxQuarantineDoublings
 				ho.failedJobs["other"] = true
 			}
 			for _, ho := range ow.hosts {
 				if len(ho.attempts) < 16 {
-					ho.judge(&entry{jo: ow.entries[jobID(1)].jo}, "failed")
+					ho.recordOutcome(&entry{jo: ow.entries[jobID(1)].jo}, "failed")
 				}
 			}
 		})
--- a/internal/sched/backlog_test.go
+++ b/internal/sched/backlog_test.go
@@ -11,7 +11,7 @@
 
 // backlog fills a cell with lasting tasks of many sizes, has three tenths of its workers be
 // lost, and hands in jobs that end by themselves, for all of which there is too little room.
-func backlog(la *lab, ow *Owner, workers int) {
+func fillWithBacklog(la *lab, ow *Owner, workers int) {
 	n := 0
 	for i := range 3 * workers / 10 {
 		n++
@@ -39,7 +39,7 @@
 		ow, end := la.own()
 		defer end()
 		time.Sleep(200 * time.Millisecond)
-		backlog(la, ow, workers)
+		fillWithBacklog(la, ow, workers)
 		for name, fn := range map[string]func(){"tick": ow.tick, "place": ow.place} {
 			b.Run(fmt.Sprint(workers, "/", name), func(b *testing.B) {
 				b.ReportAllocs()
@@ -65,7 +65,7 @@
 	ow, end := la.own()
 	defer end()
 	time.Sleep(200 * time.Millisecond)
-	backlog(la, ow, 350)
+	fillWithBacklog(la, ow, 350)
 	for b.Loop() {
 		time.Sleep(10 * time.Second)
 	}
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -16,7 +16,7 @@
 
 // mixture fills a cell as the users do: endless services on most of the
 // processors, and fillers that wait for a good place.
-func mixture(la *lab, ow *Owner, workers int) {
+func fillWithServicesAndFillers(la *lab, ow *Owner, workers int) {
 	n := 0
 	for i := range workers {
 		sp := job.Spec{Payload: "serve", Steps: []job.Step{{
@@ -44,7 +44,7 @@
 			ow, end := la.own()
 			defer end()
 			time.Sleep(200 * time.Millisecond)
-			mixture(la, ow, workers)
+			fillWithServicesAndFillers(la, ow, workers)
 			time.Sleep(time.Second)
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -15,29 +15,29 @@
 
 // newsTime is how long after its worker said that it has less room a start may still go by
 // what it said before: users allow 4 s and a heartbeat.
-const newsTime = time.Second
+const reportDelay = time.Second
 
 // capacities is a lab whose workers say at times that they have less room, or more, and
 // take whatever they are given.
-type capacities struct {
+type capacityLab struct {
 	*lab
 
 	ow  *Owner
 	end func()
 	// said has what each worker said of itself, in order.
-	said map[worker.Incarnation][]saying
+	reported map[worker.Incarnation][]capacityReport
 }
 
-type saying struct {
+type capacityReport struct {
 	at    time.Time
 	holds worker.Resources
 }
 
-func newCapacities(t *testing.T, workers int) *capacities {
+func newCapacityLab(t *testing.T, workers int) *capacityLab {
 	t.Helper()
-	ca := &capacities{lab: newLab(t, workers), said: map[worker.Incarnation][]saying{}}
+	ca := &capacityLab{lab: newLab(t, workers), reported: map[worker.Incarnation][]capacityReport{}}
 	for _, fw := range ca.crew {
-		ca.note(fw, fw.Holds)
+		ca.record(fw, fw.Holds)
 		fw.Holds = worker.Resources{MilliCores: 1 << 40, MemMB: 1 << 40}
 	}
 	ca.own()
@@ -45,42 +45,42 @@
 }
 
 // own starts an owner; the one before ends.
-func (ca *capacities) own() {
+func (ca *capacityLab) own() {
 	if ca.end != nil {
 		ca.end()
 	}
 	ow, loaded, end := ca.begin()
 	qt.Assert(ca.t, <-loaded, qt.IsNil)
 	ca.ow, ca.end = ow, end
-	ca.tell()
+	ca.sendReports()
 }
 
-func (ca *capacities) note(fw *standin.FleetWorker, holds worker.Resources) {
+func (ca *capacityLab) record(fw *standin.FleetWorker, holds worker.Resources) {
 	id := fw.Addr.Incarnation
-	ca.said[id] = append(ca.said[id], saying{at: time.Now(), holds: holds})
+	ca.reported[id] = append(ca.reported[id], capacityReport{at: time.Now(), holds: holds})
 }
 
 // say has a worker say what it holds.
-func (ca *capacities) say(fw *standin.FleetWorker, cores int64) {
-	ca.note(fw, worker.Resources{MilliCores: cores * 1000, MemMB: 128_000})
-	ca.tell()
+func (ca *capacityLab) report(fw *standin.FleetWorker, cores int64) {
+	ca.record(fw, worker.Resources{MilliCores: cores * 1000, MemMB: 128_000})
+	ca.sendReports()
 }
 
-func (ca *capacities) tell() {
+func (ca *capacityLab) sendReports() {
 	list := ca.listed()
 	for i := range list {
-		said := ca.said[list[i].Incarnation]
+		said := ca.reported[list[i].Incarnation]
 		list[i].Holds = said[len(said)-1].holds
 	}
 	ca.ow.SetWorkers(list, nil, true)
 }
 
 // mostSaid is the most processor that a worker may be taken to have at a moment.
-func (ca *capacities) mostSaid(id worker.Incarnation, at time.Time) int64 {
+func (ca *capacityLab) maxReported(id worker.Incarnation, at time.Time) int64 {
 	var most int64
-	said := ca.said[id]
+	said := ca.reported[id]
 	for i, sa := range said {
-		over := i+1 < len(said) && said[i+1].at.Before(at.Add(-newsTime))
+		over := i+1 < len(said) && said[i+1].at.Before(at.Add(-reportDelay))
 		if !sa.at.After(at) && !over {
 			most = max(most, sa.holds.MilliCores)
 		}
@@ -89,7 +89,7 @@
 }
 
 // overfilled lists the starts that brought a worker over what it had said that it holds.
-func (ca *capacities) overfilled() []string {
+func (ca *capacityLab) overfilled() []string {
 	var list []string
 	runs := ca.fleet.Runs()
 	for _, ru := range runs {
@@ -100,7 +100,7 @@
 				sum += ca.fleet.RoomFunc(other.Attempt).MilliCores
 			}
 		}
-		if sum > ca.mostSaid(ru.Worker, ru.From) {
+		if sum > ca.maxReported(ru.Worker, ru.From) {
 			list = append(list, ru.Task+" at "+ru.Worker.String())
 		}
 	}
@@ -113,13 +113,13 @@
 func TestRoomIsWhatAWorkerSays(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			ca := newCapacities(t, 1)
+			ca := newCapacityLab(t, 1)
 			defer func() { ca.end() }()
 			ca.fleet.RunFunc = endless
 			time.Sleep(time.Second)
 			ca.submit(ca.ow, 1, lasting(12))
 			time.Sleep(time.Second)
-			ca.say(ca.crew[0], 16)
+			ca.report(ca.crew[0], 16)
 			time.Sleep(time.Second)
 			if takeover {
 				ca.own()
@@ -128,7 +128,7 @@
 			ca.submit(ca.ow, 2, lasting(4))
 			time.Sleep(5 * time.Second)
 			ca.assertRunning(12)
-			ca.say(ca.crew[0], 32)
+			ca.report(ca.crew[0], 32)
 			time.Sleep(500 * time.Millisecond)
 			ca.assertRunning(16)
 			qt.Check(t, ca.overfilled(), qt.HasLen, 0)
@@ -141,7 +141,7 @@
 func TestNoStartGoesOverWhatAWorkerSays(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: capacityScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
-			ca := newCapacities(t, 4)
+			ca := newCapacityLab(t, 4)
 			defer func() { ca.end() }()
 			time.Sleep(time.Second)
 			jobs := 0
@@ -152,7 +152,7 @@
 					ca.submit(ca.ow, jobs, batch(1, rapid.IntRange(1, 30).Draw(rt, "tasks")))
 				case "say":
 					fw := ca.crew[rapid.IntRange(0, len(ca.crew)-1).Draw(rt, "worker")]
-					ca.say(fw, int64(rapid.IntRange(0, 40).Draw(rt, "cores")))
+					ca.report(fw, int64(rapid.IntRange(0, 40).Draw(rt, "cores")))
 				case "owner":
 					ca.own()
 				}
--- a/internal/sched/claims_test.go
+++ b/internal/sched/claims_test.go
@@ -15,7 +15,7 @@
 
 // missedAfterDark is when users miss a task that lasts and was lost together with its
 // owner's host, if that host is without power for 9 s: 10 s after its power is back.
-const missedAfterDark = 19 * time.Second
+const restartDeadline = 19 * time.Second
 
 // TestWorkerLostWithAnOwnerThatNobodyCanAsk is the story of lasting tasks that ran nowhere
 // for 20 s.
@@ -32,7 +32,7 @@
 // may claim.
 func TestWorkerLostWithAnOwnerThatNobodyCanAsk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr := &crowd{lab: newLab(t, 2), maxLease: 10 * time.Second}
+		cr := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
 		defer cr.stop()
 		cr.fleet.RunFunc = endless
 		first := cr.join("a", 0.8)
@@ -42,9 +42,9 @@
 		qt.Assert(t, cr.submit(first.ow.Load(), 1, lasting(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(10 * time.Second)
 		cr.assertRunning(4)
-		first.set(func(co *contender) { co.dark = true })
-		cr.loseWith(first)
-		time.Sleep(missedAfterDark)
+		first.set(func(co *clusterHost) { co.partitioned = true })
+		cr.killWorkerAndOwner(first)
+		time.Sleep(restartDeadline)
 		cr.assertRunning(4)
 	})
 }
@@ -60,7 +60,7 @@
 		most := time.Duration(rapid.IntRange(1000, 20_000).Draw(rt, "longest lease ms")) * time.Millisecond
 		// In true time since the store last confirmed the owner.
 		told := time.Duration(rapid.Int64Range(0, int64(float64(quickest(tenure.ExtendFor))/owner)).Draw(rt, "told"))
-		read := told - time.Duration(rapid.Int64Range(0, int64(readingMost)).Draw(rt, "reading's age"))
+		read := told - time.Duration(rapid.Int64Range(0, int64(maxClockReadingAge)).Draw(rt, "reading's age"))
 		claimed := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(rt, "claimed"))
 
 		by := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
@@ -70,7 +70,7 @@
 		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseFor(by(owner, told), most)
 		ended := read + time.Duration(float64(left)/wo)
 
-		ow := &Owner{Limits: Limits{MaxLease: most}, opened: began}
+		ow := &Owner{Limits: Limits{MaxLease: most}, startedAt: began}
 		ow.Tenure.Former.Bounded = true
 		ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
 		acts := claimed + time.Duration(float64(ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
@@ -85,13 +85,13 @@
 
 // readingMost is how old a worker's clock may be as an owner reckons with it: a look's wait
 // and its grace, and for how long leases are extended after one that failed.
-const readingMost = lookWait + lookGrace + extendSilent
+const maxClockReadingAge = lookWait + lookGrace + extendSilent
 
 // TestOwnersOfEarlierVersionsAreWaitedFor checks that the shorter wait is for owners that
 // keep to it, as are all before them.
 func TestOwnersOfEarlierVersionsAreWaitedFor(t *testing.T) {
 	began := time.Now()
-	ow := &Owner{Limits: Limits{MaxLease: 10 * time.Second}, opened: began}
+	ow := &Owner{Limits: Limits{MaxLease: 10 * time.Second}, startedAt: began}
 	ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
 	qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, tenure.ExtendFor+slowest(10*time.Second)+lapseMargin)
 	ow.Tenure.Former.Bounded = true
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -20,43 +20,43 @@
 const (
 	// jobsPerWrite keeps a write under the store's 100 entries: a new job has
 	// two conditions and three rows.
-	jobsPerWrite = 18
+	maxJobsPerWrite = 18
 	// bytesPerWrite keeps it under the store's 1 MB.
-	bytesPerWrite = 600_000
+	maxBytesPerWrite = 600_000
 	// writesAtOnce is how many writes may be under way: the store takes 8 ms
 	// for one and carries out those of a cell in turn.
-	writesAtOnce = 1
+	maxConcurrentWrites = 1
 	// writeTimeout is how long the answer to a write may take before it is
 	// sent again: 12 ms, up to 120 times slower in bad times.
 	writeTimeout = 1500 * time.Millisecond
 	// downAfter is how long writes may fail before new work is refused.
-	downAfter = 300 * time.Millisecond
+	storeDownAfter = 300 * time.Millisecond
 	// unknownAfter is how long a caller waits for a write that failed before it
 	// is told that the outcome is not known.
-	unknownAfter = 600 * time.Millisecond
+	reportUnknownAfter = 600 * time.Millisecond
 	// rewriteFirst and rewriteMost are the pauses before a write is sent again.
-	rewriteFirst = 30 * time.Millisecond
-	rewriteMost  = 400 * time.Millisecond
+	initialRewriteDelay = 30 * time.Millisecond
+	maxRewriteDelay     = 400 * time.Millisecond
 )
 
 // errStrange ends a tenure whose rows are not as the owner left them; the next
 // one reads them anew.
-var errStrange = errors.New("rows are not as this owner left them")
+var errUnexpectedRows = errors.New("rows are not as this owner left them")
 
 // write is one write of several jobs' rows.
 type write struct {
-	txn   store.Txn
-	parts []part
-	sent  time.Time
+	txn  store.Txn
+	jobs []jobWrite
+	sent time.Time
 }
 
 // part is one job's part of a write.
-type part struct {
+type jobWrite struct {
 	en    *entry
 	state job.State
 	// first is set if the write has the job's first rows.
-	first   bool
-	effects []func()
+	firstWrite bool
+	onWritten  []func()
 	// key and value are of the row that shows whether the write took effect.
 	key   string
 	value []byte
@@ -64,9 +64,9 @@
 
 // flush begins writes of what has changed.
 func (ow *Owner) flush() {
-	for ow.writes < writesAtOnce && len(ow.dirty) > 0 {
+	for ow.writes < maxConcurrentWrites && len(ow.dirty) > 0 {
 		wr := ow.nextWrite()
-		if len(wr.parts) == 0 {
+		if len(wr.jobs) == 0 {
 			return
 		}
 		ow.writes++
@@ -81,7 +81,7 @@
 	size := 0
 	rest := ow.dirty[:0]
 	for i, en := range ow.dirty {
-		if len(wr.parts) == jobsPerWrite || size > bytesPerWrite {
+		if len(wr.jobs) == maxJobsPerWrite || size > maxBytesPerWrite {
 			rest = append(rest, ow.dirty[i:]...)
 			break
 		}
@@ -89,7 +89,7 @@
 			rest = append(rest, en)
 			continue
 		}
-		size += ow.addPart(wr, en)
+		size += ow.addJobWrite(wr, en)
 	}
 	clear(ow.dirty[len(rest):])
 	ow.dirty = rest
@@ -97,15 +97,15 @@
 }
 
 // addPart adds a job's rows to a write and returns their size.
-func (ow *Owner) addPart(wr *write, en *entry) int {
+func (ow *Owner) addJobWrite(wr *write, en *entry) int {
 	id := en.jo.ID
-	pa := part{en: en, state: en.jo.State(), first: en.progVer == 0, effects: en.effects, key: ow.progressKey(id)}
-	en.effects, en.dirty, en.writing, en.proofDue = nil, false, true, time.Time{}
-	wr.txn.Conds = append(wr.txn.Conds, store.Cond{Key: pa.key, Version: en.progVer})
+	pa := jobWrite{en: en, state: en.jo.State(), firstWrite: en.progressVersion == 0, onWritten: en.onWritten, key: ow.progressKey(id)}
+	en.onWritten, en.dirty, en.writing, en.proofDue = nil, false, true, time.Time{}
+	wr.txn.Conds = append(wr.txn.Conds, store.Cond{Key: pa.key, Version: en.progressVersion})
 	if en.removing {
 		wr.txn.Puts = append(wr.txn.Puts, store.Put{Key: pa.key, Delete: true})
-		wr.txn.Puts = append(wr.txn.Puts, ow.specGone(en)...)
-		wr.parts = append(wr.parts, pa)
+		wr.txn.Puts = append(wr.txn.Puts, ow.specRemoval(en)...)
+		wr.jobs = append(wr.jobs, pa)
 		return 0
 	}
 	pa.value = ow.encode(en.jo.NextRow(ow.Tenure.Epoch))
@@ -113,24 +113,24 @@
 	size := len(pa.value)
 	switch {
 	case en.jo.Over():
-		wr.txn.Puts = append(wr.txn.Puts, ow.specGone(en)...)
-	case pa.first:
-		en.specKept = true
+		wr.txn.Puts = append(wr.txn.Puts, ow.specRemoval(en)...)
+	case pa.firstWrite:
+		en.specStored = true
 		spec := ow.encode(en.jo.SpecRow())
 		size += len(spec)
 		wr.txn.Conds = append(wr.txn.Conds, store.Cond{Key: ow.specKey(id)})
 		wr.txn.Puts = append(wr.txn.Puts, store.Put{Key: ow.specKey(id), Value: spec})
 	}
-	wr.parts = append(wr.parts, pa)
+	wr.jobs = append(wr.jobs, pa)
 	return size
 }
 
 // specGone returns the removal of the row of a job's spec, if there is one.
-func (ow *Owner) specGone(en *entry) []store.Put {
-	if !en.specKept {
+func (ow *Owner) specRemoval(en *entry) []store.Put {
+	if !en.specStored {
 		return nil
 	}
-	en.specKept = false
+	en.specStored = false
 	return []store.Put{{Key: ow.specKey(en.jo.ID), Delete: true}}
 }
 
@@ -145,7 +145,7 @@
 // commit sends a write until its outcome is known.
 func (ow *Owner) commit(wr *write) {
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = rewriteFirst, rewriteMost
+	bo.InitialInterval, bo.MaxInterval = initialRewriteDelay, maxRewriteDelay
 	for n := 1; ; n++ {
 		ctx, cancel := context.WithTimeout(ow.ctx, writeTimeout)
 		reply, err := ow.Table.CommitFunc(ctx, wr.txn)
@@ -154,15 +154,15 @@
 			return
 		}
 		if err == nil {
-			ow.post(func() { ow.committed(wr, func(part) int64 { return reply.Version }) })
+			ow.post(func() { ow.handleCommitted(wr, func(jobWrite) int64 { return reply.Version }) })
 			return
 		}
 		var conflict *store.ConflictError
 		if errors.As(err, &conflict) {
-			ow.post(func() { ow.conflicted(wr, conflict) })
+			ow.post(func() { ow.handleConflict(wr, conflict) })
 			return
 		}
-		ow.post(func() { ow.writeFailed(wr, n, err) })
+		ow.post(func() { ow.handleWriteError(wr, n, err) })
 		if !clock.Sleep(ow.ctx, bo.NextBackOff()) {
 			return
 		}
@@ -170,25 +170,25 @@
 }
 
 // committed lets the effects of a write happen.
-func (ow *Owner) committed(wr *write, version func(part) int64) {
+func (ow *Owner) handleCommitted(wr *write, version func(jobWrite) int64) {
 	ow.writes--
-	if !ow.failing.IsZero() {
-		ow.Log.Info("store takes writes again", "cell", ow.Cell, "after", time.Since(ow.failing))
-		ow.failing = time.Time{}
+	if !ow.writesFailingSince.IsZero() {
+		ow.Log.Info("store takes writes again", "cell", ow.Cell, "after", time.Since(ow.writesFailingSince))
+		ow.writesFailingSince = time.Time{}
 	}
 	ow.Metrics.Add(telemetry.CellWrites, 1, "outcome", "done")
-	for _, pa := range wr.parts {
+	for _, pa := range wr.jobs {
 		pa.en.writing = false
-		pa.en.progVer = version(pa)
-		if pa.first {
-			ow.Log.Info("job accepted", "job", pa.en.jo.ID, "queue", pa.en.jo.Terms.Queue, "version", pa.en.progVer, "took", time.Since(pa.en.acceptedAt))
-			ow.answer(pa.en, Verdict{Outcome: Accepted})
+		pa.en.progressVersion = version(pa)
+		if pa.firstWrite {
+			ow.Log.Info("job accepted", "job", pa.en.jo.ID, "queue", pa.en.jo.Terms.Queue, "version", pa.en.progressVersion, "took", time.Since(pa.en.acceptedAt))
+			ow.answerWaiters(pa.en, Verdict{Outcome: Accepted})
 		}
-		if pa.state != pa.en.shown {
-			ow.Log.Info("job state", "job", pa.en.jo.ID, "state", pa.state, "version", pa.en.progVer, "age", time.Since(pa.en.acceptedAt))
-			pa.en.shown = pa.state
+		if pa.state != pa.en.writtenState {
+			ow.Log.Info("job state", "job", pa.en.jo.ID, "state", pa.state, "version", pa.en.progressVersion, "age", time.Since(pa.en.acceptedAt))
+			pa.en.writtenState = pa.state
 		}
-		for _, fn := range pa.effects {
+		for _, fn := range pa.onWritten {
 			fn()
 		}
 	}
@@ -196,23 +196,23 @@
 
 // conflicted finds out why a condition did not hold: the write itself, sent
 // before, or another owner.
-func (ow *Owner) conflicted(wr *write, conflict *store.ConflictError) {
-	if ow.replaced(conflict) {
+func (ow *Owner) handleConflict(wr *write, conflict *store.ConflictError) {
+	if ow.replacedAsOwner(conflict) {
 		return
 	}
-	pa := wr.parts[0]
+	pa := wr.jobs[0]
 	row := conflict.Row(pa.key)
 	if (pa.value == nil && row.Version == 0) || (pa.value != nil && sameJSON(row.Value, pa.value)) {
-		ow.committed(wr, func(pa part) int64 { return conflict.Row(pa.key).Version })
+		ow.handleCommitted(wr, func(pa jobWrite) int64 { return conflict.Row(pa.key).Version })
 		return
 	}
-	ow.Log.Error("write refused", "cell", ow.Cell, "job", pa.en.jo.ID, "want", pa.en.progVer, "have", row.Version)
-	ow.Tenure.Renounce(fmt.Errorf("write of job %s: %w", pa.en.jo.ID, errStrange))
+	ow.Log.Error("write refused", "cell", ow.Cell, "job", pa.en.jo.ID, "want", pa.en.progressVersion, "have", row.Version)
+	ow.Tenure.Renounce(fmt.Errorf("write of job %s: %w", pa.en.jo.ID, errUnexpectedRows))
 }
 
 // replaced reports whether a write was refused as another host has the cell, and ends the
 // tenure then.
-func (ow *Owner) replaced(conflict *store.ConflictError) bool {
+func (ow *Owner) replacedAsOwner(conflict *store.ConflictError) bool {
 	if conflict.Row(ow.Tenure.Key).Version == ow.Tenure.Version {
 		return false
 	}
@@ -229,19 +229,19 @@
 
 // writeFailed notes that the outcome of a write is not known yet. Callers that
 // have waited for long are told so.
-func (ow *Owner) writeFailed(wr *write, n int, err error) {
-	if ow.failing.IsZero() {
-		ow.failing = wr.sent
+func (ow *Owner) handleWriteError(wr *write, n int, err error) {
+	if ow.writesFailingSince.IsZero() {
+		ow.writesFailingSince = wr.sent
 		ow.Log.Warn("store does not take writes", "cell", ow.Cell, "err", err)
 	}
 	ow.Metrics.Add(telemetry.CellWrites, 1, "outcome", "failed")
-	if time.Since(wr.sent) < unknownAfter {
+	if time.Since(wr.sent) < reportUnknownAfter {
 		return
 	}
-	for _, pa := range wr.parts {
-		if pa.first && len(pa.en.waiters) > 0 {
+	for _, pa := range wr.jobs {
+		if pa.firstWrite && len(pa.en.waiters) > 0 {
 			ow.Log.Warn("job not known to be accepted", "job", pa.en.jo.ID, "tries", n, "err", err)
-			ow.answer(pa.en, Verdict{Outcome: Unknown, Reason: ReasonStoreAway})
+			ow.answerWaiters(pa.en, Verdict{Outcome: Unknown, Reason: ReasonStoreUnavailable})
 		}
 	}
 }
--- a/internal/sched/crowd_test.go
+++ b/internal/sched/crowd_test.go
@@ -22,21 +22,21 @@
 
 // crowd is a cell with several hosts that may own it, each with its own ways to
 // the store, to the others and to workers.
-type crowd struct {
+type cluster struct {
 	*lab
 
-	mu    sync.Mutex
-	hosts []*contender
-	born  int
+	mu        sync.Mutex
+	hosts     []*clusterHost
+	processes int
 	// maxLease is the longest lease that workers grant, 6 s if not set.
 	maxLease time.Duration
 	// lost is when a worker was lost together with an owner.
-	lost time.Time
+	lostAt time.Time
 }
 
 // contender is a process of a host that may own the cell.
-type contender struct {
-	cr     *crowd
+type clusterHost struct {
+	cr     *cluster
 	keeper *tenure.Keeper
 	end    context.CancelFunc
 	// gate is its way to the store.
@@ -47,25 +47,25 @@
 	mu sync.Mutex
 	// dark ones neither ask others nor answer them; those that were reborn have
 	// another process on their host.
-	dark, reborn bool
+	partitioned, restarted bool
 	// stuck ones cannot read the cell.
-	stuck bool
+	readsBlocked bool
 	// cut has the workers that it cannot reach, by incarnation.
-	cut map[worker.Incarnation]bool
+	unreachable map[worker.Incarnation]bool
 	// once has those that it reaches once more.
-	once map[worker.Incarnation]bool
+	reachableOnce map[worker.Incarnation]bool
 }
 
-var errCut = errors.New("cut off")
+var errUnreachable = errors.New("cut off")
 
 // join starts a host with so much processor, in cores: those with less claim later.
-func (cr *crowd) join(name string, cores float64) *contender {
+func (cr *cluster) join(name string, cores float64) *clusterHost {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	cr.born++
-	co := &contender{cr: cr, cut: map[worker.Incarnation]bool{}}
+	cr.processes++
+	co := &clusterHost{cr: cr, unreachable: map[worker.Incarnation]bool{}}
 	co.keeper = &tenure.Keeper{
-		Cell: "c0", Self: name, Process: fmt.Sprintf("%s-%d", name, cr.born), Addr: name, Cores: cores,
+		Cell: "c0", Self: name, Process: fmt.Sprintf("%s-%d", name, cr.processes), Addr: name, Cores: cores,
 		Table: co.table(cr.lab.table.Client()), Serve: co.serve, AskFunc: co.ask, VouchFunc: co.vouch, Log: cr.log,
 	}
 	ctx, end := context.WithCancel(context.Background())
@@ -76,23 +76,23 @@
 }
 
 // set changes the host's faults.
-func (co *contender) set(fn func(*contender)) {
+func (co *clusterHost) set(fn func(*clusterHost)) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	fn(co)
 }
 
-func (co *contender) isDark() bool {
+func (co *clusterHost) isPartitioned() bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	return co.dark
+	return co.partitioned
 }
 
 // table puts the host's faults before the store.
-func (co *contender) table(tbl store.Table) store.Table {
+func (co *clusterHost) table(tbl store.Table) store.Table {
 	return store.Table{
 		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
-			if err := co.mayRead(ctx); err != nil {
+			if err := co.beforeRead(ctx); err != nil {
 				return store.ReadReply{}, err
 			}
 			return tbl.ReadFunc(ctx, req)
@@ -112,9 +112,9 @@
 	}
 }
 
-func (co *contender) mayRead(ctx context.Context) error {
+func (co *clusterHost) beforeRead(ctx context.Context) error {
 	co.mu.Lock()
-	stuck := co.stuck
+	stuck := co.readsBlocked
 	co.mu.Unlock()
 	if stuck {
 		<-ctx.Done()
@@ -125,37 +125,37 @@
 }
 
 // agent puts the host's cuts before the workers.
-func (co *contender) agent() worker.Agent {
+func (co *clusterHost) agent() worker.Agent {
 	ag := co.cr.fleet.Agent()
 	return worker.Agent{
-		LaunchFunc: cutOff(co, ag.LaunchFunc), HaltFunc: cutOff(co, ag.HaltFunc),
-		PaceFunc: cutOff(co, ag.PaceFunc), LookFunc: cutOff(co, ag.LookFunc),
+		LaunchFunc: withUnreachable(co, ag.LaunchFunc), HaltFunc: withUnreachable(co, ag.HaltFunc),
+		PaceFunc: withUnreachable(co, ag.PaceFunc), LookFunc: withUnreachable(co, ag.LookFunc),
 	}
 }
 
-func cutOff[Order, Answer any](co *contender, send func(context.Context, worker.Addr, Order) (Answer, error)) func(context.Context, worker.Addr, Order) (Answer, error) {
+func withUnreachable[Order, Answer any](co *clusterHost, send func(context.Context, worker.Addr, Order) (Answer, error)) func(context.Context, worker.Addr, Order) (Answer, error) {
 	return func(ctx context.Context, ad worker.Addr, or Order) (Answer, error) {
 		co.mu.Lock()
-		cut := co.cut[ad.Incarnation] && !co.once[ad.Incarnation]
-		delete(co.once, ad.Incarnation)
+		cut := co.unreachable[ad.Incarnation] && !co.reachableOnce[ad.Incarnation]
+		delete(co.reachableOnce, ad.Incarnation)
 		co.mu.Unlock()
 		if cut {
 			var none Answer
-			return none, errCut
+			return none, errUnreachable
 		}
 		return send(ctx, ad, or)
 	}
 }
 
 // ask asks the last process of a host.
-func (co *contender) ask(_ context.Context, addr string, epoch int64) (tenure.Life, error) {
+func (co *clusterHost) ask(_ context.Context, addr string, epoch int64) (tenure.Life, error) {
 	const way = 3 * time.Millisecond
 	time.Sleep(way)
-	other := co.cr.last(addr)
-	if co.isDark() || other.isDark() {
-		return tenure.Life{}, errCut
+	other := co.cr.latest(addr)
+	if co.isPartitioned() || other.isPartitioned() {
+		return tenure.Life{}, errUnreachable
 	}
-	if other.isReborn() {
+	if other.isRestarted() {
 		return tenure.Life{Host: addr, Process: addr + " reborn"}, nil
 	}
 	other.keeper.Replaced(epoch)
@@ -163,24 +163,24 @@
 }
 
 // vouch asks the last process of a host whether it confirms an owner.
-func (co *contender) vouch(_ context.Context, addr string, epoch int64, process string) (bool, error) {
+func (co *clusterHost) vouch(_ context.Context, addr string, epoch int64, process string) (bool, error) {
 	const way = 3 * time.Millisecond
 	time.Sleep(way)
-	other := co.cr.last(addr)
-	if co.isDark() || other.isDark() || other.isReborn() {
-		return false, errCut
+	other := co.cr.latest(addr)
+	if co.isPartitioned() || other.isPartitioned() || other.isRestarted() {
+		return false, errUnreachable
 	}
 	return other.keeper.Vouch(epoch, process), nil
 }
 
-func (co *contender) isReborn() bool {
+func (co *clusterHost) isRestarted() bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	return co.reborn
+	return co.restarted
 }
 
 // tellHosts tells the owner of the hosts that there are, until its tenure ends.
-func (co *contender) tellHosts(ctx context.Context, te tenure.Tenure) {
+func (co *clusterHost) reportHosts(ctx context.Context, te tenure.Tenure) {
 	known := 0
 	for {
 		if members := co.cr.members(); len(members) != known {
@@ -194,7 +194,7 @@
 }
 
 // members are the hosts as the store lists them.
-func (cr *crowd) members() []registry.Member {
+func (cr *cluster) members() []registry.Member {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	var list []registry.Member
@@ -205,7 +205,7 @@
 }
 
 // last returns the last process of a host.
-func (cr *crowd) last(name string) *contender {
+func (cr *cluster) latest(name string) *clusterHost {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	for _, co := range slices.Backward(cr.hosts) {
@@ -216,7 +216,7 @@
 	return nil
 }
 
-func (co *contender) serve(ctx context.Context, te tenure.Tenure) (map[string]int64, error) {
+func (co *clusterHost) serve(ctx context.Context, te tenure.Tenure) (map[string]int64, error) {
 	ow := New(&Owner{
 		Cell: "c0", Tenure: te, Table: co.keeper.Table, Agent: co.agent(), Log: co.cr.log,
 		Limits: Limits{MaxLease: cmp.Or(co.cr.maxLease, 6*time.Second), StopTime: 900 * time.Millisecond, HarmAfter: 4 * time.Second, KeepEnded: 2 * time.Minute},
@@ -224,39 +224,39 @@
 	defer co.ow.Store(nil)
 	err := ow.Run(ctx, func() {
 		co.ow.Store(ow)
-		go co.tellHosts(ctx, te)
+		go co.reportHosts(ctx, te)
 		go ow.SetWorkers(co.cr.listed(), nil, true)
 	})
 	return ow.Handover(), err
 }
 
 // die ends a process at once: it writes nothing more and sends no order.
-func (co *contender) die() {
+func (co *clusterHost) kill() {
 	co.gate.Set(standin.Fault{Mode: standin.ModeDown})
-	co.set(func(co *contender) {
+	co.set(func(co *clusterHost) {
 		for _, fw := range co.cr.crew {
-			co.cut[fw.Addr.Incarnation] = true
+			co.unreachable[fw.Addr.Incarnation] = true
 		}
-		co.reborn = true
+		co.restarted = true
 	})
 	co.end()
 }
 
 // cutWith cuts a host off from the store and the others, and the others from a worker
 // that it still reaches.
-func (cr *crowd) cutWith(alone *contender, fw *standin.FleetWorker) {
+func (cr *cluster) partitionWith(alone *clusterHost, fw *standin.FleetWorker) {
 	alone.gate.Set(standin.Fault{Mode: standin.ModeDown})
-	alone.set(func(co *contender) { co.dark = true })
+	alone.set(func(co *clusterHost) { co.partitioned = true })
 	for _, co := range cr.hosts {
 		if co != alone {
-			co.set(func(co *contender) { co.cut[fw.Addr.Incarnation] = true })
+			co.set(func(co *clusterHost) { co.unreachable[fw.Addr.Incarnation] = true })
 		}
 	}
 }
 
 // awaitOwner waits until a host owns the cell in the place of one that was lost or
 // gave it up.
-func (cr *crowd) awaitOwner(co *contender) {
+func (cr *cluster) awaitOwner(co *clusterHost) {
 	const (
 		most = 4 * time.Second
 		step = 10 * time.Millisecond
@@ -267,13 +267,13 @@
 }
 
 // owns reports whether a host is the owner that the rest of the cell sees.
-func (co *contender) owns() bool {
+func (co *clusterHost) owns() bool {
 	row, ok := co.keeper.Current()
 	return ok && row.Process == co.keeper.Process
 }
 
 // stop ends all hosts and lets what they began come to its end.
-func (cr *crowd) stop() {
+func (cr *cluster) stop() {
 	for _, co := range cr.hosts {
 		co.end()
 	}
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -70,7 +70,7 @@
 // without an entry has most likely ended, and may be back at another address; one that
 // is listed, or may be if the list is in trouble, is cut off.
 func (ho *host) endSilent(now time.Time) {
-	ho.endAll(ho.gone && !ho.left() && ho.ow.listSound(now), "its leases have lapsed")
+	ho.endAll(ho.gone && !ho.left() && ho.ow.listReliable(now), "its leases have lapsed")
 }
 
 // endAll notes the end of all that stood on a lost worker, and who may have ended it if its
@@ -80,7 +80,7 @@
 	for at := range ho.attempts {
 		end := at.verdictIf(crashed)
 		le.add(at.step(), end)
-		ho.ow.end(at.en, at.ref, at.number, end, "", why)
+		ho.ow.recordEnd(at.en, at.ref, at.number, end, "", why)
 	}
 	ho.ow.tellLost(ho.incarnation, le, why, ho.quietFor(time.Now()))
 }
@@ -89,8 +89,8 @@
 // other than by a planned end if crashed is set.
 func (at *attempt) verdictIf(crashed bool) job.End {
 	switch {
-	case at.ends != "":
-		return at.ends
+	case at.endIfNotRun != "":
+		return at.endIfNotRun
 	case crashed:
 		return at.verdict()
 	}
@@ -130,11 +130,11 @@
 func (at *attempt) verdict() job.End {
 	ran := at.sightings().ran
 	switch {
-	case !at.ordered && !at.inherited:
+	case !at.orderSent && !at.inherited:
 		return job.EndNever
 	case ran >= lastsAfter:
 		return job.EndLapsed
-	case ran >= provenAfter, at.ho.silent, !at.inherited && at.launched.IsZero():
+	case ran >= provenAfter, at.ho.silent, !at.inherited && at.launchedAt.IsZero():
 		// What was silent first may have ended long after that, and an order without an
 		// answer may have been the worker's end or come after it. Former owners' orders
 		// count as answered: most were, and a task that outlives its owners in this way
@@ -188,9 +188,9 @@
 }
 
 func (at *attempt) sightings() sightings {
-	se := sightings{acked: !at.launched.IsZero(), ran: at.worked}
-	if at.sighted.After(at.launched) {
-		se.ran += at.sighted.Sub(at.launched)
+	se := sightings{acked: !at.launchedAt.IsZero(), ran: at.inheritedRunTime}
+	if at.lastSeenAt.After(at.launchedAt) {
+		se.ran += at.lastSeenAt.Sub(at.launchedAt)
 	}
 	return se
 }
@@ -201,7 +201,7 @@
 func (ho *host) tellDeath(why string, by worker.Incarnation, now time.Time) {
 	unanswered := 0
 	for at := range ho.attempts {
-		if at.launched.IsZero() {
+		if at.launchedAt.IsZero() {
 			unanswered++
 		}
 	}
--- a/internal/sched/drain.go
+++ b/internal/sched/drain.go
@@ -11,13 +11,13 @@
 const (
 	// leaveReserve is added to the time to stop: the order's way, the look that
 	// lists the end, and its write.
-	leaveReserve = 700 * time.Millisecond
+	leaveMargin = 700 * time.Millisecond
 	// evacuationsPerTick bounds the moves of endless tasks at one look, so that
 	// a step is not away as a whole.
-	evacuationsPerTick = 6
+	maxEvacuationsPerTick = 6
 	// waitingMost bounds the waiting tasks for which room is kept, each a search of all
 	// workers at worst.
-	waitingMost = 100
+	maxReservedWaiting = 100
 )
 
 // evacuate empties workers that leave, by their own word or as their entry is gone for
@@ -27,34 +27,34 @@
 	if ow.storeDown() {
 		return
 	}
-	ev := evacuation{ow: ow, now: now, full: map[*job.Step]bool{}}
+	ev := evacuation{ow: ow, now: now, noCapacity: map[*job.Step]bool{}}
 	for _, ho := range ow.sortedHosts() {
-		if ho.whyEmpty(now) != "" {
+		if ho.evacuationReason(now) != "" {
 			ev.leaving = append(ev.leaving, ho)
 		}
 	}
 	for _, ho := range ev.leaving {
-		ev.empty(ho)
+		ev.evacuateHost(ho)
 	}
 }
 
 // Why workers are emptied, as counted.
 const (
-	whyDrains   = "drains"
-	whyUnlisted = "unlisted"
+	reasonDraining = "drains"
+	reasonUnlisted = "unlisted"
 )
 
 // whyEmpty says why a worker is to be emptied, or is empty.
-func (ho *host) whyEmpty(now time.Time) string {
+func (ho *host) evacuationReason(now time.Time) string {
 	switch {
 	case ho.dead || !ho.failing.IsZero():
 		return ""
 	case ho.Draining:
 		// It said so itself, and its entry may go before it does.
-		return whyDrains
-	case ho.goneForGood(now):
+		return reasonDraining
+	case ho.lostFromList(now):
 		// Its machine may stop at any moment, and nobody can tell when.
-		return whyUnlisted
+		return reasonUnlisted
 	}
 	return ""
 }
@@ -64,27 +64,27 @@
 	ow  *Owner
 	now time.Time
 	// leaving are the workers.
-	leaving []*host
-	pl      *placer
-	moves   int
+	leaving     []*host
+	placerCache *placer
+	moves       int
 	// full has the steps for a task of which no worker has room.
-	full map[*job.Step]bool
+	noCapacity map[*job.Step]bool
 }
 
 // empty empties a worker. What has not ended shortly before one leaves that told when is
 // stopped, so that it is certain that it ended and where it is to be resumed: it would
 // die there all the same, and be known to only once its lease has lapsed.
-func (ev *evacuation) empty(ho *host) {
-	cause := ho.whyEmpty(ev.now)
-	if cause == whyUnlisted {
-		ho.tellEmptied(ev.now)
+func (ev *evacuation) evacuateHost(ho *host) {
+	cause := ho.evacuationReason(ev.now)
+	if cause == reasonUnlisted {
+		ho.logEvacuation(ev.now)
 	}
-	last := cause == whyDrains && ev.now.After(ho.leaves.Add(-ev.ow.Limits.StopTime-leaveReserve))
+	last := cause == reasonDraining && ev.now.After(ho.leaves.Add(-ev.ow.Limits.StopTime-leaveMargin))
 	for at := range ho.attempts {
 		switch {
 		case last:
 			ev.ow.halt(at, "its worker leaves")
-		case at.step().Endless && !ev.stopping(at) && ev.moves < evacuationsPerTick:
+		case at.step().Endless && !ev.stopping(at) && ev.moves < maxEvacuationsPerTick:
 			ev.move(at, cause)
 		}
 	}
@@ -93,24 +93,24 @@
 // stopping reports whether an order to stop the attempt may still have its effect. One
 // that had none by then is taken to be lost.
 func (ev *evacuation) stopping(at *attempt) bool {
-	return !at.halted.IsZero() && ev.now.Sub(at.halted) < ev.ow.Limits.StopTime+leaveReserve
+	return !at.haltSentAt.IsZero() && ev.now.Sub(at.haltSentAt) < ev.ow.Limits.StopTime+leaveMargin
 }
 
 // move stops an endless task if another worker has room for it.
 func (ev *evacuation) move(at *attempt, cause string) {
-	if ev.full[at.step()] {
+	if ev.noCapacity[at.step()] {
 		return
 	}
-	if !ev.placer().hasRoom(at) {
-		ev.full[at.step()] = true
+	if !ev.placer().reserveElsewhere(at) {
+		ev.noCapacity[at.step()] = true
 		return
 	}
 	ev.moves++
-	if at.halted.IsZero() {
+	if at.haltSentAt.IsZero() {
 		ev.ow.Metrics.Add(telemetry.Emptied, 1, "why", cause)
 	}
 	why := "its worker leaves and another has room"
-	if cause == whyUnlisted {
+	if cause == reasonUnlisted {
 		why = "its worker has no entry and another has room"
 	}
 	ev.ow.halt(at, why)
@@ -119,32 +119,32 @@
 // placer returns the room that is left besides what tasks will take that are being
 // stopped, or wait: else one place would be counted again at each look until it is taken.
 func (ev *evacuation) placer() *placer {
-	if ev.pl != nil {
-		return ev.pl
+	if ev.placerCache != nil {
+		return ev.placerCache
 	}
-	ev.pl = ev.ow.newPlacer()
+	ev.placerCache = ev.ow.newPlacer()
 	for _, ho := range ev.leaving {
 		for at := range ho.attempts {
 			if at.step().Endless && ev.stopping(at) {
-				ev.pl.hasRoom(at)
+				ev.placerCache.reserveElsewhere(at)
 			}
 		}
 	}
-	ev.pl.keepForWaiting()
-	return ev.pl
+	ev.placerCache.reserveForWaiting()
+	return ev.placerCache
 }
 
 // keepForWaiting keeps room for endless tasks that wait for their placement.
-func (pl *placer) keepForWaiting() {
-	left := waitingMost
+func (pl *placer) reserveForWaiting() {
+	left := maxReservedWaiting
 	for _, en := range pl.ow.active {
 		for step := range en.jo.Spec.Steps {
 			if !en.jo.Spec.Steps[step].Endless {
 				continue
 			}
-			for range min(en.waitingOf(step), left) {
+			for range min(en.waitingIn(step), left) {
 				left--
-				if !pl.keep(en, job.TaskRef{Step: step}, nil) {
+				if !pl.reserve(en, job.TaskRef{Step: step}, nil) {
 					break
 				}
 			}
@@ -153,10 +153,10 @@
 }
 
 // hasRoom reports whether another worker has room for an attempt now, and keeps that room.
-func (pl *placer) hasRoom(at *attempt) bool { return pl.keep(at.en, at.ref, at.ho) }
+func (pl *placer) reserveElsewhere(at *attempt) bool { return pl.reserve(at.en, at.ref, at.ho) }
 
 // keep keeps room for a task on any worker but one, and reports whether there is any.
-func (pl *placer) keep(en *entry, ref job.TaskRef, but *host) bool {
+func (pl *placer) reserve(en *entry, ref job.TaskRef, but *host) bool {
 	st := &en.jo.Spec.Steps[ref.Step]
 	for _, ca := range pl.hosts {
 		if ca.ho == but || !ca.fits(en, ref, st) {
--- a/internal/sched/entry.go
+++ b/internal/sched/entry.go
@@ -19,18 +19,18 @@
 	order int64
 	// aimMS is how soon it should be done, hope whether it can be, and work what
 	// is left of it.
-	aimMS int64
-	hope  hope
-	work  int64
+	targetMS    int64
+	feasibility feasibility
+	workLeft    int64
 	// turn sorts jobs of one priority and hope; rank is the place in one order,
 	// by size or by age, of which the turn is made.
-	turn, rank int
+	sortKey, rank int
 	// progVer is the version of its row of progress, 0 if not written.
-	progVer int64
+	progressVersion int64
 	// specKept is set while there is a row of its spec.
-	specKept bool
+	specStored bool
 	// shown is the state last written, empty before the first write.
-	shown job.State
+	writtenState job.State
 	// dirty is set while a change waits to be written, writing while a write
 	// is under way.
 	dirty, writing bool
@@ -40,17 +40,17 @@
 	// removing is set once the rows are to be removed.
 	removing bool
 	// effects happen once the present state is written.
-	effects []func()
+	onWritten []func()
 	// waiters are callers that handed it in and wait for its first write.
 	waiters []func(Verdict)
 	// waiting counts tasks that may start now.
-	waiting int
+	waitingTasks int
 	// waitingSince is since when it has had such tasks without one starting.
 	waitingSince time.Time
 	// attempts has what is known of the attempts that run, or may.
 	attempts map[job.TaskRef]*attempt
 	// orphans are attempts ordered by former owners on workers not yet seen.
-	orphans []job.TaskRef
+	unowned []job.TaskRef
 	// failedOn are the workers on which a task of the job failed.
 	failedOn map[worker.Incarnation]bool
 	// tracks follow the load of its steps that serve.
@@ -60,15 +60,15 @@
 	// acceptedAt is when it was handed in to this owner.
 	acceptedAt time.Time
 	// stood counts how often attempts of a task were found to stand still.
-	stood map[job.TaskRef]int
+	stallCounts map[job.TaskRef]int
 	// rests has the tasks that last and failed again and again.
-	rests rests
+	backoffs rests
 	// triedAt is when a worker was last chosen to try a task of it alone.
-	triedAt time.Time
+	isolatedTrialAt time.Time
 	// lack is what the last round of placement lacked for a task that waits.
-	lack Cause
+	waitCause Cause
 	// spent is what its time went to.
-	spent spent
+	timeBreakdown spent
 }
 
 // track returns the track of a step's load.
@@ -86,44 +86,44 @@
 
 // touch notes that a job has changed: it is to be written, and its waiting
 // tasks are counted anew.
-func (ow *Owner) touch(en *entry) {
+func (ow *Owner) markDirty(en *entry) {
 	if !en.dirty {
 		en.dirty = true
 		ow.dirty = append(ow.dirty, en)
 	}
-	ow.recount(en)
-	ow.due = true
+	ow.recountWaiting(en)
+	ow.placementDue = true
 }
 
 // recount counts the tasks that may start now and keeps the list of jobs that
 // have any.
-func (ow *Owner) recount(en *entry) {
-	before := en.waiting
-	en.waiting = 0
+func (ow *Owner) recountWaiting(en *entry) {
+	before := en.waitingTasks
+	en.waitingTasks = 0
 	if !en.removing {
 		for i := range en.jo.Spec.Steps {
-			en.waiting += en.waitingOf(i)
+			en.waitingTasks += en.waitingIn(i)
 		}
 	}
-	if before == 0 && en.waiting > 0 {
+	if before == 0 && en.waitingTasks > 0 {
 		en.waitingSince = time.Now()
 	}
 	at, found := slices.BinarySearchFunc(ow.active, en, compareEntries)
 	switch {
-	case en.waiting > 0 && !found:
+	case en.waitingTasks > 0 && !found:
 		ow.active = slices.Insert(ow.active, at, en)
-	case en.waiting == 0 && found:
+	case en.waitingTasks == 0 && found:
 		ow.active = slices.Delete(ow.active, at, at+1)
 	}
 }
 
 // waitingOf counts the tasks of a step that may start now.
-func (en *entry) waitingOf(step int) int {
+func (en *entry) waitingIn(step int) int {
 	return en.countWaiting(step, func(job.TaskRef) bool { return true })
 }
 
 // waitingAgain counts those of them that were interrupted.
-func (en *entry) waitingAgain(step int) int { return en.countWaiting(step, en.interrupted) }
+func (en *entry) waitingInterrupted(step int) int { return en.countWaiting(step, en.interrupted) }
 
 func (en *entry) countWaiting(step int, count func(job.TaskRef) bool) int {
 	if !en.jo.Ready(step) {
@@ -139,15 +139,15 @@
 }
 
 // add enters a job.
-func (ow *Owner) add(jo *job.Job) *entry {
+func (ow *Owner) addJob(jo *job.Job) *entry {
 	ow.seq++
-	en := &entry{ow: ow, jo: jo, order: ow.seq, aimMS: jo.AimMS(), turn: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
+	en := &entry{ow: ow, jo: jo, order: ow.seq, targetMS: jo.AimMS(), sortKey: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
 	ow.entries[jo.ID] = en
 	return en
 }
 
 // end notes the end of an attempt, and reports whether that was news.
-func (ow *Owner) end(en *entry, ref job.TaskRef, number int, end job.End, checkpoint, why string) bool {
+func (ow *Owner) recordEnd(en *entry, ref job.TaskRef, number int, end job.End, checkpoint, why string) bool {
 	if !en.jo.End(ref, number, end, checkpoint) {
 		return false
 	}
@@ -159,56 +159,56 @@
 		delete(en.attempts, ref)
 	}
 	if end == job.EndFailed {
-		en.spent.failed++
+		en.timeBreakdown.failed++
 		if en.failedOn == nil {
 			en.failedOn = map[worker.Incarnation]bool{}
 		}
 		en.failedOn[incarnation] = true
-		en.rests.failed(en, ref, time.Now())
+		en.backoffs.failed(en, ref, time.Now())
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", string(end))
 	ow.Log.Info("attempt ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "end", end, "why", why, "state", en.jo.State(),
 		"acked", seen.acked, "ran_at_least", seen.ran, "crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses)
 	ow.tellGivenUp(en, ref, end)
-	ow.finish(en)
-	ow.touch(en)
+	ow.stopFinished(en)
+	ow.markDirty(en)
 	return true
 }
 
 // endLate takes in an end of an attempt that had been given up.
-func (ow *Owner) endLate(en *entry, ref job.TaskRef, number int, end job.End, incarnation worker.Incarnation) {
+func (ow *Owner) recordLateEnd(en *entry, ref job.TaskRef, number int, end job.End, incarnation worker.Incarnation) {
 	switch end {
 	case job.EndDone:
-		ow.doneLate(en, ref, number, incarnation)
+		ow.recordLateSuccess(en, ref, number, incarnation)
 	case job.EndFailed:
-		ow.failedLate(en, ref, number, incarnation)
+		ow.recordLateFailure(en, ref, number, incarnation)
 	}
 }
 
 // failedLate notes that an attempt which had been given up had failed. If that was one
 // failure too many, an attempt that was to follow is taken back if no order was sent of it.
-func (ow *Owner) failedLate(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
+func (ow *Owner) recordLateFailure(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
 	if !en.jo.FailedLate(ref, number) {
 		return
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "failed-late")
 	ow.Log.Info("attempt that was given up had failed", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation,
 		"failures", en.jo.Task(ref).Failures, "state", en.jo.State())
-	if at := en.attempts[ref]; at != nil && en.jo.Exhausted(ref) && !at.ordered && !at.inherited {
-		ow.end(en, ref, at.number, job.EndNever, "", "an attempt before it had failed")
+	if at := en.attempts[ref]; at != nil && en.jo.Exhausted(ref) && !at.orderSent && !at.inherited {
+		ow.recordEnd(en, ref, at.number, job.EndNever, "", "an attempt before it had failed")
 	} else {
 		ow.tellGivenUp(en, ref, job.EndFailed)
 	}
-	ow.finish(en)
-	ow.touch(en)
+	ow.stopFinished(en)
+	ow.markDirty(en)
 }
 
 // doneLate notes that an attempt which had been given up was done all the same. An
 // attempt that was to follow it is taken back if no order was sent of it, and stopped
 // otherwise.
-func (ow *Owner) doneLate(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
-	if at := en.attempts[ref]; at != nil && at.number > number && !at.ordered && !at.inherited {
-		ow.end(en, ref, at.number, job.EndNever, "", "an attempt before it was done")
+func (ow *Owner) recordLateSuccess(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
+	if at := en.attempts[ref]; at != nil && at.number > number && !at.orderSent && !at.inherited {
+		ow.recordEnd(en, ref, at.number, job.EndNever, "", "an attempt before it was done")
 	}
 	if !en.jo.DoneLate(ref, number) {
 		return
@@ -216,14 +216,14 @@
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "done-late")
 	ow.Log.Info("attempt that was given up was done", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "state", en.jo.State())
 	if at := en.attempts[ref]; at != nil {
-		en.effects = append(en.effects, func() { ow.halt(at, "an attempt before it was done") })
+		en.onWritten = append(en.onWritten, func() { ow.halt(at, "an attempt before it was done") })
 	}
-	ow.finish(en)
-	ow.touch(en)
+	ow.stopFinished(en)
+	ow.markDirty(en)
 }
 
 // finish stops what still runs of a job that is over.
-func (ow *Owner) finish(en *entry) {
+func (ow *Owner) stopFinished(en *entry) {
 	if !en.jo.State().Final() {
 		return
 	}
@@ -232,6 +232,6 @@
 		ow.tellTime(en, en.endedAt)
 	}
 	for _, at := range en.attempts {
-		en.effects = append(en.effects, func() { ow.halt(at, "job "+string(en.jo.State())) })
+		en.onWritten = append(en.onWritten, func() { ow.halt(at, "job "+string(en.jo.State())) })
 	}
 }
--- a/internal/sched/expect.go
+++ b/internal/sched/expect.go
@@ -56,10 +56,10 @@
 		return
 	}
 	list := ow.expected(now)
-	if !ow.promises.made && len(list) == 0 {
+	if !ow.reservations.made && len(list) == 0 {
 		return
 	}
-	ow.promises = promises{made: len(list) > 0}
+	ow.reservations = promises{made: len(list) > 0}
 	var rooms []promisedRoom
 	for _, ho := range ow.sortedHosts() {
 		ho.promised, ho.awaited = worker.Resources{}, false
@@ -71,12 +71,12 @@
 		return cmp.Or(compareSizes(a.st, b.st), cmp.Compare(a.en.order, b.en.order))
 	})
 	for i, ex := range list {
-		if i == 0 || ex.en.jo.Terms.Priority < ow.promises.priority {
-			ow.promises.priority = ex.en.jo.Terms.Priority
+		if i == 0 || ex.en.jo.Terms.Priority < ow.reservations.priority {
+			ow.reservations.priority = ex.en.jo.Terms.Priority
 		}
 		ho := ex.promise(rooms)
 		if ho == nil {
-			ow.promises.lacking++
+			ow.reservations.lacking++
 			continue
 		}
 		ho.awaited = ho.awaited || ex.waits
@@ -134,12 +134,12 @@
 			continue
 		}
 		for at := range ho.attempts {
-			if at.step().Endless && at.halted.IsZero() {
+			if at.step().Endless && at.haltSentAt.IsZero() {
 				list = append(list, expectation{en: at.en, st: at.step()})
 			}
 		}
 	}
-	unseen := len(ow.orphans) > 0 && now.Sub(ow.opened) >= silentAfter
+	unseen := len(ow.unowned) > 0 && now.Sub(ow.startedAt) >= silentAfter
 	for _, en := range ow.active {
 		if en.jo.Endless() {
 			list = en.expectWaiting(list, now)
@@ -162,7 +162,7 @@
 		}
 		for index := range tasks {
 			ref := job.TaskRef{Step: step, Index: index}
-			if tasks[index].State == job.Waiting && en.interrupted(ref) && !en.rests.resting(ref, now) {
+			if tasks[index].State == job.Waiting && en.interrupted(ref) && !en.backoffs.resting(ref, now) {
 				list = append(list, expectation{en: en, st: st, waits: true})
 			}
 		}
@@ -172,7 +172,7 @@
 
 // expectOrphans adds the job's tasks on workers that were not seen since the takeover.
 func (en *entry) expectOrphans(list []expectation) []expectation {
-	for _, ref := range en.orphans {
+	for _, ref := range en.unowned {
 		if st := &en.jo.Spec.Steps[ref.Step]; st.Endless {
 			list = append(list, expectation{en: en, st: st})
 		}
--- a/internal/sched/figures.go
+++ b/internal/sched/figures.go
@@ -65,10 +65,10 @@
 // speed.
 func (at *attempt) fullShare() float64 {
 	declared := share(at.step().Each.MilliCores, at.ho.Holds.MilliCores)
-	if at.uses == 0 {
+	if at.cpuShare == 0 {
 		return declared
 	}
-	return at.uses * declared
+	return at.cpuShare * declared
 }
 
 // expectedShare is the share that a filler uses at its pace.
@@ -78,15 +78,15 @@
 
 // seeUsage learns what part of its declared processor time a filler uses.
 func (at *attempt) seeUsage(now time.Time) {
-	if !at.step().Filler || at.usage <= 0 || at.pace < fullPace || now.Sub(at.pacedAt) < steadyAfter || now.Sub(at.launched) < steadyAfter {
+	if !at.step().Filler || at.usage <= 0 || at.pace < fullPace || now.Sub(at.pacedAt) < steadyAfter || now.Sub(at.launchedAt) < steadyAfter {
 		return
 	}
 	uses := min(max(share(at.usage, at.step().Each.MilliCores), usesLeast), usesMost)
-	if at.uses == 0 {
-		at.uses = uses
+	if at.cpuShare == 0 {
+		at.cpuShare = uses
 		return
 	}
-	at.uses += usesRate * (uses - at.uses)
+	at.cpuShare += usesRate * (uses - at.cpuShare)
 }
 
 // usedShares are the shares of fillers over the window that ends now, as the
@@ -94,7 +94,7 @@
 func (ho *host) usedShares(now time.Time) interfere.Shares {
 	sh := interfere.Shares{}
 	for at := range ho.attempts {
-		if !at.step().Filler || at.launched.IsZero() {
+		if !at.step().Filler || at.launchedAt.IsZero() {
 			continue
 		}
 		at.seeUsage(now)
@@ -128,7 +128,7 @@
 // noteEnded keeps the share of a filler that is taken off the worker.
 func (ho *host) noteEnded(at *attempt, now time.Time) {
 	ho.fill.change()
-	if at.step().Filler && !at.launched.IsZero() {
+	if at.step().Filler && !at.launchedAt.IsZero() {
 		ho.fill.ended = append(ho.fill.ended, endedFiller{image: at.step().Image, share: at.expectedShare(), at: now})
 	}
 }
--- a/internal/sched/formerlife_test.go
+++ b/internal/sched/formerlife_test.go
@@ -45,7 +45,7 @@
 // at its address works.
 func formerLifeAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		was, now := la.nextLife(0)
 		ow.SetWorkers([]Listed{now}, nil, false)
 		time.Sleep(time.Second)
--- a/internal/sched/gone_test.go
+++ b/internal/sched/gone_test.go
@@ -17,10 +17,10 @@
 
 // sixHosts has a lasting job of four tasks run on three workers under six hosts, of which
 // the first owns the cell.
-func sixHosts(t *testing.T, maxLease time.Duration, play func(cr *crowd, owner *contender)) {
+func sixHosts(t *testing.T, maxLease time.Duration, play func(cr *cluster, owner *clusterHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		cr := &crowd{lab: newLab(t, 3), maxLease: maxLease}
+		cr := &cluster{lab: newLab(t, 3), maxLease: maxLease}
 		defer cr.stop()
 		cr.fleet.RunFunc = endless
 		owner := cr.join("a", 0.8)
@@ -42,14 +42,14 @@
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
 			t.Run(fmt.Sprintf("leases of %v, hosts lost besides: %q", maxLease, lost), func(t *testing.T) {
-				sixHosts(t, maxLease, func(cr *crowd, owner *contender) {
-					owner.set(func(co *contender) { co.dark = true })
+				sixHosts(t, maxLease, func(cr *cluster, owner *clusterHost) {
+					owner.set(func(co *clusterHost) { co.partitioned = true })
 					for _, name := range lost {
-						other := cr.last(string(name))
-						other.set(func(co *contender) { co.dark = true })
-						other.die()
+						other := cr.latest(string(name))
+						other.set(func(co *clusterHost) { co.partitioned = true })
+						other.kill()
 					}
-					cr.loseWith(owner)
+					cr.killWorkerAndOwner(owner)
 					time.Sleep(tenure.UnreachableAfter + time.Second + freeWithin)
 					cr.assertRunning(4)
 				})
@@ -59,13 +59,13 @@
 }
 
 // refuse has the store refuse all hosts for a while.
-func (cr *crowd) refuse(d time.Duration) {
+func (cr *cluster) refuse(d time.Duration) {
 	for _, co := range cr.hosts {
 		co.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	}
 	time.Sleep(d)
 	for _, co := range cr.hosts {
-		if !co.isReborn() {
+		if !co.isRestarted() {
 			co.gate.Set(standin.Fault{})
 		}
 	}
@@ -77,9 +77,9 @@
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
 			t.Run(fmt.Sprintf("leases of %v, hosts lost before: %q", maxLease, lost), func(t *testing.T) {
-				sixHosts(t, maxLease, func(cr *crowd, _ *contender) {
+				sixHosts(t, maxLease, func(cr *cluster, _ *clusterHost) {
 					for _, name := range lost {
-						cr.last(string(name)).die()
+						cr.latest(string(name)).kill()
 					}
 					cr.refuse(14 * time.Second)
 					time.Sleep(10 * time.Second)
@@ -94,19 +94,19 @@
 // TestLeasesOfAnOwnerThatStoodStill: a task was taken to run for a whole lease after an owner
 // that stood still had last told one, though none outlives what confirmed it.
 func TestLeasesOfAnOwnerThatStoodStill(t *testing.T) {
-	sixHosts(t, 10*time.Second, func(cr *crowd, owner *contender) {
-		lost := cr.busy()
+	sixHosts(t, 10*time.Second, func(cr *cluster, owner *clusterHost) {
+		lost := cr.busyWorker()
 		owner.gate.Set(standin.Fault{Mode: standin.ModeDown})
-		owner.set(func(co *contender) {
-			co.dark = true
+		owner.set(func(co *clusterHost) {
+			co.partitioned = true
 			for _, fw := range cr.crew {
-				co.cut[fw.Addr.Incarnation] = true
+				co.unreachable[fw.Addr.Incarnation] = true
 			}
 		})
 		cr.fleet.Kill(lost)
 		began := time.Now()
 		time.Sleep(5500 * time.Millisecond)
-		owner.set(func(co *contender) { co.dark = false })
+		owner.set(func(co *clusterHost) { co.partitioned = false })
 		time.Sleep(time.Until(began.Add(9500 * time.Millisecond)))
 		cr.assertRunning(4)
 	})
--- a/internal/sched/handover.go
+++ b/internal/sched/handover.go
@@ -9,13 +9,13 @@
 // milliseconds at the latest the leases of workers lapse that do not answer, by
 // incarnation. The next owner need not wait for longer.
 func (ow *Owner) Handover() map[string]int64 {
-	ow.handing.Lock()
-	defer ow.handing.Unlock()
-	silent := maps.Clone(ow.silent)
-	if ow.given.IsZero() {
+	ow.handoverMu.Lock()
+	defer ow.handoverMu.Unlock()
+	silent := maps.Clone(ow.handoverLeaseMS)
+	if ow.inheritedAt.IsZero() {
 		return silent
 	}
-	passed := time.Since(ow.given).Milliseconds()
+	passed := time.Since(ow.inheritedAt).Milliseconds()
 	for incarnation, ms := range silent {
 		silent[incarnation] = max(ms-passed, 0)
 	}
@@ -24,40 +24,40 @@
 
 // noteGiven has [Owner.Handover] return what the former owner handed on, less the time
 // since, until this one has looked for itself: it may end before it has read the cell.
-func (ow *Owner) noteGiven(now time.Time) {
-	ow.handing.Lock()
-	defer ow.handing.Unlock()
-	ow.silent, ow.given = maps.Clone(ow.Tenure.Former.SilentMS), now
+func (ow *Owner) recordInheritedLeases(now time.Time) {
+	ow.handoverMu.Lock()
+	defer ow.handoverMu.Unlock()
+	ow.handoverLeaseMS, ow.inheritedAt = maps.Clone(ow.Tenure.Former.SilentMS), now
 }
 
 // noteAnswer takes a worker that answers off what the next owner is told: its
 // leases are about to be extended.
-func (ow *Owner) noteAnswer(ho *host) {
-	ow.handing.Lock()
-	defer ow.handing.Unlock()
-	delete(ow.silent, ho.incarnation.String())
+func (ow *Owner) clearUnresponsive(ho *host) {
+	ow.handoverMu.Lock()
+	defer ow.handoverMu.Unlock()
+	delete(ow.handoverLeaseMS, ho.incarnation.String())
 }
 
 // noteSilent keeps what [Owner.Handover] returns.
-func (ow *Owner) noteSilent(now time.Time) {
+func (ow *Owner) recordUnresponsive(now time.Time) {
 	silent := map[string]int64{}
 	for incarnation, ho := range ow.hosts {
 		if len(ho.attempts) > 0 && (!ho.settled || !ho.failing.IsZero()) {
-			silent[incarnation.String()] = ho.lapseIn(now)
+			silent[incarnation.String()] = ho.leaseRemainingMS(now)
 		}
 	}
-	for incarnation := range ow.orphans {
+	for incarnation := range ow.unowned {
 		silent[incarnation.String()] = max(ow.orphansUntil(incarnation).Sub(now).Milliseconds(), 0)
 	}
-	ow.handing.Lock()
-	defer ow.handing.Unlock()
-	ow.silent, ow.given = silent, time.Time{}
+	ow.handoverMu.Lock()
+	defer ow.handoverMu.Unlock()
+	ow.handoverLeaseMS, ow.inheritedAt = silent, time.Time{}
 }
 
 // lapseIn returns the milliseconds until the worker's leases have lapsed by the
 // slowest clock, if they are not extended any more. Looks on their way may have
 // extended them once more since the last note: that is allowed for.
-func (ho *host) lapseIn(now time.Time) int64 {
+func (ho *host) leaseRemainingMS(now time.Time) int64 {
 	if !ho.settled {
 		return max(ho.unsettledUntil().Sub(now).Milliseconds(), 0)
 	}
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -146,7 +146,7 @@
 			}
 		}
 	}
-	ow.due = true
+	ow.placementDue = true
 }
 
 // keepWorker takes a worker as listed of which no more is known.
@@ -218,7 +218,7 @@
 	ow, now := ho.ow, time.Now()
 	ho.gone, ho.goneAt = true, now
 	ow.Log.Info("worker no longer listed", "worker", ho.incarnation, "attempts", len(ho.attempts), "draining", ho.Draining,
-		"list_age", ow.listAge(now), "store_trouble", ow.storeTrouble(now))
+		"list_age", ow.listAge(now), "store_trouble", ow.storeUnhealthy(now))
 	ow.dropIdle(ho)
 }
 
@@ -269,7 +269,7 @@
 	}
 	delete(ho.attempts, at)
 	ho.endTrial(at)
-	ho.ow.land(at)
+	ho.ow.endStart(at)
 	ho.noteEnded(at, time.Now())
 	ho.services = slices.DeleteFunc(ho.services, func(other *attempt) bool { return other == at })
 	ho.reserved = ho.reserved.Without(at.step().Reserved())
@@ -323,11 +323,11 @@
 		return "draining"
 	case !ho.settled:
 		return "unsettled"
-	case !ho.failing.IsZero() || ho.isNoted():
+	case !ho.failing.IsZero() || ho.leaseRecorded():
 		return "unanswered"
 	case !now.After(ho.asideUntil):
 		return "aside"
-	case ho.fails(now):
+	case ho.quarantinedForFailures(now):
 		return barFailing
 	case ho.trial != nil:
 		return barTrial
@@ -350,7 +350,7 @@
 func (ho *host) leaseNow(now time.Time) int64 {
 	te := &ho.ow.Tenure
 	age := now.Sub(te.LastBacked())
-	if ho.isNoted() || ho.clockAt.IsZero() || age > quickest(tenure.ExtendFor) || (te.Extending != nil && !te.Extending()) {
+	if ho.leaseRecorded() || ho.clockAt.IsZero() || age > quickest(tenure.ExtendFor) || (te.Extending != nil && !te.Extending()) {
 		return 0
 	}
 	earliest := ho.clockNow(now)
@@ -427,7 +427,7 @@
 // extended them, and those that former owners can claim at all.
 func (ow *Owner) orphansUntil(incarnation worker.Incarnation) time.Time {
 	if ms, ok := ow.Tenure.Former.SilentMS[incarnation.String()]; ok {
-		return ow.opened.Add(time.Duration(ms)*time.Millisecond + lapseMargin)
+		return ow.startedAt.Add(time.Duration(ms)*time.Millisecond + lapseMargin)
 	}
 	extended, most := ow.formerBounds()
 	if ended := ow.Tenure.FormerEnded(); !ended.IsZero() && ended.Before(extended) {
@@ -443,13 +443,13 @@
 // formerBounds returns until when former owners can have extended leases at the latest, and
 // until when their leases run that keep to what confirmed their owners.
 func (ow *Owner) formerBounds() (extended, lapsed time.Time) {
-	te, unconfirmed := &ow.Tenure, ow.opened
+	te, unconfirmed := &ow.Tenure, ow.startedAt
 	if te.FormerUnconfirmed != nil {
 		unconfirmed = te.FormerUnconfirmed()
 	}
 	extended, lapsed = unconfirmed.Add(tenure.ExtendFor), unconfirmed.Add(slowest(tenure.LeasesFor))
 	if unconfirmed.IsZero() {
-		most := ow.opened.Add(slowest(tenure.VouchedFor))
+		most := ow.startedAt.Add(slowest(tenure.VouchedFor))
 		extended, lapsed = most, most
 	}
 	if te.FormerLapse != nil {
--- a/internal/sched/intake.go
+++ b/internal/sched/intake.go
@@ -53,18 +53,18 @@
 		ow.Log.Error("row of an entry host cannot be read", "key", row.Key, "version", row.Version, "err", err)
 		return
 	}
-	id := lastPart(row.Key)
+	id := lastKeySegment(row.Key)
 	if in.Cancel {
 		ow.importCancel(id[:len(id)-len(cancelSuffix)])
 		return
 	}
 	en := ow.entries[id]
 	if en == nil {
-		en = ow.add(job.New(id, in.Terms, in.Spec))
+		en = ow.addJob(job.New(id, in.Terms, in.Spec))
 		ow.Log.Info("job taken over from an entry host", "job", id, "queue", in.Terms.Queue, "version", row.Version)
 	}
-	en.effects = append(en.effects, func() { go ow.clearIntake(IntakeKey(ow.Cell, id)) })
-	ow.touch(en)
+	en.onWritten = append(en.onWritten, func() { go ow.clearIntake(IntakeKey(ow.Cell, id)) })
+	ow.markDirty(en)
 }
 
 // clearIntake removes a row once what it says is in the cell's own rows. If
@@ -73,7 +73,7 @@
 	txn := store.NewTxn()
 	txn.Puts = []store.Put{{Key: key, Delete: true}}
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = rewriteFirst, time.Second
+	bo.InitialInterval, bo.MaxInterval = initialRewriteDelay, time.Second
 	for {
 		ctx, cancel := context.WithTimeout(ow.ctx, writeTimeout)
 		_, err := ow.Table.CommitFunc(ctx, txn)
@@ -99,8 +99,8 @@
 	if !en.jo.State().Final() {
 		ow.Log.Info("job cancelled through an entry host", "job", id)
 		en.jo.Cancelled = true
-		ow.finish(en)
+		ow.stopFinished(en)
 	}
-	en.effects = append(en.effects, func() { go ow.clearIntake(CancelKey(ow.Cell, id)) })
-	ow.touch(en)
+	en.onWritten = append(en.onWritten, func() { go ow.clearIntake(CancelKey(ow.Cell, id)) })
+	ow.markDirty(en)
 }
--- a/internal/sched/interrupted.go
+++ b/internal/sched/interrupted.go
@@ -14,7 +14,7 @@
 	var steps []lastingStep
 	for _, en := range list {
 		for step := range en.jo.Spec.Steps {
-			if en.jo.Spec.Steps[step].Endless && en.jo.Ready(step) && en.waitingAgain(step) > 0 {
+			if en.jo.Spec.Steps[step].Endless && en.jo.Ready(step) && en.waitingInterrupted(step) > 0 {
 				steps = append(steps, lastingStep{en, step})
 			}
 		}
--- a/internal/sched/interrupted_test.go
+++ b/internal/sched/interrupted_test.go
@@ -54,7 +54,7 @@
 		time.Sleep(20 * time.Second)
 		qt.Assert(t, []int{cr.runningOf(5), cr.runningOf(7), cr.runningOf(1)}, qt.DeepEquals, []int{4, 2, 0})
 		// The busiest worker has two tasks of the first job.
-		ow = cr.loseOwnerAnd(1)
+		ow = cr.loseOwnerAndCrash(1)
 		time.Sleep(20 * time.Second)
 		_, err := ow.Cancel(context.Background(), jobID(7))
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/sched/lapse_test.go
+++ b/internal/sched/lapse_test.go
@@ -24,7 +24,7 @@
 func TestWaitOfAFormerOwnerIsKept(t *testing.T) {
 	now := time.Now()
 	for _, listed := range []time.Duration{time.Second, 12 * time.Second} {
-		ow := &Owner{Limits: Limits{MaxLease: 6 * time.Second}, opened: now}
+		ow := &Owner{Limits: Limits{MaxLease: 6 * time.Second}, startedAt: now}
 		ow.Tenure.Former = tenure.OwnerRow{SilentMS: map[string]int64{"i-0": listed.Milliseconds()}}
 		ow.Tenure.FormerEnded = func() time.Time { return now }
 		qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "i-0"}).Sub(now), qt.Equals, listed+lapseMargin)
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -15,13 +15,13 @@
 
 // longWork is the work of a task that ends after the looks under way, and before
 // its worker's leases lapse.
-const longWork = 2500 * time.Millisecond
+const longRunTime = 2500 * time.Millisecond
 
-func workLong(worker.Attempt) (time.Duration, string) { return longWork, "done" }
+func runLong(worker.Attempt) (time.Duration, string) { return longRunTime, "done" }
 
 // silence freezes the only worker while it works, until its leases have lapsed
 // for all that its owner knows. What ran there was done before.
-func silence(la *lab, ow *Owner) {
+func freezeUntilLapsed(la *lab, ow *Owner) {
 	time.Sleep(time.Second)
 	qt.Assert(la.t, la.submit(ow, 1, batch(1, 1)).Outcome, qt.Equals, Accepted)
 	time.Sleep(300 * time.Millisecond)
@@ -40,10 +40,10 @@
 func TestDoneThoughGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		la.fleet.RunFunc = workLong
+		la.fleet.RunFunc = runLong
 		ow, end := la.own()
 		defer end()
-		silence(la, ow)
+		freezeUntilLapsed(la, ow)
 		la.crew[0].Gate.Set(standin.Fault{})
 		time.Sleep(2 * time.Second)
 		assertRunOnce(la, ow)
@@ -53,7 +53,7 @@
 func TestEndsWaitForWhatTheyRestOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		la.fleet.RunFunc = workLong
+		la.fleet.RunFunc = runLong
 		la.formerKnown = true
 		ow, end := la.own()
 		time.Sleep(time.Second)
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -34,11 +34,11 @@
 		ow.unlaunched(at, "its worker drains or left the list before the order was sent")
 		return
 	}
-	if at.ho.isNoted() {
+	if at.ho.leaseRecorded() {
 		ow.unlaunched(at, "its worker does not answer and gets no lease")
 		return
 	}
-	at.ordered = true
+	at.orderSent = true
 	ta := at.en.jo.Task(at.ref)
 	la := worker.Launch{
 		Attempt: at.name(), Payload: at.en.jo.Spec.Payload, Checkpoint: ta.Checkpoint,
@@ -50,7 +50,7 @@
 // unlaunched ends an attempt whose order was never sent.
 func (ow *Owner) unlaunched(at *attempt, why string) {
 	if at.en.attempts[at.ref] == at {
-		ow.end(at.en, at.ref, at.number, job.EndNever, "", why)
+		ow.recordEnd(at.en, at.ref, at.number, job.EndNever, "", why)
 	}
 }
 
@@ -72,9 +72,9 @@
 // launched takes in the answer to a launch.
 func (ow *Owner) launched(at *attempt, ack worker.Ack, sent, got time.Time, err error) {
 	ow.Metrics.Add(telemetry.Launches, 1, "outcome", launchOutcome(err))
-	ow.land(at)
-	if ow.window.answered(got.Sub(sent), got) {
-		ow.Log.Info("fewer starts at once, as answers are slow", "cell", ow.Cell, "most", ow.window.limit(), "under_way", ow.window.underWay, "took", got.Sub(sent))
+	ow.endStart(at)
+	if ow.window.recordAnswer(got.Sub(sent), got) {
+		ow.Log.Info("fewer starts at once, as answers are slow", "cell", ow.Cell, "most", ow.window.limit(), "under_way", ow.window.inFlight, "took", got.Sub(sent))
 	}
 	at.ho.read(ack.ClockMS, got)
 	if at.en.attempts[at.ref] != at {
@@ -94,16 +94,16 @@
 	}
 	if errors.Is(err, worker.ErrOtherLife) {
 		// It was refused by the next process, so it had no part in the end of this one.
-		ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by another process")
+		ow.recordEnd(at.en, at.ref, at.number, job.EndNever, "", "refused by another process")
 		at.ho.die("another process answers at its address", worker.Incarnation{})
 		return
 	}
 	if !at.ho.notLaunched(err) {
-		at.settling = true
+		at.resolvingOrder = true
 		go ow.settle(at.ho, at.name(), func(there bool) { ow.settledLaunch(at, there) })
 		return
 	}
-	ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by the worker")
+	ow.recordEnd(at.en, at.ref, at.number, job.EndNever, "", "refused by the worker")
 }
 
 func taskID(at *attempt) string { return at.en.jo.TaskID(at.ref) }
@@ -113,18 +113,18 @@
 func (ho *host) notLaunched(err error) bool {
 	switch {
 	case errors.Is(err, worker.ErrNoRoom):
-		ho.setAside(asideNoRoom, "has less room than known")
+		ho.quarantine(asideNoRoom, "has less room than known")
 	case errors.Is(err, worker.ErrUnfit), errors.Is(err, worker.ErrMalformed):
-		ho.setAside(asideUnfit, "refuses orders")
+		ho.quarantine(unfitQuarantine, "refuses orders")
 	case errors.Is(err, worker.ErrLateLease):
-		ho.setAside(asideNoRoom, "its clock is not known well")
+		ho.quarantine(asideNoRoom, "its clock is not known well")
 	case errors.Is(err, worker.ErrFenced):
-		ho.setAside(asideUnfit, "obeys a later owner")
+		ho.quarantine(unfitQuarantine, "obeys a later owner")
 	case errors.Is(err, worker.ErrNoListener):
 		// Nobody had the order, so it is no sign of a crash under the task.
-		ho.setAside(asideUnfit, "nothing listens there")
+		ho.quarantine(unfitQuarantine, "nothing listens there")
 	case errors.Is(err, worker.ErrNotSent):
-		ho.setAside(asideUnfit, "there is no way to it now")
+		ho.quarantine(unfitQuarantine, "there is no way to it now")
 	default:
 		return false
 	}
@@ -159,12 +159,12 @@
 	if at.en.attempts[at.ref] != at {
 		return
 	}
-	at.settling = false
+	at.resolvingOrder = false
 	if there {
 		at.ho.started(at, time.Now())
 		return
 	}
-	ow.end(at.en, at.ref, at.number, job.EndNever, "", "its launch had no answer and it was kept from starting")
+	ow.recordEnd(at.en, at.ref, at.number, job.EndNever, "", "its launch had no answer and it was kept from starting")
 }
 
 // settle finds out whether an attempt got to a worker whose answer was lost,
@@ -184,7 +184,7 @@
 				return
 			}
 		}
-		given, aerr := ask(ow.ctx, ow, func(answer func(bool)) { answer(ho.dead || ho.find(wa) == nil) })
+		given, aerr := call(ow.ctx, ow, func(answer func(bool)) { answer(ho.dead || ho.find(wa) == nil) })
 		if given || aerr != nil || !clock.Sleep(ow.ctx, settleRetry) {
 			return
 		}
@@ -217,10 +217,10 @@
 // halt orders the end of an attempt.
 func (ow *Owner) halt(at *attempt, why string) {
 	// Another order helps only if the first was lost.
-	if !at.halted.IsZero() && time.Since(at.halted) < ow.Limits.StopTime {
+	if !at.haltSentAt.IsZero() && time.Since(at.haltSentAt) < ow.Limits.StopTime {
 		return
 	}
-	at.halted = time.Now()
+	at.haltSentAt = time.Now()
 	ow.Log.Info("stopping attempt", "task", taskID(at), "attempt", at.number, "worker", at.ho.incarnation, "why", why)
 	go ow.sendHalt(at.ho, at.name())
 }
--- a/internal/sched/learnt_test.go
+++ b/internal/sched/learnt_test.go
@@ -16,16 +16,16 @@
 		la := newLab(t, 2)
 		ow, end := la.own()
 		pair := interfere.Pair{Service: "s", Filler: "f"}
-		_, err := ask(t.Context(), ow, func(answer func(struct{})) {
+		_, err := call(t.Context(), ow, func(answer func(struct{})) {
 			ow.model = interfere.FromLearnt([]interfere.Learnt{{Pair: pair, Drop: 9}})
 			answer(struct{}{})
 		})
 		qt.Assert(t, err, qt.IsNil)
-		time.Sleep(saveEvery + time.Second)
+		time.Sleep(saveInterval + time.Second)
 		end()
 		next, end := la.own()
 		defer end()
-		drop, err := ask(t.Context(), next, func(answer func(float64)) { answer(next.model.Drop(pair)) })
+		drop, err := call(t.Context(), next, func(answer func(float64)) { answer(next.model.Drop(pair)) })
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, drop, qt.Equals, 9.0)
 	})
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -26,22 +26,22 @@
 }
 
 // listMost bounds a list, the newest jobs first to be kept.
-const listMost = 1000
+const maxSummaries = 1000
 
 // List returns the jobs that the owner remembers, in order of arrival.
 func (ow *Owner) List(ctx context.Context) ([]Summary, error) {
-	return ask(ctx, ow, func(answer func([]Summary)) {
+	return call(ctx, ow, func(answer func([]Summary)) {
 		list := make([]Summary, 0, len(ow.entries))
 		for _, en := range ow.entries {
 			list = append(list, en.summary())
 		}
 		slices.SortFunc(list, func(a, b Summary) int { return cmp.Compare(a.order, b.order) })
-		answer(list[max(0, len(list)-listMost):])
+		answer(list[max(0, len(list)-maxSummaries):])
 	})
 }
 
 func (en *entry) summary() Summary {
-	su := Summary{ID: en.jo.ID, Queue: en.jo.Terms.Queue, State: en.visible(), Running: len(en.attempts), order: en.order}
+	su := Summary{ID: en.jo.ID, Queue: en.jo.Terms.Queue, State: en.reportedState(), Running: len(en.attempts), order: en.order}
 	for _, tasks := range en.jo.Tasks {
 		su.Tasks += len(tasks)
 		for i := range tasks {
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -24,7 +24,7 @@
 		return struct{}{}, err
 	}
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = rewriteFirst, rewriteMost
+	bo.InitialInterval, bo.MaxInterval = initialRewriteDelay, maxRewriteDelay
 	if _, err := backoff.Retry(ctx, read, backoff.WithBackOff(bo), backoff.WithMaxElapsedTime(0)); err != nil {
 		return fmt.Errorf("load cell %s: %w", ow.Cell, err)
 	}
@@ -41,42 +41,42 @@
 		return err
 	}
 	clear(ow.entries)
-	clear(ow.orphans)
+	clear(ow.unowned)
 	ow.active = nil
 	byID := map[string]store.Row{}
 	for _, row := range specs {
-		byID[lastPart(row.Key)] = row
+		byID[lastKeySegment(row.Key)] = row
 	}
 	for _, row := range progress {
-		id := lastPart(row.Key)
+		id := lastKeySegment(row.Key)
 		jo, err := job.Restore(id, byID[id].Value, row.Value)
 		if err != nil {
 			// Reading it again would say the same.
 			return backoff.Permanent(err)
 		}
-		ow.restore(jo, row.Version).specKept = byID[id].Version > 0
+		ow.restore(jo, row.Version).specStored = byID[id].Version > 0
 	}
 	return nil
 }
 
-func lastPart(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
+func lastKeySegment(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
 // restore enters a job as it was read.
 func (ow *Owner) restore(jo *job.Job, progVer int64) *entry {
-	en := ow.add(jo)
-	en.progVer, en.shown = progVer, jo.State()
-	if en.shown.Final() {
+	en := ow.addJob(jo)
+	en.progressVersion, en.writtenState = progVer, jo.State()
+	if en.writtenState.Final() {
 		en.endedAt = time.Now()
 	}
 	for step, tasks := range jo.Tasks {
 		for index := range tasks {
 			if tasks[index].State == job.Started {
-				ow.orphans[tasks[index].Worker]++
-				en.orphans = append(en.orphans, job.TaskRef{Step: step, Index: index})
+				ow.unowned[tasks[index].Worker]++
+				en.unowned = append(en.unowned, job.TaskRef{Step: step, Index: index})
 			}
 		}
 	}
-	ow.recount(en)
+	ow.recountWaiting(en)
 	return en
 }
 
@@ -84,12 +84,12 @@
 // ordered there.
 func (ow *Owner) adopt(ho *host) {
 	found := false
-	for incarnation := range ow.orphans {
+	for incarnation := range ow.unowned {
 		if incarnation.ID != ho.incarnation.ID {
 			continue
 		}
 		found = true
-		delete(ow.orphans, incarnation)
+		delete(ow.unowned, incarnation)
 		if incarnation.OtherLife(ho.incarnation) {
 			ho.lives = append(ho.lives, incarnation)
 		}
@@ -98,22 +98,22 @@
 		return
 	}
 	for _, en := range ow.entries {
-		en.orphans = en.adopted(ho)
+		en.unowned = en.adoptOn(ho)
 	}
 }
 
 // adopted enters a job's attempts on the worker and returns those elsewhere.
-func (en *entry) adopted(ho *host) []job.TaskRef {
-	rest := en.orphans[:0]
-	for _, ref := range en.orphans {
+func (en *entry) adoptOn(ho *host) []job.TaskRef {
+	rest := en.unowned[:0]
+	for _, ref := range en.unowned {
 		ta := en.jo.Task(ref)
 		if ta.Worker.ID != ho.incarnation.ID {
 			rest = append(rest, ref)
 			continue
 		}
-		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, worked: workedBy(ta.Proof), pace: unknownPace}
+		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, inheritedRunTime: workedBy(ta.Proof), pace: unknownPace}
 		if ta.Worker.OtherLife(ho.incarnation) {
-			at.worked, at.ends = 0, unseenVerdict(ta.Proof, ho.ow.listSound(time.Now()))
+			at.inheritedRunTime, at.endIfNotRun = 0, unseenVerdict(ta.Proof, ho.ow.listReliable(time.Now()))
 		}
 		ho.put(at)
 	}
@@ -125,25 +125,25 @@
 
 // tickOrphans ends attempts on workers that were never seen, once their
 // leases have lapsed.
-func (ow *Owner) tickOrphans(now time.Time) {
-	for incarnation := range ow.orphans {
+func (ow *Owner) endExpiredUnowned(now time.Time) {
+	for incarnation := range ow.unowned {
 		if ow.orphansOver(incarnation, now) {
-			delete(ow.orphans, incarnation)
-			ow.endOrphans(incarnation, now)
+			delete(ow.unowned, incarnation)
+			ow.endUnowned(incarnation, now)
 		}
 	}
 }
 
 // unseenWhy is why attempts end on a worker that was never seen.
-const unseenWhy = "its worker was not seen since the takeover"
+const unseenReason = "its worker was not seen since the takeover"
 
 // endOrphans ends the attempts on a worker that was never seen.
-func (ow *Owner) endOrphans(incarnation worker.Incarnation, now time.Time) {
-	sound := ow.listSound(now)
+func (ow *Owner) endUnowned(incarnation worker.Incarnation, now time.Time) {
+	sound := ow.listReliable(now)
 	var le lostEnds
 	for _, en := range ow.entries {
-		rest := en.orphans[:0]
-		for _, ref := range en.orphans {
+		rest := en.unowned[:0]
+		for _, ref := range en.unowned {
 			ta := en.jo.Task(ref)
 			if ta.Worker != incarnation {
 				rest = append(rest, ref)
@@ -151,9 +151,9 @@
 			}
 			end := unseenVerdict(ta.Proof, sound)
 			le.add(&en.jo.Spec.Steps[ref.Step], end)
-			ow.end(en, ref, ta.Attempt, end, "", unseenWhy)
+			ow.recordEnd(en, ref, ta.Attempt, end, "", unseenReason)
 		}
-		en.orphans = rest
+		en.unowned = rest
 	}
-	ow.tellLost(incarnation, le, unseenWhy, now.Sub(ow.opened))
+	ow.tellLost(incarnation, le, unseenReason, now.Sub(ow.startedAt))
 }
--- a/internal/sched/looks.go
+++ b/internal/sched/looks.go
@@ -42,7 +42,7 @@
 // looks looks at the worker again and again until ctx ends.
 func (ho *host) looks(ctx context.Context) {
 	for ctx.Err() == nil {
-		lo, err := ask(ctx, ho.ow, func(answer func(worker.Look)) { answer(ho.nextLook()) })
+		lo, err := call(ctx, ho.ow, func(answer func(worker.Look)) { answer(ho.nextLook()) })
 		if err != nil {
 			return
 		}
@@ -109,8 +109,8 @@
 		lo.LeaseUntilMS = ho.leaseNow(now)
 	}
 	switch {
-	case ho.isNoted() && ho.failing.IsZero():
-		lo.Wait = notedWait
+	case ho.leaseRecorded() && ho.failing.IsZero():
+		lo.Wait = recordedPollWait
 	case !ho.settled || ho.withheld || ho.clockAt.IsZero() || ho.undurable > 0 || !ho.failing.IsZero():
 	case ho.mixed():
 		lo.Wait = serveWait
@@ -151,9 +151,9 @@
 		ho.ow.Log.Info("worker answers again", "worker", ho.incarnation, "after", got.Sub(ho.failing))
 		ho.failing, ho.silent = time.Time{}, false
 	}
-	ho.ow.noteAnswer(ho)
-	if ho.isNoted() {
-		ho.ow.noteLeases(got)
+	ho.ow.clearUnresponsive(ho)
+	if ho.leaseRecorded() {
+		ho.ow.recordLeases(got)
 	}
 	ho.outlive(sent)
 	ho.seen = got
@@ -226,10 +226,10 @@
 		ho.ow.Log.Info("end of an unknown task", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.How)
 		return
 	}
-	ho.judge(en, ea.How)
+	ho.recordOutcome(en, ea.How)
 	end := endOf(ea.How)
-	if !ho.ow.end(en, ref, ea.Number, end, ea.Checkpoint, "listed by the worker") {
-		ho.ow.endLate(en, ref, ea.Number, end, ho.incarnation)
+	if !ho.ow.recordEnd(en, ref, ea.Number, end, ea.Checkpoint, "listed by the worker") {
+		ho.ow.recordLateEnd(en, ref, ea.Number, end, ho.incarnation)
 	}
 	ho.awaitWrite(en)
 }
@@ -243,8 +243,8 @@
 		return
 	}
 	ho.undurable++
-	en.effects = append(en.effects, ho.durable)
-	ho.ow.touch(en)
+	en.onWritten = append(en.onWritten, ho.durable)
+	ho.ow.markDirty(en)
 }
 
 // endOf translates a worker's word for how an attempt ended. What is neither
@@ -284,11 +284,11 @@
 			ho.stray(ra)
 			continue
 		}
-		if at.ends != "" {
+		if at.endIfNotRun != "" {
 			ho.runsHere(at)
 		}
 		ho.started(at, got)
-		at.sight(got)
+		at.recordSighting(got)
 		at.usage = ra.Usage
 		at.follow(ra.Percent, got)
 		if ra.Checkpoint != "" {
@@ -297,7 +297,7 @@
 		if at.en.jo.State().Final() {
 			ho.ow.halt(at, "still running after the end of its job")
 		}
-		if !at.halted.IsZero() {
+		if !at.haltSentAt.IsZero() {
 			ho.ow.halt(at, "still running after it was to stop")
 		}
 		if at.stalled(got) {
@@ -314,10 +314,10 @@
 
 // started notes that an attempt is known to be at the worker.
 func (ho *host) started(at *attempt, now time.Time) {
-	if !at.launched.IsZero() {
+	if !at.launchedAt.IsZero() {
 		return
 	}
-	at.launched = now
+	at.launchedAt = now
 	ho.easeIn(at, now)
 }
 
@@ -348,16 +348,16 @@
 		if running[wa] || ended[wa] {
 			continue
 		}
-		if !at.launched.IsZero() && at.launched.Before(sent) {
-			ho.ow.end(at.en, at.ref, at.number, job.EndLapsed, "", "no longer listed by the worker")
+		if !at.launchedAt.IsZero() && at.launchedAt.Before(sent) {
+			ho.ow.recordEnd(at.en, at.ref, at.number, job.EndLapsed, "", "no longer listed by the worker")
 			continue
 		}
 		switch {
 		case !settles:
-		case at.ends != "":
-			ho.ow.end(at.en, at.ref, at.number, at.ends, "", "another life of its worker answers")
+		case at.endIfNotRun != "":
+			ho.ow.recordEnd(at.en, at.ref, at.number, at.endIfNotRun, "", "another life of its worker answers")
 		case at.inherited:
-			ho.ow.end(at.en, at.ref, at.number, job.EndNever, "", "ordered by a former owner and not listed")
+			ho.ow.recordEnd(at.en, at.ref, at.number, job.EndNever, "", "ordered by a former owner and not listed")
 		}
 	}
 }
--- a/internal/sched/mechanism_test.go
+++ b/internal/sched/mechanism_test.go
@@ -41,9 +41,9 @@
 func TestSwitchedOff(t *testing.T) {
 	ow := idleOwner(t)
 	en := addJob(ow, 1, job.Step{Tasks: 1, EstimateMS: 1000})
-	en.aimMS = 500
-	qt.Assert(t, en.judge(time.Now()), qt.Equals, late)
+	en.targetMS = 500
+	qt.Assert(t, en.evaluateFeasibility(time.Now()), qt.Equals, late)
 	ow.Without = MechHope
-	qt.Assert(t, en.judge(time.Now()), qt.Equals, inTime)
+	qt.Assert(t, en.evaluateFeasibility(time.Now()), qt.Equals, inTime)
 	qt.Assert(t, ow.uses(MechMove), qt.IsTrue)
 }
--- a/internal/sched/move.go
+++ b/internal/sched/move.go
@@ -40,7 +40,7 @@
 			}
 			if pl.welcomes(at) {
 				moves++
-				at.en.spent.moved++
+				at.en.timeBreakdown.moved++
 				ow.halt(at, "held for the sake of a service, and another worker has room")
 			}
 		}
@@ -49,7 +49,7 @@
 
 // movable reports whether the attempt is held and loses little by a move.
 func (at *attempt) movable(now time.Time) bool {
-	if at.heldSince.IsZero() || now.Sub(at.heldSince) < heldAfter || !at.halted.IsZero() {
+	if at.throttledSince.IsZero() || now.Sub(at.throttledSince) < heldAfter || !at.haltSentAt.IsZero() {
 		return false
 	}
 	if at.percent >= nearlyDone {
--- a/internal/sched/nextlife.go
+++ b/internal/sched/nextlife.go
@@ -120,11 +120,11 @@
 	for at := range ho.attempts {
 		end := at.verdictIf(crashed)
 		if end == job.EndNever {
-			ho.ow.end(at.en, at.ref, at.number, end, "", "its worker ended before the order was sent")
+			ho.ow.recordEnd(at.en, at.ref, at.number, end, "", "its worker ended before the order was sent")
 			continue
 		}
 		ho.drop(at)
-		next.put(&attempt{ref: at.ref, number: at.number, ho: next, en: at.en, ordered: true, inherited: true, ends: end, pace: unknownPace})
+		next.put(&attempt{ref: at.ref, number: at.number, ho: next, en: at.en, orderSent: true, inherited: true, endIfNotRun: end, pace: unknownPace})
 		next.unsettle()
 	}
 	ho.leave()
@@ -134,9 +134,9 @@
 // runsHere notes that an order for a life before was carried out by this one.
 func (ho *host) runsHere(at *attempt) {
 	ho.ow.Log.Info("order for a life before was carried out", "task", taskID(at), "attempt", at.number, "worker", ho.incarnation)
-	at.ends = ""
+	at.endIfNotRun = ""
 	at.task().Worker = ho.incarnation
-	ho.ow.touch(at.en)
+	ho.ow.markDirty(at.en)
 }
 
 // raiseFence has the worker be told a fencing token that is higher than all before.
--- a/internal/sched/noted.go
+++ b/internal/sched/noted.go
@@ -18,143 +18,143 @@
 // later one, nor once another host has the cell.
 const (
 	// SilentTable has the row.
-	SilentTable = "silent"
+	LeaseExpiryTable = "silent"
 	// noteAfter is how long a worker must not have answered: until the last look that
 	// may extend its leases has its answer.
-	noteAfter = extendSilent + lookGrace
+	recordLeaseAfter = extendSilent + lookGrace
 	// noteEvery is the time between two writes that only add workers.
-	noteEvery = 300 * time.Millisecond
+	recordLeaseInterval = 300 * time.Millisecond
 	// notedMost bounds the workers named, so that the row stays under the store's
 	// 64 KiB at some 30 bytes each.
-	notedMost = 1000
+	maxRecordedWorkers = 1000
 	// notedWait is how long a look waits at a worker that is back, until it may be told
 	// leases again.
-	notedWait = 100 * time.Millisecond
+	recordedPollWait = 100 * time.Millisecond
 )
 
 // silentRow says when leases of workers lapse.
-type silentRow struct {
+type leaseExpiryRow struct {
 	// Epoch is that of the owner who wrote it.
 	Epoch int64 `json:"epoch"`
 	// SilentMS has, by incarnation, after how many milliseconds from the write at the
 	// latest.
-	SilentMS map[string]int64 `json:"silent_ms,omitempty"`
+	RemainingMS map[string]int64 `json:"silent_ms,omitempty"`
 }
 
 // noted is what an owner knows of the row.
-type noted struct {
+type leaseRecord struct {
 	// version is the row's.
 	version int64
 	// named has the workers that the row names or may come to name: those of the last
 	// write that was taken, and of all sent since.
-	named map[string]bool
+	recorded map[string]bool
 	// doubtful is set after a write of which it is not known whether it was taken.
-	doubtful bool
+	outcomeUnknown bool
 	// writing is set while a write is under way, sent is when the last one was.
 	writing bool
 	sent    time.Time
 }
 
-func (ow *Owner) silentKey() string { return SilentTable + "/" + ow.Cell + "/workers" }
+func (ow *Owner) leaseExpiryKey() string { return LeaseExpiryTable + "/" + ow.Cell + "/workers" }
 
 // loadNoted takes over what the former owner wrote of workers that did not answer, if it
 // did not release the cell with fuller notes.
-func (ow *Owner) loadNoted(ctx context.Context) {
-	ow.noted.named = map[string]bool{}
+func (ow *Owner) loadLeaseRecord(ctx context.Context) {
+	ow.leaseRecord.recorded = map[string]bool{}
 	lctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	var row silentRow
-	version, err := ow.Table.Get(lctx, ow.silentKey(), &row)
+	var row leaseExpiryRow
+	version, err := ow.Table.Get(lctx, ow.leaseExpiryKey(), &row)
 	if err != nil {
 		ow.Log.Warn("when leases of silent workers lapse is not known", "cell", ow.Cell, "err", err)
 		return
 	}
-	ow.noted.version = version
+	ow.leaseRecord.version = version
 	former := &ow.Tenure.Former
-	if former.Owner == "" || row.Epoch != former.Epoch || len(row.SilentMS) == 0 {
+	if former.Owner == "" || row.Epoch != former.Epoch || len(row.RemainingMS) == 0 {
 		return
 	}
-	former.SilentMS = row.SilentMS
-	ow.noteGiven(ow.opened)
+	former.SilentMS = row.RemainingMS
+	ow.recordInheritedLeases(ow.startedAt)
 	ow.Log.Info("leases of silent workers noted by the former owner", "cell", ow.Cell, "former", former.Owner, "epoch", row.Epoch,
-		"version", version, "workers", len(row.SilentMS))
+		"version", version, "workers", len(row.RemainingMS))
 }
 
 // isNoted reports whether the worker may be told no lease, as the row names it.
-func (ho *host) isNoted() bool {
-	named := ho.ow.noted.named
+func (ho *host) leaseRecorded() bool {
+	named := ho.ow.leaseRecord.recorded
 	return len(named) > 0 && named[ho.incarnation.String()]
 }
 
 // silentFor reports whether the worker has not answered for so long that it gets no lease
 // any more.
-func (ho *host) silentFor(now time.Time) bool {
-	return !ho.dead && ho.settled && len(ho.attempts) > 0 && !ho.failing.IsZero() && now.Sub(ho.failing) >= noteAfter
+func (ho *host) unresponsive(now time.Time) bool {
+	return !ho.dead && ho.settled && len(ho.attempts) > 0 && !ho.failing.IsZero() && now.Sub(ho.failing) >= recordLeaseAfter
 }
 
 // noteLeases has the row name the workers that do not answer, and no others.
-func (ow *Owner) noteLeases(now time.Time) {
-	no := &ow.noted
+func (ow *Owner) recordLeases(now time.Time) {
+	no := &ow.leaseRecord
 	if no.writing || ow.storeDown() {
 		return
 	}
 	silent := map[string]int64{}
 	for _, ho := range ow.sortedHosts() {
-		if ho.silentFor(now) && len(silent) < notedMost {
-			silent[ho.incarnation.String()] = ho.lapseIn(now)
+		if ho.unresponsive(now) && len(silent) < maxRecordedWorkers {
+			silent[ho.incarnation.String()] = ho.leaseRemainingMS(now)
 		}
 	}
 	if !no.differs(silent, now) {
 		return
 	}
 	for incarnation := range silent {
-		no.named[incarnation] = true
+		no.recorded[incarnation] = true
 	}
-	no.writing, no.doubtful, no.sent = true, true, now
+	no.writing, no.outcomeUnknown, no.sent = true, true, now
 	txn := store.NewTxn()
-	txn.Conds = []store.Cond{{Key: ow.Tenure.Key, Version: ow.Tenure.Version}, {Key: ow.silentKey(), Version: no.version}}
-	txn.Puts = []store.Put{{Key: ow.silentKey(), Value: ow.encode(silentRow{Epoch: ow.Tenure.Epoch, SilentMS: silent})}}
-	go ow.writeNoted(txn, silent)
+	txn.Conds = []store.Cond{{Key: ow.Tenure.Key, Version: ow.Tenure.Version}, {Key: ow.leaseExpiryKey(), Version: no.version}}
+	txn.Puts = []store.Put{{Key: ow.leaseExpiryKey(), Value: ow.encode(leaseExpiryRow{Epoch: ow.Tenure.Epoch, RemainingMS: silent})}}
+	go ow.writeLeaseRecord(txn, silent)
 }
 
 // differs reports whether the row has to be written anew: at once where a worker is to be
 // taken off, and not too often where some are to be added.
-func (no *noted) differs(silent map[string]int64, now time.Time) bool {
-	for incarnation := range no.named {
+func (no *leaseRecord) differs(silent map[string]int64, now time.Time) bool {
+	for incarnation := range no.recorded {
 		if _, ok := silent[incarnation]; !ok {
 			return true
 		}
 	}
-	return (no.doubtful || len(silent) > len(no.named)) && now.Sub(no.sent) >= noteEvery
+	return (no.outcomeUnknown || len(silent) > len(no.recorded)) && now.Sub(no.sent) >= recordLeaseInterval
 }
 
 // writeNoted writes the row once. A write that fails is made up for by the next.
-func (ow *Owner) writeNoted(txn store.Txn, silent map[string]int64) {
+func (ow *Owner) writeLeaseRecord(txn store.Txn, silent map[string]int64) {
 	ctx, cancel := context.WithTimeout(ow.ctx, writeTimeout)
 	reply, err := ow.Table.CommitFunc(ctx, txn)
 	cancel()
-	ow.post(func() { ow.wroteNoted(silent, reply.Version, err) })
+	ow.post(func() { ow.leaseRecordWritten(silent, reply.Version, err) })
 }
 
-func (ow *Owner) wroteNoted(silent map[string]int64, version int64, err error) {
-	no := &ow.noted
+func (ow *Owner) leaseRecordWritten(silent map[string]int64, version int64, err error) {
+	no := &ow.leaseRecord
 	no.writing = false
 	var conflict *store.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		// Else the version was not known, or a write before took effect unseen.
-		if !ow.replaced(conflict) {
-			no.version = conflict.Row(ow.silentKey()).Version
+		if !ow.replacedAsOwner(conflict) {
+			no.version = conflict.Row(ow.leaseExpiryKey()).Version
 		}
 		return
 	case err != nil:
 		ow.Log.Info("leases of silent workers are not noted", "cell", ow.Cell, "workers", len(silent), "err", err)
 		return
 	}
-	no.version, no.doubtful = version, false
-	clear(no.named)
+	no.version, no.outcomeUnknown = version, false
+	clear(no.recorded)
 	for incarnation := range silent {
-		no.named[incarnation] = true
+		no.recorded[incarnation] = true
 	}
 	ow.Log.Info("leases of silent workers noted", "cell", ow.Cell, "workers", len(silent), "version", version, "took", time.Since(no.sent))
 }
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -9,40 +9,40 @@
 
 // compareEntries sorts by priority, then by hope, then by turn.
 func compareEntries(a, b *entry) int {
-	return cmp.Or(compareGroups(a, b), cmp.Compare(a.turn, b.turn), cmp.Compare(a.order, b.order))
+	return cmp.Or(compareGroups(a, b), cmp.Compare(a.sortKey, b.sortKey), cmp.Compare(a.order, b.order))
 }
 
 // compareGroups sorts by priority, then by hope.
 func compareGroups(a, b *entry) int {
-	return cmp.Or(cmp.Compare(a.jo.Terms.Priority, b.jo.Terms.Priority), cmp.Compare(a.hope, b.hope))
+	return cmp.Or(cmp.Compare(a.jo.Terms.Priority, b.jo.Terms.Priority), cmp.Compare(a.feasibility, b.feasibility))
 }
 
 // hope says what a job is still worth to its caller. Where there is too little
 // room for all, those that can be in time go before those that cannot.
-type hope int8
+type feasibility int8
 
 // The degrees of hope.
 const (
-	inTime hope = iota
+	inTime feasibility = iota
 	late
 	tooLate
 )
 
 // lateMost is how many times its aim a job may take and still be worth
 // something, as the users state it.
-const lateMost = 3
+const maxLateFactor = 3
 
 // judge returns the job's hope at a moment.
-func (en *entry) judge(now time.Time) hope {
+func (en *entry) evaluateFeasibility(now time.Time) feasibility {
 	// An endless task is worth something at any time.
-	if en.aimMS <= 0 || en.jo.Endless() || !en.ow.uses(MechHope) {
+	if en.targetMS <= 0 || en.jo.Endless() || !en.ow.uses(MechHope) {
 		return inTime
 	}
 	done := now.Sub(en.acceptedAt).Milliseconds() + en.jo.RemainingMS()
 	switch {
-	case done <= en.aimMS:
+	case done <= en.targetMS:
 		return inTime
-	case done <= lateMost*en.aimMS:
+	case done <= maxLateFactor*en.targetMS:
 		return late
 	}
 	return tooLate
@@ -54,16 +54,16 @@
 // turn by the work that is left for one that does by its age.
 func (ow *Owner) sortActive(now time.Time) {
 	for _, en := range ow.active {
-		en.hope, en.work = en.judge(now), en.remainingWork()
+		en.feasibility, en.workLeft = en.evaluateFeasibility(now), en.remainingWork()
 	}
 	for _, en := range ow.active {
-		en.turn = math.MaxInt
+		en.sortKey = math.MaxInt
 	}
 	if ow.uses(MechLeastWork) {
-		ow.takeTurns(1, func(a, b *entry) int { return cmp.Compare(a.work, b.work) })
+		ow.assignSortKeys(1, func(a, b *entry) int { return cmp.Compare(a.workLeft, b.workLeft) })
 	}
 	if ow.uses(MechByAge) {
-		ow.takeTurns(bySizePerAge, func(a, b *entry) int { return cmp.Compare(a.order, b.order) })
+		ow.assignSortKeys(bySizePerAge, func(a, b *entry) int { return cmp.Compare(a.order, b.order) })
 	}
 	slices.SortFunc(ow.active, compareEntries)
 }
@@ -80,15 +80,15 @@
 
 // takeTurns ranks the jobs, and gives each the turn of its rank, times every, if
 // it is earlier than the one it has.
-func (ow *Owner) takeTurns(every int, compare func(a, b *entry) int) {
-	ow.rank(compare)
+func (ow *Owner) assignSortKeys(every int, compare func(a, b *entry) int) {
+	ow.rankActive(compare)
 	for _, en := range ow.active {
-		en.turn = min(en.turn, every*en.rank)
+		en.sortKey = min(en.sortKey, every*en.rank)
 	}
 }
 
 // rank ranks each job among those of its priority and hope.
-func (ow *Owner) rank(compare func(a, b *entry) int) {
+func (ow *Owner) rankActive(compare func(a, b *entry) int) {
 	slices.SortFunc(ow.active, func(a, b *entry) int {
 		return cmp.Or(compareGroups(a, b), compare(a, b), cmp.Compare(a.order, b.order))
 	})
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -74,9 +74,9 @@
 
 	// silent is for the next owner; given is since when it is as the former owner
 	// handed it on, or zero.
-	handing sync.Mutex
-	silent  map[string]int64
-	given   time.Time
+	handoverMu      sync.Mutex
+	handoverLeaseMS map[string]int64
+	inheritedAt     time.Time
 
 	events chan func()
 	ended  chan struct{}
@@ -88,7 +88,7 @@
 	seq     int64
 	hosts   map[worker.Incarnation]*host
 	// ways counts the ways to workers there ever were.
-	ways int64
+	paths int64
 	// sorted has them in an order that does not change, or is nil.
 	sorted []*host
 	// byAddr has the workers whose processes are not known to have ended, by where they
@@ -98,37 +98,37 @@
 	byID map[string][]*host
 	// due is set while something may be placed that could not before, rounds
 	// counts the rounds of placement.
-	due    bool
-	rounds int
-	dirty  []*entry
-	writes int
+	placementDue bool
+	rounds       int
+	dirty        []*entry
+	writes       int
 	// window bounds the starts under way.
-	window window
+	window startWindow
 	// failing is since when writes have not succeeded, or zero.
-	failing time.Time
+	writesFailingSince time.Time
 	// orphans has the attempts on workers that no list named since the
 	// takeover, by incarnation.
-	orphans map[worker.Incarnation]int
-	opened  time.Time
+	unowned   map[worker.Incarnation]int
+	startedAt time.Time
 	// noted is what the next owner may read of workers that do not answer.
-	noted noted
+	leaseRecord leaseRecord
 	// model is what was learnt of fillers and services.
 	model interfere.Model
 	// noPlace has what no place was found for.
 	noPlace noPlace
 	// likeness has what was worked out in this round of placement.
-	likeness map[imagePair]float64
+	similarity map[imagePair]float64
 	// saved is when what was learnt was last written, saving is set while it is.
-	saved  time.Time
-	saving bool
+	modelSavedAt time.Time
+	savingModel  bool
 	// scarceAt is when a line last told of tasks that last and find no room.
-	scarceAt time.Time
+	scarcityLoggedAt time.Time
 	// promises are what is kept for lasting tasks that are to begin again.
-	promises promises
+	reservations promises
 	// stuckAt is when it was last looked for tasks that are stuck.
-	stuckAt time.Time
+	stuckCheckedAt time.Time
 	// roll follows how far the list of workers can be believed.
-	roll roll
+	listTrust listTrust
 	// outage has what was told of workers that get no orders.
 	outage outage
 }
@@ -137,9 +137,9 @@
 const (
 	// tickEvery is the time between looks at what only time changes, such as
 	// leases that lapse.
-	tickEvery = 100 * time.Millisecond
+	tickInterval = 100 * time.Millisecond
 	// eventsMost bounds the events that wait for the loop.
-	eventsMost = 1024
+	maxEvents = 1024
 	// clockDrift is how much slower a worker's clock may run, as the users
 	// state it.
 	clockDrift = 0.02
@@ -149,14 +149,14 @@
 
 // New returns an owner that is ready for [Owner.Run].
 func New(ow *Owner) *Owner {
-	ow.events = make(chan func(), eventsMost)
+	ow.events = make(chan func(), maxEvents)
 	ow.ended = make(chan struct{})
 	ow.entries = map[string]*entry{}
 	ow.hosts = map[worker.Incarnation]*host{}
 	ow.byAddr = map[string][]*host{}
 	ow.byID = map[string][]*host{}
-	ow.orphans = map[worker.Incarnation]int{}
-	ow.likeness = map[imagePair]float64{}
+	ow.unowned = map[worker.Incarnation]int{}
+	ow.similarity = map[imagePair]float64{}
 	return ow
 }
 
@@ -165,16 +165,16 @@
 	defer close(ow.ended)
 	defer GaugeNoWorkers(ow.Metrics)
 	ow.ctx = ctx
-	ow.opened = time.Now()
-	ow.roll.trouble = ow.opened
-	ow.noteGiven(ow.opened)
+	ow.startedAt = time.Now()
+	ow.listTrust.untrustedAt = ow.startedAt
+	ow.recordInheritedLeases(ow.startedAt)
 	if err := ow.load(ctx); err != nil {
 		return err
 	}
-	ow.loadNoted(ctx)
-	ow.loadLearnt(ctx)
+	ow.loadLeaseRecord(ctx)
+	ow.loadInterference(ctx)
 	ow.model.Fixed = !ow.uses(MechPairs)
-	ow.Log.Info("cell loaded", "cell", ow.Cell, "epoch", ow.Tenure.Epoch, "jobs", len(ow.entries), "active", len(ow.active), "took", time.Since(ow.opened))
+	ow.Log.Info("cell loaded", "cell", ow.Cell, "epoch", ow.Tenure.Epoch, "jobs", len(ow.entries), "active", len(ow.active), "took", time.Since(ow.startedAt))
 	loaded()
 	go ow.ticks()
 	for {
@@ -183,10 +183,10 @@
 			return nil
 		case fn := <-ow.events:
 			fn()
-			ow.drain()
+			ow.drainEvents()
 		}
 		// What is placed while a write is under way waits for its end anyway.
-		if ow.due && ow.writes < writesAtOnce && !ow.window.full() {
+		if ow.placementDue && ow.writes < maxConcurrentWrites && !ow.window.full() {
 			ow.place()
 		}
 		ow.flush()
@@ -196,13 +196,13 @@
 // ticks has the loop look at what time alone changes, until the tenure is over. It
 // is an event like others, so that the loop waits for one thing only.
 func (ow *Owner) ticks() {
-	for clock.Sleep(ow.ctx, tickEvery) && ow.post(ow.tick) {
+	for clock.Sleep(ow.ctx, tickInterval) && ow.post(ow.tick) {
 	}
 }
 
 // drain handles the events that wait already, so that they share a write.
-func (ow *Owner) drain() {
-	for range eventsMost {
+func (ow *Owner) drainEvents() {
+	for range maxEvents {
 		select {
 		case fn := <-ow.events:
 			fn()
@@ -228,28 +228,28 @@
 	for _, ho := range ow.hosts {
 		ho.tick(now)
 	}
-	ow.noteSilent(now)
-	ow.noteLeases(now)
+	ow.recordUnresponsive(now)
+	ow.recordLeases(now)
 	ow.noteReach(now)
-	ow.writeProofs(now)
+	ow.writeDueProofs(now)
 	ow.account(now)
 	ow.promiseRoom(now)
 	ow.tellScarcity(now)
 	ow.noteStuck(now)
 	ow.sortActive(now)
 	ow.moveHeld(now)
-	ow.noteList(now)
+	ow.checkWorkerList(now)
 	ow.evacuate(now)
-	ow.tickOrphans(now)
+	ow.endExpiredUnowned(now)
 	ow.forgetEnded(now)
-	ow.saveLearnt(now)
-	ow.due = true
+	ow.saveInterference(now)
+	ow.placementDue = true
 }
 
 // storeDown reports whether writes have failed for so long that new work is
 // refused.
 func (ow *Owner) storeDown() bool {
-	return !ow.failing.IsZero() && time.Since(ow.failing) > downAfter
+	return !ow.writesFailingSince.IsZero() && time.Since(ow.writesFailingSince) > storeDownAfter
 }
 
 // forgetEnded removes jobs whose state was told for long enough.
@@ -259,8 +259,8 @@
 			continue
 		}
 		en.removing = true
-		ow.touch(en)
-		en.effects = append(en.effects, func() { delete(ow.entries, id) })
+		ow.markDirty(en)
+		en.onWritten = append(en.onWritten, func() { delete(ow.entries, id) })
 		en.endedAt = time.Time{}
 	}
 }
@@ -280,4 +280,4 @@
 )
 
 // visible is what callers are told of a job: its state as last written.
-func (en *entry) visible() job.State { return en.shown }
+func (en *entry) reportedState() job.State { return en.writtenState }
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -66,7 +66,7 @@
 // stubborn reports whether the service has been over its target for long.
 func (at *attempt) stubborn(now time.Time) bool {
 	most := time.Duration(stubbornPart * float64(at.ho.ow.Limits.HarmAfter))
-	return at.ho.ow.uses(MechHold) && !at.overSince.IsZero() && now.Sub(at.overSince) > most
+	return at.ho.ow.uses(MechHold) && !at.overTargetSince.IsZero() && now.Sub(at.overTargetSince) > most
 }
 
 // stubborn reports whether any service has been over its target for long.
@@ -80,15 +80,15 @@
 	for _, at := range ho.services {
 		switch {
 		case !at.serves():
-			at.overSince = time.Time{}
+			at.overTargetSince = time.Time{}
 		case float64(at.usage) <= near*float64(at.step().TargetMS):
-			if now.Sub(at.overLast) > calmFor {
-				at.overSince = time.Time{}
+			if now.Sub(at.lastOverTarget) > calmFor {
+				at.overTargetSince = time.Time{}
 			}
-		case at.overSince.IsZero():
-			at.overSince, at.overLast = now, now
+		case at.overTargetSince.IsZero():
+			at.overTargetSince, at.lastOverTarget = now, now
 		default:
-			at.overLast = now
+			at.lastOverTarget = now
 		}
 	}
 }
@@ -97,7 +97,7 @@
 func (ho *host) movable() []*attempt {
 	var fills []*attempt
 	for at := range ho.attempts {
-		if at.step().Filler && !at.launched.IsZero() {
+		if at.step().Filler && !at.launchedAt.IsZero() {
 			fills = append(fills, at)
 		}
 	}
@@ -218,9 +218,9 @@
 	at.pace = percent
 	switch {
 	case percent > heldPace:
-		at.heldSince = time.Time{}
-	case at.heldSince.IsZero():
-		at.heldSince = now
+		at.throttledSince = time.Time{}
+	case at.throttledSince.IsZero():
+		at.throttledSince = now
 	}
 	at.pacedAt = now
 	ho.fill.change()
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -40,8 +40,8 @@
 }
 
 func (sh *shop) put(n int, st job.Step) *attempt {
-	en := sh.ho.ow.add(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
-	at := &attempt{number: 1, ho: sh.ho, en: en, pace: fullPace, launched: time.Now()}
+	en := sh.ho.ow.addJob(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
+	at := &attempt{number: 1, ho: sh.ho, en: en, pace: fullPace, launchedAt: time.Now()}
 	sh.ho.put(at)
 	return at
 }
@@ -109,7 +109,7 @@
 			sh.figure(90)
 		}
 		late := sh.put(9, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "g"})
-		late.launched = time.Time{}
+		late.launchedAt = time.Time{}
 		sh.ho.started(late, time.Now())
 		qt.Assert(t, late.speed(), qt.Equals, 0)
 	})
@@ -135,7 +135,7 @@
 		}
 		for range 3 {
 			time.Sleep(200 * time.Millisecond)
-			sh.ho.ow.drain()
+			sh.ho.ow.drainEvents()
 		}
 		qt.Assert(t, got, qt.DeepEquals, []int{70, 0})
 	})
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -15,7 +15,7 @@
 
 // place starts what may start and has room, jobs of higher priority first.
 func (ow *Owner) place() {
-	ow.due = false
+	ow.placementDue = false
 	if len(ow.active) == 0 || ow.storeDown() {
 		return
 	}
@@ -44,8 +44,8 @@
 	for _, en := range list {
 		if pl.ow.window.full() {
 			// The next round goes on once some have landed.
-			pl.ow.due = true
-			en.lack = CauseOrder
+			pl.ow.placementDue = true
+			en.waitCause = CauseOrder
 			continue
 		}
 		pl.placeJob(en)
@@ -55,7 +55,7 @@
 // newPlacer begins a round of placement.
 func (ow *Owner) newPlacer() *placer {
 	pl := &placer{ow: ow, now: time.Now()}
-	clear(ow.likeness)
+	clear(ow.similarity)
 	ow.noPlace.begin(pl.now, len(ow.hosts))
 	var reserved, holds int64
 	for _, ho := range ow.sortedHosts() {
@@ -136,12 +136,12 @@
 		if ta.State != job.Waiting || en.interrupted(ref) != interrupted {
 			continue
 		}
-		if en.rests.resting(ref, pl.now) {
-			en.lack = CauseRest
+		if en.backoffs.resting(ref, pl.now) {
+			en.waitCause = CauseRest
 			continue
 		}
 		if pl.ow.window.full() {
-			en.lack = CauseOrder
+			en.waitCause = CauseOrder
 			return
 		}
 		if ta.Suspect() {
@@ -154,8 +154,8 @@
 			ra = pl.rank(en, step, interrupted)
 		}
 		ca := ra.best()
-		en.lack = ra.lack
-		if ca == nil && pl.lastResort(en, ref) {
+		en.waitCause = ra.lack
+		if ca == nil && pl.startAsLastResort(en, ref) {
 			continue
 		}
 		if ca == nil {
@@ -262,14 +262,14 @@
 	}
 	at := &attempt{ref: ref, number: number, ho: ca.ho, en: en, pace: fullPace}
 	ca.ho.put(at)
-	pl.ow.depart(at)
+	pl.ow.beginStart(at)
 	st := &en.jo.Spec.Steps[ref.Step]
 	ca.free = ca.free.Without(st.Reserved())
 	ca.idle -= likelyUse(st)
 	pl.ow.Log.Info("attempt placed", "task", taskID(at), "attempt", number, "worker", ca.ho.incarnation, "free_millicores", ca.free.MilliCores)
-	en.effects = append(en.effects, func() { pl.ow.launch(at) })
-	pl.ow.touch(en)
-	pl.ow.due = false
+	en.onWritten = append(en.onWritten, func() { pl.ow.launch(at) })
+	pl.ow.markDirty(en)
+	pl.ow.placementDue = false
 }
 
 // fullPace is the share of its speed at which an attempt works unless told
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -39,7 +39,7 @@
 }
 
 func addJob(ow *Owner, n int, st job.Step) *entry {
-	return ow.add(job.New(jobID(n), job.Terms{Service: testService, MaxFailures: 1}, job.Spec{Steps: []job.Step{st}}))
+	return ow.addJob(job.New(jobID(n), job.Terms{Service: testService, MaxFailures: 1}, job.Spec{Steps: []job.Step{st}}))
 }
 
 // TestReplicasOfOneStepSideBySide has two workers with one service of the same
@@ -121,10 +121,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ow := idleOwner(t)
 		short := job.Step{Tasks: 2, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}
-		ow.touch(addJob(ow, 1, short))
-		ow.touch(addJob(ow, 2, serviceStep(9, "s")))
+		ow.markDirty(addJob(ow, 1, short))
+		ow.markDirty(addJob(ow, 2, serviceStep(9, "s")))
 		for n := range 3 {
-			ow.touch(addJob(ow, n+3, short))
+			ow.markDirty(addJob(ow, n+3, short))
 		}
 		ow.sortActive(time.Now())
 		var order []int
@@ -155,7 +155,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ow := idleOwner(t)
 		for i, tasks := range []int{60, 50, 40, 30, 20, 10} {
-			ow.touch(addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}))
+			ow.markDirty(addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}))
 		}
 		ow.sortActive(time.Now())
 		var order []int
@@ -173,11 +173,11 @@
 		ow := idleOwner(t)
 		for i, tasks := range []int{99, 60, 10, 20} {
 			en := addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000})
-			en.aimMS = 2000
+			en.targetMS = 2000
 			if tasks == 99 {
 				en.acceptedAt = time.Now().Add(-time.Minute)
 			}
-			ow.touch(en)
+			ow.markDirty(en)
 		}
 		ow.sortActive(time.Now())
 		var order []int
@@ -197,13 +197,13 @@
 		defer end()
 		time.Sleep(time.Second)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
-		before, err := ask(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
+		before, err := call(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
 		qt.Assert(t, err, qt.IsNil)
 		for n := range 20 {
 			go la.submit(ow, n, batch(1, 2))
 			time.Sleep(10 * time.Millisecond)
 		}
-		after, err := ask(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
+		after, err := call(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, after-before <= 1, qt.IsTrue, qt.Commentf("%d rounds within one write", after-before))
 	})
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -9,41 +9,41 @@
 
 // proofWait is how long such a proof waits for another change of the job, and for the proofs
 // of its other tasks: their workers' looks come within a second.
-const proofWait = 500 * time.Millisecond
+const proofWriteDelay = 500 * time.Millisecond
 
 // sight notes that a look listed the attempt as running.
-func (at *attempt) sight(now time.Time) {
-	at.sighted = now
+func (at *attempt) recordSighting(now time.Time) {
+	at.lastSeenAt = now
 	ran := at.sightings().ran
 	switch {
 	case ran >= lastsAfter && at.en.jo.Lasted(at.ref, at.number):
-		at.en.rests.lasted(at.ref)
-		at.en.dueProof(now)
-	case ran >= provenAfter && at.en.jo.Began(at.ref, at.number) && at.exposed():
-		at.en.dueProof(now)
+		at.en.backoffs.lasted(at.ref)
+		at.en.scheduleProofWrite(now)
+	case ran >= provenAfter && at.en.jo.Began(at.ref, at.number) && at.wrongBlameCostly():
+		at.en.scheduleProofWrite(now)
 	}
 }
 
 // exposed reports whether a crash that is put down to the attempt wrongly costs much: it
 // lasts, and so outlives many owners, or has been suspected before. Most others are over
 // before their proof would be written.
-func (at *attempt) exposed() bool { return at.step().Endless || at.task().Suspect() }
+func (at *attempt) wrongBlameCostly() bool { return at.step().Endless || at.task().Suspect() }
 
 // dueProof has the job's row written soon.
-func (en *entry) dueProof(now time.Time) {
+func (en *entry) scheduleProofWrite(now time.Time) {
 	if en.proofDue.IsZero() {
-		en.proofDue = now.Add(proofWait)
+		en.proofDue = now.Add(proofWriteDelay)
 	}
 }
 
 // writeProofs has the rows written whose proofs have waited long enough.
-func (ow *Owner) writeProofs(now time.Time) {
+func (ow *Owner) writeDueProofs(now time.Time) {
 	if ow.storeDown() {
 		return
 	}
 	for _, en := range ow.entries {
 		if !en.proofDue.IsZero() && now.After(en.proofDue) {
-			ow.touch(en)
+			ow.markDirty(en)
 		}
 	}
 }
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -29,7 +29,7 @@
 func (pl *placer) rank(en *entry, step int, interrupted bool) *ranking {
 	st := &en.jo.Spec.Steps[step]
 	ra := &ranking{pl: pl, en: en, step: step, st: st, patient: st.Filler && pl.patient(en), interrupted: interrupted, lack: CauseRoom}
-	ra.yields = st.Endless && !interrupted && pl.ow.promises.binds(en)
+	ra.yields = st.Endless && !interrupted && pl.ow.reservations.binds(en)
 	sh := shape{st: st, service: en.jo.Terms.Service, patient: ra.patient, interrupted: interrupted, yields: ra.yields}
 	if pl.ow.noPlace.has(sh) {
 		if st.Filler {
--- a/internal/sched/rate.go
+++ b/internal/sched/rate.go
@@ -64,11 +64,11 @@
 		return -1
 	}
 	pa := imagePair{a, b}
-	if known, ok := ow.likeness[pa]; ok {
+	if known, ok := ow.similarity[pa]; ok {
 		return known
 	}
-	ow.likeness[pa] = ow.model.Alike(a, b)
-	return ow.likeness[pa]
+	ow.similarity[pa] = ow.model.Alike(a, b)
+	return ow.similarity[pa]
 }
 
 // balance is the share of those that are alike less that of the others.
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -55,7 +55,7 @@
 	for _, where := range []string{"10.0.0.0:80", "10.9.0.0:80"} {
 		t.Run(where, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				la, ow := lastingLab(t, 3, 12)
+				la, ow := newLastingLab(t, 3, 12)
 				time.Sleep(20 * time.Second)
 				la.restart(0, 50*time.Millisecond, where)
 				ow.SetWorkers(la.listed(), nil, true)
@@ -78,7 +78,7 @@
 // TestRestartIsNoticedBeforeItIsListed has a worker restart under its id while the list still has the entry of its former process.
 func TestRestartIsNoticedBeforeItIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		was := la.listed()
 		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
 		time.Sleep(time.Second)
--- a/internal/sched/scarce.go
+++ b/internal/sched/scarce.go
@@ -24,24 +24,24 @@
 
 // tellScarcity writes a line on tasks that last and wait for room.
 func (ow *Owner) tellScarcity(now time.Time) {
-	if now.Sub(ow.scarceAt) < scarceEvery {
+	if now.Sub(ow.scarcityLoggedAt) < scarceEvery {
 		return
 	}
 	sc := ow.scarcity(now)
 	if sc.tasks == 0 {
 		return
 	}
-	ow.scarceAt = now
+	ow.scarcityLoggedAt = now
 	ow.Log.Info("room for lasting tasks", "jobs", sc.jobs, "tasks", sc.tasks, "again", sc.again, "need_millicores", sc.needMilliCores, "longest", sc.longest,
 		"workers", sc.workers, "kept", sc.kept, "free_millicores", sc.free, "most_millicores", sc.most, "passing_millicores", sc.passing,
-		"promised_millicores", sc.promised, "promises_lacking", ow.promises.lacking)
+		"promised_millicores", sc.promised, "promises_lacking", ow.reservations.lacking)
 }
 
 // scarcity sums up what waits for long, and the room.
 func (ow *Owner) scarcity(now time.Time) scarcity {
 	var sc scarcity
 	for _, en := range ow.active {
-		if en.jo.Endless() && en.lack == CauseRoom && now.Sub(en.waitingSince) >= firstWait {
+		if en.jo.Endless() && en.waitCause == CauseRoom && now.Sub(en.waitingSince) >= firstWait {
 			sc.add(en, now)
 		}
 	}
@@ -70,9 +70,9 @@
 	sc.jobs++
 	sc.longest = max(sc.longest, now.Sub(en.waitingSince))
 	for step := range en.jo.Spec.Steps {
-		n := en.waitingOf(step)
+		n := en.waitingIn(step)
 		sc.tasks += n
 		sc.needMilliCores += int64(n) * en.jo.Spec.Steps[step].Reserved().MilliCores
-		sc.again += en.waitingAgain(step)
+		sc.again += en.waitingInterrupted(step)
 	}
 }
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -58,7 +58,7 @@
 func (ho *host) refuses(en *entry, step int) string {
 	st := &en.jo.Spec.Steps[step]
 	switch {
-	case ho.isKept() && !st.Filler && en.waitingAgain(step) == 0:
+	case ho.isKept() && !st.Filler && en.waitingInterrupted(step) == 0:
 		return barKept
 	case st.PerWorker > 0 && en.countAt(step, ho) >= st.PerWorker:
 		return barApart
@@ -109,7 +109,7 @@
 func (ho *host) stopping() worker.Resources {
 	var sum worker.Resources
 	for at := range ho.attempts {
-		if !at.halted.IsZero() {
+		if !at.haltSentAt.IsZero() {
 			sum = sum.With(at.step().Reserved())
 		}
 	}
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -28,7 +28,7 @@
 		if la.running()[full.Addr.Incarnation] < 16 {
 			full, other = other, full
 		}
-		ow.post(func() { ow.hosts[other.Addr.Incarnation].setAside(time.Minute, "for a test") })
+		ow.post(func() { ow.hosts[other.Addr.Incarnation].quarantine(time.Minute, "for a test") })
 		sp := lasting(1)
 		sp.Steps[0].Each = worker.Resources{MilliCores: 1000, MemMB: 1000}
 		la.submit(ow, 2, sp)
@@ -54,7 +54,7 @@
 		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
 		ow.post(func() {
 			ow.onlyLife("i-0").keptIn = ow.rounds
-			ow.entries[jobID(2)].spent.tell = 0
+			ow.entries[jobID(2)].timeBreakdown.tell = 0
 			ow.account(time.Now())
 		})
 		synctest.Wait()
@@ -101,7 +101,7 @@
 		ow := la.withLasting(16)
 		la.submit(ow, 2, lasting(1))
 		time.Sleep(500 * time.Millisecond)
-		ow.post(func() { ow.window.underWay = ow.window.limit(); ow.place() })
+		ow.post(func() { ow.window.inFlight = ow.window.limit(); ow.place() })
 		time.Sleep(time.Second)
 		waits := `msg="lasting tasks wait"`
 		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=order"), qt.HasLen, 1)
--- a/internal/sched/spent.go
+++ b/internal/sched/spent.go
@@ -88,29 +88,29 @@
 
 // spend books the time since the last look under a cause.
 func (en *entry) spend(ca Cause, now time.Time) {
-	if en.spent.since.IsZero() {
-		en.spent.since = en.acceptedAt
+	if en.timeBreakdown.since.IsZero() {
+		en.timeBreakdown.since = en.acceptedAt
 	}
-	en.spent.byCause[ca] += max(now.Sub(en.spent.since), 0)
-	en.spent.since = now
+	en.timeBreakdown.byCause[ca] += max(now.Sub(en.timeBreakdown.since), 0)
+	en.timeBreakdown.since = now
 }
 
 // cause is what the job's time goes to now.
 func (en *entry) cause(storeDown bool) Cause {
 	switch {
-	case storeDown && (en.waiting > 0 || en.progVer == 0):
+	case storeDown && (en.waitingTasks > 0 || en.progressVersion == 0):
 		return CauseStore
-	case en.progVer == 0:
+	case en.progressVersion == 0:
 		return CauseOrder
-	case en.waiting > 0:
-		return en.lack
+	case en.waitingTasks > 0:
+		return en.waitCause
 	}
 	worst := CauseWork
 	for _, at := range en.attempts {
 		switch {
-		case !at.halted.IsZero():
+		case !at.haltSentAt.IsZero():
 			return CauseStop
-		case at.launched.IsZero():
+		case at.launchedAt.IsZero():
 			worst = CauseOrder
 		case at.pace >= 0 && at.pace < fullPace && worst == CauseWork:
 			worst = CausePaced
@@ -131,18 +131,18 @@
 // tellWait writes a line on a job whose tasks have waited for long.
 func (ow *Owner) tellWait(en *entry, now time.Time) {
 	wait := now.Sub(en.waitingSince)
-	if en.waiting == 0 || wait < firstWait {
-		en.spent.tell = firstWait
+	if en.waitingTasks == 0 || wait < firstWait {
+		en.timeBreakdown.tell = firstWait
 		return
 	}
-	if wait < en.spent.tell {
+	if wait < en.timeBreakdown.tell {
 		return
 	}
-	en.spent.tell = 2 * wait
+	en.timeBreakdown.tell = 2 * wait
 	lack := en.cause(ow.storeDown())
-	attrs := []slog.Attr{slog.String("for", lack.String()), slog.Duration("wait", wait), slog.Int("tasks", en.waiting)}
+	attrs := []slog.Attr{slog.String("for", lack.String()), slog.Duration("wait", wait), slog.Int("tasks", en.waitingTasks)}
 	if en.jo.Endless() {
-		attrs = append(attrs, slog.Int("again", en.waitingAgain(en.waitingStep())))
+		attrs = append(attrs, slog.Int("again", en.waitingInterrupted(en.waitingStep())))
 	}
 	if step := en.waitingStep(); lack == CauseRoom && step >= 0 {
 		attrs = append(attrs, ow.findShortage(en, step, now).attrs()...)
@@ -158,7 +158,7 @@
 // waitingStep returns the first step of which tasks wait, or -1.
 func (en *entry) waitingStep() int {
 	for step := range en.jo.Spec.Steps {
-		if en.waitingOf(step) > 0 {
+		if en.waitingIn(step) > 0 {
 			return step
 		}
 	}
@@ -172,7 +172,7 @@
 		return
 	}
 	en.spend(en.cause(ow.storeDown()), now)
-	for ca, d := range en.spent.byCause {
+	for ca, d := range en.timeBreakdown.byCause {
 		if d > 0 {
 			ow.Metrics.Add(telemetry.JobTime, d.Milliseconds(), "cause", causeNames[ca])
 		}
@@ -184,7 +184,7 @@
 func (ow *Owner) logTime(msg string, en *entry, now time.Time, more ...slog.Attr) {
 	attrs := append([]slog.Attr{
 		slog.String("job", en.jo.ID), slog.String("queue", en.jo.Terms.Queue), slog.String("state", string(en.jo.State())),
-		slog.Int64("age_ms", now.Sub(en.acceptedAt).Milliseconds()), slog.Int64("aim_ms", en.aimMS),
+		slog.Int64("age_ms", now.Sub(en.acceptedAt).Milliseconds()), slog.Int64("aim_ms", en.targetMS),
 	}, more...)
-	ow.Log.LogAttrs(ow.ctx, slog.LevelInfo, msg, append(attrs, en.spent.attrs()...)...)
+	ow.Log.LogAttrs(ow.ctx, slog.LevelInfo, msg, append(attrs, en.timeBreakdown.attrs()...)...)
 }
--- a/internal/sched/spent_test.go
+++ b/internal/sched/spent_test.go
@@ -63,13 +63,13 @@
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, li.with(`msg="job time"`, "job="+jobID(1), "state=succeeded"), qt.HasLen, 1)
 		synctest.Wait()
-		en, err := ask(t.Context(), ow, func(answer func(spent)) { answer(ow.entries[jobID(1)].spent) })
+		en, err := call(t.Context(), ow, func(answer func(spent)) { answer(ow.entries[jobID(1)].timeBreakdown) })
 		qt.Assert(t, err, qt.IsNil)
 		var sum time.Duration
 		for _, d := range en.byCause {
 			sum += d
 		}
-		age, err := ask(t.Context(), ow, func(answer func(time.Duration)) {
+		age, err := call(t.Context(), ow, func(answer func(time.Duration)) {
 			answer(ow.entries[jobID(1)].endedAt.Sub(ow.entries[jobID(1)].acceptedAt))
 		})
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -30,44 +30,44 @@
 
 // follow takes in how far an attempt has come.
 func (at *attempt) follow(percent int, now time.Time) {
-	begins := at.movedAt.IsZero() || at.speed() <= heldPace
+	begins := at.progressedAt.IsZero() || at.speed() <= heldPace
 	if begins {
-		at.firstAt, at.first = now, percent
+		at.workingSince, at.initialPercent = now, percent
 	}
 	if begins || percent != at.percent {
-		at.movedAt, at.still = now, 0
+		at.progressedAt, at.pollsWithoutProgress = now, 0
 	} else {
-		at.still++
+		at.pollsWithoutProgress++
 	}
 	at.percent = percent
 }
 
 // stalled reports whether an attempt that should get on stands still.
 func (at *attempt) stalled(now time.Time) bool {
-	if at.step().Endless || !at.ho.ow.uses(MechStall) || at.still < stalledLooks || !at.halted.IsZero() {
+	if at.step().Endless || !at.ho.ow.uses(MechStall) || at.pollsWithoutProgress < stalledLooks || !at.haltSentAt.IsZero() {
 		return false
 	}
 	part := time.Duration(stalledPart * float64(at.step().EstimateMS) * float64(time.Millisecond))
-	limit := (stalledAfter + part) << min(at.en.stood[at.ref], stalledDoublings)
-	return now.Sub(at.movedAt) > max(limit, stalledPerCents*at.perCent())
+	limit := (stalledAfter + part) << min(at.en.stallCounts[at.ref], stalledDoublings)
+	return now.Sub(at.progressedAt) > max(limit, stalledPerCents*at.perCent())
 }
 
 // perCent is how long the attempt took for each per cent so far, or 0 if it did none.
 func (at *attempt) perCent() time.Duration {
-	done := at.percent - at.first
+	done := at.percent - at.initialPercent
 	if done <= 0 {
 		return 0
 	}
-	return at.movedAt.Sub(at.firstAt) / time.Duration(done)
+	return at.progressedAt.Sub(at.workingSince) / time.Duration(done)
 }
 
 // relieve stops an attempt that stands still, so that it is tried elsewhere.
 func (ho *host) relieve(at *attempt, now time.Time) {
-	if at.en.stood == nil {
-		at.en.stood = map[job.TaskRef]int{}
+	if at.en.stallCounts == nil {
+		at.en.stallCounts = map[job.TaskRef]int{}
 	}
-	at.en.stood[at.ref]++
+	at.en.stallCounts[at.ref]++
 	ho.ow.Metrics.Add(telemetry.Stalls, 1)
-	ho.setAside(asideStalled, "attempts stand still")
-	ho.ow.halt(at, "no progress for "+now.Sub(at.movedAt).Round(time.Millisecond).String())
+	ho.quarantine(asideStalled, "attempts stand still")
+	ho.ow.halt(at, "no progress for "+now.Sub(at.progressedAt).Round(time.Millisecond).String())
 }
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -56,10 +56,10 @@
 // noteStuck counts the tasks that are stuck by what holds them back, and tells of the
 // longest.
 func (ow *Owner) noteStuck(now time.Time) {
-	if now.Sub(ow.stuckAt) < stuckEvery {
+	if now.Sub(ow.stuckCheckedAt) < stuckEvery {
 		return
 	}
-	ow.stuckAt = now
+	ow.stuckCheckedAt = now
 	var list []stuckJob
 	counts := map[bool]map[obstacle]int{true: {}, false: {}}
 	for _, en := range ow.entries {
@@ -117,7 +117,7 @@
 	if !en.endedAt.IsZero() {
 		return sj
 	}
-	if wait := now.Sub(en.waitingSince); en.waiting > 0 && wait >= stuckAfter {
+	if wait := now.Sub(en.waitingSince); en.waitingTasks > 0 && wait >= stuckAfter {
 		sj.wait = wait
 		en.countObstacles(sj.counts, now)
 	}
@@ -143,7 +143,7 @@
 				continue
 			}
 			switch {
-			case en.rests.resting(job.TaskRef{Step: step, Index: index}, now):
+			case en.backoffs.resting(job.TaskRef{Step: step, Index: index}, now):
 				counts[obstacleRest]++
 			case tasks[index].Suspect():
 				counts[obstacleTrial]++
@@ -161,8 +161,8 @@
 		return obstacleSilent, at.ho.failing
 	case !at.ho.settled:
 		return obstacleSilent, at.ho.entered
-	case !at.halted.IsZero():
-		return obstacleStopping, at.halted
+	case !at.haltSentAt.IsZero():
+		return obstacleStopping, at.haltSentAt
 	}
 	return "", time.Time{}
 }
--- a/internal/sched/stuck_test.go
+++ b/internal/sched/stuck_test.go
@@ -56,7 +56,7 @@
 		{&host{settled: true, failing: long}, long, obstacleSilent},
 		{&host{entered: long}, time.Time{}, obstacleSilent},
 	} {
-		at := &attempt{ho: tc.ho, halted: tc.halted}
+		at := &attempt{ho: tc.ho, haltSentAt: tc.halted}
 		ob, since := at.obstacle()
 		qt.Check(t, ob, qt.Equals, tc.want)
 		qt.Check(t, ob == "" || since.Equal(long), qt.IsTrue)
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -46,14 +46,14 @@
 	if !at.ho.failing.IsZero() {
 		return true
 	}
-	return at.worked < provenAfter && (at.launched.IsZero() || now.Sub(at.launched) < provenAfter)
+	return at.inheritedRunTime < provenAfter && (at.launchedAt.IsZero() || now.Sub(at.launchedAt) < provenAfter)
 }
 
 // endTrial lets others begin beside an attempt that was tried alone.
 func (ho *host) endTrial(at *attempt) {
 	if ho.trial != nil && ho.trial.at == at {
 		ho.trial = nil
-		ho.ow.due = true
+		ho.ow.placementDue = true
 	}
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	ho.trial = nil
-	ho.ow.due = true
+	ho.ow.placementDue = true
 }
 
 // waits reports whether a trial that has not begun will.
@@ -109,14 +109,14 @@
 		pl.try(en, ref, ca, "apart")
 		return
 	}
-	en.lack = CauseRoom
+	en.waitCause = CauseRoom
 	pl.keepRoom(en, ref)
 }
 
 // placeAlone starts a task alone, once the turn of its job has come and its worker is ready
 // for it.
 func (pl *placer) placeAlone(en *entry, ref job.TaskRef) {
-	en.lack = CausePlace
+	en.waitCause = CausePlace
 	if en.inDoubt(pl.now) {
 		return
 	}
@@ -138,16 +138,16 @@
 
 // chooseTrial chooses a worker to try a task on, or returns nil.
 func (pl *placer) chooseTrial(en *entry, ref job.TaskRef) *host {
-	if pl.now.Sub(en.triedAt) < trialGap {
+	if pl.now.Sub(en.isolatedTrialAt) < trialGap {
 		return nil
 	}
 	ca := pl.loneliest(en, ref)
 	if ca == nil {
-		en.lack = CauseRoom
+		en.waitCause = CauseRoom
 		pl.keepRoom(en, ref)
 		return nil
 	}
-	en.triedAt, ca.taken = pl.now, true
+	en.isolatedTrialAt, ca.taken = pl.now, true
 	ca.ho.trial = &trial{en: en, ref: ref, since: pl.now}
 	return ca.ho
 }
@@ -159,7 +159,7 @@
 	pl.ow.Log.Info("trying a task under which workers ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "worker", ca.ho.incarnation,
 		"crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses, "how", how, "beside", cr.attempts, "fresh", cr.fresh)
 	pl.start(en, ref, ca)
-	en.lack = CauseOrder
+	en.waitCause = CauseOrder
 }
 
 // loneliest returns the worker with room for the task on which fewest attempts are fresh,
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -15,7 +15,7 @@
 )
 
 // workersPerLoss is how many workers crash with each owner of [TestLastingTasksOutliveTheirOwners].
-const workersPerLoss = 3
+const workersPerCrash = 3
 
 // TestLastingTasksOutliveTheirOwners is the story of healthy jobs that were ended for good.
 //
@@ -42,13 +42,13 @@
 	}{{"workers that are back", false}, {"workers that are gone for good", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cr, ow := startCrashes(t, newLab(t, 5*workersPerLoss))
+				cr, ow := startCrashes(t, newLab(t, 5*workersPerCrash))
 				cr.forGood = tc.forGood
 				cr.submit(ow, 1, lasting(12))
 				for range 4 {
 					time.Sleep(20 * time.Second)
 					cr.assertRunning(12)
-					ow = cr.loseOwnerAnd(workersPerLoss)
+					ow = cr.loseOwnerAndCrash(workersPerCrash)
 				}
 				time.Sleep(20 * time.Second)
 				qt.Check(t, cr.state(ow, 1), qt.Equals, job.Running)
@@ -61,7 +61,7 @@
 
 // loseOwnerAnd ends the owner, crashes the busiest workers just after that, and returns the
 // next owner.
-func (cr *crashes) loseOwnerAnd(workers int) *Owner {
+func (cr *crashes) loseOwnerAndCrash(workers int) *Owner {
 	cr.end()
 	time.Sleep(200 * time.Millisecond)
 	for range workers {
@@ -81,7 +81,7 @@
 		cr.forGood = true
 		cr.submit(ow, 1, lasting(12))
 		time.Sleep(20 * time.Second)
-		cr.loseOwnerAnd(1)
+		cr.loseOwnerAndCrash(1)
 		time.Sleep(20 * time.Second)
 		told := li.with(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
 		qt.Assert(t, told, qt.HasLen, 1)
@@ -89,7 +89,7 @@
 }
 
 // row returns the row of a job's progress as it is written.
-func (la *lab) row(ow *Owner, n int) job.ProgressRow {
+func (la *lab) progressRow(ow *Owner, n int) job.ProgressRow {
 	var row job.ProgressRow
 	_, err := la.table.Client().Get(context.Background(), ow.progressKey(jobID(n)), &row)
 	qt.Assert(la.t, err, qt.IsNil)
@@ -114,21 +114,21 @@
 		la.submit(ow, 1, lasting(40))
 		la.submit(ow, 2, batch(1, 1))
 		time.Sleep(100 * time.Millisecond)
-		started := la.row(ow, 1).Rev
-		short := la.row(ow, 2).Rev
+		started := la.progressRow(ow, 1).Rev
+		short := la.progressRow(ow, 2).Rev
 		time.Sleep(2400 * time.Millisecond)
-		qt.Check(t, la.row(ow, 1).Steps[0].Proofs, qt.Equals, "1")
-		qt.Check(t, la.row(ow, 2).Rev, qt.Equals, short)
+		qt.Check(t, la.progressRow(ow, 1).Steps[0].Proofs, qt.Equals, "1")
+		qt.Check(t, la.progressRow(ow, 2).Rev, qt.Equals, short)
 		time.Sleep(12 * time.Second)
-		qt.Check(t, la.row(ow, 1).Steps[0].Proofs, qt.Equals, "2")
+		qt.Check(t, la.progressRow(ow, 1).Steps[0].Proofs, qt.Equals, "2")
 		time.Sleep(time.Minute)
-		qt.Check(t, la.row(ow, 1).Rev-started <= 2*proofWritesMost, qt.IsTrue, qt.Commentf("%d writes", la.row(ow, 1).Rev-started))
+		qt.Check(t, la.progressRow(ow, 1).Rev-started <= 2*maxProofWrites, qt.IsTrue, qt.Commentf("%d writes", la.progressRow(ow, 1).Rev-started))
 	})
 }
 
 // proofWritesMost is how many writes a job may cost for each degree of proof of tasks that
 // began together: their looks come within a second, and a proof waits for half of one.
-const proofWritesMost = 3
+const maxProofWrites = 3
 
 // TestHealthyTasksOverTakeovers plays random losses of workers together with their owners,
 // each of them after the tasks were at work for some seconds, and checks that no task is
--- a/internal/sched/third_test.go
+++ b/internal/sched/third_test.go
@@ -14,10 +14,10 @@
 
 // threeHosts has a host own a cell with endless tasks on two workers, and two others
 // that follow it in turn.
-func threeHosts(t *testing.T, test func(cr *crowd, first, second, third *contender)) {
+func withThreeHosts(t *testing.T, test func(cr *cluster, first, second, third *clusterHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		cr := &crowd{lab: newLab(t, 2)}
+		cr := &cluster{lab: newLab(t, 2)}
 		defer cr.stop()
 		cr.fleet.RunFunc = endless
 		first := cr.join("a", 0.8)
@@ -32,7 +32,7 @@
 }
 
 // busy returns a worker that runs something.
-func (cr *crowd) busy() *standin.FleetWorker {
+func (cr *cluster) busyWorker() *standin.FleetWorker {
 	for _, fw := range cr.crew {
 		if cr.running()[fw.Addr.Incarnation] > 0 {
 			return fw
@@ -47,11 +47,11 @@
 // next owner dies soon after it took over. The third one learnt from the second one's host
 // when that ceased, and reckoned leases from there, while the first still extended them.
 func TestThirdOwnerWaitsForTheFirst(t *testing.T) {
-	threeHosts(t, func(cr *crowd, first, second, third *contender) {
-		cr.cutWith(first, cr.busy())
+	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
+		cr.partitionWith(first, cr.busyWorker())
 		cr.awaitOwner(second)
 		time.Sleep(300 * time.Millisecond)
-		second.die()
+		second.kill()
 		cr.awaitOwner(third)
 		time.Sleep(20 * time.Second)
 		cr.assertRunning(4)
@@ -62,9 +62,9 @@
 // cell up before it has read it, as at a planned stop while the store is slow. The third
 // one took a cell that nobody owns for one whose former owners had all ceased.
 func TestReleasedBeforeItWasLoaded(t *testing.T) {
-	threeHosts(t, func(cr *crowd, first, second, third *contender) {
-		second.set(func(co *contender) { co.stuck = true })
-		cr.cutWith(first, cr.busy())
+	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
+		second.set(func(co *clusterHost) { co.readsBlocked = true })
+		cr.partitionWith(first, cr.busyWorker())
 		cr.awaitOwner(second)
 		time.Sleep(300 * time.Millisecond)
 		second.keeper.Release(tenure.SilentAfter)
@@ -82,46 +82,46 @@
 	for _, tc := range []struct {
 		name string
 		// lose has owners be lost, the last of them together with a busy worker.
-		lose func(cr *crowd, first, second *contender)
+		lose func(cr *cluster, first, second *clusterHost)
 		most time.Duration
 	}{
-		{"its host answers", func(cr *crowd, first, _ *contender) { cr.loseWith(first) }, 8600 * time.Millisecond},
-		{"its host never answers", func(cr *crowd, first, _ *contender) {
-			first.set(func(co *contender) { co.dark = true })
-			cr.loseWith(first)
+		{"its host answers", func(cr *cluster, first, _ *clusterHost) { cr.killWorkerAndOwner(first) }, 8600 * time.Millisecond},
+		{"its host never answers", func(cr *cluster, first, _ *clusterHost) {
+			first.set(func(co *clusterHost) { co.partitioned = true })
+			cr.killWorkerAndOwner(first)
 		}, 16200 * time.Millisecond},
-		{"all hosts lose power", func(cr *crowd, first, _ *contender) {
+		{"all hosts lose power", func(cr *cluster, first, _ *clusterHost) {
 			for _, co := range cr.hosts {
-				co.die()
+				co.kill()
 			}
-			cr.loseWith(first)
+			cr.killWorkerAndOwner(first)
 			time.Sleep(500 * time.Millisecond)
 			cr.join("b", 0.8)
 			cr.join("c", 0.5)
 		}, 9 * time.Second},
-		{"the former one had stopped a second before", func(cr *crowd, first, second *contender) {
+		{"the former one had stopped a second before", func(cr *cluster, first, second *clusterHost) {
 			first.keeper.Release(tenure.SilentAfter)
 			cr.awaitOwner(second)
 			time.Sleep(time.Second)
-			cr.loseWith(second)
+			cr.killWorkerAndOwner(second)
 		}, 8600 * time.Millisecond},
-		{"the former one was lost a second before, and its host answers", func(cr *crowd, first, second *contender) {
-			first.die()
+		{"the former one was lost a second before, and its host answers", func(cr *cluster, first, second *clusterHost) {
+			first.kill()
 			cr.awaitOwner(second)
 			time.Sleep(time.Second)
-			cr.loseWith(second)
+			cr.killWorkerAndOwner(second)
 		}, 8600 * time.Millisecond},
-		{"the next one stops before a heartbeat says that its host answered", func(cr *crowd, first, second *contender) {
-			cr.loseWith(first)
+		{"the next one stops before a heartbeat says that its host answered", func(cr *cluster, first, second *clusterHost) {
+			cr.killWorkerAndOwner(first)
 			cr.awaitOwner(second)
 			time.Sleep(50 * time.Millisecond)
 			second.keeper.Release(tenure.SilentAfter)
 		}, 8600 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			threeHosts(t, func(cr *crowd, first, second, _ *contender) {
+			withThreeHosts(t, func(cr *cluster, first, second, _ *clusterHost) {
 				tc.lose(cr, first, second)
-				lost := cr.lost
+				lost := cr.lostAt
 				time.Sleep(20 * time.Second)
 				cr.assertRunning(4)
 				began := time.Time{}
@@ -138,19 +138,19 @@
 }
 
 // loseWith has an owner die together with a busy worker.
-func (cr *crowd) loseWith(co *contender) {
-	cr.fleet.Kill(cr.busy())
-	co.die()
-	cr.lost = time.Now()
+func (cr *cluster) killWorkerAndOwner(co *clusterHost) {
+	cr.fleet.Kill(cr.busyWorker())
+	co.kill()
+	cr.lostAt = time.Now()
 }
 
 // TestWaitsOutliveAnOwnerThatLoadsNothing: users see what ran on a lost worker come back
 // late. The first owner notes as it stops how long its leases run. The second one stops
 // before it has read the cell, and left no note, so that the wait began anew.
 func TestWaitsOutliveAnOwnerThatLoadsNothing(t *testing.T) {
-	threeHosts(t, func(cr *crowd, first, second, third *contender) {
-		second.set(func(co *contender) { co.stuck = true })
-		cr.fleet.Kill(cr.busy())
+	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
+		second.set(func(co *clusterHost) { co.readsBlocked = true })
+		cr.fleet.Kill(cr.busyWorker())
 		lost := time.Now()
 		time.Sleep(3 * time.Second)
 		first.keeper.Release(tenure.SilentAfter)
@@ -169,16 +169,16 @@
 // took the worker's leases for lapsed, as it had told it of none, while one that the former
 // owner had told it still ran.
 func TestSettledWithoutALease(t *testing.T) {
-	threeHosts(t, func(cr *crowd, first, second, third *contender) {
+	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
 		down := standin.Fault{Mode: standin.ModeDown}
 		third.gate.Set(down)
-		fw := cr.busy()
-		cr.cutWith(first, fw)
+		fw := cr.busyWorker()
+		cr.partitionWith(first, fw)
 		cr.awaitOwner(second)
 		time.Sleep(50 * time.Millisecond)
 		second.gate.Set(down)
 		time.Sleep(tenure.ExtendFor)
-		second.set(func(co *contender) { co.once = map[worker.Incarnation]bool{fw.Addr.Incarnation: true} })
+		second.set(func(co *clusterHost) { co.reachableOnce = map[worker.Incarnation]bool{fw.Addr.Incarnation: true} })
 		time.Sleep(lookRetry + silentAfter)
 		second.gate.Set(standin.Fault{})
 		time.Sleep(10 * time.Second)
@@ -198,19 +198,19 @@
 // Evidence: "former owner has ceased to act .. why=it was told of its replacement" at
 // 19.7 s, and "attempt ended .. its leases have lapsed" at 30.3 s, with leases of 10 s.
 func TestOwnerThatStoodStillSaysWhenItLastLeased(t *testing.T) {
-	threeHosts(t, func(cr *crowd, first, second, _ *contender) {
-		fw := cr.busy()
+	withThreeHosts(t, func(cr *cluster, first, second, _ *clusterHost) {
+		fw := cr.busyWorker()
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
-		first.set(func(co *contender) {
-			co.dark = true
+		first.set(func(co *clusterHost) {
+			co.partitioned = true
 			for _, fw := range cr.crew {
-				co.cut[fw.Addr.Incarnation] = true
+				co.unreachable[fw.Addr.Incarnation] = true
 			}
 		})
 		cr.fleet.Kill(fw)
 		cr.awaitOwner(second)
 		time.Sleep(8 * time.Second)
-		first.set(func(co *contender) { co.dark = false })
+		first.set(func(co *clusterHost) { co.partitioned = false })
 		time.Sleep(1500 * time.Millisecond)
 		cr.assertRunning(4)
 	})
@@ -218,15 +218,15 @@
 
 // runsAgainBy is by when what ran on a lost worker runs again after its owner was lost too,
 // as where the owner's host can be asked: a takeover and a lease by the slowest clock.
-const runsAgainBy = 8600 * time.Millisecond
+const maxRestartTime = 8600 * time.Millisecond
 
 // loseThenOwner has a busy worker be lost, and its owner's host for good some time later.
-func (cr *crowd) loseThenOwner(co *contender, later time.Duration) {
-	cr.fleet.Kill(cr.busy())
-	cr.lost = time.Now()
+func (cr *cluster) killWorkerThenOwner(co *clusterHost, later time.Duration) {
+	cr.fleet.Kill(cr.busyWorker())
+	cr.lostAt = time.Now()
 	time.Sleep(later)
-	co.set(func(co *contender) { co.dark = true })
-	co.die()
+	co.set(func(co *clusterHost) { co.partitioned = true })
+	co.kill()
 }
 
 // TestWorkerLostBeforeAnOwnerThatNobodyCanAsk is the story of lasting tasks that ran nowhere
@@ -247,9 +247,9 @@
 func TestWorkerLostBeforeAnOwnerThatNobodyCanAsk(t *testing.T) {
 	for _, later := range []time.Duration{2500 * time.Millisecond, 3 * time.Second, 4 * time.Second} {
 		t.Run(later.String(), func(t *testing.T) {
-			threeHosts(t, func(cr *crowd, first, _, _ *contender) {
-				cr.loseThenOwner(first, later)
-				time.Sleep(time.Until(cr.lost.Add(later + runsAgainBy)))
+			withThreeHosts(t, func(cr *cluster, first, _, _ *clusterHost) {
+				cr.killWorkerThenOwner(first, later)
+				time.Sleep(time.Until(cr.lostAt.Add(later + maxRestartTime)))
 				cr.assertRunning(4)
 			})
 		})
@@ -264,30 +264,30 @@
 	const step = 50 * time.Millisecond
 	for _, lose := range []struct {
 		name string
-		fn   func(cr *crowd, first *contender, fw *standin.FleetWorker)
+		fn   func(cr *cluster, first *clusterHost, fw *standin.FleetWorker)
 	}{
-		{"the owner's host is gone", func(_ *crowd, first *contender, _ *standin.FleetWorker) {
-			first.set(func(co *contender) { co.dark = true })
-			first.die()
+		{"the owner's host is gone", func(_ *cluster, first *clusterHost, _ *standin.FleetWorker) {
+			first.set(func(co *clusterHost) { co.partitioned = true })
+			first.kill()
 		}},
-		{"the owner is cut off with it", func(cr *crowd, first *contender, fw *standin.FleetWorker) { cr.cutWith(first, fw) }},
-		{"the store answers the owner late, then not", func(cr *crowd, first *contender, fw *standin.FleetWorker) {
+		{"the owner is cut off with it", func(cr *cluster, first *clusterHost, fw *standin.FleetWorker) { cr.partitionWith(first, fw) }},
+		{"the store answers the owner late, then not", func(cr *cluster, first *clusterHost, fw *standin.FleetWorker) {
 			first.gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 			time.Sleep(600 * time.Millisecond)
-			cr.cutWith(first, fw)
+			cr.partitionWith(first, fw)
 		}},
 	} {
 		t.Run(lose.name, func(t *testing.T) {
 			for around := -500 * time.Millisecond; around <= time.Second; around += step {
-				threeHosts(t, func(cr *crowd, first, _, _ *contender) {
-					fw := cr.busy()
-					first.set(func(co *contender) { co.cut[fw.Addr.Incarnation] = true })
+				withThreeHosts(t, func(cr *cluster, first, _, _ *clusterHost) {
+					fw := cr.busyWorker()
+					first.set(func(co *clusterHost) { co.unreachable[fw.Addr.Incarnation] = true })
 					time.Sleep(3*time.Second + min(around, 0))
 					if around < 0 {
 						lose.fn(cr, first, fw)
 						time.Sleep(-around)
 					}
-					first.set(func(co *contender) { delete(co.cut, fw.Addr.Incarnation) })
+					first.set(func(co *clusterHost) { delete(co.unreachable, fw.Addr.Incarnation) })
 					if around >= 0 {
 						time.Sleep(around)
 						lose.fn(cr, first, fw)
@@ -310,13 +310,13 @@
 		defer endFirst()
 		note := func(silent map[string]bool) {
 			first.post(func() {
-				first.noted.named = silent
-				first.noteLeases(time.Now())
+				first.leaseRecord.recorded = silent
+				first.recordLeases(time.Now())
 			})
 			time.Sleep(time.Second)
 		}
 		read := func() int64 {
-			version, err := la.table.Client().Get(t.Context(), first.silentKey(), &silentRow{})
+			version, err := la.table.Client().Get(t.Context(), first.leaseExpiryKey(), &leaseExpiryRow{})
 			qt.Assert(t, err, qt.IsNil)
 			return version
 		}
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -40,7 +40,7 @@
 }
 
 // lastingLab is a lab whose owner has so many lasting tasks at work.
-func lastingLab(t *testing.T, workers, tasks int) (*lab, *Owner) {
+func newLastingLab(t *testing.T, workers, tasks int) (*lab, *Owner) {
 	t.Helper()
 	la := newLab(t, workers)
 	return la, la.withLasting(tasks)
@@ -71,7 +71,7 @@
 // until the leases have lapsed.
 func TestWorkerLeavesTheListWithoutAWord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		leaving, _ := la.busiest()
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(30 * time.Second)
@@ -87,7 +87,7 @@
 // after it, each at a moment of its own: what runs stays where it is.
 func TestListLapsesInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 4, 24)
+		la, ow := newLastingLab(t, 4, 24)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		// A write under way tells the owner of the outage.
 		la.submit(ow, 2, lasting(1))
@@ -110,7 +110,7 @@
 // nothing new.
 func TestPartOfTheListComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 4, 24)
+		la, ow := newLastingLab(t, 4, 24)
 		gone, _ := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, lasting(1))
@@ -143,7 +143,7 @@
 // comes back with another incarnation at its address, and what it ran starts at once.
 func TestListComesBackWithAnotherLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		was := la.crew[0]
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, lasting(1))
@@ -165,7 +165,7 @@
 // TestNothingStartsWithoutAnEntry has a job wait while no worker has an entry.
 func TestNothingStartsWithoutAnEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 6)
+		la, ow := newLastingLab(t, 3, 6)
 		ow.SetWorkers(nil, nil, true)
 		la.submit(ow, 2, lasting(6))
 		time.Sleep(20 * time.Second)
@@ -224,7 +224,7 @@
 		la, li := loggedLab(t, 4)
 		ow := la.withLasting(24)
 		ow.SetWorkers(la.listed()[3:], nil, true)
-		time.Sleep(doubtFor - time.Second)
+		time.Sleep(doubtDuration - time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
 		qt.Check(t, li.with("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
 		time.Sleep(5 * time.Second)
@@ -279,7 +279,7 @@
 // time that it told. Cause: emptying ended with the entry. Evidence: as above.
 func TestDrainingWorkerLosesItsEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 2, 2*16)
+		la, ow := newLastingLab(t, 2, 2*16)
 		leaving := la.crew[0]
 		list := la.listed()
 		list[0].Draining, list[0].Remaining = true, 4*time.Second
@@ -337,7 +337,7 @@
 // for, again and again, with no trouble of the store to be seen.
 func TestEntryIsBackSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		worker, _ := la.busiest()
 		for range 5 {
 			ow.SetWorkers(nil, []string{worker.Addr.Incarnation.ID}, false)
@@ -354,7 +354,7 @@
 // still fail: the time to wait begins with their success.
 func TestEntryGoesInTheMidstOfAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		worker, n := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		go la.submit(ow, 2, lasting(1))
--- a/internal/sched/way.go
+++ b/internal/sched/way.go
@@ -26,8 +26,8 @@
 
 // nextFence returns a fencing token that is higher than all before it.
 func (ow *Owner) nextFence() int64 {
-	ow.ways = min(ow.ways+1, waysPerEpoch-1)
-	return ow.Tenure.Epoch*waysPerEpoch + ow.ways
+	ow.paths = min(ow.paths+1, waysPerEpoch-1)
+	return ow.Tenure.Epoch*waysPerEpoch + ow.paths
 }
 
 func (ow *Owner) via(li Listed) string {
