--- a/internal/sched/api.go
+++ b/internal/sched/api.go
@@ -9,25 +9,26 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// Outcome is what became of a request to change something.
+// Outcome is the result of a request that changes a job.
 type Outcome string
 
-// The outcomes.
+// Outcomes of requests.
 const (
-	// Accepted: it is durable.
+	// Accepted means that the change is durable.
 	Accepted Outcome = "accepted"
-	// Refused: it was not done and never will be.
+	// Refused means that the change was not made and never will be.
 	Refused Outcome = "refused"
-	// Unknown: it may be done, or may be yet. Asking again tells.
+	// Unknown means that the change may have been made or may still be made. A repeated
+	// request returns a definite answer.
 	Unknown Outcome = "unknown"
-	// NoJob: there is no such job.
+	// NoJob means that there is no such job.
 	NoJob Outcome = "no-job"
 )
 
-// Reason is a stable word for why something was not accepted.
+// Reason is a stable word for why a request was not accepted.
 type Reason string
 
-// The reasons.
+// Reasons of refusals and unknown outcomes.
 const (
 	ReasonStoreUnavailable Reason = "store-away"
 	ReasonNotOwner         Reason = "not-owner"
@@ -36,35 +37,34 @@
 	ReasonUnreachable      Reason = "unreachable"
 )
 
-// Verdict is the answer to a request to change something.
+// Verdict is the answer to a request that changes a job.
 type Verdict struct {
-	// Outcome says what became of it.
+	// Outcome is the result.
 	Outcome Outcome `json:"outcome"`
-	// Reason says why, if it was not accepted.
+	// Reason says why the request was not accepted.
 	Reason Reason `json:"reason,omitempty"`
-	// RetryAfter is when to come back, for a refusal.
+	// RetryAfter is when to retry after a refusal.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 }
 
 // Errors of an owner whose tenure is over.
 var (
-	// ErrOver: it did not take the request.
-	ErrTenureOver = errors.New("tenure is over")
-	// ErrUnsettled: its tenure ended with the request on its way, which may
+	// ErrTenureOver means that the owner did not take the request.
+	ErrTenureOver = errors.New("tenure as owner is over")
+	// ErrOutcomeUnknown means that the tenure ended while the request was in progress; it may
 	// have taken effect.
-	ErrOutcomeUnknown = errors.New("tenure ended with the request on its way")
+	ErrOutcomeUnknown = errors.New("tenure as owner ended before the request completed")
 )
 
-// Limits on what is taken on.
+// Limits on accepted jobs.
 const (
-	// jobsMost bounds the jobs that are not over, which bounds memory: some
-	// 4 kB a job.
+	// maxJobs bounds the jobs in memory, at about 4 kB a job.
 	maxJobs = 20_000
-	// retryAfter is when a caller is told to come back.
+	// retryAfter is when a refused caller is told to retry.
 	retryAfter = time.Second
 )
 
-// ask runs fn in the loop, which calls its argument once with the answer.
+// call runs fn in the loop. fn calls its argument once with the answer.
 func call[T any](ctx context.Context, ow *Owner, fn func(func(T))) (T, error) {
 	var zero T
 	out := make(chan T, 1)
@@ -81,7 +81,7 @@
 	}
 }
 
-// Submit takes a job on. If ctx ends first the outcome is unknown.
+// Submit accepts a job. If ctx ends first, the outcome is unknown.
 func (ow *Owner) Submit(ctx context.Context, id string, te job.Terms, sp job.Spec) (Verdict, error) {
 	return call(ctx, ow, func(answer func(Verdict)) { ow.submit(id, te, sp, answer) })
 }
@@ -104,11 +104,11 @@
 	ow.markDirty(en)
 }
 
-// submitAgain answers for a job that was handed in before.
+// resubmit answers for a job that was submitted before.
 func (ow *Owner) resubmit(en *entry, answer func(Verdict)) {
 	switch {
 	case en.progressVersion > 0:
-		ow.Log.Info("job handed in again", "job", en.jo.ID, "state", en.writtenState, "version", en.progressVersion)
+		ow.Log.Info("job submitted again", "job", en.jo.ID, "state", en.writtenState, "version", en.progressVersion)
 		answer(Verdict{Outcome: Accepted})
 	case ow.storeDown():
 		answer(Verdict{Outcome: Unknown, Reason: ReasonStoreUnavailable})
@@ -123,7 +123,7 @@
 	return Verdict{Outcome: Refused, Reason: why, RetryAfter: retryAfter}
 }
 
-// answer tells those who wait for a job's first write.
+// answerWaiters answers the callers that wait for a job's first write.
 func (ow *Owner) answerWaiters(en *entry, ve Verdict) {
 	for _, fn := range en.waiters {
 		ow.Metrics.Add(telemetry.JobVerdicts, 1, "outcome", string(ve.Outcome), "reason", string(ve.Reason))
@@ -132,7 +132,7 @@
 	en.waiters = nil
 }
 
-// Cancel ends a job for its caller.
+// Cancel cancels a job.
 func (ow *Owner) Cancel(ctx context.Context, id string) (Verdict, error) {
 	return call(ctx, ow, func(answer func(Verdict)) { ow.cancel(id, answer) })
 }
@@ -165,7 +165,7 @@
 	}
 }
 
-// State returns a job's state; ok is false if the owner knows no such job.
+// State returns a job's state; ok is false if the owner has no such job.
 func (ow *Owner) State(ctx context.Context, id string) (state job.State, ok bool, err error) {
 	state, err = call(ctx, ow, func(answer func(job.State)) {
 		if en := ow.entries[id]; en != nil {
@@ -177,7 +177,7 @@
 	return state, state != "", err
 }
 
-// Pending counts the jobs of a queue none of whose tasks has begun.
+// Pending counts the jobs of a queue that have not started any task.
 func (ow *Owner) Pending(ctx context.Context, queue string) (int, error) {
 	return call(ctx, ow, func(answer func(int)) {
 		n := 0
--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -7,59 +7,59 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// attempt is what the owner knows of an attempt that runs, or may.
+// attempt is what the owner knows of an attempt that runs, or may run.
 type attempt struct {
 	ref    job.TaskRef
 	number int
 	ho     *host
 	// en is its job.
 	en *entry
-	// underWay is set from its placement to the answer to its order.
+	// inFlight is set from its placement until its start order is answered.
 	inFlight bool
-	// ordered is set once its order was sent.
+	// orderSent is set once its start order was sent.
 	orderSent bool
-	// launched is when the worker acknowledged the order, or zero.
+	// launchedAt is when the worker acknowledged the order, or zero.
 	launchedAt time.Time
-	// sighted is when the last look came back that listed it as running, or zero.
+	// lastSeenAt is when the last poll that listed it as running returned, or zero.
 	lastSeenAt time.Time
-	// inherited is set if a former owner ordered it, worked is for how long it was at work
-	// at least when this owner took over.
+	// inherited is set if a former owner ordered it; inheritedRunTime is the minimum time it
+	// had run when this owner took over.
 	inherited        bool
 	inheritedRunTime time.Duration
-	// ends is set while it is not known whether the order, which was for a life of the
-	// worker that has ended, was carried out by this one: how it has ended if not.
+	// endIfNotRun is set while it is unknown whether an order for an earlier incarnation of
+	// the worker was carried out by this one. It is the end to record if not.
 	endIfNotRun job.End
-	// settling is set while it is found out what became of an order without
-	// an answer.
+	// resolvingOrder is set while the outcome of an unanswered order is being determined.
 	resolvingOrder bool
-	// halted is when an order to stop it was last sent, or zero.
+	// haltSentAt is when an order to stop it was last sent, or zero.
 	haltSentAt time.Time
-	// percent is how far it has come, usage the last figure.
+	// percent is its progress, usage the last reported figure of its resource usage.
 	percent int
 	usage   int64
-	// movedAt is when it was last seen to get on, still counts the looks since.
+	// progressedAt is when it was last seen to make progress, and pollsWithoutProgress counts
+	// the polls since.
 	progressedAt time.Time
-	// firstAt is when it was first seen at work, and not held since, first how far it had
-	// come then, in per cent.
+	// workingSince is when it was first seen at work without having been throttled since, and
+	// initialPercent its progress at that time.
 	workingSince         time.Time
 	initialPercent       int
 	pollsWithoutProgress int
-	// replica is what was learnt of a service.
+	// replica has the measurements of a service replica.
 	replica interfere.Replica
-	// overSince is since when a service is over its target.
+	// overTargetSince is since when a service has been over its latency target, or zero.
 	overTargetSince time.Time
-	// overLast is when it last was.
+	// lastOverTarget is when a service was last over its target.
 	lastOverTarget time.Time
-	// pace is the share of its speed that it was told, in per cent, or
-	// unknownPace.
+	// pace is the share of full speed last ordered, in percent, or unknownPace.
 	pace int
-	// pacing is set while an order to set the pace is under way.
+	// pacing is set while an order to set the pace is in flight.
 	pacing bool
-	// heldSince is since when a filler's pace is so low that it hardly works.
+	// throttledSince is since when a filler's pace has been so low that it hardly makes
+	// progress.
 	throttledSince time.Time
 	// pacedAt is when its pace last changed.
 	pacedAt time.Time
-	// uses is the part of its declared processor time that a filler uses at full
-	// speed, or 0 if that is not known.
+	// cpuShare is the fraction of its declared CPU that a filler uses at full speed, 0 if
+	// unknown.
 	cpuShare float64
 }
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -18,51 +18,53 @@
 
 // Bounds on writes.
 const (
-	// jobsPerWrite keeps a write under the store's 100 entries: a new job has
-	// two conditions and three rows.
+	// maxJobsPerWrite keeps a write under the store's limit of 100 entries: a new job has two
+	// conditions and three rows.
 	maxJobsPerWrite = 18
-	// bytesPerWrite keeps it under the store's 1 MB.
+	// maxBytesPerWrite keeps a write under the store's limit of 1 MB.
 	maxBytesPerWrite = 600_000
-	// writesAtOnce is how many writes may be under way: the store takes 8 ms
-	// for one and carries out those of a cell in turn.
+	// maxConcurrentWrites is 1 because the store takes 8 ms for a write and carries out those
+	// of a cell one after the other.
 	maxConcurrentWrites = 1
-	// writeTimeout is how long the answer to a write may take before it is
-	// sent again: 12 ms, up to 120 times slower in bad times.
+	// writeTimeout is how long the answer to a write may take before the write is sent again.
+	// A write takes 12 ms, up to 120 times that when the store is slow.
 	writeTimeout = 1500 * time.Millisecond
-	// downAfter is how long writes may fail before new work is refused.
+	// storeDownAfter is how long writes may fail before new jobs are refused.
 	storeDownAfter = 300 * time.Millisecond
-	// unknownAfter is how long a caller waits for a write that failed before it
-	// is told that the outcome is not known.
+	// reportUnknownAfter is how long a caller waits for a failing write before it is answered
+	// that the outcome is unknown.
 	reportUnknownAfter = 600 * time.Millisecond
-	// rewriteFirst and rewriteMost are the pauses before a write is sent again.
+	// initialRewriteDelay and maxRewriteDelay bound the backoff between attempts at one
+	// write.
 	initialRewriteDelay = 30 * time.Millisecond
 	maxRewriteDelay     = 400 * time.Millisecond
 )
 
-// errStrange ends a tenure whose rows are not as the owner left them; the next
-// one reads them anew.
-var errUnexpectedRows = errors.New("rows are not as this owner left them")
+// errUnexpectedRows ends a tenure whose rows differ from what the owner wrote last; the next
+// owner reads them again.
+var errUnexpectedRows = errors.New("rows differ from what this owner wrote last")
 
-// write is one write of several jobs' rows.
+// write is one transaction with the rows of several jobs.
 type write struct {
 	txn  store.Txn
 	jobs []jobWrite
 	sent time.Time
 }
 
-// part is one job's part of a write.
+// jobWrite is the part of a write that belongs to one job.
 type jobWrite struct {
 	en    *entry
 	state job.State
-	// first is set if the write has the job's first rows.
+	// firstWrite is set if the write creates the job's rows.
 	firstWrite bool
 	onWritten  []func()
-	// key and value are of the row that shows whether the write took effect.
+	// key and value are those of the row that shows whether the write took effect; value is
+	// nil for a removal.
 	key   string
 	value []byte
 }
 
-// flush begins writes of what has changed.
+// flush starts writes of the jobs that have changed.
 func (ow *Owner) flush() {
 	for ow.writes < maxConcurrentWrites && len(ow.dirty) > 0 {
 		wr := ow.nextWrite()
@@ -74,29 +76,29 @@
 	}
 }
 
-// nextWrite collects changed jobs none of whose rows are being written.
+// nextWrite collects changed jobs, except those with a write in flight.
 func (ow *Owner) nextWrite() *write {
 	wr := &write{txn: store.NewTxn(), sent: time.Now()}
 	wr.txn.Conds = []store.Cond{{Key: ow.Tenure.Key, Version: ow.Tenure.Version}}
 	size := 0
-	rest := ow.dirty[:0]
+	remaining := ow.dirty[:0]
 	for i, en := range ow.dirty {
 		if len(wr.jobs) == maxJobsPerWrite || size > maxBytesPerWrite {
-			rest = append(rest, ow.dirty[i:]...)
+			remaining = append(remaining, ow.dirty[i:]...)
 			break
 		}
 		if en.writing {
-			rest = append(rest, en)
+			remaining = append(remaining, en)
 			continue
 		}
 		size += ow.addJobWrite(wr, en)
 	}
-	clear(ow.dirty[len(rest):])
-	ow.dirty = rest
+	clear(ow.dirty[len(remaining):])
+	ow.dirty = remaining
 	return wr
 }
 
-// addPart adds a job's rows to a write and returns their size.
+// addJobWrite adds a job's rows to a write and returns their size in bytes.
 func (ow *Owner) addJobWrite(wr *write, en *entry) int {
 	id := en.jo.ID
 	pa := jobWrite{en: en, state: en.jo.State(), firstWrite: en.progressVersion == 0, onWritten: en.onWritten, key: ow.progressKey(id)}
@@ -125,7 +127,7 @@
 	return size
 }
 
-// specGone returns the removal of the row of a job's spec, if there is one.
+// specRemoval returns the removal of a job's spec row, or nil if there is no such row.
 func (ow *Owner) specRemoval(en *entry) []store.Put {
 	if !en.specStored {
 		return nil
@@ -137,7 +139,7 @@
 func (ow *Owner) encode(row any) []byte {
 	data, err := json.Marshal(row)
 	if err != nil {
-		ow.Log.Error("row cannot be encoded", "err", err)
+		ow.Log.Error("cannot encode row", "err", err)
 	}
 	return data
 }
@@ -169,7 +171,7 @@
 	}
 }
 
-// committed lets the effects of a write happen.
+// handleCommitted records that a write took effect and runs its callbacks.
 func (ow *Owner) handleCommitted(wr *write, version func(jobWrite) int64) {
 	ow.writes--
 	if !ow.writesFailingSince.IsZero() {
@@ -194,8 +196,8 @@
 	}
 }
 
-// conflicted finds out why a condition did not hold: the write itself, sent
-// before, or another owner.
+// handleConflict determines why a condition did not hold: an earlier try of the same write
+// took effect, or another host owns the cell. It ends the tenure in all cases but the first.
 func (ow *Owner) handleConflict(wr *write, conflict *store.ConflictError) {
 	if ow.replacedAsOwner(conflict) {
 		return
@@ -210,8 +212,8 @@
 	ow.Tenure.Renounce(fmt.Errorf("write of job %s: %w", pa.en.jo.ID, errUnexpectedRows))
 }
 
-// replaced reports whether a write was refused as another host has the cell, and ends the
-// tenure then.
+// replacedAsOwner reports whether a write was refused because another host owns the cell, and
+// ends the tenure if so.
 func (ow *Owner) replacedAsOwner(conflict *store.ConflictError) bool {
 	if conflict.Row(ow.Tenure.Key).Version == ow.Tenure.Version {
 		return false
@@ -227,8 +229,8 @@
 	return bytes.Equal(bytes.TrimSpace(a), bytes.TrimSpace(b))
 }
 
-// writeFailed notes that the outcome of a write is not known yet. Callers that
-// have waited for long are told so.
+// handleWriteError records that the outcome of a write is not known yet. Callers that have
+// waited for longer than reportUnknownAfter are answered that it is unknown.
 func (ow *Owner) handleWriteError(wr *write, n int, err error) {
 	if ow.writesFailingSince.IsZero() {
 		ow.writesFailingSince = wr.sent
@@ -240,7 +242,7 @@
 	}
 	for _, pa := range wr.jobs {
 		if pa.firstWrite && len(pa.en.waiters) > 0 {
-			ow.Log.Warn("job not known to be accepted", "job", pa.en.jo.ID, "tries", n, "err", err)
+			ow.Log.Warn("unknown whether job was accepted", "job", pa.en.jo.ID, "tries", n, "err", err)
 			ow.answerWaiters(pa.en, Verdict{Outcome: Unknown, Reason: ReasonStoreUnavailable})
 		}
 	}
--- a/internal/sched/entry.go
+++ b/internal/sched/entry.go
@@ -11,67 +11,66 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// entry is a job with what the owner knows of it besides.
+// entry is a job together with the owner's bookkeeping about it.
 type entry struct {
 	ow *Owner
 	jo *job.Job
-	// order sorts jobs that are alike in all else.
+	// order is the order of arrival; it breaks ties between jobs.
 	order int64
-	// aimMS is how soon it should be done, hope whether it can be, and work what
-	// is left of it.
+	// targetMS is the target time to completion in milliseconds, feasibility whether the job
+	// can still meet it, and workLeft the remaining work.
 	targetMS    int64
 	feasibility feasibility
 	workLeft    int64
-	// turn sorts jobs of one priority and hope; rank is the place in one order,
-	// by size or by age, of which the turn is made.
+	// sortKey orders jobs of equal priority and feasibility; rank is the position in one
+	// order, by size or by age, from which sortKey is computed.
 	sortKey, rank int
-	// progVer is the version of its row of progress, 0 if not written.
+	// progressVersion is the version of the job's progress row, 0 before the first write.
 	progressVersion int64
-	// specKept is set while there is a row of its spec.
+	// specStored is set while the store has the job's spec row.
 	specStored bool
-	// shown is the state last written, empty before the first write.
+	// writtenState is the state last written, empty before the first write.
 	writtenState job.State
-	// dirty is set while a change waits to be written, writing while a write
-	// is under way.
+	// dirty is set while a change waits to be written, writing while a write is in flight.
 	dirty, writing bool
-	// proofDue is when the row is to be written for what it says of attempts at work, or
-	// zero.
+	// proofDue is when the row has to be written for its proofs that attempts ran, or zero.
 	proofDue time.Time
 	// removing is set once the rows are to be removed.
 	removing bool
-	// effects happen once the present state is written.
+	// onWritten are called once the present state is written.
 	onWritten []func()
-	// waiters are callers that handed it in and wait for its first write.
+	// waiters are the callers that submitted the job and wait for its first write.
 	waiters []func(Verdict)
-	// waiting counts tasks that may start now.
+	// waitingTasks counts the tasks that may start now.
 	waitingTasks int
-	// waitingSince is since when it has had such tasks without one starting.
+	// waitingSince is since when there have been such tasks without one starting.
 	waitingSince time.Time
-	// attempts has what is known of the attempts that run, or may.
+	// attempts has the attempts that run, or may run.
 	attempts map[job.TaskRef]*attempt
-	// orphans are attempts ordered by former owners on workers not yet seen.
+	// unowned are attempts of former owners on workers that this owner has not seen yet.
 	unowned []job.TaskRef
-	// failedOn are the workers on which a task of the job failed.
+	// failedOn has the workers on which a task of the job failed.
 	failedOn map[worker.Incarnation]bool
-	// tracks follow the load of its steps that serve.
+	// tracks has the load history of the steps that serve, by index.
 	tracks map[int]*interfere.Track
-	// endedAt is when it was seen to reach a final state.
+	// endedAt is when the owner found the job in a final state.
 	endedAt time.Time
-	// acceptedAt is when it was handed in to this owner.
+	// acceptedAt is when the job was submitted to this owner, or loaded by it.
 	acceptedAt time.Time
-	// stood counts how often attempts of a task were found to stand still.
+	// stallCounts counts the stalled attempts of each task.
 	stallCounts map[job.TaskRef]int
-	// rests has the tasks that last and failed again and again.
+	// backoffs holds the restart delays of long-running tasks that failed repeatedly.
 	backoffs rests
-	// triedAt is when a worker was last chosen to try a task of it alone.
+	// isolatedTrialAt is when a worker was last chosen to run a suspect task of the job in
+	// isolation.
 	isolatedTrialAt time.Time
-	// lack is what the last round of placement lacked for a task that waits.
+	// waitCause is why the last round of placement left a task waiting.
 	waitCause Cause
-	// spent is what its time went to.
+	// timeBreakdown accounts for the job's elapsed time by cause.
 	timeBreakdown spent
 }
 
-// track returns the track of a step's load.
+// track returns the load history of a step, which it creates if needed.
 func (en *entry) track(step int) *interfere.Track {
 	tr := en.tracks[step]
 	if tr == nil {
@@ -84,8 +83,8 @@
 	return tr
 }
 
-// touch notes that a job has changed: it is to be written, and its waiting
-// tasks are counted anew.
+// markDirty records that a job has changed: it will be written, and its waiting tasks are
+// counted again.
 func (ow *Owner) markDirty(en *entry) {
 	if !en.dirty {
 		en.dirty = true
@@ -95,8 +94,8 @@
 	ow.placementDue = true
 }
 
-// recount counts the tasks that may start now and keeps the list of jobs that
-// have any.
+// recountWaiting counts the tasks that may start now and updates the list of jobs that have
+// any.
 func (ow *Owner) recountWaiting(en *entry) {
 	before := en.waitingTasks
 	en.waitingTasks = 0
@@ -117,12 +116,12 @@
 	}
 }
 
-// waitingOf counts the tasks of a step that may start now.
+// waitingIn counts the tasks of a step that may start now.
 func (en *entry) waitingIn(step int) int {
 	return en.countWaiting(step, func(job.TaskRef) bool { return true })
 }
 
-// waitingAgain counts those of them that were interrupted.
+// waitingInterrupted counts those of them that ran before and were interrupted.
 func (en *entry) waitingInterrupted(step int) int { return en.countWaiting(step, en.interrupted) }
 
 func (en *entry) countWaiting(step int, count func(job.TaskRef) bool) int {
@@ -138,7 +137,7 @@
 	return n
 }
 
-// add enters a job.
+// addJob creates the entry of a job.
 func (ow *Owner) addJob(jo *job.Job) *entry {
 	ow.seq++
 	en := &entry{ow: ow, jo: jo, order: ow.seq, targetMS: jo.AimMS(), sortKey: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
@@ -146,8 +145,8 @@
 	return en
 }
 
-// end notes the end of an attempt, and reports whether that was news.
-func (ow *Owner) recordEnd(en *entry, ref job.TaskRef, number int, end job.End, checkpoint, why string) bool {
+// recordEnd records the end of an attempt. It reports false if the end was already known.
+func (ow *Owner) recordEnd(en *entry, ref job.TaskRef, number int, end job.End, checkpoint, reason string) bool {
 	if !en.jo.End(ref, number, end, checkpoint) {
 		return false
 	}
@@ -167,7 +166,7 @@
 		en.backoffs.failed(en, ref, time.Now())
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", string(end))
-	ow.Log.Info("attempt ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "end", end, "why", why, "state", en.jo.State(),
+	ow.Log.Info("attempt ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "end", end, "why", reason, "state", en.jo.State(),
 		"acked", seen.acked, "ran_at_least", seen.ran, "crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses)
 	ow.tellGivenUp(en, ref, end)
 	ow.stopFinished(en)
@@ -175,7 +174,7 @@
 	return true
 }
 
-// endLate takes in an end of an attempt that had been given up.
+// recordLateEnd records the end of an attempt that had been given up.
 func (ow *Owner) recordLateEnd(en *entry, ref job.TaskRef, number int, end job.End, incarnation worker.Incarnation) {
 	switch end {
 	case job.EndDone:
@@ -185,17 +184,18 @@
 	}
 }
 
-// failedLate notes that an attempt which had been given up had failed. If that was one
-// failure too many, an attempt that was to follow is taken back if no order was sent of it.
+// recordLateFailure records that an attempt which had been given up had failed. If this
+// failure exhausts the task's limit, the next attempt is withdrawn unless an order for it was
+// sent.
 func (ow *Owner) recordLateFailure(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
 	if !en.jo.FailedLate(ref, number) {
 		return
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "failed-late")
-	ow.Log.Info("attempt that was given up had failed", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation,
+	ow.Log.Info("abandoned attempt had failed", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation,
 		"failures", en.jo.Task(ref).Failures, "state", en.jo.State())
 	if at := en.attempts[ref]; at != nil && en.jo.Exhausted(ref) && !at.orderSent && !at.inherited {
-		ow.recordEnd(en, ref, at.number, job.EndNever, "", "an attempt before it had failed")
+		ow.recordEnd(en, ref, at.number, job.EndNever, "", "an earlier attempt had failed")
 	} else {
 		ow.tellGivenUp(en, ref, job.EndFailed)
 	}
@@ -203,26 +203,25 @@
 	ow.markDirty(en)
 }
 
-// doneLate notes that an attempt which had been given up was done all the same. An
-// attempt that was to follow it is taken back if no order was sent of it, and stopped
-// otherwise.
+// recordLateSuccess records that an attempt which had been given up had succeeded. The next
+// attempt is withdrawn if no order for it was sent, and stopped otherwise.
 func (ow *Owner) recordLateSuccess(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
 	if at := en.attempts[ref]; at != nil && at.number > number && !at.orderSent && !at.inherited {
-		ow.recordEnd(en, ref, at.number, job.EndNever, "", "an attempt before it was done")
+		ow.recordEnd(en, ref, at.number, job.EndNever, "", "an earlier attempt had succeeded")
 	}
 	if !en.jo.DoneLate(ref, number) {
 		return
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "done-late")
-	ow.Log.Info("attempt that was given up was done", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "state", en.jo.State())
+	ow.Log.Info("abandoned attempt had succeeded", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "state", en.jo.State())
 	if at := en.attempts[ref]; at != nil {
-		en.onWritten = append(en.onWritten, func() { ow.halt(at, "an attempt before it was done") })
+		en.onWritten = append(en.onWritten, func() { ow.halt(at, "an earlier attempt had succeeded") })
 	}
 	ow.stopFinished(en)
 	ow.markDirty(en)
 }
 
-// finish stops what still runs of a job that is over.
+// stopFinished stops the remaining attempts of a job in a final state.
 func (ow *Owner) stopFinished(en *entry) {
 	if !en.jo.State().Final() {
 		return
--- a/internal/sched/drain.go
+++ b/internal/sched/evacuate.go
@@ -7,22 +7,22 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// Times of a worker that leaves.
+// Limits on evacuations.
 const (
-	// leaveReserve is added to the time to stop: the order's way, the look that
-	// lists the end, and its write.
+	// leaveMargin is added to the time to stop an attempt. It covers the delivery of the
+	// order, the poll that lists the end, and the write of the end.
 	leaveMargin = 700 * time.Millisecond
-	// evacuationsPerTick bounds the moves of endless tasks at one look, so that
-	// a step is not away as a whole.
+	// maxEvacuationsPerTick bounds the moves of endless tasks per tick, so that the tasks of
+	// a step are not all interrupted at once.
 	maxEvacuationsPerTick = 6
-	// waitingMost bounds the waiting tasks for which room is kept, each a search of all
-	// workers at worst.
+	// maxReservedWaiting bounds the waiting tasks for which capacity is reserved; each can
+	// take a search of all workers.
 	maxReservedWaiting = 100
 )
 
-// evacuate empties workers that leave, by their own word or as their entry is gone for
-// good. Endless tasks are stopped as soon as another worker has room for them. What ends
-// by itself is left to.
+// evacuate moves tasks off workers that leave, because they are draining or because their
+// entry was removed. An endless task is stopped as soon as another worker has capacity for
+// it. Tasks that end by themselves are left running.
 func (ow *Owner) evacuate(now time.Time) {
 	if ow.storeDown() {
 		return
@@ -38,51 +38,51 @@
 	}
 }
 
-// Why workers are emptied, as counted.
+// Reasons of evacuations, as counted in the metrics.
 const (
 	reasonDraining = "drains"
 	reasonUnlisted = "unlisted"
 )
 
-// whyEmpty says why a worker is to be emptied, or is empty.
+// evacuationReason returns why a worker is to be evacuated, or "" if it is not.
 func (ho *host) evacuationReason(now time.Time) string {
 	switch {
 	case ho.dead || !ho.failing.IsZero():
 		return ""
 	case ho.Draining:
-		// It said so itself, and its entry may go before it does.
+		// The worker reported this itself; its entry may disappear before it leaves.
 		return reasonDraining
 	case ho.lostFromList(now):
-		// Its machine may stop at any moment, and nobody can tell when.
+		// Its host may stop at any moment without notice.
 		return reasonUnlisted
 	}
 	return ""
 }
 
-// evacuation is the emptying of workers at one look.
+// evacuation is the evacuation of workers during one tick.
 type evacuation struct {
 	ow  *Owner
 	now time.Time
-	// leaving are the workers.
+	// leaving are the workers to be evacuated.
 	leaving     []*host
 	placerCache *placer
 	moves       int
-	// full has the steps for a task of which no worker has room.
+	// noCapacity has the steps whose tasks fit on no worker.
 	noCapacity map[*job.Step]bool
 }
 
-// empty empties a worker. What has not ended shortly before one leaves that told when is
-// stopped, so that it is certain that it ended and where it is to be resumed: it would
-// die there all the same, and be known to only once its lease has lapsed.
+// evacuateHost evacuates a worker. Shortly before a draining worker leaves, all its remaining
+// attempts are stopped, so that their end and their last checkpoint are known. Otherwise they
+// would end there anyway, and that would be known only after their leases have expired.
 func (ev *evacuation) evacuateHost(ho *host) {
 	cause := ho.evacuationReason(ev.now)
 	if cause == reasonUnlisted {
 		ho.logEvacuation(ev.now)
 	}
-	last := cause == reasonDraining && ev.now.After(ho.leaves.Add(-ev.ow.Limits.StopTime-leaveMargin))
+	stopAll := cause == reasonDraining && ev.now.After(ho.leaves.Add(-ev.ow.Limits.StopTime-leaveMargin))
 	for at := range ho.attempts {
 		switch {
-		case last:
+		case stopAll:
 			ev.ow.halt(at, "its worker leaves")
 		case at.step().Endless && !ev.stopping(at) && ev.moves < maxEvacuationsPerTick:
 			ev.move(at, cause)
@@ -90,13 +90,13 @@
 	}
 }
 
-// stopping reports whether an order to stop the attempt may still have its effect. One
-// that had none by then is taken to be lost.
+// stopping reports whether an order to stop the attempt may still take effect. After that
+// time the order counts as lost.
 func (ev *evacuation) stopping(at *attempt) bool {
 	return !at.haltSentAt.IsZero() && ev.now.Sub(at.haltSentAt) < ev.ow.Limits.StopTime+leaveMargin
 }
 
-// move stops an endless task if another worker has room for it.
+// move stops an endless task if another worker has capacity for it.
 func (ev *evacuation) move(at *attempt, cause string) {
 	if ev.noCapacity[at.step()] {
 		return
@@ -116,8 +116,9 @@
 	ev.ow.halt(at, why)
 }
 
-// placer returns the room that is left besides what tasks will take that are being
-// stopped, or wait: else one place would be counted again at each look until it is taken.
+// placer returns the remaining capacity after that of the tasks which are being stopped or
+// wait. Without those reservations, one free place would be counted at every tick until it is
+// taken.
 func (ev *evacuation) placer() *placer {
 	if ev.placerCache != nil {
 		return ev.placerCache
@@ -134,16 +135,16 @@
 	return ev.placerCache
 }
 
-// keepForWaiting keeps room for endless tasks that wait for their placement.
+// reserveForWaiting reserves capacity for endless tasks that wait for placement.
 func (pl *placer) reserveForWaiting() {
-	left := maxReservedWaiting
+	remaining := maxReservedWaiting
 	for _, en := range pl.ow.active {
 		for step := range en.jo.Spec.Steps {
 			if !en.jo.Spec.Steps[step].Endless {
 				continue
 			}
-			for range min(en.waitingIn(step), left) {
-				left--
+			for range min(en.waitingIn(step), remaining) {
+				remaining--
 				if !pl.reserve(en, job.TaskRef{Step: step}, nil) {
 					break
 				}
@@ -152,14 +153,16 @@
 	}
 }
 
-// hasRoom reports whether another worker has room for an attempt now, and keeps that room.
+// reserveElsewhere reserves capacity for an attempt on another worker, and reports whether
+// there was any.
 func (pl *placer) reserveElsewhere(at *attempt) bool { return pl.reserve(at.en, at.ref, at.ho) }
 
-// keep keeps room for a task on any worker but one, and reports whether there is any.
-func (pl *placer) reserve(en *entry, ref job.TaskRef, but *host) bool {
+// reserve reserves capacity for a task on any worker except one, and reports whether there
+// was any.
+func (pl *placer) reserve(en *entry, ref job.TaskRef, except *host) bool {
 	st := &en.jo.Spec.Steps[ref.Step]
 	for _, ca := range pl.hosts {
-		if ca.ho == but || !ca.fits(en, ref, st) {
+		if ca.ho == except || !ca.fits(en, ref, st) {
 			continue
 		}
 		ca.free = ca.free.Without(st.Reserved())
--- a/internal/sched/handover.go
+++ b/internal/sched/handover.go
@@ -5,58 +5,59 @@
 	"time"
 )
 
-// Handover returns, once [Owner.Run] has returned or before that, after how many
-// milliseconds at the latest the leases of workers lapse that do not answer, by
-// incarnation. The next owner need not wait for longer.
+// Handover returns, by incarnation, the milliseconds after which the leases of unresponsive
+// workers have expired at the latest. The next owner need not wait longer than that. It can
+// be called before and after [Owner.Run] has returned.
 func (ow *Owner) Handover() map[string]int64 {
 	ow.handoverMu.Lock()
 	defer ow.handoverMu.Unlock()
-	silent := maps.Clone(ow.handoverLeaseMS)
+	leases := maps.Clone(ow.handoverLeaseMS)
 	if ow.inheritedAt.IsZero() {
-		return silent
+		return leases
 	}
 	passed := time.Since(ow.inheritedAt).Milliseconds()
-	for incarnation, ms := range silent {
-		silent[incarnation] = max(ms-passed, 0)
+	for incarnation, ms := range leases {
+		leases[incarnation] = max(ms-passed, 0)
 	}
-	return silent
+	return leases
 }
 
-// noteGiven has [Owner.Handover] return what the former owner handed on, less the time
-// since, until this one has looked for itself: it may end before it has read the cell.
+// recordInheritedLeases has [Owner.Handover] return the former owner's values, less the time
+// since, until this owner has values of its own: its tenure may end before it has read the
+// cell.
 func (ow *Owner) recordInheritedLeases(now time.Time) {
 	ow.handoverMu.Lock()
 	defer ow.handoverMu.Unlock()
 	ow.handoverLeaseMS, ow.inheritedAt = maps.Clone(ow.Tenure.Former.SilentMS), now
 }
 
-// noteAnswer takes a worker that answers off what the next owner is told: its
-// leases are about to be extended.
+// clearUnresponsive removes a worker that answers from what the next owner receives, because
+// its leases are about to be extended.
 func (ow *Owner) clearUnresponsive(ho *host) {
 	ow.handoverMu.Lock()
 	defer ow.handoverMu.Unlock()
 	delete(ow.handoverLeaseMS, ho.incarnation.String())
 }
 
-// noteSilent keeps what [Owner.Handover] returns.
+// recordUnresponsive updates what [Owner.Handover] returns.
 func (ow *Owner) recordUnresponsive(now time.Time) {
-	silent := map[string]int64{}
+	leases := map[string]int64{}
 	for incarnation, ho := range ow.hosts {
 		if len(ho.attempts) > 0 && (!ho.settled || !ho.failing.IsZero()) {
-			silent[incarnation.String()] = ho.leaseRemainingMS(now)
+			leases[incarnation.String()] = ho.leaseRemainingMS(now)
 		}
 	}
 	for incarnation := range ow.unowned {
-		silent[incarnation.String()] = max(ow.orphansUntil(incarnation).Sub(now).Milliseconds(), 0)
+		leases[incarnation.String()] = max(ow.orphansUntil(incarnation).Sub(now).Milliseconds(), 0)
 	}
 	ow.handoverMu.Lock()
 	defer ow.handoverMu.Unlock()
-	ow.handoverLeaseMS, ow.inheritedAt = silent, time.Time{}
+	ow.handoverLeaseMS, ow.inheritedAt = leases, time.Time{}
 }
 
-// lapseIn returns the milliseconds until the worker's leases have lapsed by the
-// slowest clock, if they are not extended any more. Looks on their way may have
-// extended them once more since the last note: that is allowed for.
+// leaseRemainingMS returns the milliseconds until the worker's leases have expired by the
+// slowest clock if they are no longer extended. Polls in flight may have extended them once
+// more since the last recorded value; the result allows for that.
 func (ho *host) leaseRemainingMS(now time.Time) int64 {
 	if !ho.settled {
 		return max(ho.unsettledUntil().Sub(now).Milliseconds(), 0)
--- a/internal/sched/intake.go
+++ b/internal/sched/intake.go
@@ -12,31 +12,31 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// IntakeRow is what an entry host writes that cannot reach the owner: a job
-// handed in, or the cancellation of one.
+// IntakeRow is a request that an entry host stores when it cannot reach the owner: a
+// submitted job, or the cancellation of one.
 type IntakeRow struct {
-	// Terms and Spec are of a job that was handed in.
+	// Terms and Spec are those of a submitted job.
 	Terms job.Terms `json:"terms,omitzero"`
 	Spec  job.Spec  `json:"spec,omitzero"`
 	// Cancel is set for a cancellation.
 	Cancel bool `json:"cancel,omitempty"`
 }
 
-// IntakePrefix is that of a cell's rows. They are in a part of their own: the
-// store writes the rows of one part in turn, and the owner's must not wait
-// behind those of all other hosts.
+// IntakePrefix returns the key prefix of a cell's intake rows. They have a partition of their
+// own because the store carries out the writes to a partition one after the other, and the
+// owner's writes must not wait behind those of all other hosts.
 func IntakePrefix(cell string) string { return IntakeTable + "/" + cell + ".in/" }
 
-// IntakeKey names the row of a job that was handed in.
+// IntakeKey returns the key of the row of a submitted job.
 func IntakeKey(cell, id string) string { return IntakePrefix(cell) + id }
 
-// cancelSuffix follows the id in the key of a cancellation.
+// cancelSuffix follows the job id in the key of a cancellation.
 const cancelSuffix = ".cancel"
 
-// CancelKey names the row of a cancellation.
+// CancelKey returns the key of the row of a cancellation.
 func CancelKey(cell, id string) string { return IntakeKey(cell, id) + cancelSuffix }
 
-// Import takes over what entry hosts wrote.
+// Import handles the intake rows that entry hosts wrote.
 func (ow *Owner) Import(rows []store.FeedRow) {
 	ow.post(func() {
 		for _, row := range rows {
@@ -50,7 +50,7 @@
 func (ow *Owner) importRow(row store.Row) {
 	var in IntakeRow
 	if err := json.Unmarshal(row.Value, &in); err != nil {
-		ow.Log.Error("row of an entry host cannot be read", "key", row.Key, "version", row.Version, "err", err)
+		ow.Log.Error("cannot decode intake row of an entry host", "key", row.Key, "version", row.Version, "err", err)
 		return
 	}
 	id := lastKeySegment(row.Key)
@@ -61,14 +61,15 @@
 	en := ow.entries[id]
 	if en == nil {
 		en = ow.addJob(job.New(id, in.Terms, in.Spec))
-		ow.Log.Info("job taken over from an entry host", "job", id, "queue", in.Terms.Queue, "version", row.Version)
+		ow.Log.Info("job imported from the intake of an entry host", "job", id, "queue", in.Terms.Queue, "version", row.Version)
 	}
 	en.onWritten = append(en.onWritten, func() { go ow.clearIntake(IntakeKey(ow.Cell, id)) })
 	ow.markDirty(en)
 }
 
-// clearIntake removes a row once what it says is in the cell's own rows. If
-// that fails the next reading finds the row again, and the job with it.
+// clearIntake removes an intake row after its content was written to the cell's own rows. If
+// the removal fails, the next read of the intake returns the row again, together with the
+// job.
 func (ow *Owner) clearIntake(key string) {
 	txn := store.NewTxn()
 	txn.Puts = []store.Put{{Key: key, Delete: true}}
@@ -88,12 +89,12 @@
 	}
 }
 
-// importCancel cancels a job. Entry hosts write a cancellation only after they
-// saw the job's own row.
+// importCancel cancels a job. Entry hosts store a cancellation only after they have seen the
+// job's own row.
 func (ow *Owner) importCancel(id string) {
 	en := ow.entries[id]
 	if en == nil {
-		ow.Log.Warn("cancellation of an unknown job", "job", id)
+		ow.Log.Warn("intake has the cancellation of an unknown job", "job", id)
 		return
 	}
 	if !en.jo.State().Final() {
--- a/internal/sched/learnt.go
+++ b/internal/sched/interference.go
@@ -9,28 +9,27 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// What an owner learnt of pairs of images is kept for the next one, which else
-// would disturb services for seconds while it learns all anew.
+// The owner stores what it learnt about interference between pairs of images. Without that,
+// the next owner would disturb services for seconds while it learns it again.
 const (
-	// LearntTable has it.
+	// InterferenceTable is the table of the row.
 	InterferenceTable = "learnt"
-	// saveEvery is the time between two writes of it: a pair is learnt within 2 to
-	// 5 s, and a write of 180 pairs has some 15 KB.
+	// saveInterval is the time between two writes: a pair is learnt within 2 to 5 s, and a
+	// write of 180 pairs has about 15 KB.
 	saveInterval = 4 * time.Second
-	// pairsMost bounds the pairs kept, so that the row stays under the store's
-	// 64 KiB at some 90 bytes a pair.
+	// maxPairs keeps the row below the store's limit of 64 KiB, at about 90 bytes a pair.
 	maxPairs = 500
 )
 
-// learntRow is what was learnt in a cell.
+// interferenceRow has what was learnt in a cell.
 type interferenceRow struct {
 	Pairs []interfere.Learnt `json:"pairs"`
 }
 
 func (ow *Owner) interferenceKey() string { return InterferenceTable + "/" + ow.Cell + "/pairs" }
 
-// loadLearnt begins with what the former owner learnt. Without it the owner
-// learns anew.
+// loadInterference reads what former owners learnt. If it can't be read, this owner learns it
+// again.
 func (ow *Owner) loadInterference(ctx context.Context) {
 	if !ow.uses(MechHandOn) {
 		return
@@ -44,10 +43,10 @@
 		return
 	}
 	ow.model = interfere.FromLearnt(row.Pairs)
-	ow.Log.Info("learnt by former owners", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
+	ow.Log.Info("loaded what former owners learnt of interference", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
 }
 
-// saveLearnt writes what was learnt, if the last write was long enough ago.
+// saveInterference writes what was learnt, at most every saveInterval.
 func (ow *Owner) saveInterference(now time.Time) {
 	if !ow.uses(MechHandOn) || ow.savingModel || now.Sub(ow.modelSavedAt) < saveInterval || ow.storeDown() {
 		return
@@ -61,8 +60,8 @@
 	go ow.writeInterference(value)
 }
 
-// writeLearnt writes it once, on the condition that this host still owns the
-// cell. A write that fails is made up for by the next.
+// writeInterference tries once to write the row, on the condition that this host still owns
+// the cell. After a failure, the next save includes the same data.
 func (ow *Owner) writeInterference(value json.RawMessage) {
 	txn := store.NewTxn()
 	txn.Conds = []store.Cond{{Key: ow.Tenure.Key, Version: ow.Tenure.Version}}
@@ -70,7 +69,7 @@
 	ctx, cancel := context.WithTimeout(ow.ctx, writeTimeout)
 	defer cancel()
 	if _, err := ow.Table.CommitFunc(ctx, txn); err != nil {
-		ow.Log.Info("what was learnt is not written", "cell", ow.Cell, "err", err)
+		ow.Log.Info("cannot write what was learnt of interference", "cell", ow.Cell, "err", err)
 	}
 	ow.post(func() { ow.savingModel = false })
 }
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -8,27 +8,28 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// Summary is what a list says of a job.
+// Summary is a job as it appears in a list.
 type Summary struct {
-	// ID and Queue name it.
+	// ID and Queue are the job's id and queue.
 	ID    string `json:"id"`
 	Queue string `json:"queue"`
-	// State is as last written; the counts are as decided, which may be ahead
-	// of it by the time of a write.
+	// State is the last one written. The counts include decisions not written yet, so they
+	// can be ahead of State for the duration of a write.
 	State job.State `json:"state"`
-	// Tasks counts its tasks, Done those that are done, Running those with an
-	// attempt that runs, or may.
+	// Tasks counts all tasks, Done those that have succeeded, and Running those with an
+	// attempt that runs or may run.
 	Tasks   int `json:"tasks"`
 	Done    int `json:"done"`
 	Running int `json:"running"`
-	// order is that of arrival.
+	// order is the order of arrival.
 	order int64
 }
 
-// listMost bounds a list, the newest jobs first to be kept.
+// maxSummaries bounds a list; the newest jobs are retained.
 const maxSummaries = 1000
 
-// List returns the jobs that the owner remembers, in order of arrival.
+// List returns the jobs in the owner's memory in order of arrival, the newest maxSummaries of
+// them.
 func (ow *Owner) List(ctx context.Context) ([]Summary, error) {
 	return call(ctx, ow, func(answer func([]Summary)) {
 		list := make([]Summary, 0, len(ow.entries))
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -13,8 +13,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// load reads all jobs of the cell. It has no time limit as a whole: one that the rows of
-// the cell do not keep to would have the owner begin anew for ever, and keep the cell.
+// load reads all jobs of the cell. It has no overall timeout: if reading took longer than a
+// timeout, the owner would start over forever while it keeps the cell.
 func (ow *Owner) load(ctx context.Context) error {
 	read := func() (struct{}, error) {
 		err := ow.loadOnce(ctx)
@@ -51,7 +51,7 @@
 		id := lastKeySegment(row.Key)
 		jo, err := job.Restore(id, byID[id].Value, row.Value)
 		if err != nil {
-			// Reading it again would say the same.
+			// A retry would read the same row.
 			return backoff.Permanent(err)
 		}
 		ow.restore(jo, row.Version).specStored = byID[id].Version > 0
@@ -61,7 +61,7 @@
 
 func lastKeySegment(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// restore enters a job as it was read.
+// restore creates the entry of a job read from the store.
 func (ow *Owner) restore(jo *job.Job, progVer int64) *entry {
 	en := ow.addJob(jo)
 	en.progressVersion, en.writtenState = progVer, jo.State()
@@ -80,8 +80,7 @@
 	return en
 }
 
-// adopt gives a worker that was just seen the attempts that former owners
-// ordered there.
+// adopt assigns to a newly seen worker the attempts that former owners ordered there.
 func (ow *Owner) adopt(ho *host) {
 	found := false
 	for incarnation := range ow.unowned {
@@ -102,13 +101,13 @@
 	}
 }
 
-// adopted enters a job's attempts on the worker and returns those elsewhere.
+// adoptOn assigns a job's attempts to the worker and returns those of other workers.
 func (en *entry) adoptOn(ho *host) []job.TaskRef {
-	rest := en.unowned[:0]
+	remaining := en.unowned[:0]
 	for _, ref := range en.unowned {
 		ta := en.jo.Task(ref)
 		if ta.Worker.ID != ho.incarnation.ID {
-			rest = append(rest, ref)
+			remaining = append(remaining, ref)
 			continue
 		}
 		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, inheritedRunTime: workedBy(ta.Proof), pace: unknownPace}
@@ -117,14 +116,14 @@
 		}
 		ho.put(at)
 	}
-	return rest
+	return remaining
 }
 
-// unknownPace is that of attempts a former owner ordered.
+// unknownPace is the pace of attempts that a former owner ordered.
 const unknownPace = -1
 
-// tickOrphans ends attempts on workers that were never seen, once their
-// leases have lapsed.
+// endExpiredUnowned ends the attempts on workers that this owner never saw, once their leases
+// have expired.
 func (ow *Owner) endExpiredUnowned(now time.Time) {
 	for incarnation := range ow.unowned {
 		if ow.orphansOver(incarnation, now) {
@@ -134,26 +133,26 @@
 	}
 }
 
-// unseenWhy is why attempts end on a worker that was never seen.
+// unseenReason is the logged reason for ending attempts on a worker that was never seen.
 const unseenReason = "its worker was not seen since the takeover"
 
-// endOrphans ends the attempts on a worker that was never seen.
+// endUnowned ends the attempts on a worker that was never seen.
 func (ow *Owner) endUnowned(incarnation worker.Incarnation, now time.Time) {
-	sound := ow.listReliable(now)
+	reliable := ow.listReliable(now)
 	var le lostEnds
 	for _, en := range ow.entries {
-		rest := en.unowned[:0]
+		remaining := en.unowned[:0]
 		for _, ref := range en.unowned {
 			ta := en.jo.Task(ref)
 			if ta.Worker != incarnation {
-				rest = append(rest, ref)
+				remaining = append(remaining, ref)
 				continue
 			}
-			end := unseenVerdict(ta.Proof, sound)
+			end := unseenVerdict(ta.Proof, reliable)
 			le.add(&en.jo.Spec.Steps[ref.Step], end)
 			ow.recordEnd(en, ref, ta.Attempt, end, "", unseenReason)
 		}
-		en.unowned = rest
+		en.unowned = remaining
 	}
 	ow.tellLost(incarnation, le, unseenReason, now.Sub(ow.startedAt))
 }
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// compareEntries sorts by priority, then by hope, then by turn.
+// compareEntries compares by priority, then by feasibility, then by sort key.
 func compareEntries(a, b *entry) int {
 	return cmp.Or(compareGroups(a, b), cmp.Compare(a.sortKey, b.sortKey), cmp.Compare(a.order, b.order))
 }
 
-// compareGroups sorts by priority, then by hope.
+// compareGroups compares by priority, then by feasibility.
 func compareGroups(a, b *entry) int {
 	return cmp.Or(cmp.Compare(a.jo.Terms.Priority, b.jo.Terms.Priority), cmp.Compare(a.feasibility, b.feasibility))
 }
 
-// hope says what a job is still worth to its caller. Where there is too little
-// room for all, those that can be in time go before those that cannot.
+// feasibility is whether a job can still meet its target time. When capacity is short, jobs
+// that can meet theirs run before those that cannot.
 type feasibility int8
 
-// The degrees of hope.
+// Degrees of feasibility, best first.
 const (
 	inTime feasibility = iota
 	late
 	tooLate
 )
 
-// lateMost is how many times its aim a job may take and still be worth
-// something, as the users state it.
+// maxLateFactor is how many times its target a job may take and still be of value to its
+// caller; the users specify it.
 const maxLateFactor = 3
 
-// judge returns the job's hope at a moment.
+// evaluateFeasibility returns the job's feasibility at the given time.
 func (en *entry) evaluateFeasibility(now time.Time) feasibility {
-	// An endless task is worth something at any time.
+	// An endless task has no time by which it is worthless.
 	if en.targetMS <= 0 || en.jo.Endless() || !en.ow.uses(MechHope) {
 		return inTime
 	}
@@ -48,10 +48,10 @@
 	return tooLate
 }
 
-// sortActive sorts the jobs that wait by what is known of them now. With too
-// little room for all, more jobs are in time if the small ones go first and those
-// that have begun are finished; but large ones must not starve. So two take their
-// turn by the work that is left for one that does by its age.
+// sortActive sorts the waiting jobs by current feasibility and remaining work. When capacity
+// is short, running small jobs first and finishing those that have begun lets more jobs meet
+// their targets, but large jobs must not starve. Therefore two jobs by remaining work
+// alternate with one by age.
 func (ow *Owner) sortActive(now time.Time) {
 	for _, en := range ow.active {
 		en.feasibility, en.workLeft = en.evaluateFeasibility(now), en.remainingWork()
@@ -68,9 +68,9 @@
 	slices.SortFunc(ow.active, compareEntries)
 }
 
-// remainingWork is the work that is left of the job. That of endless tasks has no
-// end, so among jobs of a priority they take their turn by age: a short task that
-// waits behind them is late, while they lose as much as they wait.
+// remainingWork is the work that is left of the job. That of endless tasks is unbounded, so
+// among jobs of equal priority they are ordered by age: a short task that waits behind them
+// misses its target, while they lose only the time that they wait.
 func (en *entry) remainingWork() int64 {
 	if en.jo.Endless() {
 		return math.MaxInt64
@@ -78,8 +78,8 @@
 	return en.jo.RemainingWork()
 }
 
-// takeTurns ranks the jobs, and gives each the turn of its rank, times every, if
-// it is earlier than the one it has.
+// assignSortKeys ranks the jobs by compare and lowers each job's sort key to every times its
+// rank, if that is lower.
 func (ow *Owner) assignSortKeys(every int, compare func(a, b *entry) int) {
 	ow.rankActive(compare)
 	for _, en := range ow.active {
@@ -87,7 +87,7 @@
 	}
 }
 
-// rank ranks each job among those of its priority and hope.
+// rankActive ranks each job among those of its priority and feasibility.
 func (ow *Owner) rankActive(compare func(a, b *entry) int) {
 	slices.SortFunc(ow.active, func(a, b *entry) int {
 		return cmp.Or(compareGroups(a, b), compare(a, b), cmp.Compare(a.order, b.order))
@@ -100,6 +100,7 @@
 	}
 }
 
-// bySizePerAge is how many jobs take their turn by size for one that does by
-// age: with none by age the largest tenth was served under half as often as all.
+// bySizePerAge is how many jobs are taken by remaining work for each one taken by age.
+// Without any by age, the largest tenth of the jobs was served less than half as often as the
+// average.
 const bySizePerAge = 2
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -1,20 +1,22 @@
-// Package sched runs the jobs of one cell on its workers, on the entry host
-// that owns the cell.
+// Package sched runs the jobs of one cell on its workers. It runs on the entry host that owns
+// the cell.
 //
-// One goroutine holds the state of all jobs and workers and takes events in
-// turn: jobs handed in, what workers were seen to run, writes that ended. A
-// decision takes effect only after it is durable: an attempt is launched, a
-// caller answered and an end acknowledged to its worker once the job's row
-// that says so was written. Rows of many jobs share a write, and the ends of a
-// step go along with the starts of the next. Every write is conditional on the
-// owner's row and on the rows that it replaces, so it can be sent again until
-// its outcome is known, and does nothing if it is carried out late.
+// One goroutine, the loop, holds the state of all jobs and workers and handles events one at
+// a time: submitted jobs, answers of workers to polls, and completed writes. A decision takes
+// effect only after it is durable: an attempt is launched, a caller answered and an end
+// acknowledged to its worker once the job's row that says so was written. Rows of many jobs
+// share a write, and the ends of a step are written together with the starts of the next one.
+// Every write is conditional on the owner's row and on the rows that it replaces. It can
+// therefore be sent again until its outcome is known, and has no effect if it is carried out
+// late.
 //
-// What a worker runs is settled by its own word. A new owner first raises the
-// fencing token there; an attempt that the worker then lists neither as
-// running nor as ended never ran and never will. A worker that cannot be
-// reached counts as running all it was given until its leases have lapsed by
-// the slowest clock.
+// The worker decides what it runs. A new owner first raises the fencing token at the worker;
+// an attempt that the worker then lists neither as running nor as ended never ran and never
+// will. A worker that cannot be reached counts as running everything it was given until its
+// leases have expired by the slowest clock that the drift bound allows.
+//
+// Limits: an owner refuses submitted jobs while it has 20,000 jobs in memory, recently ended
+// ones included, and the state of a cell has to fit into the memory of one host.
 package sched
 
 import (
@@ -32,48 +34,49 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Limits are bounds that the users set.
+// Limits holds the bounds that the users set.
 type Limits struct {
 	// MaxLease is the longest lease that a worker grants.
 	MaxLease time.Duration
-	// StopTime is the longest that a worker takes to stop an attempt.
+	// StopTime is the longest time that a worker takes to stop an attempt.
 	StopTime time.Duration
-	// HarmAfter is how long fillers may keep a service over its target.
+	// HarmAfter is how long fillers may keep a service over its latency target.
 	HarmAfter time.Duration
-	// KeepEnded is how long the state of a job is told after its end.
+	// KeepEnded is how long the state of a job can be queried after its end.
 	KeepEnded time.Duration
 }
 
-// Owner runs the jobs of a cell during one tenure. Set the fields, then call
+// Owner runs the jobs of a cell during one tenure. Set the exported fields, then call
 // [Owner.Run]; the other methods may be called from any goroutine.
 type Owner struct {
 	// Cell names the cell.
 	Cell string
-	// Tenure is the host's time as owner.
+	// Tenure is this host's tenure as owner of the cell.
 	Tenure tenure.Tenure
-	// Table is the store's.
+	// Table is the client of the store.
 	Table store.Table
-	// Agent talks to workers.
+	// Agent sends requests to workers.
 	Agent worker.Agent
-	// Limits are the users'.
+	// Limits holds the bounds that the users set.
 	Limits Limits
-	// ViaFunc names the entry host through which a worker is to be reached, empty
-	// for directly, and DroppedFunc tells that a worker is not reached any more.
-	// Both may be nil.
+	// ViaFunc returns the entry host that relays requests to a worker, or "" if the worker is
+	// reached directly. DroppedFunc is called when a worker is no longer polled. Both may be
+	// nil.
 	ViaFunc     func(Listed) string
 	DroppedFunc func(worker.Incarnation)
-	// ListFunc returns when the list of workers was last known to be true, and since
-	// when it has been read without an error. If nil it always is.
+	// ListFunc returns when the list of workers was last known to be current, and since when
+	// it has been read without an error. If nil, the list is always current.
 	ListFunc func() (last, since time.Time)
-	// Without has the mechanisms that are switched off.
+	// Without is the set of mechanisms that are switched off.
 	Without Mechanism
-	// Metrics counts.
+	// Metrics receives counters and gauges.
 	Metrics *telemetry.Metrics
-	// Log gets decisions.
+	// Log receives decisions and errors.
 	Log *slog.Logger
 
-	// silent is for the next owner; given is since when it is as the former owner
-	// handed it on, or zero.
+	// handoverMu guards handoverLeaseMS and inheritedAt. handoverLeaseMS is what
+	// [Owner.Handover] returns, in milliseconds; inheritedAt is the time from which its
+	// values count if they are still those of the former owner, else zero.
 	handoverMu      sync.Mutex
 	handoverLeaseMS map[string]int64
 	inheritedAt     time.Time
@@ -81,73 +84,75 @@
 	events chan func()
 	ended  chan struct{}
 
-	// All below belongs to the loop.
+	// The loop owns all fields below.
 	ctx     context.Context
 	entries map[string]*entry
 	active  []*entry
 	seq     int64
 	hosts   map[worker.Incarnation]*host
-	// ways counts the ways to workers there ever were.
+	// paths counts the paths to workers created so far.
 	paths int64
-	// sorted has them in an order that does not change, or is nil.
+	// sorted caches the workers in a stable order; nil if out of date.
 	sorted []*host
-	// byAddr has the workers whose processes are not known to have ended, by where they
-	// listen: one of them does.
+	// byAddr has the workers whose processes are not known to have ended, by listen address.
+	// Only one process listens on an address at a time.
 	byAddr map[string][]*host
-	// byID has the workers by their ids: several are lives of one worker.
+	// byID has the workers by id. Several entries under one id are incarnations of one
+	// worker.
 	byID map[string][]*host
-	// due is set while something may be placed that could not before, rounds
-	// counts the rounds of placement.
+	// placementDue is set if something may have become placeable since the last round of
+	// placement; rounds counts the rounds.
 	placementDue bool
 	rounds       int
 	dirty        []*entry
 	writes       int
-	// window bounds the starts under way.
+	// window bounds the starts in flight.
 	window startWindow
-	// failing is since when writes have not succeeded, or zero.
+	// writesFailingSince is zero while writes succeed.
 	writesFailingSince time.Time
-	// orphans has the attempts on workers that no list named since the
-	// takeover, by incarnation.
+	// unowned counts the attempts of former owners on workers that no list has named since
+	// the takeover, by incarnation.
 	unowned   map[worker.Incarnation]int
 	startedAt time.Time
-	// noted is what the next owner may read of workers that do not answer.
+	// leaseRecord tracks the stored lease expiries of unresponsive workers.
 	leaseRecord leaseRecord
-	// model is what was learnt of fillers and services.
+	// model predicts how fillers disturb services.
 	model interfere.Model
-	// noPlace has what no place was found for.
+	// noPlace has the steps for which this round of placement found no worker.
 	noPlace noPlace
-	// likeness has what was worked out in this round of placement.
+	// similarity caches results for one round of placement.
 	similarity map[imagePair]float64
-	// saved is when what was learnt was last written, saving is set while it is.
+	// modelSavedAt is when the model was last written; savingModel is set while a write of it
+	// is in flight.
 	modelSavedAt time.Time
 	savingModel  bool
-	// scarceAt is when a line last told of tasks that last and find no room.
+	// scarcityLoggedAt is when long-running tasks without capacity were last logged.
 	scarcityLoggedAt time.Time
-	// promises are what is kept for lasting tasks that are to begin again.
+	// reservations holds the capacity reserved for long-running tasks that are to restart.
 	reservations promises
-	// stuckAt is when it was last looked for tasks that are stuck.
+	// stuckCheckedAt is when stuck tasks were last searched for.
 	stuckCheckedAt time.Time
-	// roll follows how far the list of workers can be believed.
+	// listTrust tracks whether the list of workers can be relied on.
 	listTrust listTrust
-	// outage has what was told of workers that get no orders.
+	// outage tracks what was logged about workers that receive no orders.
 	outage outage
 }
 
-// Times of the loop.
+// Timing of the loop.
 const (
-	// tickEvery is the time between looks at what only time changes, such as
-	// leases that lapse.
+	// tickInterval is the time between checks of what depends on time alone, such as the
+	// expiry of leases.
 	tickInterval = 100 * time.Millisecond
-	// eventsMost bounds the events that wait for the loop.
+	// maxEvents bounds the events queued for the loop.
 	maxEvents = 1024
-	// clockDrift is how much slower a worker's clock may run, as the users
-	// state it.
+	// clockDrift is how much slower or faster than true time a worker's clock may run, as a
+	// fraction; the users specify it.
 	clockDrift = 0.02
-	// lapseMargin is added to computed ends of leases.
+	// lapseMargin is added to computed lease expiries.
 	lapseMargin = 100 * time.Millisecond
 )
 
-// New returns an owner that is ready for [Owner.Run].
+// New initializes ow for [Owner.Run] and returns it.
 func New(ow *Owner) *Owner {
 	ow.events = make(chan func(), maxEvents)
 	ow.ended = make(chan struct{})
@@ -160,7 +165,8 @@
 	return ow
 }
 
-// Run reads the state of the cell, calls loaded, and serves it until ctx ends.
+// Run reads the state of the cell, calls loaded, and serves the cell until ctx ends. It
+// returns an error if the state cannot be read.
 func (ow *Owner) Run(ctx context.Context, loaded func()) error {
 	defer close(ow.ended)
 	defer GaugeNoWorkers(ow.Metrics)
@@ -185,7 +191,7 @@
 			fn()
 			ow.drainEvents()
 		}
-		// What is placed while a write is under way waits for its end anyway.
+		// Starts placed during a write have to wait for its end anyway.
 		if ow.placementDue && ow.writes < maxConcurrentWrites && !ow.window.full() {
 			ow.place()
 		}
@@ -193,14 +199,15 @@
 	}
 }
 
-// ticks has the loop look at what time alone changes, until the tenure is over. It
-// is an event like others, so that the loop waits for one thing only.
+// ticks posts a tick every tickInterval until the tenure ends. Ticks are events like all
+// others, so the loop waits on one channel only.
 func (ow *Owner) ticks() {
 	for clock.Sleep(ow.ctx, tickInterval) && ow.post(ow.tick) {
 	}
 }
 
-// drain handles the events that wait already, so that they share a write.
+// drainEvents handles the events that are already queued, so that their changes share a
+// write.
 func (ow *Owner) drainEvents() {
 	for range maxEvents {
 		select {
@@ -212,7 +219,7 @@
 	}
 }
 
-// post hands fn to the loop. It reports false if the tenure is over.
+// post queues fn for the loop. It reports false if the tenure is over.
 func (ow *Owner) post(fn func()) bool {
 	select {
 	case ow.events <- fn:
@@ -222,7 +229,7 @@
 	}
 }
 
-// tick looks at what time alone changes.
+// tick updates everything that depends on time alone.
 func (ow *Owner) tick() {
 	now := time.Now()
 	for _, ho := range ow.hosts {
@@ -246,13 +253,12 @@
 	ow.placementDue = true
 }
 
-// storeDown reports whether writes have failed for so long that new work is
-// refused.
+// storeDown reports whether writes have failed for so long that new jobs are refused.
 func (ow *Owner) storeDown() bool {
 	return !ow.writesFailingSince.IsZero() && time.Since(ow.writesFailingSince) > storeDownAfter
 }
 
-// forgetEnded removes jobs whose state was told for long enough.
+// forgetEnded removes jobs that ended longer than Limits.KeepEnded ago.
 func (ow *Owner) forgetEnded(now time.Time) {
 	for id, en := range ow.entries {
 		if en.endedAt.IsZero() || en.dirty || en.writing || now.Sub(en.endedAt) < ow.Limits.KeepEnded {
@@ -265,19 +271,20 @@
 	}
 }
 
-// name returns the keys of a job's rows.
+// specKey and progressKey return the keys of a job's rows; an empty id gives their common
+// prefix.
 func (ow *Owner) specKey(id string) string     { return SpecTable + "/" + ow.Cell + "/" + id }
 func (ow *Owner) progressKey(id string) string { return ProgressTable + "/" + ow.Cell + "/" + id }
 
-// Tables of the store.
+// Tables in the store.
 const (
-	// SpecTable has what never changes of a job, ProgressTable the rest.
+	// SpecTable has the immutable part of each job, ProgressTable the mutable part.
 	SpecTable     = "jobs"
 	ProgressTable = "progress"
-	// IntakeTable has what entry hosts accepted while they could not reach
-	// the owner.
+	// IntakeTable has the requests that entry hosts accepted while they could not reach the
+	// owner.
 	IntakeTable = "intake"
 )
 
-// visible is what callers are told of a job: its state as last written.
+// reportedState returns the state that callers see: the last one written.
 func (en *entry) reportedState() job.State { return en.writtenState }
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// What looks show of attempts at work is kept in their jobs' rows, as the next owner judges
-// by it the ends of workers that it never saw: without it every attempt on a worker that was
-// lost together with an owner counts as one that may have crashed it. A row is written with each change of its job; the
-// proof of an attempt on which more depends has the row written for it.
+// The rows of jobs retain how long attempts are known to have run. The next owner uses that
+// to classify the ends of attempts on workers that it never saw. Otherwise every attempt on a
+// worker that was lost together with an owner would count as a possible cause of the worker's
+// crash. The proof is written with each change of its job; where a wrong classification is
+// costly, the row is also written for the proof alone.
 
-// proofWait is how long such a proof waits for another change of the job, and for the proofs
-// of its other tasks: their workers' looks come within a second.
+// proofWriteDelay is how long such a proof waits for another change of the job, and for the
+// proofs of its other tasks: the polls of their workers return within a second.
 const proofWriteDelay = 500 * time.Millisecond
 
-// sight notes that a look listed the attempt as running.
+// recordSighting records that a poll listed the attempt as running.
 func (at *attempt) recordSighting(now time.Time) {
 	at.lastSeenAt = now
 	ran := at.sightings().ran
@@ -24,19 +25,19 @@
 	}
 }
 
-// exposed reports whether a crash that is put down to the attempt wrongly costs much: it
-// lasts, and so outlives many owners, or has been suspected before. Most others are over
-// before their proof would be written.
+// wrongBlameCostly reports whether it is costly to attribute a crash to the attempt by
+// mistake: it is endless, and so outlives many owners, or was suspected before. Most other
+// attempts end before their proof would be written.
 func (at *attempt) wrongBlameCostly() bool { return at.step().Endless || at.task().Suspect() }
 
-// dueProof has the job's row written soon.
+// scheduleProofWrite has the job's row written within proofWriteDelay.
 func (en *entry) scheduleProofWrite(now time.Time) {
 	if en.proofDue.IsZero() {
 		en.proofDue = now.Add(proofWriteDelay)
 	}
 }
 
-// writeProofs has the rows written whose proofs have waited long enough.
+// writeDueProofs marks the jobs for writing whose proofs have waited long enough.
 func (ow *Owner) writeDueProofs(now time.Time) {
 	if ow.storeDown() {
 		return
--- a/internal/sched/aside.go
+++ b/internal/sched/quarantine.go
@@ -6,10 +6,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// judge keeps how a worker does, and sets it aside if it fails the tasks of
-// several jobs in a row.
-func (ho *host) recordOutcome(en *entry, how string) {
-	switch how {
+// recordOutcome records how an attempt on the worker ended, and quarantines the worker if it
+// fails tasks of several jobs in a row.
+func (ho *host) recordOutcome(en *entry, outcome string) {
+	switch outcome {
 	case "done":
 		ho.failures, ho.asides = 0, 0
 		clear(ho.failedJobs)
@@ -27,47 +27,51 @@
 	ho.failures = quarantineFailures - 1
 }
 
-// maySpare reports whether one more worker of a service may be set aside for failures.
-// Where more than a part of them fail the tasks of several jobs, it is the tasks that
-// fail.
+// mayQuarantine reports whether one more worker of a service may be quarantined for failures.
+// If more than a share of them fail tasks of several jobs, the tasks are at fault and not the
+// workers.
 func (ow *Owner) mayQuarantine(ho *host) bool {
-	now, all, spared := time.Now(), 0, 0
+	now, all, quarantined := time.Now(), 0, 0
 	for _, other := range ow.hosts {
 		if other.Service != ho.Service || other.dead || other.gone {
 			continue
 		}
 		all++
 		if other != ho && other.quarantinedForFailures(now) {
-			spared++
+			quarantined++
 		}
 	}
-	return all > 1 && spared < max(all/quarantineShare, 1)
+	return all > 1 && quarantined < max(all/quarantineShare, 1)
 }
 
-// fails reports whether the worker is set aside as it fails tasks.
+// quarantinedForFailures reports whether the worker is quarantined because tasks failed
+// there.
 func (ho *host) quarantinedForFailures(now time.Time) bool { return !now.After(ho.failingUntil) }
 
-// Setting workers aside.
+// Rules of the quarantine.
 const (
-	// asideFailures and asideJobs are how many attempts, of how many jobs,
-	// must fail in a row: one attempt in 30 fails by itself.
+	// quarantineFailures is the number of attempts in a row, and quarantineJobs the number of
+	// their jobs, that must fail: one attempt in 30 fails without a fault of its worker.
 	quarantineFailures = 2
 	quarantineJobs     = 2
-	// asideFirst is the first time aside; it doubles so often.
+	// initialQuarantine is the duration of the first quarantine; it doubles up to
+	// maxQuarantineDoublings times.
 	initialQuarantine      = 1500 * time.Millisecond
 	maxQuarantineDoublings = 3
-	// asideShare bounds the workers of a service that are set aside for failures at once:
-	// one of so many, and one at least where there are others. Users take what stands
-	// empty for free, and miss a job beside it where under half is used.
+	// quarantineShare bounds the workers of a service that are quarantined for failures at
+	// once: one in quarantineShare, and at least one if there are others. Users count idle
+	// workers as free capacity, and report a job that waits while less than half of it is
+	// used.
 	quarantineShare = 4
-	// lastResortAfter is how long a task that lasts waits before it goes to a worker that
-	// is set aside for failures, if no other has room: users miss it from 6 s on.
+	// lastResortAfter is how long an endless task waits before it is started on a worker that
+	// is quarantined for failures, if no other has capacity. Users report an endless task
+	// that has not run for 6 s.
 	lastResortAfter = time.Second
-	// asideUnfit is the time aside after a refused order.
+	// unfitQuarantine is the duration of the quarantine after a refused order.
 	unfitQuarantine = 700 * time.Millisecond
 )
 
-// setAside keeps new work from the worker for a while.
+// quarantine keeps new tasks away from the worker for d.
 func (ho *host) quarantine(d time.Duration, why string) {
 	until := time.Now().Add(d)
 	if until.Before(ho.asideUntil) {
@@ -81,9 +85,9 @@
 	ho.ow.Log.Warn("worker set aside", "worker", ho.incarnation, "for", d, "failures", ho.failures, "why", why)
 }
 
-// lastResort starts a task that lasts on a worker that is set aside for failures, once it
-// has waited for another, and reports whether it did. Such a task may fail as often as it
-// likes, and where it stands it may last.
+// startAsLastResort starts an endless task on a worker that is quarantined for failures, once
+// the task has waited for another worker, and reports whether it did. Endless tasks have no
+// limit of failures, and the task may well run there.
 func (pl *placer) startAsLastResort(en *entry, ref job.TaskRef) bool {
 	if !en.jo.Spec.Steps[ref.Step].Endless || pl.now.Sub(en.waitingSince) < lastResortAfter {
 		return false
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -2,37 +2,38 @@
 
 import "time"
 
-// Times of workers without an entry in the list.
+// Timing of workers without an entry in the list.
 const (
-	// entryBack is how long a worker without an entry is left alone that answers: the
-	// users' machines enter themselves again within some 2 s of the end of an outage, and
-	// the feed and the owner's turn take up to one more.
+	// entryReturnWait is how long a worker that answers is left alone after its entry
+	// disappeared. Workers re-register within about 2 s of the end of a store outage, and the
+	// feed and the owner's loop take up to one second more.
 	entryReturnWait = 3 * time.Second
-	// listStale is the age from which on the list counts as not read: a call waits 1.5 s
-	// for a change, and the next is under way for as long.
+	// listStaleAfter is the age from which the list counts as unread: a read waits up to 1.5
+	// s for a change, and the next read can take as long.
 	listStaleAfter = 3500 * time.Millisecond
-	// unconfirmedAfter is how old the last heartbeat that the store took may be, and
-	// its last confirmation of the tenure: one is written each 0.5 s, and a write takes
-	// up to 1.5 s before it is sent again.
+	// unconfirmedAfter is the maximum age of the last heartbeat that the store accepted and
+	// of its last confirmation of the tenure. A heartbeat is written every 0.5 s, and a write
+	// takes up to 1.5 s before it is sent again.
 	unconfirmedAfter = 2 * time.Second
-	// doubtFor is how long a list is doubted that has less than half of the workers
-	// which it had, as the entry hosts of `serve` do.
+	// doubtDuration is how long a list is doubted that has less than half of its former
+	// workers. The entry hosts' list of `serve` uses the same duration.
 	doubtDuration = 30 * time.Second
 )
 
-// roll follows how far the list of workers can be believed. The zero value has had no
+// listTrust tracks whether the list of workers can be relied on. The zero value has seen no
 // workers.
 type listTrust struct {
-	// trouble is when the store was last seen not to serve, or the owner began.
+	// untrustedAt is when the store was last seen unhealthy, or when the owner started.
 	untrustedAt time.Time
-	// most is the most workers that the list had of late, mostAt when it had.
+	// maxListed is the largest recent number of workers in the list, maxListedAt when the
+	// list had it.
 	maxListed   int
 	maxListedAt time.Time
-	// doubted is set while it has less than half of them.
+	// doubted is set while the list has less than half of maxListed.
 	doubted bool
 }
 
-// listRead returns when the list of workers was last known to be true, and since when
+// listReadTimes returns when the list of workers was last known to be current, and since when
 // it has been read without an error.
 func (ow *Owner) listReadTimes(now time.Time) (last, since time.Time) {
 	if ow.ListFunc == nil {
@@ -41,13 +42,13 @@
 	return ow.ListFunc()
 }
 
-// listAge is how long ago the list was last known to be true.
+// listAge returns how long ago the list was last known to be current.
 func (ow *Owner) listAge(now time.Time) time.Duration {
 	last, _ := ow.listReadTimes(now)
 	return now.Sub(last)
 }
 
-// noteList looks at how far the list can be believed now.
+// checkWorkerList updates how far the list can be relied on.
 func (ow *Owner) checkWorkerList(now time.Time) {
 	if ow.storeUnhealthy(now) {
 		ow.listTrust.untrustedAt = now
@@ -59,22 +60,22 @@
 	ow.updateListDoubt(now)
 }
 
-// storeTrouble reports whether the store does not serve the owner: entries lapse then
-// although their workers are well. It may answer reads and take no writes.
+// storeUnhealthy reports whether the store does not serve the owner. In that case entries
+// expire although their workers are healthy. The store may answer reads and accept no writes.
 func (ow *Owner) storeUnhealthy(now time.Time) bool {
 	return !ow.writesFailingSince.IsZero() || ow.listAge(now) > listStaleAfter ||
 		now.Sub(ow.Tenure.Confirmed()) > unconfirmedAfter || now.Sub(ow.Tenure.Written()) > unconfirmedAfter
 }
 
-// listSound reports whether the list of workers has been believed for so long that a
-// worker without an entry is gone.
+// listReliable reports whether the list of workers has been reliable for so long that a
+// worker without an entry was removed.
 func (ow *Owner) listReliable(now time.Time) bool {
 	return !ow.listTrust.doubted && now.Sub(ow.listTrust.untrustedAt) > entryReturnWait
 }
 
-// doubtList doubts a list that has lost more than half of its workers of late: it is
-// more likely that they cannot reach the store, or that the list was read in part, than
-// that all of them left.
+// updateListDoubt marks a list as doubted that has recently lost more than half of its
+// workers. It is more likely that they cannot reach the store, or that the list was read in
+// part, than that all of them left.
 func (ow *Owner) updateListDoubt(now time.Time) {
 	listed := 0
 	for _, ho := range ow.hosts {
@@ -97,13 +98,13 @@
 	ow.Log.Warn(msg, "cell", ow.Cell, "listed", listed, "most", ow.listTrust.maxListed, "list_age", ow.listAge(now))
 }
 
-// goneForGood reports whether the worker, which has no entry, is not to be waited for:
-// neither an outage of the store nor its last seconds are why.
+// lostFromList reports whether the entry of the worker is not expected back: neither a store
+// outage nor its latest seconds explain why it is missing.
 func (ho *host) lostFromList(now time.Time) bool {
 	return ho.gone && now.Sub(ho.goneAt) > entryReturnWait && ho.ow.listReliable(now)
 }
 
-// tellEmptied tells once that a worker without an entry is emptied.
+// logEvacuation logs once that a worker without an entry is evacuated.
 func (ho *host) logEvacuation(now time.Time) {
 	if ho.emptied {
 		return
--- a/internal/sched/window.go
+++ b/internal/sched/window.go
@@ -2,31 +2,30 @@
 
 import "time"
 
-// Numbers of the window.
+// Parameters of the start window.
 const (
-	// windowFirst is how many starts may be under way at first, windowMost and
-	// windowLeast how many at most and at least. With a write of 15 ms and an order
-	// of 10 ms, 256 are some 10,000 starts a second.
+	// initialWindow, maxWindow and minWindow are in starts. With a write of 15 ms and an
+	// order of 10 ms, a window of 256 allows about 10,000 starts a second.
 	initialWindow = 256
 	maxWindow     = 1024
 	minWindow     = 12
-	// slowOrder is how long an answer to an order may take before it counts as
-	// slow: fifty times the usual, over half of what is waited for.
+	// slowAnswer is the time from which an answer to an order counts as slow: 50 times the
+	// usual time, and more than half of the timeout.
 	slowAnswer = 250 * time.Millisecond
-	// slowShare is the share of slow answers, of the last slowOf or so, from which
-	// on the window shrinks: one slow worker, or a few, are not a reason.
+	// slowShare is the share of slow answers, averaged over about slowSamples of them, from
+	// which the window shrinks. It ignores slow answers of one worker or a few.
 	slowShare   = 0.3
 	slowSamples = 16
-	// shrinkEvery is the least time between two times that the window shrinks, which
-	// is how long it takes to show, and shrinkTo what is left of it then.
+	// shrinkInterval is the minimum time between two reductions, which is how long one takes
+	// to show an effect. shrinkFactor is what is multiplied into the window each time.
 	shrinkInterval = 250 * time.Millisecond
 	shrinkFactor   = 0.6
 )
 
-// window bounds the starts that are under way: placed, and not yet answered by
-// their workers. An owner whose link or processor is full has its answers later and
-// later, until it takes all of them for lost; so the window shrinks while answers
-// are slow, and grows while they are not. The zero value is ready.
+// startWindow bounds the starts in flight: those of tasks that are placed and whose workers
+// have not answered yet. When the owner's link or CPU is saturated, answers arrive later and
+// later until all of them time out. The window therefore shrinks while answers are slow, and
+// grows while they are not. The zero value is ready.
 type startWindow struct {
 	inFlight int
 	size     float64
@@ -34,7 +33,7 @@
 	shrunkAt time.Time
 }
 
-// full reports whether no more starts may be under way.
+// full reports whether no more starts may be in flight.
 func (wi *startWindow) full() bool { return wi.inFlight >= wi.limit() }
 
 func (wi *startWindow) limit() int {
@@ -44,7 +43,7 @@
 	return int(wi.size)
 }
 
-// answered takes in how long an answer took, and reports whether the window shrank.
+// recordAnswer adds the duration of an answer, and reports whether the window shrank.
 func (wi *startWindow) recordAnswer(took time.Duration, now time.Time) bool {
 	slow := 0.0
 	if took >= slowAnswer {
@@ -64,12 +63,13 @@
 	return true
 }
 
-// depart and land count an attempt in and out.
+// beginStart adds an attempt to the starts in flight.
 func (ow *Owner) beginStart(at *attempt) {
 	at.inFlight = true
 	ow.window.inFlight++
 }
 
+// endStart removes an attempt from the starts in flight, if it is one of them.
 func (ow *Owner) endStart(at *attempt) {
 	if at.inFlight {
 		at.inFlight = false
