--- a/internal/sched/backlog_test.go
+++ b/internal/sched/backlog_test.go
@@ -9,8 +9,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// backlog fills a cell with lasting tasks of many sizes, has three tenths of its workers be
-// lost, and hands in jobs that end by themselves, for all of which there is too little room.
+// fillWithBacklog fills a cell with long-running tasks of many sizes, kills three tenths of
+// its workers, and submits more short jobs than there is capacity for.
 func fillWithBacklog(la *lab, ow *Owner, workers int) {
 	n := 0
 	for i := range 3 * workers / 10 {
@@ -31,7 +31,8 @@
 	time.Sleep(time.Second)
 }
 
-// BenchmarkBacklog measures one tick and one round of placement while much waits for room.
+// BenchmarkBacklog measures one tick and one round of placement while many tasks wait for
+// capacity.
 func BenchmarkBacklog(b *testing.B) {
 	for _, workers := range []int{48, 350} {
 		la := newLab(b, workers)
@@ -53,7 +54,7 @@
 	}
 }
 
-// BenchmarkBacklogServed measures the owner while a backlog is served for 10 s.
+// BenchmarkBacklogServed measures the owner while it works through a backlog for 10 s.
 func BenchmarkBacklogServed(b *testing.B) {
 	la := newLab(b, 350)
 	la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// mixture fills a cell as the users do: endless services on most of the
-// processors, and fillers that wait for a good place.
+// fillWithServicesAndFillers fills a cell with the users' mix of jobs: endless services on
+// most of the CPUs, and fillers that wait for a suitable worker.
 func fillWithServicesAndFillers(la *lab, ow *Owner, workers int) {
 	n := 0
 	for i := range workers {
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkPlace measures one round of placement with nothing to be placed but
-// fillers that no worker welcomes.
+// BenchmarkPlace measures one round of placement in which only fillers wait, and no worker
+// takes them.
 func BenchmarkPlace(b *testing.B) {
 	for _, workers := range []int{48, 66, 350, 490, 1000} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// BenchmarkAttempts measures the owner's work for attempts from start to end,
-// with stand-ins in the same process.
+// BenchmarkAttempts measures the owner's work for attempts from start to end, with simulated
+// workers in the same process.
 func BenchmarkAttempts(b *testing.B) {
 	la := newLab(b, 48)
 	la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Millisecond, "done" }
@@ -74,9 +74,8 @@
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(10*n), "us/attempt")
 }
 
-// BenchmarkNextStart measures the time from the end of a step's last task at
-// its worker to the first start of the next step, with a store that takes 12 ms
-// for a write.
+// BenchmarkNextStart measures the time from the end of a step's last task at its worker to
+// the first start of the next step, with a store that takes 12 ms for a write.
 func BenchmarkNextStart(b *testing.B) {
 	for _, workers := range []int{48, 350} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -133,7 +132,7 @@
 	return float64(sorted[int(part*float64(len(sorted)-1))].Microseconds()) / 1000
 }
 
-// BenchmarkLoad measures a new owner's reading of its cell.
+// BenchmarkLoad measures how long a new owner takes to read its cell.
 func BenchmarkLoad(b *testing.B) {
 	for _, jobs := range []int{500, 5000} {
 		b.Run(fmt.Sprint(jobs), func(b *testing.B) {
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -13,18 +13,18 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// newsTime is how long after its worker said that it has less room a start may still go by
-// what it said before: users allow 4 s and a heartbeat.
+// reportDelay is how long after a worker reported less capacity a start may still be based on
+// its earlier report: users allow 4 s and a heartbeat.
 const reportDelay = time.Second
 
-// capacities is a lab whose workers say at times that they have less room, or more, and
-// take whatever they are given.
+// capacityLab is a lab whose workers report changing capacities, and accept whatever they are
+// ordered to run.
 type capacityLab struct {
 	*lab
 
 	ow  *Owner
 	end func()
-	// said has what each worker said of itself, in order.
+	// reported has the capacities that each worker reported, in order.
 	reported map[worker.Incarnation][]capacityReport
 }
 
@@ -60,7 +60,7 @@
 	ca.reported[id] = append(ca.reported[id], capacityReport{at: time.Now(), holds: holds})
 }
 
-// say has a worker say what it holds.
+// report has a worker report a capacity.
 func (ca *capacityLab) report(fw *standin.FleetWorker, cores int64) {
 	ca.record(fw, worker.Resources{MilliCores: cores * 1000, MemMB: 128_000})
 	ca.sendReports()
@@ -75,20 +75,21 @@
 	ca.ow.SetWorkers(list, nil, true)
 }
 
-// mostSaid is the most processor that a worker may be taken to have at a moment.
+// maxReported returns the largest CPU capacity, in thousandths of a core, that a worker may
+// be taken to have at the given time.
 func (ca *capacityLab) maxReported(id worker.Incarnation, at time.Time) int64 {
-	var most int64
+	var highest int64
 	said := ca.reported[id]
 	for i, sa := range said {
 		over := i+1 < len(said) && said[i+1].at.Before(at.Add(-reportDelay))
 		if !sa.at.After(at) && !over {
-			most = max(most, sa.holds.MilliCores)
+			highest = max(highest, sa.holds.MilliCores)
 		}
 	}
-	return most
+	return highest
 }
 
-// overfilled lists the starts that brought a worker over what it had said that it holds.
+// overfilled lists the starts that exceeded the reported capacity of their worker.
 func (ca *capacityLab) overfilled() []string {
 	var list []string
 	runs := ca.fleet.Runs()
@@ -107,10 +108,10 @@
 	return list
 }
 
-// TestRoomIsWhatAWorkerSays has a worker say that it has less room while tasks run there,
-// and more again: nothing starts that would go over what it says, and what it has again is
-// used at once, also after a takeover.
-func TestRoomIsWhatAWorkerSays(t *testing.T) {
+// TestCapacityIsWhatWorkerReports has a worker report less capacity while tasks run there,
+// and more again: no start may exceed the reported capacity, and regained capacity is used at
+// once, also after a takeover.
+func TestCapacityIsWhatWorkerReports(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			ca := newCapacityLab(t, 1)
@@ -136,9 +137,9 @@
 	}
 }
 
-// TestNoStartGoesOverWhatAWorkerSays plays random changes of what workers say that they
-// hold, with jobs and takeovers.
-func TestNoStartGoesOverWhatAWorkerSays(t *testing.T) {
+// TestNoStartExceedsReportedCapacity plays random changes of the reported capacities, with
+// jobs and takeovers.
+func TestNoStartExceedsReportedCapacity(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: capacityScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
 			ca := newCapacityLab(t, 4)
@@ -160,7 +161,7 @@
 			}
 			time.Sleep(5 * time.Second)
 			for _, over := range ca.overfilled() {
-				rt.Errorf("started over what its worker holds: %s", over)
+				rt.Errorf("started over the capacity of its worker: %s", over)
 			}
 			for _, problem := range ca.problems() {
 				rt.Error(problem)
@@ -169,5 +170,5 @@
 	})
 }
 
-// capacityScripts is the number of scripts; PEPPERHATCH_SEED plays others.
+// capacityScripts is the number of random scripts; PEPPERHATCH_SEED selects others.
 const capacityScripts = 60
--- a/internal/sched/crowd_test.go
+++ b/internal/sched/cluster_test.go
@@ -20,45 +20,46 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// crowd is a cell with several hosts that may own it, each with its own ways to
-// the store, to the others and to workers.
+// cluster is a cell with several hosts that may own it. Each host has its own connections to
+// the store, to the other hosts and to the workers.
 type cluster struct {
 	*lab
 
-	mu        sync.Mutex
-	hosts     []*clusterHost
+	mu    sync.Mutex
+	hosts []*clusterHost
+	// processes counts the processes started so far.
 	processes int
 	// maxLease is the longest lease that workers grant, 6 s if not set.
 	maxLease time.Duration
-	// lost is when a worker was lost together with an owner.
+	// lostAt is when a worker was lost together with an owner.
 	lostAt time.Time
 }
 
-// contender is a process of a host that may own the cell.
+// clusterHost is one process on a host that may own the cell.
 type clusterHost struct {
 	cr     *cluster
 	keeper *tenure.Keeper
 	end    context.CancelFunc
-	// gate is its way to the store.
+	// gate injects faults into its connection to the store.
 	gate standin.Gate
-	// ow is what it runs while it owns the cell.
+	// ow is the owner that it runs while it owns the cell, else nil.
 	ow atomic.Pointer[Owner]
 
 	mu sync.Mutex
-	// dark ones neither ask others nor answer them; those that were reborn have
-	// another process on their host.
+	// partitioned hosts neither ask other hosts nor answer them; restarted ones have another
+	// process on their host.
 	partitioned, restarted bool
-	// stuck ones cannot read the cell.
+	// readsBlocked hosts cannot read the cell.
 	readsBlocked bool
-	// cut has the workers that it cannot reach, by incarnation.
+	// unreachable has the workers that it cannot reach, by incarnation.
 	unreachable map[worker.Incarnation]bool
-	// once has those that it reaches once more.
+	// reachableOnce has those of them that it reaches for one more request.
 	reachableOnce map[worker.Incarnation]bool
 }
 
-var errUnreachable = errors.New("cut off")
+var errUnreachable = errors.New("unreachable by an injected fault")
 
-// join starts a host with so much processor, in cores: those with less claim later.
+// join starts a host with the given CPU cores; those with fewer cores claim later.
 func (cr *cluster) join(name string, cores float64) *clusterHost {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -75,7 +76,7 @@
 	return co
 }
 
-// set changes the host's faults.
+// set changes the host's faults under its lock.
 func (co *clusterHost) set(fn func(*clusterHost)) {
 	co.mu.Lock()
 	defer co.mu.Unlock()
@@ -88,7 +89,7 @@
 	return co.partitioned
 }
 
-// table puts the host's faults before the store.
+// table wraps the store's client with the host's faults.
 func (co *clusterHost) table(tbl store.Table) store.Table {
 	return store.Table{
 		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
@@ -114,9 +115,9 @@
 
 func (co *clusterHost) beforeRead(ctx context.Context) error {
 	co.mu.Lock()
-	stuck := co.readsBlocked
+	blocked := co.readsBlocked
 	co.mu.Unlock()
-	if stuck {
+	if blocked {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -124,7 +125,7 @@
 	return err
 }
 
-// agent puts the host's cuts before the workers.
+// agent wraps the workers' client with the host's unreachable workers.
 func (co *clusterHost) agent() worker.Agent {
 	ag := co.cr.fleet.Agent()
 	return worker.Agent{
@@ -136,10 +137,10 @@
 func withUnreachable[Order, Answer any](co *clusterHost, send func(context.Context, worker.Addr, Order) (Answer, error)) func(context.Context, worker.Addr, Order) (Answer, error) {
 	return func(ctx context.Context, ad worker.Addr, or Order) (Answer, error) {
 		co.mu.Lock()
-		cut := co.unreachable[ad.Incarnation] && !co.reachableOnce[ad.Incarnation]
+		refused := co.unreachable[ad.Incarnation] && !co.reachableOnce[ad.Incarnation]
 		delete(co.reachableOnce, ad.Incarnation)
 		co.mu.Unlock()
-		if cut {
+		if refused {
 			var none Answer
 			return none, errUnreachable
 		}
@@ -147,25 +148,25 @@
 	}
 }
 
-// ask asks the last process of a host.
+// ask asks the latest process of a host about its tenure.
 func (co *clusterHost) ask(_ context.Context, addr string, epoch int64) (tenure.Life, error) {
-	const way = 3 * time.Millisecond
-	time.Sleep(way)
+	const latency = 3 * time.Millisecond
+	time.Sleep(latency)
 	other := co.cr.latest(addr)
 	if co.isPartitioned() || other.isPartitioned() {
 		return tenure.Life{}, errUnreachable
 	}
 	if other.isRestarted() {
-		return tenure.Life{Host: addr, Process: addr + " reborn"}, nil
+		return tenure.Life{Host: addr, Process: addr + " restarted"}, nil
 	}
 	other.keeper.Replaced(epoch)
 	return other.keeper.Life(), nil
 }
 
-// vouch asks the last process of a host whether it confirms an owner.
+// vouch asks the latest process of a host whether it confirms an owner.
 func (co *clusterHost) vouch(_ context.Context, addr string, epoch int64, process string) (bool, error) {
-	const way = 3 * time.Millisecond
-	time.Sleep(way)
+	const latency = 3 * time.Millisecond
+	time.Sleep(latency)
 	other := co.cr.latest(addr)
 	if co.isPartitioned() || other.isPartitioned() || other.isRestarted() {
 		return false, errUnreachable
@@ -179,7 +180,7 @@
 	return co.restarted
 }
 
-// tellHosts tells the owner of the hosts that there are, until its tenure ends.
+// reportHosts passes the list of hosts to the owner until its tenure ends.
 func (co *clusterHost) reportHosts(ctx context.Context, te tenure.Tenure) {
 	known := 0
 	for {
@@ -193,7 +194,7 @@
 	}
 }
 
-// members are the hosts as the store lists them.
+// members returns the hosts as the store lists them.
 func (cr *cluster) members() []registry.Member {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -204,7 +205,7 @@
 	return list
 }
 
-// last returns the last process of a host.
+// latest returns the latest process of a host.
 func (cr *cluster) latest(name string) *clusterHost {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -230,7 +231,7 @@
 	return ow.Handover(), err
 }
 
-// die ends a process at once: it writes nothing more and sends no order.
+// kill ends a process at once: it writes nothing more and sends no order.
 func (co *clusterHost) kill() {
 	co.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	co.set(func(co *clusterHost) {
@@ -242,37 +243,36 @@
 	co.end()
 }
 
-// cutWith cuts a host off from the store and the others, and the others from a worker
-// that it still reaches.
-func (cr *cluster) partitionWith(alone *clusterHost, fw *standin.FleetWorker) {
-	alone.gate.Set(standin.Fault{Mode: standin.ModeDown})
-	alone.set(func(co *clusterHost) { co.partitioned = true })
+// partitionWith cuts a host off from the store and the other hosts, and the other hosts off
+// from a worker that it still reaches.
+func (cr *cluster) partitionWith(isolated *clusterHost, fw *standin.FleetWorker) {
+	isolated.gate.Set(standin.Fault{Mode: standin.ModeDown})
+	isolated.set(func(co *clusterHost) { co.partitioned = true })
 	for _, co := range cr.hosts {
-		if co != alone {
+		if co != isolated {
 			co.set(func(co *clusterHost) { co.unreachable[fw.Addr.Incarnation] = true })
 		}
 	}
 }
 
-// awaitOwner waits until a host owns the cell in the place of one that was lost or
-// gave it up.
+// awaitOwner waits until a host owns the cell after its former owner was lost or released it.
 func (cr *cluster) awaitOwner(co *clusterHost) {
 	const (
-		most = 4 * time.Second
-		step = 10 * time.Millisecond
+		timeout = 4 * time.Second
+		step    = 10 * time.Millisecond
 	)
-	for end := time.Now().Add(most); time.Now().Before(end) && !co.owns(); time.Sleep(step) {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && !co.owns(); time.Sleep(step) {
 	}
-	qt.Assert(cr.t, co.owns(), qt.IsTrue, qt.Commentf("%s does not own the cell after %v", co.keeper.Self, most))
+	qt.Assert(cr.t, co.owns(), qt.IsTrue, qt.Commentf("%s does not own the cell after %v", co.keeper.Self, timeout))
 }
 
-// owns reports whether a host is the owner that the rest of the cell sees.
+// owns reports whether the process is the owner according to the owner row that it last read.
 func (co *clusterHost) owns() bool {
 	row, ok := co.keeper.Current()
 	return ok && row.Process == co.keeper.Process
 }
 
-// stop ends all hosts and lets what they began come to its end.
+// stop ends all hosts and waits until their goroutines have ended.
 func (cr *cluster) stop() {
 	for _, co := range cr.hosts {
 		co.end()
--- a/internal/sched/learnt_test.go
+++ b/internal/sched/interference_test.go
@@ -10,8 +10,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/interfere"
 )
 
-// TestNextOwnerKnowsWhatWasLearnt has one owner learn of a pair and the next ask.
-func TestNextOwnerKnowsWhatWasLearnt(t *testing.T) {
+// TestNextOwnerLoadsInterference has one owner learn about a pair of images and checks what
+// the next owner knows about it.
+func TestNextOwnerLoadsInterference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		ow, end := la.own()
--- a/internal/sched/late_test.go
+++ b/internal/sched/lateend_test.go
@@ -13,14 +13,14 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// longWork is the work of a task that ends after the looks under way, and before
-// its worker's leases lapse.
+// longRunTime is the duration of a task that ends after the polls in flight have returned and
+// before its worker's leases expire.
 const longRunTime = 2500 * time.Millisecond
 
 func runLong(worker.Attempt) (time.Duration, string) { return longRunTime, "done" }
 
-// silence freezes the only worker while it works, until its leases have lapsed
-// for all that its owner knows. What ran there was done before.
+// freezeUntilLapsed freezes the only worker while it runs a task, until the owner takes its
+// leases for expired. The task ends successfully before that.
 func freezeUntilLapsed(la *lab, ow *Owner) {
 	time.Sleep(time.Second)
 	qt.Assert(la.t, la.submit(ow, 1, batch(1, 1)).Outcome, qt.Equals, Accepted)
@@ -37,7 +37,9 @@
 	la.assertNothingTwice()
 }
 
-func TestDoneThoughGivenUp(t *testing.T) {
+// TestAbandonedAttemptSucceeds has a worker report success for an attempt that was given up:
+// it is not run again.
+func TestAbandonedAttemptSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		la.fleet.RunFunc = runLong
@@ -50,7 +52,10 @@
 	})
 }
 
-func TestEndsWaitForWhatTheyRestOn(t *testing.T) {
+// TestLateEndNotAcknowledgedBeforeItIsWritten has a worker list the end of an attempt that
+// was given up while no write succeeds, and the owner end before one does: the next owner
+// must still learn the end from the worker.
+func TestLateEndNotAcknowledgedBeforeItIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		la.fleet.RunFunc = runLong
@@ -61,7 +66,7 @@
 		time.Sleep(300 * time.Millisecond)
 		la.crew[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(3 * time.Second)
-		// The attempt is given up and that is not written, when its end is listed.
+		// The attempt is given up, and this is not written yet when its end is listed.
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		time.Sleep(7 * time.Second)
 		la.crew[0].Gate.Set(standin.Fault{})
@@ -75,8 +80,9 @@
 	})
 }
 
-// TestDoneWhileTheNextAttemptRuns has an attempt that was given up turn out to be done while the next one runs, whose worker then ends.
-func TestDoneWhileTheNextAttemptRuns(t *testing.T) {
+// TestAbandonedAttemptSucceedsWhileNextRuns has an attempt that was given up turn out to have
+// succeeded while the next one runs, whose worker then restarts.
+func TestAbandonedAttemptSucceedsWhileNextRuns(t *testing.T) {
 	for _, replaced := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 2)
@@ -88,18 +94,18 @@
 			time.Sleep(time.Second)
 			la.submit(ow, 1, batch(1, 1))
 			time.Sleep(500 * time.Millisecond)
-			silent, _ := la.busiest()
-			silent.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+			unresponsive, _ := la.busiest()
+			unresponsive.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 			time.Sleep(9 * time.Second)
 			qt.Assert(t, la.fleet.Runs(), qt.HasLen, 2)
-			silent.Gate.Set(standin.Fault{})
+			unresponsive.Gate.Set(standin.Fault{})
 			time.Sleep(500 * time.Millisecond)
 			if replaced {
 				end()
 				ow, end = la.own()
 			}
 			for i, fw := range la.crew {
-				if fw != silent {
+				if fw != unresponsive {
 					la.restart(i, 0, fw.Addr.HostPort)
 				}
 			}
@@ -111,9 +117,9 @@
 	}
 }
 
-// TestStartsAfterTheCancellation has a worker carry an order out after its job was
-// cancelled, with the owner still there or another one.
-func TestStartsAfterTheCancellation(t *testing.T) {
+// TestOrderCarriedOutAfterCancellation has a worker carry out a start order after its job was
+// cancelled, under the same owner or the next one.
+func TestOrderCarriedOutAfterCancellation(t *testing.T) {
 	for _, replaced := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 1)
@@ -132,10 +138,11 @@
 				ow, end = la.own()
 			}
 			time.Sleep(2700 * time.Millisecond)
-			// Orders to stop it that were sent before were late too.
+			// Stop orders sent before were delayed too.
 			la.fleet.SetLate(la.crew[0], 0)
 			time.Sleep(idleWait + lookGrace + ow.Limits.StopTime)
-			// A worker that has heard of the next owner obeys no order of the former.
+			// A worker that obeys the next owner's fencing token refuses orders of the former
+			// owner.
 			started := 1
 			if replaced {
 				started = 0
@@ -146,8 +153,9 @@
 	}
 }
 
-// TestRowsOfAnotherForm has an owner end its tenure over a row that it can't read.
-func TestRowsOfAnotherForm(t *testing.T) {
+// TestUnreadableRowEndsTenure has an owner end its tenure because of a row that it cannot
+// read.
+func TestUnreadableRowEndsTenure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		txn := store.NewTxn()
--- a/internal/sched/claims_test.go
+++ b/internal/sched/leasebound_test.go
@@ -13,24 +13,17 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// missedAfterDark is when users miss a task that lasts and was lost together with its
-// owner's host, if that host is without power for 9 s: 10 s after its power is back.
+// restartDeadline is when users report a missing long-running task that was lost together
+// with its owner's host, if that host is without power for 9 s: 10 s after its power is back.
 const restartDeadline = 19 * time.Second
 
-// TestWorkerLostWithAnOwnerThatNobodyCanAsk is the story of lasting tasks that ran nowhere
-// for 20 s.
-//
-// Users miss such tasks. Order of events: the owner's host loses power for 9 s, and workers
-// are lost in the same moment; another host takes the cell over, can ask nobody, and finds
-// no note of the workers, as they fell silent with their owner. So it waits for as long as an
-// owner may go on without the store, 8 s, and then for a whole lease of 10 s. Evidence:
-// "attempts of a lost worker ended .. why="its leases have lapsed"" at 29.2 s for workers
-// lost at 9.6 s, with a claim at 10.6 s, in two of two plays; users missed them at 28.5 s.
-//
-// Cause: leases were as long as workers grant, whenever they were told, so that one told
-// 8 s after the owner was last confirmed ran for 10 s more. Now none outlives what its owner
-// may claim.
-func TestWorkerLostWithAnOwnerThatNobodyCanAsk(t *testing.T) {
+// TestLastingTasksRestartAfterWorkerLostWithUnreachableOwner guards against long-running
+// tasks that did not run for 20 s. The owner's host loses power for 9 s, and workers are lost
+// at the same moment. The next owner can ask no one, and the lease expiry row does not name
+// the workers. It used to wait for the 8 s that an owner may go on without the store, and
+// then for a whole lease of 10 s, because a lease extended late in those 8 s had its full
+// length. Now no lease runs beyond the time for which its owner is confirmed.
+func TestLastingTasksRestartAfterWorkerLostWithUnreachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cr := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
 		defer cr.stop()
@@ -51,26 +44,26 @@
 
 // TestLeasesEndBeforeTheNextOwnerActs draws when an owner was last confirmed, when another
 // claimed the cell, how old its lease and its reading of the worker's clock are, and how far
-// all three clocks drift, and checks that the lease has ended when the next owner starts
-// elsewhere what ran there.
+// all three clocks drift. The lease must have ended when the next owner restarts elsewhere
+// what ran there, and the next owner must not wait longer than the bound.
 func TestLeasesEndBeforeTheNextOwnerActs(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 5000}, func(rt *rapid.T) {
 		drift := rapid.Float64Range(1-clockDrift, 1+clockDrift)
 		owner, wo, next := drift.Draw(rt, "owner's clock"), drift.Draw(rt, "worker's clock"), drift.Draw(rt, "next owner's clock")
-		most := time.Duration(rapid.IntRange(1000, 20_000).Draw(rt, "longest lease ms")) * time.Millisecond
+		maxLease := time.Duration(rapid.IntRange(1000, 20_000).Draw(rt, "max lease ms")) * time.Millisecond
 		// In true time since the store last confirmed the owner.
-		told := time.Duration(rapid.Int64Range(0, int64(float64(quickest(tenure.ExtendFor))/owner)).Draw(rt, "told"))
-		read := told - time.Duration(rapid.Int64Range(0, int64(maxClockReadingAge)).Draw(rt, "reading's age"))
+		granted := time.Duration(rapid.Int64Range(0, int64(float64(quickest(tenure.ExtendFor))/owner)).Draw(rt, "granted"))
+		read := granted - time.Duration(rapid.Int64Range(0, int64(maxClockReadingAge)).Draw(rt, "reading's age"))
 		claimed := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(rt, "claimed"))
 
 		by := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
 		began := time.Now()
 		ho := &host{clockMS: 1_000_000, clockAt: began}
-		earliest := ho.clockNow(began.Add(by(owner, told-read)))
-		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseFor(by(owner, told), most)
+		earliest := ho.clockNow(began.Add(by(owner, granted-read)))
+		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseFor(by(owner, granted), maxLease)
 		ended := read + time.Duration(float64(left)/wo)
 
-		ow := &Owner{Limits: Limits{MaxLease: most}, startedAt: began}
+		ow := &Owner{Limits: Limits{MaxLease: maxLease}, startedAt: began}
 		ow.Tenure.Former.Bounded = true
 		ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
 		acts := claimed + time.Duration(float64(ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
@@ -83,13 +76,14 @@
 	})
 }
 
-// readingMost is how old a worker's clock may be as an owner reckons with it: a look's wait
-// and its grace, and for how long leases are extended after one that failed.
+// maxClockReadingAge is the maximum age of the reading of a worker's clock from which an
+// owner extends leases: the wait and the grace of a poll, and the time for which leases are
+// extended after a failed poll.
 const maxClockReadingAge = lookWait + lookGrace + extendSilent
 
-// TestOwnersOfEarlierVersionsAreWaitedFor checks that the shorter wait is for owners that
-// keep to it, as are all before them.
-func TestOwnersOfEarlierVersionsAreWaitedFor(t *testing.T) {
+// TestFullLeaseAwaitedForOwnersOfEarlierVersions checks that the shorter wait is used only if
+// the former owner and all owners before it bound their leases.
+func TestFullLeaseAwaitedForOwnersOfEarlierVersions(t *testing.T) {
 	began := time.Now()
 	ow := &Owner{Limits: Limits{MaxLease: 10 * time.Second}, startedAt: began}
 	ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -9,17 +9,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestLoadOverANarrowLink: a cell with many jobs had owners that never served it.
-//
-// Users saw tasks that lasted end and not run again, with room for them, and all requests
-// fail until the end. Order of events: an owner is replaced; some hundred jobs wait, each
-// with a payload of some thousand bytes; the next owner reads all of them within four
-// seconds or begins anew, and its link is too narrow for that. It keeps the cell, as its
-// heartbeats get through.
-//
-// Evidence: "cell not loaded yet" again and again in the new owner's log, with the
-// deadline of its reading as the reason, over a link that is full of answers of the store.
-func TestLoadOverANarrowLink(t *testing.T) {
+// TestLoadOverSlowLink guards against owners that never serve a cell with many jobs. Some
+// hundred jobs wait, each with a payload of some thousand bytes, when the owner is replaced.
+// The next owner used to start over if it had not read all rows within four seconds, which a
+// slow link does not allow. It kept the cell, because its heartbeats got through, so tasks
+// did not restart and all requests failed.
+func TestLoadOverSlowLink(t *testing.T) {
 	for name, rate := range map[string]int{"2 Mbit/s": 250_000, "0.2 Mbit/s": 25_000} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -36,16 +31,16 @@
 				time.Sleep(time.Second)
 				end()
 				la.readRate = rate
-				// The time that the bytes take, and half as much again.
+				// The transfer time of the bytes plus 50%.
 				bytes := jobs * 4500
-				most := time.Duration(bytes) * time.Second * 3 / 2 / time.Duration(rate)
+				timeout := time.Duration(bytes) * time.Second * 3 / 2 / time.Duration(rate)
 				next, loaded, end := la.begin()
 				defer end()
 				select {
 				case err := <-loaded:
 					qt.Assert(t, err, qt.IsNil)
-				case <-time.After(most):
-					t.Fatalf("not loaded after %v", most)
+				case <-time.After(timeout):
+					t.Fatalf("not loaded after %v", timeout)
 				}
 				list, err := next.List(t.Context())
 				qt.Assert(t, err, qt.IsNil)
--- a/internal/sched/aside_test.go
+++ b/internal/sched/quarantine_test.go
@@ -10,10 +10,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// firstFailing is the number of the first job whose tasks fail at once.
+// firstFailingJob is the number of the first job whose tasks fail at once.
 const firstFailingJob = 100
 
-// failingJobs has the tasks of jobs from firstFailing on fail at once.
+// failTasksOfJobs makes the tasks of jobs from firstFailingJob on fail at once.
 func failTasksOfJobs(la *lab, healthy func(worker.Attempt) (time.Duration, string)) {
 	la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 		if at.Task >= jobID(firstFailingJob) {
@@ -23,17 +23,11 @@
 	}
 }
 
-// TestFailingJobsLeaveWorkersToOthers is the story of healthy jobs that ran nothing while
-// workers stood empty.
-//
-// Users saw a job run nothing for 8 s beside four empty workers. Order of events: forty
-// jobs are handed in whose tasks fail wherever they run; each worker fails tasks of
-// several jobs and is set aside, for twice as long each time; a healthy job comes. Cause:
-// failures counted against each worker by itself, also where all of them had some.
-//
-// Evidence: sixteen lines "worker set aside", four of them for 12 s, and a first
-// "attempt placed" of the healthy job 8.2 s after it was handed in.
-func TestFailingJobsLeaveWorkersToOthers(t *testing.T) {
+// TestFailingJobsDoNotQuarantineAllWorkers guards against a healthy job that does not run for
+// 8 s while workers are idle. Forty jobs are submitted whose tasks fail wherever they run.
+// Failures used to count against each worker alone, so all workers were quarantined, for
+// twice as long each time, and a healthy job submitted then had to wait.
+func TestFailingJobsDoNotQuarantineAllWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
 		failTasksOfJobs(la, func(worker.Attempt) (time.Duration, string) { return time.Second, "done" })
@@ -50,17 +44,11 @@
 	})
 }
 
-// TestLastingTaskGoesToFailingWorker is the story of a service that ran nowhere while a
-// worker stood empty.
-//
-// Users saw a service run nowhere for 12 s. Order of events: tasks of two jobs fail on a
-// worker, which is set aside again and again; all others are full; a task that lasts
-// waits until the time aside is over. Cause: to run where others failed was held worse
-// than not to run.
-//
-// Evidence: lines "lasting tasks wait .. for=room .. barred=aside:1" on a day of the
-// users', in 17 of 42 lines.
-func TestLastingTaskGoesToFailingWorker(t *testing.T) {
+// TestLastingTaskStartsOnQuarantinedWorker guards against a service that does not run for 12
+// s while a worker is idle. That worker is quarantined because tasks of two jobs failed
+// there, and all other workers are full. The task used to wait for the end of the quarantine,
+// although running where others failed is better than not running.
+func TestLastingTaskStartsOnQuarantinedWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		ow := la.withLasting(2*16 - 1)
@@ -83,12 +71,12 @@
 	})
 }
 
-// TestFailingWorkerIsSparedAmongOthers has one worker of four fail whatever it gets: it is
-// set aside, and the others do the work.
-func TestFailingWorkerIsSparedAmongOthers(t *testing.T) {
+// TestOnlyFailingWorkerIsQuarantined has all tasks fail on one worker of four: that worker is
+// quarantined, and the others do the work.
+func TestOnlyFailingWorkerIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
-		sick := la.crew[0].Addr.Incarnation
+		faulty := la.crew[0].Addr.Incarnation
 		la.crew[0].RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
 		ow, end := la.own()
 		defer end()
@@ -98,9 +86,9 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		told := li.with(`msg="worker set aside"`)
-		qt.Assert(t, len(told) > 0, qt.IsTrue)
-		qt.Assert(t, li.with(`msg="worker set aside"`, "worker="+sick.String()), qt.HasLen, len(told))
+		lines := li.with(`msg="worker set aside"`)
+		qt.Assert(t, len(lines) > 0, qt.IsTrue)
+		qt.Assert(t, li.with(`msg="worker set aside"`, "worker="+faulty.String()), qt.HasLen, len(lines))
 		qt.Assert(t, li.with(`msg="job time"`, "state=succeeded"), qt.HasLen, 20)
 	})
 }
--- a/internal/sched/third_test.go
+++ b/internal/sched/successiveowners_test.go
@@ -12,8 +12,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// threeHosts has a host own a cell with endless tasks on two workers, and two others
-// that follow it in turn.
+// withThreeHosts runs test on a cell whose first host owns it and runs long-running tasks on
+// two workers. The second and third host take over in this order.
 func withThreeHosts(t *testing.T, test func(cr *cluster, first, second, third *clusterHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -31,7 +31,7 @@
 	})
 }
 
-// busy returns a worker that runs something.
+// busyWorker returns a worker that runs a task.
 func (cr *cluster) busyWorker() *standin.FleetWorker {
 	for _, fw := range cr.crew {
 		if cr.running()[fw.Addr.Incarnation] > 0 {
@@ -42,10 +42,11 @@
 	return nil
 }
 
-// TestThirdOwnerWaitsForTheFirst: users see a task run twice. An owner is cut off from
-// the store together with a worker, whose leases it extends for some seconds more. The
-// next owner dies soon after it took over. The third one learnt from the second one's host
-// when that ceased, and reckoned leases from there, while the first still extended them.
+// TestThirdOwnerWaitsForTheFirst guards against a task that runs twice. The first owner is
+// cut off from the store together with a worker, whose leases it extends for some seconds
+// more. The second owner dies soon after its takeover. The third one used to learn only from
+// the second one's host when that owner had ceased to act, and computed lease expiries from
+// then, while the first still extended leases.
 func TestThirdOwnerWaitsForTheFirst(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
 		cr.partitionWith(first, cr.busyWorker())
@@ -58,10 +59,10 @@
 	})
 }
 
-// TestReleasedBeforeItWasLoaded: users see a task run twice. The second owner gives the
-// cell up before it has read it, as at a planned stop while the store is slow. The third
-// one took a cell that nobody owns for one whose former owners had all ceased.
-func TestReleasedBeforeItWasLoaded(t *testing.T) {
+// TestCellReleasedBeforeLoad guards against a task that runs twice. The second owner releases
+// the cell before it has read it, as at a planned stop while the store is slow. The third one
+// used to take a released cell for one whose former owners had all ceased to act.
+func TestCellReleasedBeforeLoad(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
 		second.set(func(co *clusterHost) { co.readsBlocked = true })
 		cr.partitionWith(first, cr.busyWorker())
@@ -74,16 +75,16 @@
 	})
 }
 
-// TestLostWithTheirOwner has a worker vanish together with its owner, and measures when
-// what it ran starts again: a lease of 6 s by the slowest clock after the former owner is
-// known to have ceased to act. To wait for owners before it must not take longer where
-// that was known.
-func TestLostWithTheirOwner(t *testing.T) {
+// TestRestartTimeAfterOwnerAndWorkerLoss loses a worker together with its owner, and measures
+// when its tasks restart: a lease of 6 s by the slowest clock after the former owner is known
+// to have ceased to act. The wait for still earlier owners must not delay this if they are
+// known to have ceased.
+func TestRestartTimeAfterOwnerAndWorkerLoss(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// lose has owners be lost, the last of them together with a busy worker.
-		lose func(cr *cluster, first, second *clusterHost)
-		most time.Duration
+		// lose loses the owners, the last of them together with a busy worker.
+		lose    func(cr *cluster, first, second *clusterHost)
+		maxTime time.Duration
 	}{
 		{"its host answers", func(cr *cluster, first, _ *clusterHost) { cr.killWorkerAndOwner(first) }, 8600 * time.Millisecond},
 		{"its host never answers", func(cr *cluster, first, _ *clusterHost) {
@@ -99,19 +100,19 @@
 			cr.join("b", 0.8)
 			cr.join("c", 0.5)
 		}, 9 * time.Second},
-		{"the former one had stopped a second before", func(cr *cluster, first, second *clusterHost) {
+		{"the former owner had stopped a second before", func(cr *cluster, first, second *clusterHost) {
 			first.keeper.Release(tenure.SilentAfter)
 			cr.awaitOwner(second)
 			time.Sleep(time.Second)
 			cr.killWorkerAndOwner(second)
 		}, 8600 * time.Millisecond},
-		{"the former one was lost a second before, and its host answers", func(cr *cluster, first, second *clusterHost) {
+		{"the former owner was lost a second before, and its host answers", func(cr *cluster, first, second *clusterHost) {
 			first.kill()
 			cr.awaitOwner(second)
 			time.Sleep(time.Second)
 			cr.killWorkerAndOwner(second)
 		}, 8600 * time.Millisecond},
-		{"the next one stops before a heartbeat says that its host answered", func(cr *cluster, first, second *clusterHost) {
+		{"the next owner stops before a heartbeat says that its host answered", func(cr *cluster, first, second *clusterHost) {
 			cr.killWorkerAndOwner(first)
 			cr.awaitOwner(second)
 			time.Sleep(50 * time.Millisecond)
@@ -130,24 +131,25 @@
 						began = ru.From
 					}
 				}
-				t.Logf("all ran again %v after the loss", began.Sub(lost))
-				qt.Assert(t, began.Sub(lost) < tc.most, qt.IsTrue)
+				t.Logf("all tasks ran again %v after the loss", began.Sub(lost))
+				qt.Assert(t, began.Sub(lost) < tc.maxTime, qt.IsTrue)
 			})
 		})
 	}
 }
 
-// loseWith has an owner die together with a busy worker.
+// killWorkerAndOwner kills a busy worker and then its owner.
 func (cr *cluster) killWorkerAndOwner(co *clusterHost) {
 	cr.fleet.Kill(cr.busyWorker())
 	co.kill()
 	cr.lostAt = time.Now()
 }
 
-// TestWaitsOutliveAnOwnerThatLoadsNothing: users see what ran on a lost worker come back
-// late. The first owner notes as it stops how long its leases run. The second one stops
-// before it has read the cell, and left no note, so that the wait began anew.
-func TestWaitsOutliveAnOwnerThatLoadsNothing(t *testing.T) {
+// TestOwnerThatLoadsNothingPassesOnLeaseExpiries guards against tasks of a lost worker that
+// restart late. The first owner hands over its lease expiries as it stops. The second one
+// stops before it has read the cell. It used to hand over nothing, so the third one waited
+// from the beginning.
+func TestOwnerThatLoadsNothingPassesOnLeaseExpiries(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
 		second.set(func(co *clusterHost) { co.readsBlocked = true })
 		cr.fleet.Kill(cr.busyWorker())
@@ -164,11 +166,11 @@
 	})
 }
 
-// TestSettledWithoutALease: users see a task run twice. A new owner that the store does
-// not confirm any more looks at a worker once, extends nothing, and loses it again. It
-// took the worker's leases for lapsed, as it had told it of none, while one that the former
-// owner had told it still ran.
-func TestSettledWithoutALease(t *testing.T) {
+// TestWorkerPolledWithoutExtendingLease guards against a task that runs twice. A new owner
+// that the store no longer confirms polls a worker once, extends no lease, and loses the
+// connection again. It used to take the worker's leases for expired, because it had granted
+// none, while one that the former owner had granted still ran.
+func TestWorkerPolledWithoutExtendingLease(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
 		down := standin.Fault{Mode: standin.ModeDown}
 		third.gate.Set(down)
@@ -186,18 +188,12 @@
 	})
 }
 
-// TestOwnerThatStoodStillSaysWhenItLastLeased is the story of tasks that waited for a host
-// that had done nothing.
-//
-// Users saw tasks that last run nowhere for 18 s. Order of events: the owner's host stands
-// still for 8 s; a worker is lost for good in the same moment; another host takes the cell
-// over and can't know until when the first one extended that worker's leases; the first
-// wakes and is told of its replacement. Cause: leases were taken to begin then, though it
-// had told none since it stood still.
-//
-// Evidence: "former owner has ceased to act .. why=it was told of its replacement" at
-// 19.7 s, and "attempt ended .. its leases have lapsed" at 30.3 s, with leases of 10 s.
-func TestOwnerThatStoodStillSaysWhenItLastLeased(t *testing.T) {
+// TestResumedOwnerReportsItsLastLease guards against long-running tasks that do not run for
+// 18 s. The owner's host freezes for 8 s and a worker is lost for good at the same moment.
+// The next owner cannot know until when the first one extended that worker's leases; the
+// first one resumes and learns that it was replaced. The leases used to be counted from that
+// moment, although the first owner had extended none since it froze.
+func TestResumedOwnerReportsItsLastLease(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, _ *clusterHost) {
 		fw := cr.busyWorker()
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
@@ -216,11 +212,12 @@
 	})
 }
 
-// runsAgainBy is by when what ran on a lost worker runs again after its owner was lost too,
-// as where the owner's host can be asked: a takeover and a lease by the slowest clock.
+// maxRestartTime is the time within which tasks of a lost worker restart after their owner
+// was lost too, the same as if the owner's host can be asked: a takeover and a lease by the
+// slowest clock.
 const maxRestartTime = 8600 * time.Millisecond
 
-// loseThenOwner has a busy worker be lost, and its owner's host for good some time later.
+// killWorkerThenOwner kills a busy worker, and some time later its owner's host for good.
 func (cr *cluster) killWorkerThenOwner(co *clusterHost, later time.Duration) {
 	cr.fleet.Kill(cr.busyWorker())
 	cr.lostAt = time.Now()
@@ -229,22 +226,14 @@
 	co.kill()
 }
 
-// TestWorkerLostBeforeAnOwnerThatNobodyCanAsk is the story of lasting tasks that ran nowhere
-// for 18 s.
-//
-// Order of events: seven workers are lost for good; 3 s later so is the host of their
-// owner, which had stopped extending their leases 2 s before; another host takes the
-// cell over. Nobody is left who can say when the former owner last told those workers a
-// lease, so that the new one waits as long as any owner may go on without the store,
-// 8 s, and a lease of 6 s after that.
-//
-// Evidence: "attempt ended .. its leases have lapsed" at 42.5 s for workers lost at 24.0 s,
-// in each of three plays, and no "former owner has ceased to act" before it.
-//
-// The cause was that only an owner which lives could say what it knew. It now writes down
-// when the leases of workers that do not answer lapse, and tells them none until it has
-// taken that back.
-func TestWorkerLostBeforeAnOwnerThatNobodyCanAsk(t *testing.T) {
+// TestLastingTasksRestartAfterWorkerLostBeforeUnreachableOwner guards against long-running
+// tasks that do not run for 18 s. Workers are lost for good; 3 s later the host of their
+// owner is lost too, which had stopped extending their leases 2 s before. No process is left
+// that can say when those leases were last extended, so the next owner used to wait for the 8
+// s that an owner may go on without the store, and for a lease of 6 s after that. An owner
+// now stores the lease expiries of unresponsive workers, and extends no lease of a worker
+// until the store has accepted a row without it.
+func TestLastingTasksRestartAfterWorkerLostBeforeUnreachableOwner(t *testing.T) {
 	for _, later := range []time.Duration{2500 * time.Millisecond, 3 * time.Second, 4 * time.Second} {
 		t.Run(later.String(), func(t *testing.T) {
 			withThreeHosts(t, func(cr *cluster, first, _, _ *clusterHost) {
@@ -256,22 +245,22 @@
 	}
 }
 
-// TestSilentWorkerThatIsBack has a worker be cut off from its owner for a while and come
-// back, and the owner be lost or cut off with it at any moment around that. What the owner
-// left written of the worker's leases must stay true: nothing runs twice, and what runs on
-// a worker that is back goes on there.
-func TestSilentWorkerThatIsBack(t *testing.T) {
+// TestUnresponsiveWorkerReturns cuts a worker off from its owner for a while, and loses the
+// owner, or cuts it off together with the worker, at times around the worker's return. The
+// stored lease expiries must stay true: nothing runs twice, and tasks on a worker that
+// returned go on there.
+func TestUnresponsiveWorkerReturns(t *testing.T) {
 	const step = 50 * time.Millisecond
 	for _, lose := range []struct {
 		name string
 		fn   func(cr *cluster, first *clusterHost, fw *standin.FleetWorker)
 	}{
-		{"the owner's host is gone", func(_ *cluster, first *clusterHost, _ *standin.FleetWorker) {
+		{"the owner's host is lost", func(_ *cluster, first *clusterHost, _ *standin.FleetWorker) {
 			first.set(func(co *clusterHost) { co.partitioned = true })
 			first.kill()
 		}},
-		{"the owner is cut off with it", func(cr *cluster, first *clusterHost, fw *standin.FleetWorker) { cr.partitionWith(first, fw) }},
-		{"the store answers the owner late, then not", func(cr *cluster, first *clusterHost, fw *standin.FleetWorker) {
+		{"the owner is cut off with the worker", func(cr *cluster, first *clusterHost, fw *standin.FleetWorker) { cr.partitionWith(first, fw) }},
+		{"the store answers the owner late, then not at all", func(cr *cluster, first *clusterHost, fw *standin.FleetWorker) {
 			first.gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 			time.Sleep(600 * time.Millisecond)
 			cr.partitionWith(first, fw)
@@ -301,16 +290,17 @@
 	}
 }
 
-// TestNotesOfAFormerOwnerAreNotTaken has an owner that was replaced without knowing it take
-// a worker off its notes, to extend its leases: the next one may have read them.
-func TestNotesOfAFormerOwnerAreNotTaken(t *testing.T) {
+// TestLeaseRecordOfReplacedOwnerIsRefused has an owner that was replaced without noticing it
+// remove a worker from the lease expiry row in order to extend its leases. The write must be
+// refused, because the next owner may have read the row.
+func TestLeaseRecordOfReplacedOwnerIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		first, endFirst := la.own()
 		defer endFirst()
-		note := func(silent map[string]bool) {
+		record := func(recorded map[string]bool) {
 			first.post(func() {
-				first.leaseRecord.recorded = silent
+				first.leaseRecord.recorded = recorded
 				first.recordLeases(time.Now())
 			})
 			time.Sleep(time.Second)
@@ -320,12 +310,12 @@
 			qt.Assert(t, err, qt.IsNil)
 			return version
 		}
-		note(map[string]bool{"i-0": true})
+		record(map[string]bool{"i-0": true})
 		written := read()
 		qt.Assert(t, written > 0, qt.IsTrue)
 		_, endSecond := la.own()
 		defer endSecond()
-		note(map[string]bool{"i-0": true})
+		record(map[string]bool{"i-0": true})
 		qt.Assert(t, read(), qt.Equals, written)
 	})
 }
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -14,32 +14,25 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// workersPerLoss is how many workers crash with each owner of [TestLastingTasksOutliveTheirOwners].
+// workersPerCrash is how many workers crash with each owner of
+// [TestLastingTasksNotGivenUpAfterOwnerLosses].
 const workersPerCrash = 3
 
-// TestLastingTasksOutliveTheirOwners is the story of healthy jobs that were ended for good.
+// TestLastingTasksNotGivenUpAfterOwnerLosses guards against healthy long-running jobs that
+// end as failed. Their tasks run for 20 s; then their owner's host freezes, and 0.2 s later
+// workers crash. The next owner finds another process at the workers' addresses, or no entry
+// of them, and used to classify each attempt there as a certain cause of the crash. After
+// three such losses the task was given up, although its attempts had run for 18 s and more.
+// Only the former owner knew how long an attempt had run; the job's row now says so too.
 //
-// Users see a job of tasks that last end as failed, with nothing wrong with it. Order of
-// events: its tasks are at work for 20 s; their owner's host stands still, and 0.2 s later
-// workers crash. The next owner reads the rows, finds another process at the workers'
-// addresses, or no entry of theirs, and ends each attempt there as a certain crash. The same
-// twice more, 24 s apart each, and the task is given up: "task given up .. why=crashes
-// crashes=3 losses=0", after lines "attempt ended .. end=crashed .. ran_at_least=0s" of
-// attempts that had been launched 18, 23 and 23 s before.
-//
-// Cause: for how long an attempt had run only the owner knew that looked at it, and wrote it
-// nowhere; what it took back of a task's crashes once an attempt had lasted it did not write
-// either. The next one took what it had not seen run for what had just begun. Evidence: with
-// the row saying so, and nothing else changed, the same losses end as lost or lapsed.
-//
-// [TestTaskThatCrashesItsWorkers] is the other side: a task that does crash its workers is
-// given up also if its owners end with them.
-func TestLastingTasksOutliveTheirOwners(t *testing.T) {
+// [TestTaskThatCrashesItsWorkers] checks the opposite case: a task that does crash its
+// workers is given up also if its owners are lost with them.
+func TestLastingTasksNotGivenUpAfterOwnerLosses(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// forGood has workers not come back.
+		// forGood is set if the workers do not come back.
 		forGood bool
-	}{{"workers that are back", false}, {"workers that are gone for good", true}} {
+	}{{"workers that come back", false}, {"workers that are lost for good", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cr, ow := startCrashes(t, newLab(t, 5*workersPerCrash))
@@ -59,8 +52,8 @@
 	}
 }
 
-// loseOwnerAnd ends the owner, crashes the busiest workers just after that, and returns the
-// next owner.
+// loseOwnerAndCrash ends the owner, crashes the busiest workers shortly after, and returns
+// the next owner.
 func (cr *crashes) loseOwnerAndCrash(workers int) *Owner {
 	cr.end()
 	time.Sleep(200 * time.Millisecond)
@@ -72,9 +65,9 @@
 	return cr.own()
 }
 
-// TestLostWorkersAreTold has the ends of a lost worker's attempts told in one line, also by
-// an owner that never saw it.
-func TestLostWorkersAreTold(t *testing.T) {
+// TestLostWorkersAreLogged checks that the ends of a lost worker's attempts are logged in one
+// line, also by an owner that never saw the worker.
+func TestLostWorkersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		cr, ow := startCrashes(t, la)
@@ -83,12 +76,12 @@
 		time.Sleep(20 * time.Second)
 		cr.loseOwnerAndCrash(1)
 		time.Sleep(20 * time.Second)
-		told := li.with(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
-		qt.Assert(t, told, qt.HasLen, 1)
+		lines := li.with(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
+		qt.Assert(t, lines, qt.HasLen, 1)
 	})
 }
 
-// row returns the row of a job's progress as it is written.
+// progressRow returns the stored progress row of a job.
 func (la *lab) progressRow(ow *Owner, n int) job.ProgressRow {
 	var row job.ProgressRow
 	_, err := la.table.Client().Get(context.Background(), ow.progressKey(jobID(n)), &row)
@@ -96,9 +89,9 @@
 	return row
 }
 
-// TestProofsAreWritten checks that the row of a job whose tasks last says that they got over
-// their start, and later that they last, with few writes more, and that short tasks cost
-// none.
+// TestProofsAreWritten checks that the row of a job with long-running tasks says that they
+// got past their start, and later that they have run for long, at the cost of a few extra
+// writes. Short tasks must cost no extra write.
 func TestProofsAreWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 10)
@@ -126,14 +119,13 @@
 	})
 }
 
-// proofWritesMost is how many writes a job may cost for each degree of proof of tasks that
-// began together: their looks come within a second, and a proof waits for half of one.
+// maxProofWrites is how many writes a job may cost for each level of proof of tasks that
+// started together: their polls return within a second, and a proof waits for half a second.
 const maxProofWrites = 3
 
-// TestHealthyTasksOverTakeovers plays random losses of workers together with their owners,
-// each of them after the tasks were at work for some seconds, and checks that no task is
-// given up.
-func TestHealthyTasksOverTakeovers(t *testing.T) {
+// TestHealthyTasksNotGivenUpOverTakeovers plays random losses of workers together with their
+// owners, each after the tasks ran for some seconds, and checks that no task is given up.
+func TestHealthyTasksNotGivenUpOverTakeovers(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: takeoverScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
 			cr := newCrashes(t, newLab(t, 12))
@@ -145,7 +137,7 @@
 			time.Sleep(time.Second)
 			cr.submit(ow, 1, lasting(8))
 			for range rapid.IntRange(3, 9).Draw(rt, "losses") {
-				// Until what was lost runs again, and its proof is written.
+				// Time for the lost tasks to run again and for their proofs to be written.
 				time.Sleep(22 * time.Second)
 				for range rapid.IntRange(1, 4).Draw(rt, "workers") {
 					fw, _ := cr.busiest()
@@ -166,5 +158,5 @@
 	})
 }
 
-// takeoverScripts is the number of scripts; PEPPERHATCH_SEED plays others.
+// takeoverScripts is the number of random scripts; PEPPERHATCH_SEED selects others.
 const takeoverScripts = 60
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -98,8 +98,8 @@
 	ow.Log.Warn(msg, "cell", ow.Cell, "listed", listed, "most", ow.listTrust.maxListed, "list_age", ow.listAge(now))
 }
 
-// lostFromList reports whether the entry of the worker is not expected back: neither a store
-// outage nor its latest seconds explain why it is missing.
+// lostFromList reports whether the worker's entry is not expected back: it has been missing
+// for longer than entryReturnWait, and no store outage explains that.
 func (ho *host) lostFromList(now time.Time) bool {
 	return ho.gone && now.Sub(ho.goneAt) > entryReturnWait && ho.ow.listReliable(now)
 }
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -17,18 +17,18 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// busiest returns the worker with most runs, and how many these are.
+// busiest returns the worker with the most runs, and their number.
 func (la *lab) busiest() (*standin.FleetWorker, int) {
-	most, best := la.crew[0], 0
+	busiest, runs := la.crew[0], 0
 	for _, fw := range la.crew {
-		if n := la.running()[fw.Addr.Incarnation]; n > best {
-			most, best = fw, n
+		if n := la.running()[fw.Addr.Incarnation]; n > runs {
+			busiest, runs = fw, n
 		}
 	}
-	return most, best
+	return busiest, runs
 }
 
-// ends counts the runs that ended in each way.
+// ends counts the ended runs by how they ended.
 func (la *lab) ends() map[string]int {
 	counts := map[string]int{}
 	for _, ru := range la.fleet.Runs() {
@@ -39,14 +39,14 @@
 	return counts
 }
 
-// lastingLab is a lab whose owner has so many lasting tasks at work.
+// newLastingLab returns a lab whose owner runs the given number of long-running tasks.
 func newLastingLab(t *testing.T, workers, tasks int) (*lab, *Owner) {
 	t.Helper()
 	la := newLab(t, workers)
 	return la, la.withLasting(tasks)
 }
 
-// withLasting starts an owner with so many lasting tasks at work.
+// withLasting starts an owner and the given number of long-running tasks.
 func (la *lab) withLasting(tasks int) *Owner {
 	la.t.Helper()
 	la.fleet.RunFunc = endless
@@ -59,17 +59,12 @@
 	return ow
 }
 
-// TestWorkerLeavesTheListWithoutAWord is the story of a machine that is taken out of
-// service and says nothing.
-//
-// Users see services that do not run for the length of a lease, with room for them
-// elsewhere. Order of events: a worker's entry goes, with no trouble of the store and
-// without the worker having said that it drains; the machine runs and answers for half a
-// minute more; then it stops. Cause: only workers that drain were emptied, and none whose
-// entry had gone, so that its lasting tasks stayed to the end and were known to have ended
-// only with their leases. Evidence: runs that end as killed, and nothing runs of them
-// until the leases have lapsed.
-func TestWorkerLeavesTheListWithoutAWord(t *testing.T) {
+// TestWorkerRemovedFromListWithoutDraining guards against services that do not run for the
+// length of a lease although other workers have capacity. A worker's entry is removed without
+// a store outage and without the worker having reported that it drains. Its host answers for
+// half a minute more and then stops. Only draining workers used to be evacuated, so the tasks
+// stayed until the host stopped and restarted only after their leases had expired.
+func TestWorkerRemovedFromListWithoutDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 3, 12)
 		leaving, _ := la.busiest()
@@ -83,13 +78,13 @@
 	})
 }
 
-// TestListLapsesInAnOutage has all entries lapse while the store is away, and come back 2 s
-// after it, each at a moment of its own: what runs stays where it is.
-func TestListLapsesInAnOutage(t *testing.T) {
+// TestEntriesExpireDuringStoreOutage has all entries expire during a store outage and return
+// 2 s after it, one after the other: running tasks stay where they are.
+func TestEntriesExpireDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 4, 24)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		// A write under way tells the owner of the outage.
+		// A pending write lets the owner notice the outage.
 		la.submit(ow, 2, lasting(1))
 		time.Sleep(8 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
@@ -105,13 +100,13 @@
 	})
 }
 
-// TestPartOfTheListComesBack has one of four workers stay without an entry after an
-// outage of the store. It is emptied only once its entry could have been back, and gets
-// nothing new.
-func TestPartOfTheListComesBack(t *testing.T) {
+// TestOneEntryMissingAfterStoreOutage has one of four workers stay without an entry after a
+// store outage. It is evacuated only after the time in which its entry could have returned,
+// and gets no new tasks.
+func TestOneEntryMissingAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 4, 24)
-		gone, _ := la.busiest()
+		lost, _ := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, lasting(1))
 		time.Sleep(8 * time.Second)
@@ -120,28 +115,28 @@
 		ow.SetWorkers(nil, nil, true)
 		time.Sleep(2 * time.Second)
 		for _, li := range la.listed() {
-			if li.Incarnation != gone.Addr.Incarnation {
+			if li.Incarnation != lost.Addr.Incarnation {
 				ow.SetWorkers([]Listed{li}, nil, false)
 			}
 		}
 		time.Sleep(6 * time.Second)
-		qt.Check(t, la.running()[gone.Addr.Incarnation], qt.Equals, 0)
+		qt.Check(t, la.running()[lost.Addr.Incarnation], qt.Equals, 0)
 		for _, ru := range la.fleet.Runs() {
 			if !ru.Until.IsZero() {
-				qt.Check(t, ru.Worker, qt.Equals, gone.Addr.Incarnation)
+				qt.Check(t, ru.Worker, qt.Equals, lost.Addr.Incarnation)
 				qt.Check(t, ru.Until.Sub(back) > 2500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", ru.Until.Sub(back)))
 			}
 			if ru.From.After(back) {
-				qt.Check(t, ru.Worker, qt.Not(qt.Equals), gone.Addr.Incarnation)
+				qt.Check(t, ru.Worker, qt.Not(qt.Equals), lost.Addr.Incarnation)
 			}
 		}
 		la.assertNothingTwice()
 	})
 }
 
-// TestListComesBackWithAnotherLife has a machine start anew during an outage: its entry
-// comes back with another incarnation at its address, and what it ran starts at once.
-func TestListComesBackWithAnotherLife(t *testing.T) {
+// TestWorkerRestartsDuringStoreOutage has a worker restart during an outage: its entry
+// returns with another incarnation at its address, and its tasks restart at once.
+func TestWorkerRestartsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 3, 12)
 		was := la.crew[0]
@@ -177,9 +172,9 @@
 	})
 }
 
-// TestWhatEndsByItselfIsLeftTo has a worker leave the list while it runs tasks that end
-// in 8 s.
-func TestWhatEndsByItselfIsLeftTo(t *testing.T) {
+// TestShortTasksAreNotEvacuated removes the entry of a worker that runs tasks which end
+// within 8 s.
+func TestShortTasksAreNotEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 8 * time.Second, "done" }
@@ -195,8 +190,8 @@
 	})
 }
 
-// TestEmptyingIsTold has the reason of moves in the log and among the counters.
-func TestEmptyingIsTold(t *testing.T) {
+// TestEvacuationIsLoggedAndCounted checks that the reason of moves is logged and counted.
+func TestEvacuationIsLoggedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		me, page, err := telemetry.New()
@@ -216,10 +211,10 @@
 	})
 }
 
-// TestMostOfTheListIsGone has three of four workers lose their entries with no trouble of
-// the store to be seen: the list may have been read in part, or the workers may not reach
-// the store. Nothing is moved before the list is believed.
-func TestMostOfTheListIsGone(t *testing.T) {
+// TestListWithMostEntriesMissingIsDoubted removes the entries of three of four workers
+// without a visible store outage: the list may have been read in part, or the workers may not
+// reach the store. Nothing is moved before the list is trusted again.
+func TestListWithMostEntriesMissingIsDoubted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
 		ow := la.withLasting(24)
@@ -233,16 +228,16 @@
 	})
 }
 
-// TestOutagesThatOnlyThePulseTells has entries lapse while the store does not serve an
-// owner that writes nothing else: its list of workers is not read, its tenure not
-// confirmed, or its heartbeats not taken while reads are answered. What runs stays until
-// the store has served for long enough.
-func TestOutagesThatOnlyThePulseTells(t *testing.T) {
+// TestOutageSeenOnlyByListTenureOrHeartbeat removes an entry while the store does not serve
+// an owner that has nothing else to write: its list of workers is not read, its tenure not
+// confirmed, or its heartbeats are not accepted while reads are answered. Running tasks stay
+// where they are until the store has served for long enough.
+func TestOutageSeenOnlyByListTenureOrHeartbeat(t *testing.T) {
 	for _, by := range []string{"list", "tenure", "heartbeat"} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 4)
 			var since, until time.Time
-			stuck := func() time.Time {
+			frozenClock := func() time.Time {
 				if now := time.Now(); since.IsZero() || now.Before(since) || now.After(until) {
 					return now
 				}
@@ -250,11 +245,11 @@
 			}
 			switch by {
 			case "list":
-				la.listFunc = func() (last, began time.Time) { return stuck(), time.Time{} }
+				la.listFunc = func() (last, began time.Time) { return frozenClock(), time.Time{} }
 			case "tenure":
-				la.confirmedFunc = stuck
+				la.confirmedFunc = frozenClock
 			case "heartbeat":
-				la.writtenFunc = stuck
+				la.writtenFunc = frozenClock
 			}
 			since = time.Now().Add(2 * time.Second)
 			until = since.Add(12 * time.Second)
@@ -271,12 +266,10 @@
 	}
 }
 
-// TestDrainingWorkerLosesItsEntry is the story of a worker that says that it leaves and
-// whose entry goes before it does.
-//
-// Users see the same as of one that leaves without a word. Order of events: a worker
-// drains while there is no room elsewhere; its entry goes; room comes; it leaves at the
-// time that it told. Cause: emptying ended with the entry. Evidence: as above.
+// TestDrainingWorkerLosesItsEntry guards against the same failure as
+// [TestWorkerRemovedFromListWithoutDraining] for a draining worker. It drains while no other
+// worker has capacity; its entry is removed; capacity becomes available; it leaves at the
+// announced time. Evacuation used to end when the entry was removed.
 func TestDrainingWorkerLosesItsEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 2, 2*16)
@@ -297,15 +290,12 @@
 	})
 }
 
-// TestEntryGoesWhileAStartIsWritten is the story of a task that starts on a machine that
-// is out of service.
-//
-// Users see tasks start on a worker after its entry went, and be moved or lost at once.
-// Order of events: tasks are placed, and their starts are to be written first; the store
-// is slow; the worker's entry goes meanwhile; then the orders are sent. Cause: the worker
-// was looked at when the task was placed, not when its order was sent. Evidence: runs
-// that begin there after the entry went.
-func TestEntryGoesWhileAStartIsWritten(t *testing.T) {
+// TestEntryRemovedWhileStartIsWritten guards against tasks that start on a worker after its
+// entry was removed, and are moved or lost at once. Tasks are placed and their starts are
+// written to a slow store; meanwhile the worker's entry is removed, or the worker drains;
+// then the orders are sent. The worker used to be checked only when the task was placed, not
+// when its order was sent.
+func TestEntryRemovedWhileStartIsWritten(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 2)
@@ -322,20 +312,20 @@
 			}
 			ow.SetWorkers(list, nil, true)
 			synctest.Wait()
-			went := time.Now()
+			removedAt := time.Now()
 			time.Sleep(10 * time.Second)
 			qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 			for _, ru := range la.fleet.Runs() {
-				qt.Check(t, ru.Worker.ID == "i-0" && !ru.From.Before(went), qt.IsFalse, qt.Commentf("%s, %v after", ru.Task, ru.From.Sub(went)))
+				qt.Check(t, ru.Worker.ID == "i-0" && !ru.From.Before(removedAt), qt.IsFalse, qt.Commentf("%s, %v after", ru.Task, ru.From.Sub(removedAt)))
 			}
 			la.assertNothingTwice()
 		})
 	}
 }
 
-// TestEntryIsBackSoon has an entry go for a little less than the time that it is waited
-// for, again and again, with no trouble of the store to be seen.
-func TestEntryIsBackSoon(t *testing.T) {
+// TestEntryReturnsWithinWait removes an entry repeatedly for a little less than
+// [entryReturnWait], without a visible store outage.
+func TestEntryReturnsWithinWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 3, 12)
 		worker, _ := la.busiest()
@@ -350,9 +340,9 @@
 	})
 }
 
-// TestEntryGoesInTheMidstOfAnOutage has the list tell of an entry that went while writes
-// still fail: the time to wait begins with their success.
-func TestEntryGoesInTheMidstOfAnOutage(t *testing.T) {
+// TestEntryRemovedDuringStoreOutage removes an entry while writes still fail: the wait begins
+// when they succeed.
+func TestEntryRemovedDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 3, 12)
 		worker, n := la.busiest()
@@ -369,9 +359,9 @@
 	})
 }
 
-// TestListIsReadAgainOnlyNow has the list tell of an entry that went, 2 s before it is
-// read again after errors: the time to wait begins anew.
-func TestListIsReadAgainOnlyNow(t *testing.T) {
+// TestWaitRestartsWhenListIsReadAgain removes an entry 2 s before the list is read again
+// after errors: the wait begins anew.
+func TestWaitRestartsWhenListIsReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		var since atomic.Pointer[time.Time]
@@ -390,10 +380,10 @@
 	})
 }
 
-// TestOwnerBeginsWithoutEntries has the cell change hands while an outage has taken all
-// entries. They are back 2 s later, and all goes on where it is; then one that is not is
-// emptied.
-func TestOwnerBeginsWithoutEntries(t *testing.T) {
+// TestOwnerStartsWithoutEntries has the cell change its owner while an outage has removed all
+// entries. They return 2 s later, and all tasks go on where they are. Then one worker whose
+// entry is removed is evacuated.
+func TestOwnerStartsWithoutEntries(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
