--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -33,7 +33,8 @@
 	resolvingOrder bool
 	// haltSentAt is when an order to stop it was last sent, or zero.
 	haltSentAt time.Time
-	// percent is its progress, usage the last reported figure of its resource usage.
+	// percent is its progress. usage is the last reported figure: the tail latency of a
+	// service in milliseconds, the CPU use of other tasks in thousandths of a core.
 	percent int
 	usage   int64
 	// progressedAt is when it was last seen to make progress, and pollsWithoutProgress counts
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -11,9 +11,9 @@
 
 // TestLoadOverSlowLink guards against owners that never serve a cell with many jobs. Some
 // hundred jobs wait, each with a payload of some thousand bytes, when the owner is replaced.
-// The next owner used to start over if it had not read all rows within four seconds, which a
-// slow link does not allow. It kept the cell, because its heartbeats got through, so tasks
-// did not restart and all requests failed.
+// If the next owner starts over when it has not read all rows within four seconds, it never
+// finishes over a slow link. It keeps the cell, because its heartbeats get through, so tasks
+// do not restart and all requests fail.
 func TestLoadOverSlowLink(t *testing.T) {
 	for name, rate := range map[string]int{"2 Mbit/s": 250_000, "0.2 Mbit/s": 25_000} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -85,7 +85,9 @@
 	ended  chan struct{}
 
 	// The loop owns all fields below.
-	ctx     context.Context
+	ctx context.Context
+	// entries has all jobs in memory by id, active those with tasks that may start now, in
+	// order of placement, and seq the number of the latest arrival.
 	entries map[string]*entry
 	active  []*entry
 	seq     int64
@@ -108,7 +110,8 @@
 	writes       int
 	// window bounds the starts in flight.
 	window startWindow
-	// writesFailingSince is zero while writes succeed.
+	// writesFailingSince is the start of the first of the writes that have failed in a row,
+	// or zero while writes succeed.
 	writesFailingSince time.Time
 	// unowned counts the attempts of former owners on workers that no list has named since
 	// the takeover, by incarnation.
@@ -118,15 +121,16 @@
 	leaseRecord leaseRecord
 	// model predicts how fillers disturb services.
 	model interfere.Model
-	// noPlace has the steps for which this round of placement found no worker.
+	// noPlace has the shapes of tasks for which no worker was found, in this round of
+	// placement or recently.
 	noPlace noPlace
-	// similarity caches results for one round of placement.
+	// similarity caches the similarity of pairs of images for one round of placement.
 	similarity map[imagePair]float64
 	// modelSavedAt is when the model was last written; savingModel is set while a write of it
 	// is in flight.
 	modelSavedAt time.Time
 	savingModel  bool
-	// scarcityLoggedAt is when long-running tasks without capacity were last logged.
+	// scarcityLoggedAt is when waiting long-running tasks without capacity were last logged.
 	scarcityLoggedAt time.Time
 	// reservations holds the capacity reserved for long-running tasks that are to restart.
 	reservations promises
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -60,8 +60,8 @@
 	maxQuarantineDoublings = 3
 	// quarantineShare bounds the workers of a service that are quarantined for failures at
 	// once: one in quarantineShare, and at least one if there are others. Users count idle
-	// workers as free capacity, and report a job that waits while less than half of it is
-	// used.
+	// workers as free capacity, and report a job that waits while less than half of the
+	// capacity is used.
 	quarantineShare = 4
 	// lastResortAfter is how long an endless task waits before it is started on a worker that
 	// is quarantined for failures, if no other has capacity. Users report an endless task
--- a/internal/sched/quarantine_test.go
+++ b/internal/sched/quarantine_test.go
@@ -24,9 +24,9 @@
 }
 
 // TestFailingJobsDoNotQuarantineAllWorkers guards against a healthy job that does not run for
-// 8 s while workers are idle. Forty jobs are submitted whose tasks fail wherever they run.
-// Failures used to count against each worker alone, so all workers were quarantined, for
-// twice as long each time, and a healthy job submitted then had to wait.
+// 8 s while workers are idle. Forty jobs are submitted whose tasks fail wherever they run. If
+// failures count against each worker alone, all workers are quarantined, for twice as long
+// each time, and a healthy job submitted then has to wait.
 func TestFailingJobsDoNotQuarantineAllWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
@@ -46,8 +46,8 @@
 
 // TestLastingTaskStartsOnQuarantinedWorker guards against a service that does not run for 12
 // s while a worker is idle. That worker is quarantined because tasks of two jobs failed
-// there, and all other workers are full. The task used to wait for the end of the quarantine,
-// although running where others failed is better than not running.
+// there, and all other workers are full. The task must not wait for the end of the
+// quarantine: running where others failed is better than not running.
 func TestLastingTaskStartsOnQuarantinedWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
--- a/internal/sched/successiveowners_test.go
+++ b/internal/sched/successiveowners_test.go
@@ -44,9 +44,9 @@
 
 // TestThirdOwnerWaitsForTheFirst guards against a task that runs twice. The first owner is
 // cut off from the store together with a worker, whose leases it extends for some seconds
-// more. The second owner dies soon after its takeover. The third one used to learn only from
-// the second one's host when that owner had ceased to act, and computed lease expiries from
-// then, while the first still extended leases.
+// more. The second owner dies soon after its takeover. The third one learns from the second
+// one's host when that owner ceased to act. It must not compute lease expiries from then,
+// because the first may still extend leases.
 func TestThirdOwnerWaitsForTheFirst(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
 		cr.partitionWith(first, cr.busyWorker())
@@ -61,7 +61,7 @@
 
 // TestCellReleasedBeforeLoad guards against a task that runs twice. The second owner releases
 // the cell before it has read it, as at a planned stop while the store is slow. The third one
-// used to take a released cell for one whose former owners had all ceased to act.
+// must not take a released cell for one whose former owners have all ceased to act.
 func TestCellReleasedBeforeLoad(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
 		second.set(func(co *clusterHost) { co.readsBlocked = true })
@@ -147,8 +147,8 @@
 
 // TestOwnerThatLoadsNothingPassesOnLeaseExpiries guards against tasks of a lost worker that
 // restart late. The first owner hands over its lease expiries as it stops. The second one
-// stops before it has read the cell. It used to hand over nothing, so the third one waited
-// from the beginning.
+// stops before it has read the cell. If it does not hand over what it received, the third one
+// waits from the beginning.
 func TestOwnerThatLoadsNothingPassesOnLeaseExpiries(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
 		second.set(func(co *clusterHost) { co.readsBlocked = true })
@@ -168,8 +168,8 @@
 
 // TestWorkerPolledWithoutExtendingLease guards against a task that runs twice. A new owner
 // that the store no longer confirms polls a worker once, extends no lease, and loses the
-// connection again. It used to take the worker's leases for expired, because it had granted
-// none, while one that the former owner had granted still ran.
+// connection again. That it has granted no lease itself does not mean that the worker's
+// leases have expired: one that the former owner granted may still run.
 func TestWorkerPolledWithoutExtendingLease(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
 		down := standin.Fault{Mode: standin.ModeDown}
@@ -191,8 +191,8 @@
 // TestResumedOwnerReportsItsLastLease guards against long-running tasks that do not run for
 // 18 s. The owner's host freezes for 8 s and a worker is lost for good at the same moment.
 // The next owner cannot know until when the first one extended that worker's leases; the
-// first one resumes and learns that it was replaced. The leases used to be counted from that
-// moment, although the first owner had extended none since it froze.
+// first one resumes and learns that it was replaced. The leases must not be counted from that
+// moment, because the first owner has extended none since it froze.
 func TestResumedOwnerReportsItsLastLease(t *testing.T) {
 	withThreeHosts(t, func(cr *cluster, first, second, _ *clusterHost) {
 		fw := cr.busyWorker()
@@ -229,10 +229,10 @@
 // TestLastingTasksRestartAfterWorkerLostBeforeUnreachableOwner guards against long-running
 // tasks that do not run for 18 s. Workers are lost for good; 3 s later the host of their
 // owner is lost too, which had stopped extending their leases 2 s before. No process is left
-// that can say when those leases were last extended, so the next owner used to wait for the 8
-// s that an owner may go on without the store, and for a lease of 6 s after that. An owner
-// now stores the lease expiries of unresponsive workers, and extends no lease of a worker
-// until the store has accepted a row without it.
+// that can say when those leases were last extended, so the next owner would have to wait for
+// the 8 s that an owner may go on without the store, and for a lease of 6 s after that.
+// Therefore an owner stores the lease expiries of unresponsive workers, and extends no lease
+// of a worker until the store has accepted a row without it.
 func TestLastingTasksRestartAfterWorkerLostBeforeUnreachableOwner(t *testing.T) {
 	for _, later := range []time.Duration{2500 * time.Millisecond, 3 * time.Second, 4 * time.Second} {
 		t.Run(later.String(), func(t *testing.T) {
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -21,9 +21,9 @@
 // TestLastingTasksNotGivenUpAfterOwnerLosses guards against healthy long-running jobs that
 // end as failed. Their tasks run for 20 s; then their owner's host freezes, and 0.2 s later
 // workers crash. The next owner finds another process at the workers' addresses, or no entry
-// of them, and used to classify each attempt there as a certain cause of the crash. After
-// three such losses the task was given up, although its attempts had run for 18 s and more.
-// Only the former owner knew how long an attempt had run; the job's row now says so too.
+// of them. Unless the job's row says how long an attempt had run, that owner classifies each
+// attempt there as a certain cause of the crash, and gives the task up after three such
+// losses.
 //
 // [TestTaskThatCrashesItsWorkers] checks the opposite case: a task that does crash its
 // workers is given up also if its owners are lost with them.
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -62,8 +62,8 @@
 // TestWorkerRemovedFromListWithoutDraining guards against services that do not run for the
 // length of a lease although other workers have capacity. A worker's entry is removed without
 // a store outage and without the worker having reported that it drains. Its host answers for
-// half a minute more and then stops. Only draining workers used to be evacuated, so the tasks
-// stayed until the host stopped and restarted only after their leases had expired.
+// half a minute more and then stops. Unless such a worker is evacuated like a draining one,
+// its tasks stay until the host stops and restart only after their leases have expired.
 func TestWorkerRemovedFromListWithoutDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 3, 12)
@@ -269,7 +269,7 @@
 // TestDrainingWorkerLosesItsEntry guards against the same failure as
 // [TestWorkerRemovedFromListWithoutDraining] for a draining worker. It drains while no other
 // worker has capacity; its entry is removed; capacity becomes available; it leaves at the
-// announced time. Evacuation used to end when the entry was removed.
+// announced time. The evacuation must not end when the entry is removed.
 func TestDrainingWorkerLosesItsEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 2, 2*16)
@@ -293,8 +293,8 @@
 // TestEntryRemovedWhileStartIsWritten guards against tasks that start on a worker after its
 // entry was removed, and are moved or lost at once. Tasks are placed and their starts are
 // written to a slow store; meanwhile the worker's entry is removed, or the worker drains;
-// then the orders are sent. The worker used to be checked only when the task was placed, not
-// when its order was sent.
+// then the orders are sent. The worker has to be checked when the order is sent, not only
+// when the task is placed.
 func TestEntryRemovedWhileStartIsWritten(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
