--- /dev/null
+++ b/internal/sched/cluster_test.go
@@ -0,0 +1,281 @@
+package sched
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"github.com/pepperhatch/pepperhatch/internal/clock"
+	"github.com/pepperhatch/pepperhatch/internal/registry"
+	"github.com/pepperhatch/pepperhatch/internal/standin"
+	"github.com/pepperhatch/pepperhatch/internal/store"
+	"github.com/pepperhatch/pepperhatch/internal/tenure"
+	"github.com/pepperhatch/pepperhatch/internal/worker"
+)
+
+// cluster is a cell with several hosts that may own it. Each host has its own connections to
+// the store, to the other hosts and to the workers.
+type cluster struct {
+	*lab
+
+	mu    sync.Mutex
+	hosts []*clusterHost
+	// processes counts the processes started so far.
+	processes int
+	// maxLease is the longest lease that workers grant, 6 s if not set.
+	maxLease time.Duration
+	// lostAt is when a worker was lost together with an owner.
+	lostAt time.Time
+}
+
+// clusterHost is one process on a host that may own the cell.
+type clusterHost struct {
+	cr     *cluster
+	keeper *tenure.Keeper
+	end    context.CancelFunc
+	// gate injects faults into its connection to the store.
+	gate standin.Gate
+	// ow is the owner that it runs while it owns the cell, else nil.
+	ow atomic.Pointer[Owner]
+
+	mu sync.Mutex
+	// partitioned hosts neither ask other hosts nor answer them; restarted ones have another
+	// process on their host.
+	partitioned, restarted bool
+	// readsBlocked hosts cannot read the cell.
+	readsBlocked bool
+	// unreachable has the workers that it cannot reach, by incarnation.
+	unreachable map[worker.Incarnation]bool
+	// reachableOnce has those of them that it reaches for one more request.
+	reachableOnce map[worker.Incarnation]bool
+}
+
+var errUnreachable = errors.New("unreachable by an injected fault")
+
+// join starts a host with the given CPU cores; those with fewer cores claim later.
+func (cr *cluster) join(name string, cores float64) *clusterHost {
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
+	cr.processes++
+	co := &clusterHost{cr: cr, unreachable: map[worker.Incarnation]bool{}}
+	co.keeper = &tenure.Keeper{
+		Cell: "c0", Self: name, Process: fmt.Sprintf("%s-%d", name, cr.processes), Addr: name, Cores: cores,
+		Table: co.table(cr.lab.table.Client()), Serve: co.serve, AskFunc: co.ask, ConfirmFunc: co.vouch, Log: cr.log,
+	}
+	ctx, end := context.WithCancel(context.Background())
+	co.end = end
+	cr.hosts = append(cr.hosts, co)
+	go co.keeper.Run(ctx)
+	return co
+}
+
+// set changes the host's faults under its lock.
+func (co *clusterHost) set(fn func(*clusterHost)) {
+	co.mu.Lock()
+	defer co.mu.Unlock()
+	fn(co)
+}
+
+func (co *clusterHost) isPartitioned() bool {
+	co.mu.Lock()
+	defer co.mu.Unlock()
+	return co.partitioned
+}
+
+// table wraps the store's client with the host's faults.
+func (co *clusterHost) table(tbl store.Table) store.Table {
+	return store.Table{
+		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
+			if err := co.beforeRead(ctx); err != nil {
+				return store.ReadReply{}, err
+			}
+			return tbl.ReadFunc(ctx, req)
+		},
+		CommitFunc: func(ctx context.Context, txn store.Txn) (store.CommitReply, error) {
+			if _, err := co.gate.Before(ctx); err != nil {
+				return store.CommitReply{}, err
+			}
+			return tbl.CommitFunc(ctx, txn)
+		},
+		FeedFunc: func(ctx context.Context, req store.FeedRequest) (store.FeedReply, error) {
+			if _, err := co.gate.Before(ctx); err != nil {
+				return store.FeedReply{}, err
+			}
+			return tbl.FeedFunc(ctx, req)
+		},
+	}
+}
+
+func (co *clusterHost) beforeRead(ctx context.Context) error {
+	co.mu.Lock()
+	blocked := co.readsBlocked
+	co.mu.Unlock()
+	if blocked {
+		<-ctx.Done()
+		return ctx.Err()
+	}
+	_, err := co.gate.Before(ctx)
+	return err
+}
+
+// agent wraps the workers' client with the host's unreachable workers.
+func (co *clusterHost) agent() worker.Agent {
+	ag := co.cr.fleet.Agent()
+	return worker.Agent{
+		LaunchFunc: withUnreachable(co, ag.LaunchFunc), HaltFunc: withUnreachable(co, ag.HaltFunc),
+		PaceFunc: withUnreachable(co, ag.PaceFunc), LookFunc: withUnreachable(co, ag.LookFunc),
+	}
+}
+
+func withUnreachable[Order, Answer any](co *clusterHost, send func(context.Context, worker.Addr, Order) (Answer, error)) func(context.Context, worker.Addr, Order) (Answer, error) {
+	return func(ctx context.Context, ad worker.Addr, or Order) (Answer, error) {
+		co.mu.Lock()
+		refused := co.unreachable[ad.Incarnation] && !co.reachableOnce[ad.Incarnation]
+		delete(co.reachableOnce, ad.Incarnation)
+		co.mu.Unlock()
+		if refused {
+			var none Answer
+			return none, errUnreachable
+		}
+		return send(ctx, ad, or)
+	}
+}
+
+// ask asks the latest process of a host about its tenure.
+func (co *clusterHost) ask(_ context.Context, addr string, epoch int64) (tenure.HostStatus, error) {
+	const latency = 3 * time.Millisecond
+	time.Sleep(latency)
+	other := co.cr.latest(addr)
+	if co.isPartitioned() || other.isPartitioned() {
+		return tenure.HostStatus{}, errUnreachable
+	}
+	if other.isRestarted() {
+		return tenure.HostStatus{Host: addr, Process: addr + " restarted"}, nil
+	}
+	other.keeper.NotifyReplaced(epoch)
+	return other.keeper.HostStatus(), nil
+}
+
+// vouch asks the latest process of a host whether it confirms an owner.
+func (co *clusterHost) vouch(_ context.Context, addr string, epoch int64, process string) (bool, error) {
+	const latency = 3 * time.Millisecond
+	time.Sleep(latency)
+	other := co.cr.latest(addr)
+	if co.isPartitioned() || other.isPartitioned() || other.isRestarted() {
+		return false, errUnreachable
+	}
+	return other.keeper.Confirm(epoch, process), nil
+}
+
+func (co *clusterHost) isRestarted() bool {
+	co.mu.Lock()
+	defer co.mu.Unlock()
+	return co.restarted
+}
+
+// reportHosts passes the list of hosts to the owner until its tenure ends.
+func (co *clusterHost) reportHosts(ctx context.Context, te tenure.Tenure) {
+	known := 0
+	for {
+		if members := co.cr.members(); len(members) != known {
+			known = len(members)
+			te.SetHosts(members, nil, true)
+		}
+		if !clock.Sleep(ctx, 100*time.Millisecond) {
+			return
+		}
+	}
+}
+
+// members returns the hosts as the store lists them.
+func (cr *cluster) members() []registry.Member {
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
+	var list []registry.Member
+	for _, co := range cr.hosts {
+		list = append(list, registry.Member{Name: co.keeper.Self, Process: co.keeper.Process, Addr: co.keeper.Addr, DataCentre: co.keeper.Self})
+	}
+	return list
+}
+
+// latest returns the latest process of a host.
+func (cr *cluster) latest(name string) *clusterHost {
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
+	for _, co := range slices.Backward(cr.hosts) {
+		if co.keeper.Self == name {
+			return co
+		}
+	}
+	return nil
+}
+
+func (co *clusterHost) serve(ctx context.Context, te tenure.Tenure) (map[string]int64, error) {
+	ow := New(&Owner{
+		Cell: "c0", Tenure: te, Table: co.keeper.Table, Agent: co.agent(), Log: co.cr.log,
+		Limits: Limits{MaxLease: cmp.Or(co.cr.maxLease, 6*time.Second), StopTime: 900 * time.Millisecond, HarmAfter: 4 * time.Second, KeepEnded: 2 * time.Minute},
+	})
+	defer co.ow.Store(nil)
+	err := ow.Run(ctx, func() {
+		co.ow.Store(ow)
+		go co.reportHosts(ctx, te)
+		go ow.SetWorkers(co.cr.listed(), nil, true)
+	})
+	return ow.Handover(), err
+}
+
+// kill ends a process at once: it writes nothing more and sends no order.
+func (co *clusterHost) kill() {
+	co.gate.Set(standin.Fault{Mode: standin.ModeDown})
+	co.set(func(co *clusterHost) {
+		for _, fw := range co.cr.crew {
+			co.unreachable[fw.Addr.Incarnation] = true
+		}
+		co.restarted = true
+	})
+	co.end()
+}
+
+// partitionWith cuts a host off from the store and the other hosts, and the other hosts off
+// from a worker that it still reaches.
+func (cr *cluster) partitionWith(isolated *clusterHost, fw *standin.FleetWorker) {
+	isolated.gate.Set(standin.Fault{Mode: standin.ModeDown})
+	isolated.set(func(co *clusterHost) { co.partitioned = true })
+	for _, co := range cr.hosts {
+		if co != isolated {
+			co.set(func(co *clusterHost) { co.unreachable[fw.Addr.Incarnation] = true })
+		}
+	}
+}
+
+// awaitOwner waits until a host owns the cell after its former owner was lost or released it.
+func (cr *cluster) awaitOwner(co *clusterHost) {
+	const (
+		timeout = 4 * time.Second
+		step    = 10 * time.Millisecond
+	)
+	for end := time.Now().Add(timeout); time.Now().Before(end) && !co.owns(); time.Sleep(step) {
+	}
+	qt.Assert(cr.t, co.owns(), qt.IsTrue, qt.Commentf("%s does not own the cell after %v", co.keeper.Self, timeout))
+}
+
+// owns reports whether the process is the owner according to the owner row that it last read.
+func (co *clusterHost) owns() bool {
+	row, ok := co.keeper.Current()
+	return ok && row.Process == co.keeper.Process
+}
+
+// stop ends all hosts and waits until their goroutines have ended.
+func (cr *cluster) stop() {
+	for _, co := range cr.hosts {
+		co.end()
+	}
+	time.Sleep(tenure.HeartbeatTimeout + time.Second)
+}
--- /dev/null
+++ b/internal/sched/interference.go
@@ -0,0 +1,75 @@
+package sched
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"github.com/pepperhatch/pepperhatch/internal/interfere"
+	"github.com/pepperhatch/pepperhatch/internal/store"
+)
+
+// The owner stores what it learnt about interference between pairs of images. Without that,
+// the next owner would disturb services for seconds while it learns it again.
+const (
+	// InterferenceTable is the table of the row.
+	InterferenceTable = "learnt"
+	// saveInterval is the time between two writes: a pair is learnt within 2 to 5 s, and a
+	// write of 180 pairs has about 15 KB.
+	saveInterval = 4 * time.Second
+	// maxPairs keeps the row below the store's limit of 64 KiB, at about 90 bytes a pair.
+	maxPairs = 500
+)
+
+// interferenceRow has what was learnt in a cell.
+type interferenceRow struct {
+	Pairs []interfere.Learnt `json:"pairs"`
+}
+
+func (ow *Owner) interferenceKey() string { return InterferenceTable + "/" + ow.Cell + "/pairs" }
+
+// loadInterference reads what former owners learnt. If it can't be read, this owner learns it
+// again.
+func (ow *Owner) loadInterference(ctx context.Context) {
+	if !ow.uses(MechHandOn) {
+		return
+	}
+	lctx, cancel := context.WithTimeout(ctx, writeTimeout)
+	defer cancel()
+	var row interferenceRow
+	version, err := ow.Table.Get(lctx, ow.interferenceKey(), &row)
+	if err != nil {
+		ow.Log.Warn("what the former owner learnt is not known", "cell", ow.Cell, "err", err)
+		return
+	}
+	ow.model = interfere.FromLearnt(row.Pairs)
+	ow.Log.Info("loaded what former owners learnt of interference", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
+}
+
+// saveInterference writes what was learnt, at most every saveInterval.
+func (ow *Owner) saveInterference(now time.Time) {
+	if !ow.uses(MechHandOn) || ow.savingModel || now.Sub(ow.modelSavedAt) < saveInterval || ow.storeDown() {
+		return
+	}
+	pairs := ow.model.Learnt(maxPairs)
+	if len(pairs) == 0 {
+		return
+	}
+	ow.savingModel, ow.modelSavedAt = true, now
+	value := ow.encode(interferenceRow{Pairs: pairs})
+	go ow.writeInterference(value)
+}
+
+// writeInterference tries once to write the row, on the condition that this host still owns
+// the cell. After a failure, the next save includes the same data.
+func (ow *Owner) writeInterference(value json.RawMessage) {
+	txn := store.NewTxn()
+	txn.Conds = []store.Cond{{Key: ow.Tenure.Key, Version: ow.Tenure.Version}}
+	txn.Puts = []store.Put{{Key: ow.interferenceKey(), Value: value}}
+	ctx, cancel := context.WithTimeout(ow.ctx, writeTimeout)
+	defer cancel()
+	if _, err := ow.Table.CommitFunc(ctx, txn); err != nil {
+		ow.Log.Info("cannot write what was learnt of interference", "cell", ow.Cell, "err", err)
+	}
+	ow.post(func() { ow.savingModel = false })
+}
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -8,40 +8,41 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// Summary is what a list says of a job.
+// Summary is a job as it appears in a list.
 type Summary struct {
-	// ID and Queue name it.
+	// ID and Queue are the job's id and queue.
 	ID    string `json:"id"`
 	Queue string `json:"queue"`
-	// State is as last written; the counts are as decided, which may be ahead
-	// of it by the time of a write.
+	// State is the last one written. The counts include decisions not written yet, so they
+	// can be ahead of State for the duration of a write.
 	State job.State `json:"state"`
-	// Tasks counts its tasks, Done those that are done, Running those with an
-	// attempt that runs, or may.
+	// Tasks counts all tasks, Done those that have succeeded, and Running those with an
+	// attempt that runs or may run.
 	Tasks   int `json:"tasks"`
 	Done    int `json:"done"`
 	Running int `json:"running"`
-	// order is that of arrival.
+	// order is the order of arrival.
 	order int64
 }
 
-// listMost bounds a list, the newest jobs first to be kept.
-const listMost = 1000
+// maxSummaries bounds a list; the newest jobs are retained.
+const maxSummaries = 1000
 
-// List returns the jobs that the owner remembers, in order of arrival.
+// List returns the jobs in the owner's memory in order of arrival, the newest maxSummaries of
+// them.
 func (ow *Owner) List(ctx context.Context) ([]Summary, error) {
-	return ask(ctx, ow, func(answer func([]Summary)) {
+	return call(ctx, ow, func(answer func([]Summary)) {
 		list := make([]Summary, 0, len(ow.entries))
 		for _, en := range ow.entries {
 			list = append(list, en.summary())
 		}
 		slices.SortFunc(list, func(a, b Summary) int { return cmp.Compare(a.order, b.order) })
-		answer(list[max(0, len(list)-listMost):])
+		answer(list[max(0, len(list)-maxSummaries):])
 	})
 }
 
 func (en *entry) summary() Summary {
-	su := Summary{ID: en.jo.ID, Queue: en.jo.Terms.Queue, State: en.visible(), Running: len(en.attempts), order: en.order}
+	su := Summary{ID: en.jo.ID, Queue: en.jo.Terms.Queue, State: en.reportedState(), Running: len(en.attempts), order: en.order}
 	for _, tasks := range en.jo.Tasks {
 		su.Tasks += len(tasks)
 		for i := range tasks {
--- /dev/null
+++ b/internal/sched/quarantine.go
@@ -0,0 +1,108 @@
+package sched
+
+import (
+	"time"
+
+	"github.com/pepperhatch/pepperhatch/internal/job"
+)
+
+// recordOutcome records how an attempt on the worker ended, and quarantines the worker if it
+// fails tasks of several jobs in a row.
+func (ho *host) recordOutcome(en *entry, outcome string) {
+	switch outcome {
+	case "done":
+		ho.failures, ho.asides = 0, 0
+		clear(ho.failedJobs)
+	case "failed":
+		ho.failures++
+		ho.failedJobs[en.jo.ID] = true
+	}
+	if ho.failures < quarantineFailures || len(ho.failedJobs) < quarantineJobs || !ho.ow.mayQuarantine(ho) {
+		return
+	}
+	d := initialQuarantine << min(ho.asides, maxQuarantineDoublings)
+	ho.failingUntil = time.Now().Add(d)
+	ho.logQuarantine(d, "fails tasks of several jobs")
+	ho.asides++
+	ho.failures = quarantineFailures - 1
+}
+
+// mayQuarantine reports whether one more worker of a service may be quarantined for failures.
+// If more than a share of them fail tasks of several jobs, the tasks are at fault and not the
+// workers.
+func (ow *Owner) mayQuarantine(ho *host) bool {
+	now, all, quarantined := time.Now(), 0, 0
+	for _, other := range ow.hosts {
+		if other.Service != ho.Service || other.dead || other.gone {
+			continue
+		}
+		all++
+		if other != ho && other.quarantinedForFailures(now) {
+			quarantined++
+		}
+	}
+	return all > 1 && quarantined < max(all/quarantineShare, 1)
+}
+
+// quarantinedForFailures reports whether the worker is quarantined because tasks failed
+// there.
+func (ho *host) quarantinedForFailures(now time.Time) bool { return !now.After(ho.failingUntil) }
+
+// Rules of the quarantine.
+const (
+	// quarantineFailures is the number of attempts in a row, and quarantineJobs the number of
+	// their jobs, that must fail: one attempt in 30 fails without a fault of its worker.
+	quarantineFailures = 2
+	quarantineJobs     = 2
+	// initialQuarantine is the duration of the first quarantine; it doubles up to
+	// maxQuarantineDoublings times.
+	initialQuarantine      = 1500 * time.Millisecond
+	maxQuarantineDoublings = 3
+	// quarantineShare bounds the workers of a service that are quarantined for failures at
+	// once: one in quarantineShare, and at least one if there are others. Users count idle
+	// workers as free capacity, and report a job that waits while less than half of the
+	// capacity is used.
+	quarantineShare = 4
+	// lastResortAfter is how long an endless task waits before it is started on a worker that
+	// is quarantined for failures, if no other has capacity. Users report an endless task
+	// that has not run for 6 s.
+	lastResortAfter = time.Second
+	// unfitQuarantine is the duration of the quarantine after a refused order.
+	unfitQuarantine = 700 * time.Millisecond
+)
+
+// quarantine keeps new tasks away from the worker for d.
+func (ho *host) quarantine(d time.Duration, why string) {
+	until := time.Now().Add(d)
+	if until.Before(ho.asideUntil) {
+		return
+	}
+	ho.asideUntil = until
+	ho.logQuarantine(d, why)
+}
+
+func (ho *host) logQuarantine(d time.Duration, why string) {
+	ho.ow.Log.Warn("worker set aside", "worker", ho.incarnation, "for", d, "failures", ho.failures, "why", why)
+}
+
+// startAsLastResort starts an endless task on a worker that is quarantined for failures, once
+// the task has waited for another worker, and reports whether it did. Endless tasks have no
+// limit of failures, and the task may well run there.
+func (pl *placer) startAsLastResort(en *entry, ref job.TaskRef) bool {
+	if !en.jo.Spec.Steps[ref.Step].Endless || pl.now.Sub(en.waitingSince) < lastResortAfter {
+		return false
+	}
+	var best *candidate
+	st := &en.jo.Spec.Steps[ref.Step]
+	for _, ca := range pl.failing {
+		if ca.fits(en, ref, st) && (best == nil || ca.score(en, st) > best.score(en, st)) {
+			best = ca
+		}
+	}
+	if best == nil {
+		return false
+	}
+	pl.start(en, ref, best)
+	en.waitCause = CauseOrder
+	return true
+}
--- /dev/null
+++ b/internal/sched/quarantine_test.go
@@ -0,0 +1,94 @@
+package sched
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"github.com/pepperhatch/pepperhatch/internal/worker"
+)
+
+// firstFailingJob is the number of the first job whose tasks fail at once.
+const firstFailingJob = 100
+
+// failTasksOfJobs makes the tasks of jobs from firstFailingJob on fail at once.
+func failTasksOfJobs(la *lab, healthy func(worker.Attempt) (time.Duration, string)) {
+	la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
+		if at.Task >= jobID(firstFailingJob) {
+			return 10 * time.Millisecond, "failed"
+		}
+		return healthy(at)
+	}
+}
+
+// TestFailingJobsDoNotQuarantineAllWorkers guards against a healthy job that does not run for
+// 8 s while workers are idle. Forty jobs are submitted whose tasks fail wherever they run. If
+// failures count against each worker alone, all workers are quarantined, for twice as long
+// each time, and a healthy job submitted then has to wait.
+func TestFailingJobsDoNotQuarantineAllWorkers(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		la, li := loggedLab(t, 4)
+		failTasksOfJobs(la, func(worker.Attempt) (time.Duration, string) { return time.Second, "done" })
+		ow, end := la.own()
+		defer end()
+		time.Sleep(time.Second)
+		for n := range 40 {
+			la.submit(ow, firstFailingJob+n, batch(1, 4))
+			time.Sleep(100 * time.Millisecond)
+		}
+		la.submit(ow, 1, batch(1, 1))
+		time.Sleep(time.Second)
+		qt.Assert(t, li.with(`msg="attempt placed"`, jobID(1)), qt.HasLen, 1)
+	})
+}
+
+// TestLastingTaskStartsOnQuarantinedWorker guards against a service that does not run for 12
+// s while a worker is idle. That worker is quarantined because tasks of two jobs failed
+// there, and all other workers are full. The task must not wait for the end of the
+// quarantine: running where others failed is better than not running.
+func TestLastingTaskStartsOnQuarantinedWorker(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		la := newLab(t, 2)
+		ow := la.withLasting(2*16 - 1)
+		ow.post(func() {
+			for _, ho := range ow.hosts {
+				ho.failures, ho.asides = quarantineFailures, maxQuarantineDoublings
+				ho.failedJobs["other"] = true
+			}
+			for _, ho := range ow.hosts {
+				if len(ho.attempts) < 16 {
+					ho.recordOutcome(&entry{jo: ow.entries[jobID(1)].jo}, "failed")
+				}
+			}
+		})
+		la.submit(ow, 2, lasting(1))
+		time.Sleep(lastResortAfter / 2)
+		la.assertRunning(2*16 - 1)
+		time.Sleep(lastResortAfter)
+		la.assertRunning(2 * 16)
+	})
+}
+
+// TestOnlyFailingWorkerIsQuarantined has all tasks fail on one worker of four: that worker is
+// quarantined, and the others do the work.
+func TestOnlyFailingWorkerIsQuarantined(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		la, li := loggedLab(t, 4)
+		faulty := la.crew[0].Addr.Incarnation
+		la.crew[0].RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
+		ow, end := la.own()
+		defer end()
+		time.Sleep(time.Second)
+		for n := range 20 {
+			la.submit(ow, 1+n, batch(1, 16))
+			time.Sleep(250 * time.Millisecond)
+		}
+		time.Sleep(5 * time.Second)
+		lines := li.with(`msg="worker set aside"`)
+		qt.Assert(t, len(lines) > 0, qt.IsTrue)
+		qt.Assert(t, li.with(`msg="worker set aside"`, "worker="+faulty.String()), qt.HasLen, len(lines))
+		qt.Assert(t, li.with(`msg="job time"`, "state=succeeded"), qt.HasLen, 20)
+	})
+}
