--- a/internal/job/blame.go
+++ b/internal/job/blame.go
@@ -49,7 +49,7 @@
 
 // giveUp ends a task that is not tried again.
 func (jo *Job) giveUp(ta *Task) {
-	ta.State = Failing
+	ta.State = Abandoned
 	jo.failed++
 }
 
@@ -68,7 +68,7 @@
 // begun since may still be done.
 func (jo *Job) FailedLate(ref TaskRef, attempt int) bool {
 	ta := jo.Task(ref)
-	if ta == nil || ta.State == Done || ta.State == Failing || jo.State().Final() {
+	if ta == nil || ta.State == Done || ta.State == Abandoned || jo.State().Final() {
 		return false
 	}
 	at := slices.Index(ta.GivenUp, attempt)
--- a/internal/job/blame_test.go
+++ b/internal/job/blame_test.go
@@ -38,7 +38,7 @@
 			{[]End{EndCrashed}, Running, true, false},
 			{[]End{EndCrashed, EndCrashed}, Running, true, true},
 			{[]End{EndCrashed, EndCrashed, EndCrashed}, Failed, false, false},
-			{[]End{EndCrashed, EndStopped, EndLapsed, EndNever, EndCrashed, EndCrashed}, Failed, false, false},
+			{[]End{EndCrashed, EndStopped, EndLapsed, EndNeverRan, EndCrashed, EndCrashed}, Failed, false, false},
 			{[]End{EndLost}, Running, true, false},
 			{[]End{EndLost, EndLost, EndLost, EndLost}, Running, true, true},
 			{[]End{EndLost, EndLost, EndLost, EndCrashed, EndLost}, Running, true, true},
@@ -46,7 +46,7 @@
 			{slices.Repeat([]End{EndLost}, 9), Running, true, true},
 			{slices.Repeat([]End{EndLost}, 10), Failed, false, false},
 			{[]End{EndLapsed, EndLapsed, EndLapsed, EndLapsed, EndLapsed, EndLapsed}, Running, false, false},
-			{[]End{EndStopped, EndNever, EndStopped, EndNever, EndStopped}, Running, false, false},
+			{[]End{EndStopped, EndNeverRan, EndStopped, EndNeverRan, EndStopped}, Running, false, false},
 		} {
 			jo := play(t, sp, tc.ends...)
 			qt.Check(t, jo.State(), qt.Equals, tc.want, qt.Commentf("%v", tc.ends))
@@ -96,7 +96,7 @@
 		qt.Assert(t, jo.State(), qt.Equals, Failed)
 	})
 	t.Run("lets the attempt under way be done", func(t *testing.T) {
-		for _, end := range []End{EndDone, EndStopped, EndLapsed, EndNever} {
+		for _, end := range []End{EndDone, EndStopped, EndLapsed, EndNeverRan} {
 			jo := play(t, chain(1, 1), EndFailed, EndLapsed)
 			number := jo.Start(ref, worker.Incarnation{ID: "w"})
 			qt.Assert(t, jo.FailedLate(ref, 2), qt.IsTrue)
@@ -140,7 +140,7 @@
 		tr.jo.Lasted(TaskRef{}, number)
 		tr.crashes = 0
 	}
-	end := rapid.SampledFrom([]End{EndFailed, EndStopped, EndLapsed, EndNever, EndCrashed, EndLost}).Draw(tr.rt, "end")
+	end := rapid.SampledFrom([]End{EndFailed, EndStopped, EndLapsed, EndNeverRan, EndCrashed, EndLost}).Draw(tr.rt, "end")
 	tr.jo.End(TaskRef{}, number, end, "")
 	switch end {
 	case EndCrashed:
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -32,9 +32,9 @@
 	Waiting TaskState = iota
 	// Started tasks have an attempt that runs, or may.
 	Started
-	// Done and Failing tasks are over; Failing ones failed too often.
+	// Done and Abandoned tasks are over; Abandoned ones failed too often.
 	Done
-	Failing
+	Abandoned
 )
 
 // End is how an attempt ended.
@@ -54,8 +54,8 @@
 	// blame.go.
 	EndCrashed End = "crashed"
 	EndLost    End = "lost"
-	// EndNever: the attempt never ran and never will.
-	EndNever End = "never-ran"
+	// EndNeverRan: the attempt never ran and never will.
+	EndNeverRan End = "never-ran"
 )
 
 // Task is one task.
@@ -150,7 +150,7 @@
 			if ta.State != Done {
 				jo.left[i]++
 			}
-			if ta.State == Failing {
+			if ta.State == Abandoned {
 				jo.failed++
 			}
 			if ta.Attempt > 0 {
@@ -225,7 +225,7 @@
 	ta.State = Started
 	ta.Attempt++
 	ta.Worker = incarnation
-	ta.Proof, ta.DoneBefore = Unproven, false
+	ta.Proof, ta.DoneBefore = PhaseStarting, false
 	ta.Base = ta.Checkpoint
 	return ta.Attempt
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -75,7 +75,7 @@
 	sp.Steps[0].Endless = true
 	jo := New(testID, Terms{MaxFailures: 1}, sp)
 	ref := TaskRef{0, 0}
-	for attempt, end := range []End{EndFailed, EndDone, EndLapsed, EndStopped, EndNever, EndCrashed, EndLost} {
+	for attempt, end := range []End{EndFailed, EndDone, EndLapsed, EndStopped, EndNeverRan, EndCrashed, EndLost} {
 		qt.Assert(t, jo.Start(ref, worker.Incarnation{ID: "w"}), qt.Equals, attempt+1)
 		qt.Assert(t, jo.End(ref, attempt+1, end, ""), qt.IsTrue)
 		qt.Assert(t, jo.State(), qt.Equals, Running)
@@ -132,7 +132,7 @@
 	case Started:
 		ta.Checkpoint = ta.Base
 	default:
-		ta.Worker, ta.Base, ta.Proof, ta.DoneBefore = worker.Incarnation{}, "", Unproven, false
+		ta.Worker, ta.Base, ta.Proof, ta.DoneBefore = worker.Incarnation{}, "", PhaseStarting, false
 	}
 	return ta
 }
@@ -174,7 +174,7 @@
 		for range rapid.IntRange(1, 80).Draw(rt, "acts") {
 			ref := TaskRef{rapid.IntRange(0, len(sp.Steps)-1).Draw(rt, "step"), rapid.IntRange(0, sp.Steps[0].Tasks-1).Draw(rt, "index")}
 			assertStart(rt, jo, ref)
-			end := rapid.SampledFrom([]End{EndDone, EndFailed, EndStopped, EndLapsed, EndNever, EndCrashed, EndLost}).Draw(rt, "end")
+			end := rapid.SampledFrom([]End{EndDone, EndFailed, EndStopped, EndLapsed, EndNeverRan, EndCrashed, EndLost}).Draw(rt, "end")
 			if rapid.Bool().Draw(rt, "ends") {
 				jo.End(ref, jo.Task(ref).Attempt, end, fmt.Sprint(ref))
 			}
--- a/internal/job/proof.go
+++ b/internal/job/proof.go
@@ -12,26 +12,26 @@
 
 // The degrees of proof.
 const (
-	// Unproven attempts may still be at their start, at which a program that takes its
+	// PhaseStarting attempts may still be at their start, at which a program that takes its
 	// host down does so.
-	Unproven Proof = iota
-	// Begun attempts have got over it.
-	Begun
-	// Lasting attempts have been at work for so long that the ends of workers before, and
+	PhaseStarting Proof = iota
+	// PhaseStarted attempts have got over it.
+	PhaseStarted
+	// PhaseStable attempts have been at work for so long that the ends of workers before, and
 	// that of theirs, are not put down to the task.
-	Lasting
+	PhaseStable
 )
 
 // proofChars has the characters of the proofs, by their value.
 const proofChars = "012"
 
 // Began notes that an attempt got over its start, and reports whether that was news.
-func (jo *Job) Began(ref TaskRef, attempt int) bool { return jo.prove(ref, attempt, Begun) }
+func (jo *Job) Began(ref TaskRef, attempt int) bool { return jo.prove(ref, attempt, PhaseStarted) }
 
 // Lasted notes that an attempt was at work for so long that the ends of workers before it
 // were not the task's doing, and reports whether that was news.
 func (jo *Job) Lasted(ref TaskRef, attempt int) bool {
-	if !jo.prove(ref, attempt, Lasting) {
+	if !jo.prove(ref, attempt, PhaseStable) {
 		return false
 	}
 	ta := jo.Task(ref)
--- a/internal/relay/codes_test.go
+++ b/internal/relay/codes_test.go
@@ -17,7 +17,7 @@
 			an := answer{}.withError(fmt.Errorf("launch: %w", known.err))
 			err := an.asError("r0", worker.Incarnation{ID: "i-0"})
 			qt.Check(t, errors.Is(err, known.err), qt.IsTrue)
-			for _, mark := range []error{worker.ErrNotSent, worker.ErrBrokeOff} {
+			for _, mark := range []error{worker.ErrNotSent, worker.ErrConnectionLost} {
 				qt.Check(t, errors.Is(err, mark), qt.Equals, errors.Is(known.err, mark))
 			}
 		})
@@ -26,8 +26,8 @@
 
 func TestOtherLifeOverAStream(t *testing.T) {
 	meant := worker.Incarnation{ID: "i-0", Born: 5}
-	an := answer{}.withError(fmt.Errorf("look: %w", worker.CheckLife(meant, 9)))
-	var le *worker.LifeError
+	an := answer{}.withError(fmt.Errorf("look: %w", worker.CheckIncarnation(meant, 9)))
+	var le *worker.IncarnationError
 	qt.Assert(t, errors.As(an.asError("r0", meant), &le), qt.IsTrue)
-	qt.Check(t, *le, qt.Equals, worker.LifeError{Meant: meant, Answered: worker.Incarnation{ID: "i-0", Born: 9}})
+	qt.Check(t, *le, qt.Equals, worker.IncarnationError{Meant: meant, Answered: worker.Incarnation{ID: "i-0", Born: 9}})
 }
--- a/internal/relay/listed.go
+++ b/internal/relay/listed.go
@@ -61,7 +61,7 @@
 }
 
 // diff returns how a look differs from the one before.
-func (di *differ) diff(si worker.Sight, now time.Time) *listed {
+func (di *differ) diff(si worker.PollResult, now time.Time) *listed {
 	li := &listed{}
 	if di.rows == nil {
 		di.rows = map[worker.Attempt]row{}
@@ -123,7 +123,7 @@
 }
 
 // merge returns the whole look that a difference stands for.
-func (me *merger) merge(li *listed, clockMS int64) worker.Sight {
+func (me *merger) merge(li *listed, clockMS int64) worker.PollResult {
 	if me.rows == nil {
 		me.rows = map[int]worker.RunningAttempt{}
 	}
@@ -135,7 +135,7 @@
 		ra.Checkpoint, ra.Percent, ra.Usage = ro.Checkpoint, ro.Percent, ro.Usage
 		me.rows[ro.Row] = ra
 	}
-	si := worker.Sight{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(me.rows))}
+	si := worker.PollResult{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(me.rows))}
 	for _, en := range li.Ended {
 		si.Ended = append(si.Ended, me.end(en))
 	}
--- a/internal/relay/listed_test.go
+++ b/internal/relay/listed_test.go
@@ -56,11 +56,11 @@
 
 // look tells a look as a difference, and returns what is made of that. It is told
 // whole figures only if whole is set.
-func (sc *scene) look(whole bool) worker.Sight {
+func (sc *scene) look(whole bool) worker.PollResult {
 	if whole {
 		sc.now = sc.now.Add(figuresEvery)
 	}
-	si := worker.Sight{ClockMS: 7, Running: slices.Collect(maps.Values(sc.running)), Ended: sc.ended}
+	si := worker.PollResult{ClockMS: 7, Running: slices.Collect(maps.Values(sc.running)), Ended: sc.ended}
 	data, err := json.Marshal(sc.differ.diff(si, sc.now))
 	if err != nil {
 		sc.rt.Fatal(err)
@@ -89,7 +89,7 @@
 	})
 }
 
-func checkSight(rt *rapid.T, sc *scene, si worker.Sight, whole bool) {
+func checkSight(rt *rapid.T, sc *scene, si worker.PollResult, whole bool) {
 	if len(si.Running) != len(sc.running) {
 		rt.Fatalf("%d attempts run, told %d", len(sc.running), len(si.Running))
 	}
@@ -117,7 +117,7 @@
 	var di differ
 	at := worker.Attempt{Task: "t", Number: 1}
 	look := func(usage int64, now time.Duration) *listed {
-		si := worker.Sight{Running: []worker.RunningAttempt{{Attempt: at, Usage: usage}}}
+		si := worker.PollResult{Running: []worker.RunningAttempt{{Attempt: at, Usage: usage}}}
 		return di.diff(si, time.Unix(0, 0).Add(now))
 	}
 	qt.Assert(t, len(look(1, 0).New), qt.Equals, 1)
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -395,7 +395,7 @@
 			}
 			return po.order(ctx, ad, order{Kind: kindPace, Task: pa.Task, Number: pa.Number - 1, Fence: pa.Fence, Percent: pa.Percent})
 		},
-		LookFunc: func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+		LookFunc: func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 			if ad.Via == "" {
 				return po.Direct.LookFunc(ctx, ad, lo)
 			}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -176,20 +176,20 @@
 	err  error
 }{
 	{"fenced", worker.ErrFenced},
-	{"old", worker.ErrOldAttempt},
-	{"late", worker.ErrLateLease},
-	{"no-room", worker.ErrNoRoom},
-	{"unfit", worker.ErrUnfit},
-	{"other-life", worker.ErrOtherLife},
+	{"old", worker.ErrStaleAttempt},
+	{"late", worker.ErrLeaseExpired},
+	{"no-room", worker.ErrNoCapacity},
+	{"unfit", worker.ErrUnhealthy},
+	{"other-life", worker.ErrOtherIncarnation},
 	{"malformed", worker.ErrMalformed},
 	{"no-listener", worker.ErrNoListener},
-	{"broke-off", worker.ErrBrokeOff},
+	{"broke-off", worker.ErrConnectionLost},
 }
 
 // withError returns the answer with an error.
 func (an answer) withError(err error) answer {
 	an.Code, an.Text = codeOf(err), err.Error()
-	if le := (*worker.LifeError)(nil); errors.As(err, &le) {
+	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
 		an.Code, an.Born = codeLife, le.Answered.Born
 	}
 	return an
@@ -216,7 +216,7 @@
 	case codeNoPayload:
 		return errNoPayload
 	case codeLife:
-		return fmt.Errorf("through %s: %w", via, &worker.LifeError{Meant: meant, Answered: worker.Incarnation{ID: meant.ID, Born: an.Born}})
+		return fmt.Errorf("through %s: %w", via, &worker.IncarnationError{Meant: meant, Answered: worker.Incarnation{ID: meant.ID, Born: an.Born}})
 	}
 	for _, known := range codes {
 		if an.Code == known.code {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -66,7 +66,7 @@
 // result is what became of an order.
 type result struct {
 	an answer
-	si worker.Sight
+	si worker.PollResult
 	// err is set if there is no answer.
 	err error
 }
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -173,10 +173,10 @@
 	return err
 }
 
-func (nt *network) look(ad worker.Addr) (worker.Sight, error) {
+func (nt *network) look(ad worker.Addr) (worker.PollResult, error) {
 	ctx, cancel := within()
 	defer cancel()
-	return nt.pool.Agent().LookFunc(ctx, ad, worker.Look{Fence: 7, LeaseUntilMS: 1 << 40})
+	return nt.pool.Agent().LookFunc(ctx, ad, worker.Poll{Fence: 7, LeaseUntilMS: 1 << 40})
 }
 
 func TestOrdersThroughARelay(t *testing.T) {
@@ -229,12 +229,12 @@
 	t.Run("errors stay what they are", func(t *testing.T) {
 		ctx, cancel := within()
 		defer cancel()
-		_, err := nt.pool.Agent().LookFunc(ctx, ad, worker.Look{Fence: 3})
+		_, err := nt.pool.Agent().LookFunc(ctx, ad, worker.Poll{Fence: 3})
 		qt.Assert(t, errors.Is(err, worker.ErrFenced), qt.IsTrue, qt.Commentf("%v", err))
 		other := ad
 		other.Incarnation.ID = "i-9"
 		_, err = nt.look(other)
-		qt.Assert(t, errors.Is(err, worker.ErrOtherLife), qt.IsTrue, qt.Commentf("%v", err))
+		qt.Assert(t, errors.Is(err, worker.ErrOtherIncarnation), qt.IsTrue, qt.Commentf("%v", err))
 	})
 }
 
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -146,7 +146,7 @@
 	look := ag.LookFunc
 	var mu sync.Mutex
 	first := map[worker.Incarnation]time.Time{}
-	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 		mu.Lock()
 		if first[ad.Incarnation].IsZero() {
 			first[ad.Incarnation] = time.Now()
@@ -154,7 +154,7 @@
 		wait := 400*time.Millisecond - time.Since(first[ad.Incarnation])
 		mu.Unlock()
 		if strings.HasPrefix(ad.Incarnation.ID, "life-") && !clock.Sleep(ctx, max(wait, 0)) {
-			return worker.Sight{}, ctx.Err()
+			return worker.PollResult{}, ctx.Err()
 		}
 		return look(ctx, ad, lo)
 	}
@@ -253,11 +253,11 @@
 		var silent atomic.Pointer[worker.Incarnation]
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				si, err := look(ctx, ad, lo)
 				if id := silent.Load(); id != nil && *id == ad.Incarnation {
 					<-ctx.Done()
-					return worker.Sight{}, ctx.Err()
+					return worker.PollResult{}, ctx.Err()
 				}
 				return si, err
 			}
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -131,7 +131,7 @@
 	ran := at.sightings().ran
 	switch {
 	case !at.ordered && !at.inherited:
-		return job.EndNever
+		return job.EndNeverRan
 	case ran >= lastsAfter:
 		return job.EndLapsed
 	case ran >= provenAfter, at.ho.silent, !at.inherited && at.launched.IsZero():
@@ -149,9 +149,9 @@
 // without an entry for so long.
 func unseenVerdict(pr job.Proof, listSound bool) job.End {
 	switch {
-	case pr == job.Lasting:
+	case pr == job.PhaseStable:
 		return job.EndLapsed
-	case pr == job.Begun || !listSound:
+	case pr == job.PhaseStarted || !listSound:
 		return job.EndLost
 	}
 	return job.EndCrashed
@@ -160,9 +160,9 @@
 // workedBy is for how long an attempt was at work at least, by what its row says.
 func workedBy(pr job.Proof) time.Duration {
 	switch pr {
-	case job.Begun:
+	case job.PhaseStarted:
 		return provenAfter
-	case job.Lasting:
+	case job.PhaseStable:
 		return lastsAfter
 	}
 	return 0
--- a/internal/sched/entry.go
+++ b/internal/sched/entry.go
@@ -195,7 +195,7 @@
 	ow.Log.Info("attempt that was given up had failed", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation,
 		"failures", en.jo.Task(ref).Failures, "state", en.jo.State())
 	if at := en.attempts[ref]; at != nil && en.jo.Exhausted(ref) && !at.ordered && !at.inherited {
-		ow.end(en, ref, at.number, job.EndNever, "", "an attempt before it had failed")
+		ow.end(en, ref, at.number, job.EndNeverRan, "", "an attempt before it had failed")
 	} else {
 		ow.tellGivenUp(en, ref, job.EndFailed)
 	}
@@ -208,7 +208,7 @@
 // otherwise.
 func (ow *Owner) doneLate(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
 	if at := en.attempts[ref]; at != nil && at.number > number && !at.ordered && !at.inherited {
-		ow.end(en, ref, at.number, job.EndNever, "", "an attempt before it was done")
+		ow.end(en, ref, at.number, job.EndNeverRan, "", "an attempt before it was done")
 	}
 	if !en.jo.DoneLate(ref, number) {
 		return
--- a/internal/sched/formerlife_test.go
+++ b/internal/sched/formerlife_test.go
@@ -106,10 +106,10 @@
 		var hung atomic.Bool
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				if hung.Load() && ad.Incarnation.ID == "i-0" {
 					<-ctx.Done()
-					return worker.Sight{}, ctx.Err()
+					return worker.PollResult{}, ctx.Err()
 				}
 				return look(ctx, ad, lo)
 			}
--- a/internal/sched/lapse_test.go
+++ b/internal/sched/lapse_test.go
@@ -64,16 +64,16 @@
 
 func (ls *looksSeen) through(ag worker.Agent) worker.Agent {
 	look := ag.LookFunc
-	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 		if err := ls.note(ad, lo); err != nil {
-			return worker.Sight{}, err
+			return worker.PollResult{}, err
 		}
 		return look(ctx, ad, lo)
 	}
 	return ag
 }
 
-func (ls *looksSeen) note(ad worker.Addr, lo worker.Look) error {
+func (ls *looksSeen) note(ad worker.Addr, lo worker.Poll) error {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	if ad.Via != "" && ad.Via == ls.down {
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -50,7 +50,7 @@
 // unlaunched ends an attempt whose order was never sent.
 func (ow *Owner) unlaunched(at *attempt, why string) {
 	if at.en.attempts[at.ref] == at {
-		ow.end(at.en, at.ref, at.number, job.EndNever, "", why)
+		ow.end(at.en, at.ref, at.number, job.EndNeverRan, "", why)
 	}
 }
 
@@ -80,21 +80,21 @@
 	if at.en.attempts[at.ref] != at {
 		return
 	}
-	if err == nil || errors.Is(err, worker.ErrOldAttempt) {
+	if err == nil || errors.Is(err, worker.ErrStaleAttempt) {
 		at.ho.started(at, got)
 		ow.Log.Info("attempt launched", "task", taskID(at), "attempt", at.number, "worker", at.ho.incarnation, "took", got.Sub(sent))
 		return
 	}
 	ow.Log.Info("launch not done", "task", taskID(at), "attempt", at.number, "worker", at.ho.incarnation, "err", err)
-	if le := (*worker.LifeError)(nil); errors.As(err, &le) {
+	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
 		at.ho.answeredBy(le.Answered)
 		if at.ho.dead {
 			return
 		}
 	}
-	if errors.Is(err, worker.ErrOtherLife) {
+	if errors.Is(err, worker.ErrOtherIncarnation) {
 		// It was refused by the next process, so it had no part in the end of this one.
-		ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by another process")
+		ow.end(at.en, at.ref, at.number, job.EndNeverRan, "", "refused by another process")
 		at.ho.die("another process answers at its address", worker.Incarnation{})
 		return
 	}
@@ -103,7 +103,7 @@
 		go ow.settle(at.ho, at.name(), func(there bool) { ow.settledLaunch(at, there) })
 		return
 	}
-	ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by the worker")
+	ow.end(at.en, at.ref, at.number, job.EndNeverRan, "", "refused by the worker")
 }
 
 func taskID(at *attempt) string { return at.en.jo.TaskID(at.ref) }
@@ -112,11 +112,11 @@
 // attempt certainly will not run.
 func (ho *host) notLaunched(err error) bool {
 	switch {
-	case errors.Is(err, worker.ErrNoRoom):
+	case errors.Is(err, worker.ErrNoCapacity):
 		ho.setAside(asideNoRoom, "has less room than known")
-	case errors.Is(err, worker.ErrUnfit), errors.Is(err, worker.ErrMalformed):
+	case errors.Is(err, worker.ErrUnhealthy), errors.Is(err, worker.ErrMalformed):
 		ho.setAside(asideUnfit, "refuses orders")
-	case errors.Is(err, worker.ErrLateLease):
+	case errors.Is(err, worker.ErrLeaseExpired):
 		ho.setAside(asideNoRoom, "its clock is not known well")
 	case errors.Is(err, worker.ErrFenced):
 		ho.setAside(asideUnfit, "obeys a later owner")
@@ -140,8 +140,8 @@
 		err  error
 		word string
 	}{
-		{worker.ErrFenced, "fenced"}, {worker.ErrOldAttempt, "old"}, {worker.ErrLateLease, "late"},
-		{worker.ErrNoRoom, "no-room"}, {worker.ErrUnfit, "unfit"}, {worker.ErrOtherLife, "other-life"}, {worker.ErrMalformed, "malformed"},
+		{worker.ErrFenced, "fenced"}, {worker.ErrStaleAttempt, "old"}, {worker.ErrLeaseExpired, "late"},
+		{worker.ErrNoCapacity, "no-room"}, {worker.ErrUnhealthy, "unfit"}, {worker.ErrOtherIncarnation, "other-life"}, {worker.ErrMalformed, "malformed"},
 		{worker.ErrNotSent, "not-sent"},
 	} {
 		if errors.Is(err, known.err) {
@@ -164,7 +164,7 @@
 		at.ho.started(at, time.Now())
 		return
 	}
-	ow.end(at.en, at.ref, at.number, job.EndNever, "", "its launch had no answer and it was kept from starting")
+	ow.end(at.en, at.ref, at.number, job.EndNeverRan, "", "its launch had no answer and it was kept from starting")
 }
 
 // settle finds out whether an attempt got to a worker whose answer was lost,
@@ -196,7 +196,7 @@
 	ctx, cancel := context.WithTimeout(ow.ctx, lookGrace)
 	defer cancel()
 	way := ho.wayNow()
-	si, err := ow.Agent.LookFunc(ctx, way.addr, worker.Look{Fence: way.fence})
+	si, err := ow.Agent.LookFunc(ctx, way.addr, worker.Poll{Fence: way.fence})
 	if err != nil {
 		ho.tellLife(err)
 		return false, err
--- a/internal/sched/looks.go
+++ b/internal/sched/looks.go
@@ -42,7 +42,7 @@
 // looks looks at the worker again and again until ctx ends.
 func (ho *host) looks(ctx context.Context) {
 	for ctx.Err() == nil {
-		lo, err := ask(ctx, ho.ow, func(answer func(worker.Look)) { answer(ho.nextLook()) })
+		lo, err := ask(ctx, ho.ow, func(answer func(worker.Poll)) { answer(ho.nextLook()) })
 		if err != nil {
 			return
 		}
@@ -98,9 +98,9 @@
 
 // nextLook is what to ask now. Ends are acknowledged only right after a look listed some, as
 // the process that answers may be another by now.
-func (ho *host) nextLook() worker.Look {
+func (ho *host) nextLook() worker.Poll {
 	now := time.Now()
-	lo := worker.Look{}
+	lo := worker.Poll{}
 	ho.withheld = ho.endsListed && !ho.mayAcknowledge(now)
 	if ho.endsListed && !ho.withheld {
 		lo.Seen = ho.acked
@@ -139,7 +139,7 @@
 }
 
 // looked takes in what a look saw that was sent with a fencing token.
-func (ho *host) looked(sent, got time.Time, fence int64, si worker.Sight, err error) {
+func (ho *host) looked(sent, got time.Time, fence int64, si worker.PollResult, err error) {
 	if ho.dead {
 		return
 	}
@@ -178,11 +178,11 @@
 
 func (ho *host) lookFailed(err error) {
 	ho.ow.Metrics.Add(telemetry.Looks, 1, "outcome", "failed")
-	le := (*worker.LifeError)(nil)
+	le := (*worker.IncarnationError)(nil)
 	switch {
 	case errors.As(err, &le):
 		ho.answeredBy(le.Answered)
-	case errors.Is(err, worker.ErrOtherLife):
+	case errors.Is(err, worker.ErrOtherIncarnation):
 		ho.die("another process answers at its address", worker.Incarnation{})
 	case errors.Is(err, worker.ErrFenced):
 		ho.ow.Log.Warn("worker obeys a higher fencing token", "worker", ho.incarnation, "epoch", ho.ow.Tenure.Epoch, "fence", ho.wayNow().fence)
@@ -191,13 +191,13 @@
 		// higher than all that follow.
 		ho.raiseFence()
 	case ho.failing.IsZero():
-		ho.failing, ho.silent = time.Now(), !errors.Is(err, worker.ErrBrokeOff)
+		ho.failing, ho.silent = time.Now(), !errors.Is(err, worker.ErrConnectionLost)
 		ho.ow.Log.Warn("worker does not answer", "worker", ho.incarnation, "attempts", len(ho.attempts), "err", err)
 	}
 }
 
 // takeEnds takes in ends that are new, and returns all that are listed.
-func (ho *host) takeEnds(si worker.Sight) map[worker.Attempt]bool {
+func (ho *host) takeEnds(si worker.PollResult) map[worker.Attempt]bool {
 	ended := map[worker.Attempt]bool{}
 	for _, ea := range si.Ended {
 		ended[ea.Attempt] = true
@@ -277,7 +277,7 @@
 }
 
 // takeRunning takes in what runs. What should not is stopped.
-func (ho *host) takeRunning(si worker.Sight, got time.Time) {
+func (ho *host) takeRunning(si worker.PollResult, got time.Time) {
 	for _, ra := range si.Running {
 		at := ho.find(ra.Attempt)
 		if at == nil {
@@ -338,7 +338,7 @@
 // takeMissing notes the end of attempts that a look should have listed and did
 // not: those that were acknowledged before it was sent and, if it settles the worker, all
 // that was ordered by former owners or from lives before.
-func (ho *host) takeMissing(si worker.Sight, sent time.Time, ended map[worker.Attempt]bool, settles bool) {
+func (ho *host) takeMissing(si worker.PollResult, sent time.Time, ended map[worker.Attempt]bool, settles bool) {
 	running := map[worker.Attempt]bool{}
 	for _, ra := range si.Running {
 		running[ra.Attempt] = true
@@ -357,7 +357,7 @@
 		case at.ends != "":
 			ho.ow.end(at.en, at.ref, at.number, at.ends, "", "another life of its worker answers")
 		case at.inherited:
-			ho.ow.end(at.en, at.ref, at.number, job.EndNever, "", "ordered by a former owner and not listed")
+			ho.ow.end(at.en, at.ref, at.number, job.EndNeverRan, "", "ordered by a former owner and not listed")
 		}
 	}
 }
--- a/internal/sched/nextlife.go
+++ b/internal/sched/nextlife.go
@@ -78,7 +78,7 @@
 // tellLife takes in the error of an order or a look, from any goroutine: another life may
 // have answered.
 func (ho *host) tellLife(err error) {
-	if le := (*worker.LifeError)(nil); errors.As(err, &le) {
+	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
 		ho.ow.post(func() { ho.answeredBy(le.Answered) })
 	}
 }
@@ -119,7 +119,7 @@
 	crashed := ho.crashed()
 	for at := range ho.attempts {
 		end := at.verdictIf(crashed)
-		if end == job.EndNever {
+		if end == job.EndNeverRan {
 			ho.ow.end(at.en, at.ref, at.number, end, "", "its worker ended before the order was sent")
 			continue
 		}
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -35,9 +35,9 @@
 
 func (mu *mute) through(ag worker.Agent) worker.Agent {
 	look, launch := ag.LookFunc, ag.LaunchFunc
-	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 		if err := mu.wait(ctx, ad); err != nil {
-			return worker.Sight{}, err
+			return worker.PollResult{}, err
 		}
 		return look(ctx, ad, lo)
 	}
@@ -147,7 +147,7 @@
 		var stuck atomic.Bool
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				if stuck.Load() {
 					<-let
 				}
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -105,7 +105,7 @@
 		la := newLab(t, 2)
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				si, err := look(ctx, ad, lo)
 				clock.Sleep(ctx, 50*time.Millisecond)
 				return si, err
@@ -168,9 +168,9 @@
 	began := time.Now().UnixMilli()
 	return func(ag worker.Agent) worker.Agent {
 		look := ag.LookFunc
-		ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+		ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 			if ad.Incarnation.Born > began && !clock.Sleep(ctx, d) {
-				return worker.Sight{}, ctx.Err()
+				return worker.PollResult{}, ctx.Err()
 			}
 			return look(ctx, ad, lo)
 		}
@@ -270,7 +270,7 @@
 		var busy atomic.Pointer[Owner]
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				si, err := look(ctx, ad, lo)
 				if ow := busy.Load(); ow != nil {
 					ow.post(func() { time.Sleep(ackWithin + 200*time.Millisecond) })
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -199,7 +199,7 @@
 // tellGivenUp tells of a task that is not tried again, and why.
 func (ow *Owner) tellGivenUp(en *entry, ref job.TaskRef, end job.End) {
 	ta := en.jo.Task(ref)
-	if ta.State != job.Failing {
+	if ta.State != job.Abandoned {
 		return
 	}
 	why := "failures"
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -263,13 +263,13 @@
 	fw.extend(la.LeaseUntilMS)
 	switch {
 	case fw.running[la.Task] != nil || la.Number <= fw.last[la.Task]:
-		return fw.ack(), worker.ErrOldAttempt
+		return fw.ack(), worker.ErrStaleAttempt
 	case fw.lease <= fw.clock():
-		return fw.ack(), worker.ErrLateLease
+		return fw.ack(), worker.ErrLeaseExpired
 	}
 	takes := fw.fl.room(la.Attempt)
 	if !takes.Fits(fw.free()) {
-		return fw.ack(), worker.ErrNoRoom
+		return fw.ack(), worker.ErrNoCapacity
 	}
 	fw.start(la, takes)
 	return fw.ack(), nil
@@ -400,27 +400,27 @@
 }
 
 // look answers what runs and what ended, at once or at the next end.
-func (fl *Fleet) look(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+func (fl *Fleet) look(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 	fw, err := fl.reach(ad)
 	if err != nil {
-		return worker.Sight{}, err
+		return worker.PollResult{}, err
 	}
-	return gated(ctx, &fw.Gate, func() (worker.Sight, error) {
+	return gated(ctx, &fw.Gate, func() (worker.PollResult, error) {
 		wake, err := fw.prepare(lo)
 		if err != nil {
-			return worker.Sight{}, cmp.Or(worker.CheckLife(ad.Incarnation, fw.Addr.Incarnation.Born), err)
+			return worker.PollResult{}, cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.Born), err)
 		}
 		if wake != nil && lo.Wait > 0 {
 			select {
 			case <-wake:
 			case <-time.After(lo.Wait):
 			case <-ctx.Done():
-				return worker.Sight{}, ctx.Err()
+				return worker.PollResult{}, ctx.Err()
 			}
 		}
 		si, err := fw.sight()
 		if err == nil {
-			err = worker.CheckLife(ad.Incarnation, fw.Addr.Incarnation.Born)
+			err = worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.Born)
 		}
 		return si, err
 	})
@@ -428,7 +428,7 @@
 
 // prepare takes in what a look says, and returns what to wait for if no end is
 // listed.
-func (fw *FleetWorker) prepare(lo worker.Look) (chan struct{}, error) {
+func (fw *FleetWorker) prepare(lo worker.Poll) (chan struct{}, error) {
 	fw.fl.mu.Lock()
 	defer fw.fl.mu.Unlock()
 	if fw.fenced(lo.Fence) {
@@ -445,13 +445,13 @@
 
 // sight is the answer to a look. A process that ended says nothing, also not of the ends
 // that woke its look.
-func (fw *FleetWorker) sight() (worker.Sight, error) {
+func (fw *FleetWorker) sight() (worker.PollResult, error) {
 	fw.fl.mu.Lock()
 	defer fw.fl.mu.Unlock()
 	if fw.dead {
-		return worker.Sight{}, errReset(fw.Addr)
+		return worker.PollResult{}, errReset(fw.Addr)
 	}
-	si := worker.Sight{ClockMS: fw.clock(), Ended: append([]worker.EndedAttempt(nil), fw.ended...)}
+	si := worker.PollResult{ClockMS: fw.clock(), Ended: append([]worker.EndedAttempt(nil), fw.ended...)}
 	for _, ta := range fw.running {
 		si.Running = append(si.Running, worker.RunningAttempt{Attempt: ta.run.Attempt, Checkpoint: ta.checkpoint(), Percent: ta.percent(), Usage: ta.usage})
 	}
--- a/internal/standin/fleetagent.go
+++ b/internal/standin/fleetagent.go
@@ -34,7 +34,7 @@
 		return nil, errRefused(ad)
 	}
 	if fw.Addr.Incarnation.ID != ad.Incarnation.ID {
-		return nil, worker.ErrOtherLife
+		return nil, worker.ErrOtherIncarnation
 	}
 	return fw, nil
 }
@@ -44,7 +44,7 @@
 }
 
 func errReset(ad worker.Addr) error {
-	return fmt.Errorf("connection to %s reset: %w", ad.HostPort, worker.ErrBrokeOff)
+	return fmt.Errorf("connection to %s reset: %w", ad.HostPort, worker.ErrConnectionLost)
 }
 
 // order carries out an order about an attempt, or later, or loses its answer, as the
@@ -62,7 +62,7 @@
 		}
 		ack, err := fn(fw)
 		if !fl.Untold {
-			err = cmp.Or(worker.CheckLife(ad.Incarnation, fw.Addr.Incarnation.Born), err)
+			err = cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.Born), err)
 		}
 		return ack, err
 	}
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -21,7 +21,7 @@
 	HostPort string
 	// Incarnation names the process. One with another id refuses; one with this id that
 	// started at another time carries out what it is told, and its answer is a
-	// [LifeError].
+	// [IncarnationError].
 	Incarnation Incarnation
 	// Via names the entry host through which it is reached; empty is directly.
 	Via string
@@ -60,8 +60,8 @@
 	Fence int64
 }
 
-// Look asks what runs and what ended, and extends leases.
-type Look struct {
+// Poll asks what runs and what ended, and extends leases.
+type Poll struct {
 	// Fence is the orderer's fencing token; the worker obeys no lower one
 	// from then on.
 	Fence int64
@@ -99,8 +99,8 @@
 	Checkpoint string
 }
 
-// Sight is what a look saw.
-type Sight struct {
+// PollResult is what a look saw.
+type PollResult struct {
 	// ClockMS is the worker's clock in milliseconds.
 	ClockMS int64
 	// Running and Ended are the attempts; Ended has at most 500.
@@ -119,29 +119,29 @@
 var (
 	// ErrFenced: the worker has seen a higher fencing token.
 	ErrFenced = errors.New("worker obeys a later owner")
-	// ErrOldAttempt: the attempt, or a later one, has ended there.
-	ErrOldAttempt = errors.New("attempt has ended at the worker")
-	// ErrLateLease: the lease given had ended already.
-	ErrLateLease = errors.New("lease had ended when the order came")
-	// ErrNoRoom: the worker has too little room.
-	ErrNoRoom = errors.New("worker has no room")
-	// ErrUnfit: the worker is unhealthy or has too much to do.
-	ErrUnfit = errors.New("worker refuses orders")
-	// ErrOtherLife: a process with another id is at the address.
-	ErrOtherLife = errors.New("another incarnation is at the address")
+	// ErrStaleAttempt: the attempt, or a later one, has ended there.
+	ErrStaleAttempt = errors.New("attempt has ended at the worker")
+	// ErrLeaseExpired: the lease given had ended already.
+	ErrLeaseExpired = errors.New("lease had ended when the order came")
+	// ErrNoCapacity: the worker has too little room.
+	ErrNoCapacity = errors.New("worker has no room")
+	// ErrUnhealthy: the worker is unhealthy or has too much to do.
+	ErrUnhealthy = errors.New("worker refuses orders")
+	// ErrOtherIncarnation: a process with another id is at the address.
+	ErrOtherIncarnation = errors.New("another incarnation is at the address")
 	// ErrMalformed: the worker cannot read the order.
 	ErrMalformed = errors.New("worker cannot read the order")
 	// ErrNotSent: the order did not leave for the worker.
 	ErrNotSent = errors.New("order was not sent")
 )
 
-// ErrBrokeOff: the connection to the worker broke off, while other errors of its kind are
+// ErrConnectionLost: the connection to the worker broke off, while other errors of its kind are
 // of answers that did not come in time. The order may have been carried out, or may be yet.
-var ErrBrokeOff = errors.New("connection to the worker broke off")
+var ErrConnectionLost = errors.New("connection to the worker broke off")
 
-// ErrNoListener: nothing listens at the worker's address. It is an [ErrBrokeOff] of which
+// ErrNoListener: nothing listens at the worker's address. It is an [ErrConnectionLost] of which
 // it is certain that the order was not sent.
-var ErrNoListener = fmt.Errorf("nothing listens there: %w: %w", ErrNotSent, ErrBrokeOff)
+var ErrNoListener = fmt.Errorf("nothing listens there: %w: %w", ErrNotSent, ErrConnectionLost)
 
 // Agent is a client of workers that are ordered task by task.
 type Agent struct {
@@ -152,5 +152,5 @@
 	// PaceFunc sets an attempt's speed.
 	PaceFunc func(context.Context, Addr, Pace) (Ack, error)
 	// LookFunc sees what runs, and extends leases.
-	LookFunc func(context.Context, Addr, Look) (Sight, error)
+	LookFunc func(context.Context, Addr, Poll) (PollResult, error)
 }
--- a/internal/worker/incarnation.go
+++ b/internal/worker/incarnation.go
@@ -53,24 +53,24 @@
 	return in.ID == other.ID && in.Born != other.Born && in.Born != 0 && other.Born != 0
 }
 
-// LifeError says that a worker's answer came from another life than the one that was
+// IncarnationError says that a worker's answer came from another life than the one that was
 // meant. What was asked may have been carried out by it.
-type LifeError struct {
+type IncarnationError struct {
 	// Meant is the life that was asked, Answered the one that answered.
 	Meant, Answered Incarnation
 }
 
 // Error implements error.
-func (le *LifeError) Error() string {
+func (le *IncarnationError) Error() string {
 	return fmt.Sprintf("worker %s was meant, and %s answered", le.Meant, le.Answered)
 }
 
-// CheckLife returns a [LifeError] if an answer of a process that started at born, or 0 if
+// CheckIncarnation returns a [IncarnationError] if an answer of a process that started at born, or 0 if
 // it did not say, is not from the life that was meant.
-func CheckLife(meant Incarnation, born int64) error {
+func CheckIncarnation(meant Incarnation, born int64) error {
 	answered := Incarnation{ID: meant.ID, Born: born}
 	if born == 0 || answered == meant {
 		return nil
 	}
-	return &LifeError{Meant: meant, Answered: answered}
+	return &IncarnationError{Meant: meant, Answered: answered}
 }
--- a/internal/worker/incarnation_test.go
+++ b/internal/worker/incarnation_test.go
@@ -34,7 +34,7 @@
 	qt.Check(t, one.OtherLife(one), qt.IsFalse)
 	qt.Check(t, one.OtherLife(Incarnation{ID: "i-1"}), qt.IsFalse)
 	qt.Check(t, one.OtherLife(Incarnation{ID: "i-2", Born: 4}), qt.IsFalse)
-	qt.Check(t, CheckLife(one, 0), qt.IsNil)
-	qt.Check(t, CheckLife(one, 5), qt.IsNil)
-	qt.Check(t, CheckLife(one, 6), qt.ErrorMatches, "worker i-1@5 was meant, and i-1@6 answered")
+	qt.Check(t, CheckIncarnation(one, 0), qt.IsNil)
+	qt.Check(t, CheckIncarnation(one, 5), qt.IsNil)
+	qt.Check(t, CheckIncarnation(one, 6), qt.ErrorMatches, "worker i-1@5 was meant, and i-1@6 answered")
 }
