--- a/internal/cell/command.go
+++ b/internal/cell/command.go
@@ -147,9 +147,9 @@
 		if wo.Drained {
 			continue
 		}
-		free := wo.Holds.Without(used[id])
+		free := wo.Holds.Sub(used[id])
 		for room < n && sp.Each.Fits(free) {
-			free = free.Without(sp.Each)
+			free = free.Sub(sp.Each)
 			room++
 		}
 	}
--- a/internal/cell/owner.go
+++ b/internal/cell/owner.go
@@ -387,13 +387,13 @@
 	}
 	for id, wo := range ow.st.Workers {
 		su.Workers[ow.workerState(id, wo)]++
-		su.Holds = su.Holds.With(wo.Holds)
+		su.Holds = su.Holds.Add(wo.Holds)
 	}
 	for _, ta := range ow.st.Tasks {
 		su.Tasks[string(ta.State)]++
 	}
 	for _, used := range ow.st.Used() {
-		su.Used = su.Used.With(used)
+		su.Used = su.Used.Add(used)
 	}
 	return su, nil
 }
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -433,7 +433,7 @@
 	used := map[string]worker.Resources{}
 	for id, tasks := range st.held {
 		for _, ta := range tasks {
-			used[id] = used[id].With(st.Jobs[ta.Job].Spec.Each)
+			used[id] = used[id].Add(st.Jobs[ta.Job].Spec.Each)
 		}
 	}
 	return used
--- a/internal/door/narrow_test.go
+++ b/internal/door/narrow_test.go
@@ -173,8 +173,8 @@
 		PaceFunc: func(ctx context.Context, ad worker.Addr, pa worker.Pace) (worker.Ack, error) {
 			return carry(ctx, st, sizeRequest, func(ctx context.Context) (worker.Ack, error) { return ag.PaceFunc(ctx, ad, pa) }, ack)
 		},
-		LookFunc: func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-			return carry(ctx, st, sizeRequest, func(ctx context.Context) (worker.PollResult, error) { return ag.LookFunc(ctx, ad, lo) },
+		PollFunc: func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			return carry(ctx, st, sizeRequest, func(ctx context.Context) (worker.PollResult, error) { return ag.PollFunc(ctx, ad, lo) },
 				func(si worker.PollResult) int { return sizeRequest + sizeTask*(len(si.Running)+len(si.Ended)) })
 		},
 	}
--- a/internal/job/blame.go
+++ b/internal/job/blame.go
@@ -57,16 +57,16 @@
 // better tried where few others stand.
 func (ta *Task) Suspect() bool { return ta.Crashes+ta.Losses > 0 }
 
-// Alone reports whether the task is to be tried with nothing new beside it, as one crash
+// Isolated reports whether the task is to be tried with nothing new beside it, as one crash
 // more may give it up.
-func (ta *Task) Alone() bool {
+func (ta *Task) Isolated() bool {
 	return ta.Crashes >= crashesMost-1 || ta.Crashes+ta.Losses >= lossesMost-1
 }
 
-// FailedLate notes that an attempt which had been given up without the worker's word had
+// RecordLateFailure notes that an attempt which had been given up without the worker's word had
 // failed, and reports whether that was news. The failure counts; an attempt that has
 // begun since may still be done.
-func (jo *Job) FailedLate(ref TaskRef, attempt int) bool {
+func (jo *Job) RecordLateFailure(ref TaskRef, attempt int) bool {
 	ta := jo.Task(ref)
 	if ta == nil || ta.State == Done || ta.State == Abandoned || jo.State().Final() {
 		return false
--- a/internal/job/blame_test.go
+++ b/internal/job/blame_test.go
@@ -55,7 +55,7 @@
 				continue
 			}
 			qt.Check(t, jo.Task(TaskRef{}).Suspect(), qt.Equals, tc.apart, qt.Commentf("%v", tc.ends))
-			qt.Check(t, jo.Task(TaskRef{}).Alone(), qt.Equals, tc.alone, qt.Commentf("%v", tc.ends))
+			qt.Check(t, jo.Task(TaskRef{}).Isolated(), qt.Equals, tc.alone, qt.Commentf("%v", tc.ends))
 		}
 	}
 }
@@ -63,13 +63,13 @@
 func TestTaskThatLastsIsNotBlamed(t *testing.T) {
 	jo := play(t, chain(1, 1), EndCrashed, EndCrashed)
 	number := jo.Start(TaskRef{}, worker.Incarnation{ID: "w"})
-	jo.Lasted(TaskRef{}, number-1)
-	qt.Assert(t, jo.Task(TaskRef{}).Alone(), qt.IsTrue)
-	jo.Lasted(TaskRef{}, number)
+	jo.MarkStable(TaskRef{}, number-1)
+	qt.Assert(t, jo.Task(TaskRef{}).Isolated(), qt.IsTrue)
+	jo.MarkStable(TaskRef{}, number)
 	qt.Assert(t, jo.End(TaskRef{}, number, EndCrashed, ""), qt.IsTrue)
 	jo = reread(t, jo)
 	qt.Assert(t, jo.State(), qt.Equals, Running)
-	qt.Assert(t, jo.Task(TaskRef{}).Alone(), qt.IsFalse)
+	qt.Assert(t, jo.Task(TaskRef{}).Isolated(), qt.IsFalse)
 }
 
 // TestFailureOfAnAttemptThatWasGivenUp is the story of a task that fails more often than
@@ -84,22 +84,22 @@
 	ref := TaskRef{}
 	t.Run("counts once, over a takeover", func(t *testing.T) {
 		jo := play(t, chain(1, 1), EndLapsed)
-		qt.Assert(t, jo.FailedLate(ref, 1), qt.IsTrue)
+		qt.Assert(t, jo.RecordLateFailure(ref, 1), qt.IsTrue)
 		jo = reread(t, jo)
-		qt.Assert(t, jo.FailedLate(ref, 1), qt.IsFalse)
+		qt.Assert(t, jo.RecordLateFailure(ref, 1), qt.IsFalse)
 		qt.Assert(t, jo.Task(ref).Failures, qt.Equals, 1)
 		qt.Assert(t, jo.State(), qt.Equals, Running)
 	})
 	t.Run("ends a task that waits", func(t *testing.T) {
 		jo := play(t, chain(1, 1), EndFailed, EndLost)
-		qt.Assert(t, jo.FailedLate(ref, 2), qt.IsTrue)
+		qt.Assert(t, jo.RecordLateFailure(ref, 2), qt.IsTrue)
 		qt.Assert(t, jo.State(), qt.Equals, Failed)
 	})
 	t.Run("lets the attempt under way be done", func(t *testing.T) {
 		for _, end := range []End{EndDone, EndStopped, EndLapsed, EndNeverRan} {
 			jo := play(t, chain(1, 1), EndFailed, EndLapsed)
 			number := jo.Start(ref, worker.Incarnation{ID: "w"})
-			qt.Assert(t, jo.FailedLate(ref, 2), qt.IsTrue)
+			qt.Assert(t, jo.RecordLateFailure(ref, 2), qt.IsTrue)
 			qt.Assert(t, jo.State(), qt.Equals, Running)
 			qt.Assert(t, jo.End(ref, number, end, ""), qt.IsTrue)
 			want := Failed
@@ -111,8 +111,8 @@
 	})
 	t.Run("of an attempt that was not given up", func(t *testing.T) {
 		jo := play(t, chain(1, 1), EndFailed)
-		qt.Assert(t, jo.FailedLate(ref, 1), qt.IsFalse)
-		qt.Assert(t, jo.FailedLate(ref, 2), qt.IsFalse)
+		qt.Assert(t, jo.RecordLateFailure(ref, 1), qt.IsFalse)
+		qt.Assert(t, jo.RecordLateFailure(ref, 2), qt.IsFalse)
 		qt.Assert(t, jo.Task(ref).Failures, qt.Equals, 1)
 	})
 }
@@ -137,7 +137,7 @@
 		tr.rt.Fatalf("attempt %d after %d crashes and %d failures", number, tr.crashes, tr.failures)
 	}
 	if rapid.IntRange(0, 3).Draw(tr.rt, "lasts") == 0 {
-		tr.jo.Lasted(TaskRef{}, number)
+		tr.jo.MarkStable(TaskRef{}, number)
 		tr.crashes = 0
 	}
 	end := rapid.SampledFrom([]End{EndFailed, EndStopped, EndLapsed, EndNeverRan, EndCrashed, EndLost}).Draw(tr.rt, "end")
@@ -163,7 +163,7 @@
 		return
 	}
 	at := rapid.IntRange(max(0, len(tr.given)-givenUpMost), len(tr.given)-1).Draw(tr.rt, "which")
-	if tr.jo.FailedLate(TaskRef{}, tr.given[at]) {
+	if tr.jo.RecordLateFailure(TaskRef{}, tr.given[at]) {
 		tr.failures++
 	}
 }
--- a/internal/job/chain.go
+++ b/internal/job/chain.go
@@ -1,8 +1,8 @@
 package job
 
-// ChainMS returns the longest chain of estimated run times of a job's steps, in
+// CriticalPathMS returns the longest chain of estimated run times of a job's steps, in
 // milliseconds.
-func (sp *Spec) ChainMS() int64 {
+func (sp *Spec) CriticalPathMS() int64 {
 	return sp.chain(func(int) bool { return true })
 }
 
@@ -40,8 +40,8 @@
 	return sum
 }
 
-// AimMS returns how soon after it was handed in the job should be done, in
+// TargetDurationMS returns how soon after it was handed in the job should be done, in
 // milliseconds.
-func (jo *Job) AimMS() int64 {
-	return int64(jo.Terms.Stretch*float64(jo.Spec.ChainMS())) + jo.Terms.AllowanceMS
+func (jo *Job) TargetDurationMS() int64 {
+	return int64(jo.Terms.Stretch*float64(jo.Spec.CriticalPathMS())) + jo.Terms.AllowanceMS
 }
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -74,11 +74,11 @@
 	// GivenUp are the last attempts that ended without the worker's word and may still
 	// be told to have failed.
 	GivenUp []int
-	// DoneBefore is set while an attempt is under way if one before it, which was given
+	// EarlierDone is set while an attempt is under way if one before it, which was given
 	// up, turned out to be done: the task is done once this one has ended.
-	DoneBefore bool
-	// Proof is how far the attempt under way was seen to come.
-	Proof Proof
+	EarlierDone bool
+	// Phase is how far the attempt under way was seen to come.
+	Phase Phase
 	// Worker is the incarnation of the last attempt's worker.
 	Worker worker.Incarnation
 	// Checkpoint is what the next attempt starts from, Base what the last one
@@ -225,7 +225,7 @@
 	ta.State = Started
 	ta.Attempt++
 	ta.Worker = incarnation
-	ta.Proof, ta.DoneBefore = PhaseStarting, false
+	ta.Phase, ta.EarlierDone = PhaseStarting, false
 	ta.Base = ta.Checkpoint
 	return ta.Attempt
 }
@@ -241,7 +241,7 @@
 		ta.Checkpoint = checkpoint
 	}
 	ta.State = Waiting
-	if ta.DoneBefore {
+	if ta.EarlierDone {
 		end = EndDone
 	}
 	switch end {
@@ -259,10 +259,10 @@
 	return true
 }
 
-// DoneLate notes that an attempt that had been given up, as its leases had lapsed
+// RecordLateCompletion notes that an attempt that had been given up, as its leases had lapsed
 // for all that was known, was done all the same, and reports whether that was news.
 // If another one is under way the task is done once that has ended.
-func (jo *Job) DoneLate(ref TaskRef, attempt int) bool {
+func (jo *Job) RecordLateCompletion(ref TaskRef, attempt int) bool {
 	ta := jo.Task(ref)
 	if ta == nil || attempt < 1 || attempt > ta.Attempt || jo.State().Final() || jo.Spec.Steps[ref.Step].Endless {
 		return false
@@ -270,8 +270,8 @@
 	switch {
 	case ta.State == Waiting:
 		jo.endDone(ref, ta)
-	case ta.State == Started && attempt < ta.Attempt && !ta.DoneBefore:
-		ta.DoneBefore = true
+	case ta.State == Started && attempt < ta.Attempt && !ta.EarlierDone:
+		ta.EarlierDone = true
 	default:
 		return false
 	}
@@ -283,7 +283,7 @@
 		return
 	}
 	ta.State = Done
-	ta.Worker, ta.Checkpoint, ta.Base, ta.GivenUp, ta.DoneBefore = worker.Incarnation{}, "", "", nil, false
+	ta.Worker, ta.Checkpoint, ta.Base, ta.GivenUp, ta.EarlierDone = worker.Incarnation{}, "", "", nil, false
 	jo.left[ref.Step]--
 }
 
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -132,7 +132,7 @@
 	case Started:
 		ta.Checkpoint = ta.Base
 	default:
-		ta.Worker, ta.Base, ta.Proof, ta.DoneBefore = worker.Incarnation{}, "", PhaseStarting, false
+		ta.Worker, ta.Base, ta.Phase, ta.EarlierDone = worker.Incarnation{}, "", PhaseStarting, false
 	}
 	return ta
 }
@@ -140,12 +140,12 @@
 func drawTask(rt *rapid.T) Task {
 	return Task{
 		State: TaskState(rapid.IntRange(0, len(stateChars)-1).Draw(rt, "state")), Attempt: rapid.IntRange(0, 3).Draw(rt, "attempt"),
-		Failures: rapid.IntRange(0, 2).Draw(rt, "failures"), Worker: rapid.SampledFrom([]worker.Incarnation{{ID: "i-1"}, {ID: "i-1", Born: 7}, {ID: "i-3", Born: 1787123510000}}).Draw(rt, "worker"),
+		Failures: rapid.IntRange(0, 2).Draw(rt, "failures"), Worker: rapid.SampledFrom([]worker.Incarnation{{ID: "i-1"}, {ID: "i-1", StartedMS: 7}, {ID: "i-3", StartedMS: 1787123510000}}).Draw(rt, "worker"),
 		Checkpoint: rapid.SampledFrom([]string{"", "c1"}).Draw(rt, "checkpoint"),
 		Base:       rapid.SampledFrom([]string{"", "c0"}).Draw(rt, "base"),
 		Crashes:    rapid.IntRange(0, 2).Draw(rt, "crashes"), Losses: rapid.IntRange(0, 3).Draw(rt, "losses"),
-		GivenUp:    rapid.SampledFrom([][]int{nil, {1}, {2, 5}}).Draw(rt, "given up"),
-		DoneBefore: rapid.Bool().Draw(rt, "done before"),
+		GivenUp:     rapid.SampledFrom([][]int{nil, {1}, {2, 5}}).Draw(rt, "given up"),
+		EarlierDone: rapid.Bool().Draw(rt, "done before"),
 	}
 }
 
@@ -159,7 +159,7 @@
 
 // assertDoneLate has the first attempt turn out to be done.
 func assertDoneLate(rt *rapid.T, jo *Job, ref TaskRef) {
-	if ta := jo.Task(ref); jo.DoneLate(ref, 1) && ta.State != Done && !ta.DoneBefore {
+	if ta := jo.Task(ref); jo.RecordLateCompletion(ref, 1) && ta.State != Done && !ta.EarlierDone {
 		rt.Fatalf("attempt 1 was done, and the task is %v", *ta)
 	}
 }
--- a/internal/job/proof.go
+++ b/internal/job/proof.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Proof is how far the attempt under way was seen to come, as far as that tells who may
+// Phase is how far the attempt under way was seen to come, as far as that tells who may
 // have ended its worker. It is kept in the row: an owner that takes over has not seen the
 // attempt run, and put the end of each worker down to all that stood there.
-type Proof int8
+type Phase int8
 
 // The degrees of proof.
 const (
 	// PhaseStarting attempts may still be at their start, at which a program that takes its
 	// host down does so.
-	PhaseStarting Proof = iota
+	PhaseStarting Phase = iota
 	// PhaseStarted attempts have got over it.
 	PhaseStarted
 	// PhaseStable attempts have been at work for so long that the ends of workers before, and
@@ -25,12 +25,14 @@
 // proofChars has the characters of the proofs, by their value.
 const proofChars = "012"
 
-// Began notes that an attempt got over its start, and reports whether that was news.
-func (jo *Job) Began(ref TaskRef, attempt int) bool { return jo.prove(ref, attempt, PhaseStarted) }
+// MarkStarted notes that an attempt got over its start, and reports whether that was news.
+func (jo *Job) MarkStarted(ref TaskRef, attempt int) bool {
+	return jo.prove(ref, attempt, PhaseStarted)
+}
 
-// Lasted notes that an attempt was at work for so long that the ends of workers before it
+// MarkStable notes that an attempt was at work for so long that the ends of workers before it
 // were not the task's doing, and reports whether that was news.
-func (jo *Job) Lasted(ref TaskRef, attempt int) bool {
+func (jo *Job) MarkStable(ref TaskRef, attempt int) bool {
 	if !jo.prove(ref, attempt, PhaseStable) {
 		return false
 	}
@@ -39,12 +41,12 @@
 	return true
 }
 
-func (jo *Job) prove(ref TaskRef, attempt int, pr Proof) bool {
+func (jo *Job) prove(ref TaskRef, attempt int, pr Phase) bool {
 	ta := jo.Task(ref)
-	if ta == nil || ta.State != Started || ta.Attempt != attempt || ta.Proof >= pr {
+	if ta == nil || ta.State != Started || ta.Attempt != attempt || ta.Phase >= pr {
 		return false
 	}
-	ta.Proof = pr
+	ta.Phase = pr
 	return true
 }
 
@@ -54,7 +56,7 @@
 	var proofs strings.Builder
 	for _, ta := range tasks {
 		if ta.State == Started {
-			_ = proofs.WriteByte(proofChars[ta.Proof])
+			_ = proofs.WriteByte(proofChars[ta.Phase])
 		}
 	}
 	list := shorten(proofs.String())
@@ -88,7 +90,7 @@
 		if pr < 0 {
 			return fmt.Errorf("%w: proof %q", errRow, proofs[at])
 		}
-		tasks[i].Proof = Proof(pr)
+		tasks[i].Phase = Phase(pr)
 	}
 	if len(proofs) > 1 && len(proofs) != n {
 		return fmt.Errorf("%w: %d proofs of %d attempts", errRow, len(proofs), n)
--- a/internal/job/row.go
+++ b/internal/job/row.go
@@ -38,7 +38,7 @@
 func (jo *Job) NextRow(epoch int64) ProgressRow {
 	jo.Rev++
 	row := ProgressRow{Rev: jo.Rev, Epoch: epoch, State: jo.State(), Cancelled: jo.Cancelled}
-	if jo.Over() {
+	if jo.Finished() {
 		row.Queue = jo.Terms.Queue
 	} else {
 		for _, tasks := range jo.Tasks {
@@ -48,12 +48,12 @@
 	return row
 }
 
-// Over reports whether the job is in a final state and nothing of it can run any
+// Finished reports whether the job is in a final state and nothing of it can run any
 // more.
-func (jo *Job) Over() bool { return jo.State().Final() && !jo.Live() }
+func (jo *Job) Finished() bool { return jo.State().Final() && !jo.HasActiveTasks() }
 
-// Live reports whether any task may be running.
-func (jo *Job) Live() bool {
+// HasActiveTasks reports whether any task may be running.
+func (jo *Job) HasActiveTasks() bool {
 	for _, tasks := range jo.Tasks {
 		for i := range tasks {
 			if tasks[i].State == Started {
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -47,8 +47,8 @@
 	Label string `json:"label,omitempty"`
 	// Rack is where the step's data is; elsewhere it runs slower.
 	Rack string `json:"rack,omitempty"`
-	// PerWorker is the most tasks of the step on one worker; 0 is no bound.
-	PerWorker int `json:"per_worker,omitempty"`
+	// MaxPerWorker is the most tasks of the step on one worker; 0 is no bound.
+	MaxPerWorker int `json:"per_worker,omitempty"`
 	// Copies is set if several attempts of a task may run side by side.
 	Copies bool `json:"copies,omitempty"`
 	// Endless tasks run until the job is cancelled.
@@ -61,8 +61,8 @@
 	// Filler tasks use what processor time the others leave; their share is
 	// not reserved.
 	Filler bool `json:"filler,omitempty"`
-	// MayMiss is how many endless tasks may be kept away at once.
-	MayMiss int `json:"may_miss,omitempty"`
+	// MaxUnavailable is how many endless tasks may be kept away at once.
+	MaxUnavailable int `json:"may_miss,omitempty"`
 	// Gang tasks work only together.
 	Gang bool `json:"gang,omitempty"`
 	// SameRack is set if a gang runs slower over more than one rack.
@@ -134,7 +134,7 @@
 		st := &sp.Steps[i]
 		bad(st.Tasks < 1 || st.Tasks > MaxTasks, ErrInvalid, "step %d: %d tasks, want 1 to %d", i, st.Tasks, MaxTasks)
 		bad(!st.sized(), ErrInvalid, "step %d: sizes out of bounds", i)
-		bad(st.EstimateMS < 0 || st.PerWorker < 0 || st.TargetMS < 0 || st.MayMiss < 0, ErrInvalid, "step %d: negative number", i)
+		bad(st.EstimateMS < 0 || st.MaxPerWorker < 0 || st.TargetMS < 0 || st.MaxUnavailable < 0, ErrInvalid, "step %d: negative number", i)
 		bad(slices.ContainsFunc(st.After, func(n int) bool { return n < 0 || n >= i }), ErrInvalid, "step %d: waits for a step that is not before it", i)
 		bad(st.Gang || st.SameRack, ErrUnsupported, "step %d: gang", i)
 		total += max(st.Tasks, 0)
--- a/internal/job/steprow.go
+++ b/internal/job/steprow.go
@@ -29,14 +29,14 @@
 	Crashes map[int]int   `json:"x,omitempty"`
 	Losses  map[int]int   `json:"l,omitempty"`
 	GivenUp map[int][]int `json:"g,omitempty"`
-	// DoneBefore has the started tasks of which an attempt before was done.
-	DoneBefore []int `json:"b,omitempty"`
+	// EarlierDone has the started tasks of which an attempt before was done.
+	EarlierDone []int `json:"b,omitempty"`
 	// Workers are the incarnations of those on which the step's tasks run; On has,
 	// for each started task in turn, the index of its worker there.
 	Workers []worker.Incarnation `json:"w,omitempty"`
 	On      []int                `json:"o,omitempty"`
-	// Proofs has how far attempts under way were seen to come, see proofsOf.
-	Proofs string `json:"p,omitempty"`
+	// Phases has how far attempts under way were seen to come, see proofsOf.
+	Phases string `json:"p,omitempty"`
 	// Checkpoints has what next attempts start from, and what those under way
 	// started from. What the latter made since is told by their workers.
 	Checkpoints map[int]string `json:"c,omitempty"`
@@ -64,7 +64,7 @@
 		}
 	}
 	sr.States = shorten(states.String())
-	sr.Proofs = proofsOf(tasks)
+	sr.Phases = proofsOf(tasks)
 	return sr
 }
 
@@ -88,8 +88,8 @@
 	checkpoint := ta.Checkpoint
 	if ta.State == Started {
 		sr.On = append(sr.On, sr.index(ta.Worker))
-		if ta.DoneBefore {
-			sr.DoneBefore = append(sr.DoneBefore, i)
+		if ta.EarlierDone {
+			sr.EarlierDone = append(sr.EarlierDone, i)
 		}
 		checkpoint = ta.Base
 	}
@@ -144,11 +144,11 @@
 				return nil, fmt.Errorf("%w: task %d runs on no worker", errRow, i)
 			}
 			ta.Worker, on, ta.Base = sr.Workers[on[0]], on[1:], ta.Checkpoint
-			ta.DoneBefore = slices.Contains(sr.DoneBefore, i)
+			ta.EarlierDone = slices.Contains(sr.EarlierDone, i)
 		}
 		tasks[i] = ta
 	}
-	if err := takeProofs(sr.Proofs, tasks); err != nil {
+	if err := takeProofs(sr.Phases, tasks); err != nil {
 		return nil, err
 	}
 	return tasks, nil
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -86,7 +86,7 @@
 		Endless: true, Image: imageName("s", skewed(rn, se.Images)), TargetMS: se.TargetMS,
 	}
 	if rn.Float64() < se.Apart {
-		st.PerWorker = 1
+		st.MaxPerWorker = 1
 	}
 	return &drawn{terms: terms("services", 0, 0, 0), spec: job.Spec{Steps: []job.Step{st}}, runMS: []int64{0}, phase: 2 * math.Pi * rn.Float64()}
 }
@@ -124,7 +124,7 @@
 
 // aim is how soon the job should be done, by its true run times.
 func (dr *drawn) aim() time.Duration {
-	return time.Duration(dr.trueJob().AimMS()) * time.Millisecond
+	return time.Duration(dr.trueJob().TargetDurationMS()) * time.Millisecond
 }
 
 // work is its processor time, in thousandths of a core times milliseconds.
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -20,7 +20,7 @@
 	for i := range n {
 		wo := Worker{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%03d", i/8), Holds: worker.Resources{MilliCores: 30_000, MemMB: 125_000}}
 		for k := range benchRunning {
-			wo.Used = wo.Used.With(each)
+			wo.Used = wo.Used.Add(each)
 			sn.Tasks = append(sn.Tasks, Task{
 				ID: fmt.Sprintf("t%04d-%02d", i, k), Job: fmt.Sprintf("j%d", k), Kind: fmt.Sprintf("k%d", k%5),
 				Service: k < 7, Each: each, Worker: wo.ID, Share: 1, TailMS: 60, Fresh: true,
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -183,7 +183,7 @@
 		de.model = &Model{}
 	}
 	for _, wo := range sn.Workers {
-		se := &seat{Worker: wo, free: wo.Holds.Without(wo.Used)}
+		se := &seat{Worker: wo, free: wo.Holds.Sub(wo.Used)}
 		de.workers[wo.ID] = se
 		de.order = append(de.order, se)
 	}
@@ -191,7 +191,7 @@
 		ta := &sn.Tasks[i]
 		se := de.workers[ta.Worker]
 		if ta.Worker != "" {
-			de.teams[ta.Team] = de.teams[ta.Team].With(ta.Each)
+			de.teams[ta.Team] = de.teams[ta.Team].Add(ta.Each)
 		}
 		if se == nil {
 			continue
@@ -302,15 +302,15 @@
 
 func (de *decider) withinQuota(ta *Task) bool {
 	quota, limited := de.sn.Policy.Quotas[ta.Team]
-	return !limited || de.teams[ta.Team].With(ta.Each).Fits(quota)
+	return !limited || de.teams[ta.Team].Add(ta.Each).Fits(quota)
 }
 
 func (de *decider) seatTask(se *seat, ta *Task) {
 	ta.Worker = se.ID
-	se.free = se.free.Without(ta.Each)
+	se.free = se.free.Sub(ta.Each)
 	se.tasks = append(se.tasks, ta)
 	se.started = true
-	de.teams[ta.Team] = de.teams[ta.Team].With(ta.Each)
+	de.teams[ta.Team] = de.teams[ta.Team].Add(ta.Each)
 	if ta.Service {
 		de.racks[rackKey(ta.Job, se.Rack)]++
 	}
@@ -403,7 +403,7 @@
 		de.add(Decision{Verb: Evict, Task: vi.ID, Worker: at.ID, Why: "room for urgent " + ta.ID})
 	}
 	// The room is spoken for, so that the next urgent task looks elsewhere.
-	at.free = at.free.Without(ta.Each)
+	at.free = at.free.Sub(ta.Each)
 	return true
 }
 
@@ -415,7 +415,7 @@
 	var batch []*Task
 	for _, other := range se.tasks {
 		if other.Stopping {
-			free = free.With(other.Each)
+			free = free.Add(other.Each)
 		} else if !other.Service && !other.Urgent {
 			batch = append(batch, other)
 		}
@@ -427,7 +427,7 @@
 		if ta.Each.Fits(free) {
 			break
 		}
-		free = free.With(other.Each)
+		free = free.Add(other.Each)
 		victims = append(victims, other)
 		co += de.evictionCost(other)
 	}
--- a/internal/place/trial_test.go
+++ b/internal/place/trial_test.go
@@ -316,7 +316,7 @@
 	by := fc.byWorker()
 	for _, wo := range fc.workers {
 		for _, ta := range by[wo.ID] {
-			wo.Used = wo.Used.With(ta.Each)
+			wo.Used = wo.Used.Add(ta.Each)
 		}
 		sn.Workers = append(sn.Workers, wo)
 	}
--- a/internal/relay/codes_test.go
+++ b/internal/relay/codes_test.go
@@ -25,9 +25,9 @@
 }
 
 func TestOtherLifeOverAStream(t *testing.T) {
-	meant := worker.Incarnation{ID: "i-0", Born: 5}
+	meant := worker.Incarnation{ID: "i-0", StartedMS: 5}
 	an := answer{}.withError(fmt.Errorf("look: %w", worker.CheckIncarnation(meant, 9)))
 	var le *worker.IncarnationError
 	qt.Assert(t, errors.As(an.asError("r0", meant), &le), qt.IsTrue)
-	qt.Check(t, *le, qt.Equals, worker.IncarnationError{Meant: meant, Answered: worker.Incarnation{ID: "i-0", Born: 9}})
+	qt.Check(t, *le, qt.Equals, worker.IncarnationError{Expected: meant, Answered: worker.Incarnation{ID: "i-0", StartedMS: 9}})
 }
--- a/internal/relay/listed.go
+++ b/internal/relay/listed.go
@@ -95,8 +95,8 @@
 	} else {
 		en.Task, en.Number = ea.Task, ea.Number-1
 	}
-	if ea.How != howDone {
-		en.How, en.Checkpoint = ea.How, ea.Checkpoint
+	if ea.Outcome != howDone {
+		en.How, en.Checkpoint = ea.Outcome, ea.Checkpoint
 	}
 	return en
 }
@@ -150,12 +150,12 @@
 
 // end returns an end as the worker listed it.
 func (me *merger) end(en ended) worker.EndedAttempt {
-	ea := worker.EndedAttempt{Attempt: worker.Attempt{Task: en.Task, Number: en.Number + 1}, EndNumber: en.EndNumber, How: en.How, Checkpoint: en.Checkpoint}
+	ea := worker.EndedAttempt{Attempt: worker.Attempt{Task: en.Task, Number: en.Number + 1}, EndNumber: en.EndNumber, Outcome: en.How, Checkpoint: en.Checkpoint}
 	if en.Row > 0 {
 		ea.Attempt = me.rows[en.Row].Attempt
 	}
-	if ea.How == "" {
-		ea.How = howDone
+	if ea.Outcome == "" {
+		ea.Outcome = howDone
 	}
 	return ea
 }
--- a/internal/relay/listed_test.go
+++ b/internal/relay/listed_test.go
@@ -46,7 +46,7 @@
 		at := rapid.SampledFrom(names).Draw(sc.rt, "task")
 		delete(sc.running, at)
 		sc.ends++
-		sc.ended = append(sc.ended, worker.EndedAttempt{Attempt: at, EndNumber: sc.ends, How: rapid.SampledFrom([]string{"done", "failed", "stopped"}).Draw(sc.rt, "how"), Checkpoint: "c3"})
+		sc.ended = append(sc.ended, worker.EndedAttempt{Attempt: at, EndNumber: sc.ends, Outcome: rapid.SampledFrom([]string{"done", "failed", "stopped"}).Draw(sc.rt, "how"), Checkpoint: "c3"})
 	case what == "forget":
 		sc.ended = nil
 	case what == "time":
@@ -104,7 +104,7 @@
 	}
 	for i, ea := range si.Ended {
 		want := sc.ended[i]
-		if want.How == howDone {
+		if want.Outcome == howDone {
 			want.Checkpoint = ""
 		}
 		if ea != want {
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -395,11 +395,11 @@
 			}
 			return po.order(ctx, ad, order{Kind: kindPace, Task: pa.Task, Number: pa.Number - 1, Fence: pa.Fence, Percent: pa.Percent})
 		},
-		LookFunc: func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+		PollFunc: func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 			if ad.Via == "" {
-				return po.Direct.LookFunc(ctx, ad, lo)
+				return po.Direct.PollFunc(ctx, ad, lo)
 			}
-			re, err := po.call(ctx, ad, order{Kind: kindLook, Fence: lo.Fence, Seen: lo.Seen, LeaseUntilMS: lo.LeaseUntilMS, WaitMS: lo.Wait.Milliseconds()})
+			re, err := po.call(ctx, ad, order{Kind: kindLook, Fence: lo.Fence, Seen: lo.AckedEnd, LeaseUntilMS: lo.LeaseUntilMS, WaitMS: lo.Wait.Milliseconds()})
 			return re.si, err
 		},
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -190,7 +190,7 @@
 func (an answer) withError(err error) answer {
 	an.Code, an.Text = codeOf(err), err.Error()
 	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
-		an.Code, an.Born = codeLife, le.Answered.Born
+		an.Code, an.Born = codeLife, le.Answered.StartedMS
 	}
 	return an
 }
@@ -216,7 +216,7 @@
 	case codeNoPayload:
 		return errNoPayload
 	case codeLife:
-		return fmt.Errorf("through %s: %w", via, &worker.IncarnationError{Meant: meant, Answered: worker.Incarnation{ID: meant.ID, Born: an.Born}})
+		return fmt.Errorf("through %s: %w", via, &worker.IncarnationError{Expected: meant, Answered: worker.Incarnation{ID: meant.ID, StartedMS: an.Born}})
 	}
 	for _, known := range codes {
 		if an.Code == known.code {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -241,8 +241,8 @@
 // look looks at a worker and answers with what is new. Differences go out in the
 // order in which they are made.
 func (se *serving) look(ctx context.Context, re *reached, or order) {
-	lo := worker.Poll{Fence: or.Fence, Seen: or.Seen, LeaseUntilMS: or.LeaseUntilMS, Wait: time.Duration(or.WaitMS) * time.Millisecond}
-	si, err := se.sv.Agent.LookFunc(ctx, re.addr, lo)
+	lo := worker.Poll{Fence: or.Fence, AckedEnd: or.Seen, LeaseUntilMS: or.LeaseUntilMS, Wait: time.Duration(or.WaitMS) * time.Millisecond}
+	si, err := se.sv.Agent.PollFunc(ctx, re.addr, lo)
 	if err != nil {
 		se.answer(answer{N: or.N}, err)
 		return
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -128,7 +128,7 @@
 
 // add adds a worker and returns its address by the way the pool wants.
 func (nt *network) add() worker.Addr {
-	ad := worker.Addr{HostPort: "10.0.0.1:80", Incarnation: worker.Incarnation{ID: "i-0", Born: 1}}
+	ad := worker.Addr{HostPort: "10.0.0.1:80", Incarnation: worker.Incarnation{ID: "i-0", StartedMS: 1}}
 	nt.fleet.Add(&standin.FleetWorker{Addr: ad, Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}})
 	ad.Via = nt.pool.Via("i-0", "a")
 	return ad
@@ -176,7 +176,7 @@
 func (nt *network) look(ad worker.Addr) (worker.PollResult, error) {
 	ctx, cancel := within()
 	defer cancel()
-	return nt.pool.Agent().LookFunc(ctx, ad, worker.Poll{Fence: 7, LeaseUntilMS: 1 << 40})
+	return nt.pool.Agent().PollFunc(ctx, ad, worker.Poll{Fence: 7, LeaseUntilMS: 1 << 40})
 }
 
 func TestOrdersThroughARelay(t *testing.T) {
@@ -224,12 +224,12 @@
 		qt.Assert(t, si.Running, qt.HasLen, 4)
 		qt.Assert(t, si.Ended, qt.HasLen, 1)
 		qt.Assert(t, si.Ended[0].Attempt, qt.Equals, at)
-		qt.Assert(t, si.Ended[0].How, qt.Equals, "stopped")
+		qt.Assert(t, si.Ended[0].Outcome, qt.Equals, "stopped")
 	})
 	t.Run("errors stay what they are", func(t *testing.T) {
 		ctx, cancel := within()
 		defer cancel()
-		_, err := nt.pool.Agent().LookFunc(ctx, ad, worker.Poll{Fence: 3})
+		_, err := nt.pool.Agent().PollFunc(ctx, ad, worker.Poll{Fence: 3})
 		qt.Assert(t, errors.Is(err, worker.ErrFenced), qt.IsTrue, qt.Commentf("%v", err))
 		other := ad
 		other.Incarnation.ID = "i-9"
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -112,7 +112,7 @@
 	wr.txn.Puts = append(wr.txn.Puts, store.Put{Key: pa.key, Value: pa.value})
 	size := len(pa.value)
 	switch {
-	case en.jo.Over():
+	case en.jo.Finished():
 		wr.txn.Puts = append(wr.txn.Puts, ow.specGone(en)...)
 	case pa.first:
 		en.specKept = true
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -143,10 +143,10 @@
 
 // slowToSettle has workers that came back answer no look before 400 ms.
 func slowToSettle(ag worker.Agent) worker.Agent {
-	look := ag.LookFunc
+	look := ag.PollFunc
 	var mu sync.Mutex
 	first := map[worker.Incarnation]time.Time{}
-	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 		mu.Lock()
 		if first[ad.Incarnation].IsZero() {
 			first[ad.Incarnation] = time.Now()
@@ -252,8 +252,8 @@
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
 		var silent atomic.Pointer[worker.Incarnation]
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			look := ag.PollFunc
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				si, err := look(ctx, ad, lo)
 				if id := silent.Load(); id != nil && *id == ad.Incarnation {
 					<-ctx.Done()
--- a/internal/sched/crowd_test.go
+++ b/internal/sched/crowd_test.go
@@ -129,7 +129,7 @@
 	ag := co.cr.fleet.Agent()
 	return worker.Agent{
 		LaunchFunc: cutOff(co, ag.LaunchFunc), HaltFunc: cutOff(co, ag.HaltFunc),
-		PaceFunc: cutOff(co, ag.PaceFunc), LookFunc: cutOff(co, ag.LookFunc),
+		PaceFunc: cutOff(co, ag.PaceFunc), PollFunc: cutOff(co, ag.PollFunc),
 	}
 }
 
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -147,7 +147,7 @@
 // unseenVerdict is what it means for an attempt that its worker was never seen by this
 // owner. If the list of workers is sound, its process has ended: nothing that runs is
 // without an entry for so long.
-func unseenVerdict(pr job.Proof, listSound bool) job.End {
+func unseenVerdict(pr job.Phase, listSound bool) job.End {
 	switch {
 	case pr == job.PhaseStable:
 		return job.EndLapsed
@@ -158,7 +158,7 @@
 }
 
 // workedBy is for how long an attempt was at work at least, by what its row says.
-func workedBy(pr job.Proof) time.Duration {
+func workedBy(pr job.Phase) time.Duration {
 	switch pr {
 	case job.PhaseStarted:
 		return provenAfter
--- a/internal/sched/drain.go
+++ b/internal/sched/drain.go
@@ -162,7 +162,7 @@
 		if ca.ho == but || !ca.fits(en, ref, st) {
 			continue
 		}
-		ca.free = ca.free.Without(st.Reserved())
+		ca.free = ca.free.Sub(st.Reserved())
 		return true
 	}
 	return false
--- a/internal/sched/entry.go
+++ b/internal/sched/entry.go
@@ -141,7 +141,7 @@
 // add enters a job.
 func (ow *Owner) add(jo *job.Job) *entry {
 	ow.seq++
-	en := &entry{ow: ow, jo: jo, order: ow.seq, aimMS: jo.AimMS(), turn: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
+	en := &entry{ow: ow, jo: jo, order: ow.seq, aimMS: jo.TargetDurationMS(), turn: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
 	ow.entries[jo.ID] = en
 	return en
 }
@@ -188,7 +188,7 @@
 // failedLate notes that an attempt which had been given up had failed. If that was one
 // failure too many, an attempt that was to follow is taken back if no order was sent of it.
 func (ow *Owner) failedLate(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
-	if !en.jo.FailedLate(ref, number) {
+	if !en.jo.RecordLateFailure(ref, number) {
 		return
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "failed-late")
@@ -210,7 +210,7 @@
 	if at := en.attempts[ref]; at != nil && at.number > number && !at.ordered && !at.inherited {
 		ow.end(en, ref, at.number, job.EndNeverRan, "", "an attempt before it was done")
 	}
-	if !en.jo.DoneLate(ref, number) {
+	if !en.jo.RecordLateCompletion(ref, number) {
 		return
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "done-late")
--- a/internal/sched/expect.go
+++ b/internal/sched/expect.go
@@ -64,7 +64,7 @@
 	for _, ho := range ow.sortedHosts() {
 		ho.promised, ho.awaited = worker.Resources{}, false
 		if ho.well(now) {
-			rooms = append(rooms, promisedRoom{ca: newCandidate(ho, now), left: ho.Holds.Without(ho.reserved).With(ho.passing)})
+			rooms = append(rooms, promisedRoom{ca: newCandidate(ho, now), left: ho.Holds.Sub(ho.reserved).Add(ho.passing)})
 		}
 	}
 	slices.SortFunc(list, func(a, b expectation) int {
@@ -114,8 +114,8 @@
 		}
 	}
 	if best != nil {
-		best.left = best.left.Without(need)
-		best.ca.ho.promised = best.ca.ho.promised.With(need)
+		best.left = best.left.Sub(need)
+		best.ca.ho.promised = best.ca.ho.promised.Add(need)
 		return best.ca.ho
 	}
 	if roomiest != nil {
--- a/internal/sched/formerlife_test.go
+++ b/internal/sched/formerlife_test.go
@@ -105,8 +105,8 @@
 		la := newLab(t, 3)
 		var hung atomic.Bool
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			look := ag.PollFunc
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				if hung.Load() && ad.Incarnation.ID == "i-0" {
 					<-ctx.Done()
 					return worker.PollResult{}, ctx.Err()
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -272,26 +272,26 @@
 	ho.ow.land(at)
 	ho.noteEnded(at, time.Now())
 	ho.services = slices.DeleteFunc(ho.services, func(other *attempt) bool { return other == at })
-	ho.reserved = ho.reserved.Without(at.step().Reserved())
+	ho.reserved = ho.reserved.Sub(at.step().Reserved())
 	ho.inUse -= likelyUse(at.step())
 	if !at.step().Endless {
-		ho.passing = ho.passing.Without(at.step().Reserved())
+		ho.passing = ho.passing.Sub(at.step().Reserved())
 	}
 }
 
 // put enters an attempt.
 func (ho *host) put(at *attempt) {
 	ho.attempts[at] = true
-	ho.reserved = ho.reserved.With(at.step().Reserved())
+	ho.reserved = ho.reserved.Add(at.step().Reserved())
 	ho.inUse += likelyUse(at.step())
 	if !at.step().Endless {
-		ho.passing = ho.passing.With(at.step().Reserved())
+		ho.passing = ho.passing.Add(at.step().Reserved())
 	}
 	if at.step().HasTarget() {
 		ho.services = append(ho.services, at)
 		at.replica.Track = at.en.track(at.ref.Step)
 	}
-	if at.task().Alone() {
+	if at.task().Isolated() {
 		ho.trial = &trial{en: at.en, ref: at.ref, at: at}
 	}
 	ho.fill.change()
@@ -482,7 +482,7 @@
 		list = append(list, ho)
 	}
 	slices.SortFunc(list, func(a, b *host) int {
-		return cmp.Or(strings.Compare(a.incarnation.ID, b.incarnation.ID), cmp.Compare(a.incarnation.Born, b.incarnation.Born))
+		return cmp.Or(strings.Compare(a.incarnation.ID, b.incarnation.ID), cmp.Compare(a.incarnation.StartedMS, b.incarnation.StartedMS))
 	})
 	ow.sorted = list
 	return list
--- a/internal/sched/keep.go
+++ b/internal/sched/keep.go
@@ -22,7 +22,7 @@
 	var best *candidate
 	var least int64
 	for _, ca := range pl.hosts {
-		if ca.kept || !ca.allowed(en, ref, st) || !st.Reserved().Fits(ca.free.With(ca.ho.passing)) {
+		if ca.kept || !ca.allowed(en, ref, st) || !st.Reserved().Fits(ca.free.Add(ca.ho.passing)) {
 			continue
 		}
 		if lacks := st.Each.MilliCores - ca.free.MilliCores; best == nil || lacks < least {
--- a/internal/sched/lapse_test.go
+++ b/internal/sched/lapse_test.go
@@ -63,8 +63,8 @@
 var errNoRelay = errors.New("no such relay")
 
 func (ls *looksSeen) through(ag worker.Agent) worker.Agent {
-	look := ag.LookFunc
-	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+	look := ag.PollFunc
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 		if err := ls.note(ad, lo); err != nil {
 			return worker.PollResult{}, err
 		}
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -196,7 +196,7 @@
 	ctx, cancel := context.WithTimeout(ow.ctx, lookGrace)
 	defer cancel()
 	way := ho.wayNow()
-	si, err := ow.Agent.LookFunc(ctx, way.addr, worker.Poll{Fence: way.fence})
+	si, err := ow.Agent.PollFunc(ctx, way.addr, worker.Poll{Fence: way.fence})
 	if err != nil {
 		ho.tellLife(err)
 		return false, err
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -90,7 +90,7 @@
 		}
 		found = true
 		delete(ow.orphans, incarnation)
-		if incarnation.OtherLife(ho.incarnation) {
+		if incarnation.IsOtherIncarnation(ho.incarnation) {
 			ho.lives = append(ho.lives, incarnation)
 		}
 	}
@@ -111,9 +111,9 @@
 			rest = append(rest, ref)
 			continue
 		}
-		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, worked: workedBy(ta.Proof), pace: unknownPace}
-		if ta.Worker.OtherLife(ho.incarnation) {
-			at.worked, at.ends = 0, unseenVerdict(ta.Proof, ho.ow.listSound(time.Now()))
+		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, worked: workedBy(ta.Phase), pace: unknownPace}
+		if ta.Worker.IsOtherIncarnation(ho.incarnation) {
+			at.worked, at.ends = 0, unseenVerdict(ta.Phase, ho.ow.listSound(time.Now()))
 		}
 		ho.put(at)
 	}
@@ -149,7 +149,7 @@
 				rest = append(rest, ref)
 				continue
 			}
-			end := unseenVerdict(ta.Proof, sound)
+			end := unseenVerdict(ta.Phase, sound)
 			le.add(&en.jo.Spec.Steps[ref.Step], end)
 			ow.end(en, ref, ta.Attempt, end, "", unseenWhy)
 		}
--- a/internal/sched/looks.go
+++ b/internal/sched/looks.go
@@ -51,7 +51,7 @@
 		forget(ho.rerouted)
 		wa := ho.wayNow()
 		lo.Fence = wa.fence
-		si, err := ho.ow.Agent.LookFunc(lctx, wa.addr, lo)
+		si, err := ho.ow.Agent.PollFunc(lctx, wa.addr, lo)
 		cancel()
 		if ctx.Err() != nil {
 			return
@@ -103,7 +103,7 @@
 	lo := worker.Poll{}
 	ho.withheld = ho.endsListed && !ho.mayAcknowledge(now)
 	if ho.endsListed && !ho.withheld {
-		lo.Seen = ho.acked
+		lo.AckedEnd = ho.acked
 	}
 	if ho.failing.IsZero() || now.Sub(ho.failing) < extendSilent {
 		lo.LeaseUntilMS = ho.leaseNow(now)
@@ -214,7 +214,7 @@
 // tellSkipped tells of an end that counts as known though its attempt counts as running.
 func (ho *host) tellSkipped(ea worker.EndedAttempt) {
 	if ho.find(ea.Attempt) != nil {
-		ho.ow.Log.Warn("end skipped as known", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.How,
+		ho.ow.Log.Warn("end skipped as known", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.Outcome,
 			"number", ea.EndNumber, "handled", ho.handled, "acked", ho.acked)
 	}
 }
@@ -223,11 +223,11 @@
 	id, ref, ok := job.ParseTaskID(ea.Task)
 	en := ho.ow.entries[id]
 	if !ok || en == nil {
-		ho.ow.Log.Info("end of an unknown task", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.How)
+		ho.ow.Log.Info("end of an unknown task", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.Outcome)
 		return
 	}
-	ho.judge(en, ea.How)
-	end := endOf(ea.How)
+	ho.judge(en, ea.Outcome)
+	end := endOf(ea.Outcome)
 	if !ho.ow.end(en, ref, ea.Number, end, ea.Checkpoint, "listed by the worker") {
 		ho.ow.endLate(en, ref, ea.Number, end, ho.incarnation)
 	}
--- a/internal/sched/nextlife.go
+++ b/internal/sched/nextlife.go
@@ -23,7 +23,7 @@
 // listedHost returns the worker that an entry is of, or nil. An entry that does not tell
 // when the process started is of the one life that is known.
 func (ow *Owner) listedHost(li Listed) *host {
-	if ho := ow.hosts[li.Incarnation]; ho != nil || li.Incarnation.Born != 0 {
+	if ho := ow.hosts[li.Incarnation]; ho != nil || li.Incarnation.StartedMS != 0 {
 		return ho
 	}
 	return ow.onlyLife(li.Incarnation.ID)
@@ -68,7 +68,7 @@
 	switch {
 	case next != nil:
 		ho.giveWay(next)
-	case ho.incarnation.Born == 0:
+	case ho.incarnation.StartedMS == 0:
 		ho.learnLife(answered)
 	default:
 		ho.giveWay(ho.enterNext(answered))
@@ -102,7 +102,7 @@
 	next := ho.ow.enter(li)
 	next.Listed.Incarnation = ho.Listed.Incarnation
 	next.gone, next.goneAt = ho.gone, ho.goneAt
-	if ho.Listed.Incarnation.Born != 0 && !ho.gone {
+	if ho.Listed.Incarnation.StartedMS != 0 && !ho.gone {
 		next.gone, next.goneAt = true, time.Now()
 	}
 	return next
--- a/internal/sched/noplace.go
+++ b/internal/sched/noplace.go
@@ -24,7 +24,7 @@
 
 // covers reports whether no place for the shape means none for the other.
 func (sh shape) covers(other shape) bool {
-	if sh.yields && !other.yields || other.interrupted && !sh.interrupted || sh.st.Filler != other.st.Filler || sh.service != other.service || sh.st.PerWorker > 0 || sh.st.Label != "" || !sh.st.Each.Fits(other.st.Each) {
+	if sh.yields && !other.yields || other.interrupted && !sh.interrupted || sh.st.Filler != other.st.Filler || sh.service != other.service || sh.st.MaxPerWorker > 0 || sh.st.Label != "" || !sh.st.Each.Fits(other.st.Each) {
 		return false
 	}
 	return !sh.st.Filler || (sh.st.Image == other.st.Image && sh.patient == other.patient)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -93,7 +93,7 @@
 }
 
 func newCandidate(ho *host, now time.Time) *candidate {
-	return &candidate{ho: ho, free: ho.Holds.Without(ho.reserved), idle: ho.Holds.MilliCores - ho.inUse, stubborn: ho.stubborn(now)}
+	return &candidate{ho: ho, free: ho.Holds.Sub(ho.reserved), idle: ho.Holds.MilliCores - ho.inUse, stubborn: ho.stubborn(now)}
 }
 
 // likelyUse is the processor time that a task of the step is likely to use, in
@@ -187,7 +187,7 @@
 
 // allowed reports whether a task may run on the worker, if it had room.
 func (ca *candidate) allowed(en *entry, ref job.TaskRef, st *job.Step) bool {
-	return ca.suitable(en, st) && (st.PerWorker == 0 || en.countAt(ref.Step, ca.ho) < st.PerWorker)
+	return ca.suitable(en, st) && (st.MaxPerWorker == 0 || en.countAt(ref.Step, ca.ho) < st.MaxPerWorker)
 }
 
 // suitable reports whether the worker is of the kind that the step wants.
@@ -264,7 +264,7 @@
 	ca.ho.put(at)
 	pl.ow.depart(at)
 	st := &en.jo.Spec.Steps[ref.Step]
-	ca.free = ca.free.Without(st.Reserved())
+	ca.free = ca.free.Sub(st.Reserved())
 	ca.idle -= likelyUse(st)
 	pl.ow.Log.Info("attempt placed", "task", taskID(at), "attempt", number, "worker", ca.ho.incarnation, "free_millicores", ca.free.MilliCores)
 	en.effects = append(en.effects, func() { pl.ow.launch(at) })
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -52,7 +52,7 @@
 		en, stranger := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
 		own.put(&attempt{ho: own, en: en, number: 1})
 		other.put(&attempt{ho: other, en: stranger, number: 1})
-		other.reserved = other.reserved.With(worker.Resources{MilliCores: 8000})
+		other.reserved = other.reserved.Add(worker.Resources{MilliCores: 8000})
 		pl := ow.newPlacer()
 		ca := pl.rank(en, 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "own")
@@ -71,7 +71,7 @@
 		}
 		stranger := addJob(ow, 1, serviceStep(1, "other"))
 		mixed.put(&attempt{ho: mixed, en: stranger, number: 1})
-		mixed.reserved = mixed.reserved.With(worker.Resources{MilliCores: 48_000})
+		mixed.reserved = mixed.reserved.Add(worker.Resources{MilliCores: 48_000})
 		ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "s")), 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "empty")
 	})
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -16,10 +16,10 @@
 	at.sighted = now
 	ran := at.sightings().ran
 	switch {
-	case ran >= lastsAfter && at.en.jo.Lasted(at.ref, at.number):
+	case ran >= lastsAfter && at.en.jo.MarkStable(at.ref, at.number):
 		at.en.rests.lasted(at.ref)
 		at.en.dueProof(now)
-	case ran >= provenAfter && at.en.jo.Began(at.ref, at.number) && at.exposed():
+	case ran >= provenAfter && at.en.jo.MarkStarted(at.ref, at.number) && at.exposed():
 		at.en.dueProof(now)
 	}
 }
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -37,7 +37,7 @@
 		}
 		return ra
 	}
-	if st.PerWorker > 0 {
+	if st.MaxPerWorker > 0 {
 		ra.counts = en.countBy(step)
 	}
 	for _, ca := range pl.hosts {
@@ -55,10 +55,10 @@
 // fits reports whether the worker may get a task of the step now, and notes what
 // lacks if not.
 func (ra *ranking) fits(ca *candidate) bool {
-	if !ca.hasRoom(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.PerWorker) {
+	if !ca.hasRoom(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.MaxPerWorker) {
 		return false
 	}
-	if ra.yields && !ra.st.Reserved().Fits(ca.free.Without(ca.ho.promised)) {
+	if ra.yields && !ra.st.Reserved().Fits(ca.free.Sub(ca.ho.promised)) {
 		return false
 	}
 	if ra.patient && !ca.suits(ra.st) {
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -34,8 +34,8 @@
 }
 
 func (mu *mute) through(ag worker.Agent) worker.Agent {
-	look, launch := ag.LookFunc, ag.LaunchFunc
-	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+	look, launch := ag.PollFunc, ag.LaunchFunc
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 		if err := mu.wait(ctx, ad); err != nil {
 			return worker.PollResult{}, err
 		}
@@ -146,8 +146,8 @@
 		let := make(chan struct{})
 		var stuck atomic.Bool
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			look := ag.PollFunc
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				if stuck.Load() {
 					<-let
 				}
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -104,8 +104,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			look := ag.PollFunc
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				si, err := look(ctx, ad, lo)
 				clock.Sleep(ctx, 50*time.Millisecond)
 				return si, err
@@ -140,7 +140,7 @@
 		untold := func() {
 			list := la.listed()
 			for i := range list {
-				list[i].Incarnation.Born = 0
+				list[i].Incarnation.StartedMS = 0
 			}
 			ow.SetWorkers(list, nil, true)
 		}
@@ -167,9 +167,9 @@
 func slowFirstLooks(d time.Duration) func(worker.Agent) worker.Agent {
 	began := time.Now().UnixMilli()
 	return func(ag worker.Agent) worker.Agent {
-		look := ag.LookFunc
-		ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-			if ad.Incarnation.Born > began && !clock.Sleep(ctx, d) {
+		look := ag.PollFunc
+		ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			if ad.Incarnation.StartedMS > began && !clock.Sleep(ctx, d) {
 				return worker.PollResult{}, ctx.Err()
 			}
 			return look(ctx, ad, lo)
@@ -269,8 +269,8 @@
 		la := newLab(t, 1)
 		var busy atomic.Pointer[Owner]
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			look := ag.PollFunc
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				si, err := look(ctx, ad, lo)
 				if ow := busy.Load(); ow != nil {
 					ow.post(func() { time.Sleep(ackWithin + 200*time.Millisecond) })
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -60,7 +60,7 @@
 	switch {
 	case ho.isKept() && !st.Filler && en.waitingAgain(step) == 0:
 		return barKept
-	case st.PerWorker > 0 && en.countAt(step, ho) >= st.PerWorker:
+	case st.MaxPerWorker > 0 && en.countAt(step, ho) >= st.MaxPerWorker:
 		return barApart
 	}
 	return ""
@@ -86,7 +86,7 @@
 	if sh.best == nil {
 		return append(list, slog.String("best", "none"))
 	}
-	free := sh.best.Holds.Without(sh.best.reserved)
+	free := sh.best.Holds.Sub(sh.best.reserved)
 	return append(list,
 		slog.String("best", sh.best.incarnation.String()),
 		slog.Int64("free_millicores", free.MilliCores), slog.Int64("free_mem_mb", free.MemMB),
@@ -110,7 +110,7 @@
 	var sum worker.Resources
 	for at := range ho.attempts {
 		if !at.halted.IsZero() {
-			sum = sum.With(at.step().Reserved())
+			sum = sum.Add(at.step().Reserved())
 		}
 	}
 	return sum
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -47,7 +47,7 @@
 		ow := la.withLasting(15)
 		apart := lasting(2)
 		apart.Steps[0].Each = worker.Resources{MilliCores: 500, MemMB: 500}
-		apart.Steps[0].PerWorker = 1
+		apart.Steps[0].MaxPerWorker = 1
 		la.submit(ow, 2, apart)
 		time.Sleep(1500 * time.Millisecond)
 		waits := `msg="lasting tasks wait"`
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -91,7 +91,7 @@
 // for what becomes of it.
 func (en *entry) inDoubt(now time.Time) bool {
 	for _, at := range en.attempts {
-		if at.task().Alone() && !at.ho.failing.IsZero() && now.Sub(at.ho.failing) < trialDoubt {
+		if at.task().Isolated() && !at.ho.failing.IsZero() && now.Sub(at.ho.failing) < trialDoubt {
 			return true
 		}
 	}
@@ -101,7 +101,7 @@
 // placeSuspect starts a task under which workers ended, where it does least harm if it
 // ends another.
 func (pl *placer) placeSuspect(en *entry, ref job.TaskRef) {
-	if en.jo.Task(ref).Alone() {
+	if en.jo.Task(ref).Isolated() {
 		pl.placeAlone(en, ref)
 		return
 	}
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -117,10 +117,10 @@
 		started := la.row(ow, 1).Rev
 		short := la.row(ow, 2).Rev
 		time.Sleep(2400 * time.Millisecond)
-		qt.Check(t, la.row(ow, 1).Steps[0].Proofs, qt.Equals, "1")
+		qt.Check(t, la.row(ow, 1).Steps[0].Phases, qt.Equals, "1")
 		qt.Check(t, la.row(ow, 2).Rev, qt.Equals, short)
 		time.Sleep(12 * time.Second)
-		qt.Check(t, la.row(ow, 1).Steps[0].Proofs, qt.Equals, "2")
+		qt.Check(t, la.row(ow, 1).Steps[0].Phases, qt.Equals, "2")
 		time.Sleep(time.Minute)
 		qt.Check(t, la.row(ow, 1).Rev-started <= 2*proofWritesMost, qt.IsTrue, qt.Commentf("%d writes", la.row(ow, 1).Rev-started))
 	})
--- a/internal/sched/way_test.go
+++ b/internal/sched/way_test.go
@@ -21,8 +21,8 @@
 }
 
 func (ws *waysSeen) through(ag worker.Agent) worker.Agent {
-	look := ag.LookFunc
-	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+	look := ag.PollFunc
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 		ws.mu.Lock()
 		ws.via, ws.fences = append(ws.via, ad.Via), append(ws.fences, lo.Fence)
 		ws.mu.Unlock()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -123,8 +123,8 @@
 		fl.workers = map[string]*FleetWorker{}
 	}
 	fw.fl, fw.since = fl, time.Now()
-	if fw.Addr.Incarnation.Born == 0 {
-		fw.Addr.Incarnation.Born = fw.since.UnixMilli()
+	if fw.Addr.Incarnation.StartedMS == 0 {
+		fw.Addr.Incarnation.StartedMS = fw.since.UnixMilli()
 	}
 	fw.running, fw.last, fw.wake = map[string]*fleetTask{}, map[string]int{}, make(chan struct{})
 	fl.workers[fw.Addr.HostPort] = fw
@@ -137,9 +137,9 @@
 	fl.Kill(fw)
 	next := &FleetWorker{Addr: fw.Addr, Holds: fw.Holds}
 	next.Addr.HostPort = hostPort
-	next.Addr.Incarnation.Born = time.Now().Add(stepped).UnixMilli()
+	next.Addr.Incarnation.StartedMS = time.Now().Add(stepped).UnixMilli()
 	if next.Addr.Incarnation == fw.Addr.Incarnation {
-		next.Addr.Incarnation.Born++
+		next.Addr.Incarnation.StartedMS++
 	}
 	fl.Add(next)
 	return next
@@ -285,7 +285,7 @@
 func (fw *FleetWorker) free() worker.Resources {
 	free := fw.Holds
 	for _, ta := range fw.running {
-		free = free.Without(ta.takes)
+		free = free.Sub(ta.takes)
 	}
 	return free
 }
@@ -333,7 +333,7 @@
 	ta.run.Until, ta.run.How = time.Now(), how
 	fw.last[name] = max(fw.last[name], ta.run.Number)
 	fw.ends++
-	fw.ended = append(fw.ended, worker.EndedAttempt{Attempt: ta.run.Attempt, EndNumber: fw.ends, How: how, Checkpoint: ta.checkpoint()})
+	fw.ended = append(fw.ended, worker.EndedAttempt{Attempt: ta.run.Attempt, EndNumber: fw.ends, Outcome: how, Checkpoint: ta.checkpoint()})
 	fw.endedRuns = append(fw.endedRuns, ta.run)
 	if fw.fl.Remembers {
 		fw.forget(fw.told)
@@ -408,7 +408,7 @@
 	return gated(ctx, &fw.Gate, func() (worker.PollResult, error) {
 		wake, err := fw.prepare(lo)
 		if err != nil {
-			return worker.PollResult{}, cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.Born), err)
+			return worker.PollResult{}, cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.StartedMS), err)
 		}
 		if wake != nil && lo.Wait > 0 {
 			select {
@@ -420,7 +420,7 @@
 		}
 		si, err := fw.sight()
 		if err == nil {
-			err = worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.Born)
+			err = worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.StartedMS)
 		}
 		return si, err
 	})
@@ -435,8 +435,8 @@
 		return nil, worker.ErrFenced
 	}
 	fw.extend(lo.LeaseUntilMS)
-	fw.told = max(fw.told, lo.Seen)
-	fw.forget(lo.Seen)
+	fw.told = max(fw.told, lo.AckedEnd)
+	fw.forget(lo.AckedEnd)
 	if len(fw.ended) > 0 {
 		return nil, nil
 	}
--- a/internal/standin/fleetagent.go
+++ b/internal/standin/fleetagent.go
@@ -21,7 +21,7 @@
 		PaceFunc: func(ctx context.Context, ad worker.Addr, pa worker.Pace) (worker.Ack, error) {
 			return order(ctx, fl, ad, pa.Attempt, func(fw *FleetWorker) (worker.Ack, error) { return fw.pace(pa) })
 		},
-		LookFunc: fl.look,
+		PollFunc: fl.look,
 	}
 }
 
@@ -62,7 +62,7 @@
 		}
 		ack, err := fn(fw)
 		if !fl.Untold {
-			err = cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.Born), err)
+			err = cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.StartedMS), err)
 		}
 		return ack, err
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -178,7 +178,7 @@
 	free := wo.set.Holds
 	for _, ta := range wo.tasks {
 		if ta.state == worker.StateRunning {
-			free = free.Without(ta.order.Each)
+			free = free.Sub(ta.order.Each)
 		}
 	}
 	if !or.Each.Fits(free) {
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -65,8 +65,8 @@
 	// Fence is the orderer's fencing token; the worker obeys no lower one
 	// from then on.
 	Fence int64
-	// Seen is the number of the last end that the worker may forget.
-	Seen int64
+	// AckedEnd is the number of the last end that the worker may forget.
+	AckedEnd int64
 	// LeaseUntilMS extends leases, by the worker's own clock; 0 leaves them.
 	LeaseUntilMS int64
 	// Wait is how long the worker may wait for an end, 0 for not at all.
@@ -93,8 +93,8 @@
 
 	// Number counts the ends of the worker's life, from 1.
 	EndNumber int64
-	// How is the worker's word for it.
-	How string
+	// Outcome is the worker's word for it.
+	Outcome string
 	// Checkpoint is the last one made.
 	Checkpoint string
 }
@@ -151,6 +151,6 @@
 	HaltFunc func(context.Context, Addr, Halt) (Ack, error)
 	// PaceFunc sets an attempt's speed.
 	PaceFunc func(context.Context, Addr, Pace) (Ack, error)
-	// LookFunc sees what runs, and extends leases.
-	LookFunc func(context.Context, Addr, Poll) (PollResult, error)
+	// PollFunc sees what runs, and extends leases.
+	PollFunc func(context.Context, Addr, Poll) (PollResult, error)
 }
--- a/internal/worker/incarnation.go
+++ b/internal/worker/incarnation.go
@@ -12,10 +12,10 @@
 type Incarnation struct {
 	// ID is the worker's name in the list of workers.
 	ID string
-	// Born is when the process started, in milliseconds since 1970 by its host's time of
+	// StartedMS is when the process started, in milliseconds since 1970 by its host's time of
 	// day; 0 is not known. It tells lives apart and does not order them, as that clock
 	// may be set back.
-	Born int64
+	StartedMS int64
 }
 
 // bornBase is the base in which Born is written.
@@ -23,10 +23,10 @@
 
 // String returns the id, and when the process started if that is known.
 func (in Incarnation) String() string {
-	if in.Born == 0 && !strings.Contains(in.ID, "@") {
+	if in.StartedMS == 0 && !strings.Contains(in.ID, "@") {
 		return in.ID
 	}
-	return in.ID + "@" + strconv.FormatInt(in.Born, bornBase)
+	return in.ID + "@" + strconv.FormatInt(in.StartedMS, bornBase)
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -44,33 +44,33 @@
 	if err != nil {
 		return fmt.Errorf("start of worker %q: %w", text, err)
 	}
-	*in = Incarnation{ID: string(text[:at]), Born: born}
+	*in = Incarnation{ID: string(text[:at]), StartedMS: born}
 	return nil
 }
 
-// OtherLife reports whether both name the same worker, and certainly not the same life.
-func (in Incarnation) OtherLife(other Incarnation) bool {
-	return in.ID == other.ID && in.Born != other.Born && in.Born != 0 && other.Born != 0
+// IsOtherIncarnation reports whether both name the same worker, and certainly not the same life.
+func (in Incarnation) IsOtherIncarnation(other Incarnation) bool {
+	return in.ID == other.ID && in.StartedMS != other.StartedMS && in.StartedMS != 0 && other.StartedMS != 0
 }
 
 // IncarnationError says that a worker's answer came from another life than the one that was
 // meant. What was asked may have been carried out by it.
 type IncarnationError struct {
-	// Meant is the life that was asked, Answered the one that answered.
-	Meant, Answered Incarnation
+	// Expected is the life that was asked, Answered the one that answered.
+	Expected, Answered Incarnation
 }
 
 // Error implements error.
 func (le *IncarnationError) Error() string {
-	return fmt.Sprintf("worker %s was meant, and %s answered", le.Meant, le.Answered)
+	return fmt.Sprintf("worker %s was meant, and %s answered", le.Expected, le.Answered)
 }
 
 // CheckIncarnation returns a [IncarnationError] if an answer of a process that started at born, or 0 if
 // it did not say, is not from the life that was meant.
 func CheckIncarnation(meant Incarnation, born int64) error {
-	answered := Incarnation{ID: meant.ID, Born: born}
+	answered := Incarnation{ID: meant.ID, StartedMS: born}
 	if born == 0 || answered == meant {
 		return nil
 	}
-	return &IncarnationError{Meant: meant, Answered: answered}
+	return &IncarnationError{Expected: meant, Answered: answered}
 }
--- a/internal/worker/incarnation_test.go
+++ b/internal/worker/incarnation_test.go
@@ -13,8 +13,8 @@
 func TestIncarnationAsText(t *testing.T) {
 	proptest.Check(t, proptest.Size{}, func(rt *rapid.T) {
 		in := Incarnation{
-			ID:   rapid.StringMatching(`[a-z0-9@-]{0,12}`).Draw(rt, "id"),
-			Born: rapid.SampledFrom([]int64{0, 1, 1787123510123, 1 << 53}).Draw(rt, "born"),
+			ID:        rapid.StringMatching(`[a-z0-9@-]{0,12}`).Draw(rt, "id"),
+			StartedMS: rapid.SampledFrom([]int64{0, 1, 1787123510123, 1 << 53}).Draw(rt, "born"),
 		}
 		data, err := json.Marshal(map[Incarnation]Incarnation{in: in})
 		qt.Assert(t, err, qt.IsNil)
@@ -29,11 +29,11 @@
 }
 
 func TestOtherLife(t *testing.T) {
-	one := Incarnation{ID: "i-1", Born: 5}
-	qt.Check(t, one.OtherLife(Incarnation{ID: "i-1", Born: 4}), qt.IsTrue)
-	qt.Check(t, one.OtherLife(one), qt.IsFalse)
-	qt.Check(t, one.OtherLife(Incarnation{ID: "i-1"}), qt.IsFalse)
-	qt.Check(t, one.OtherLife(Incarnation{ID: "i-2", Born: 4}), qt.IsFalse)
+	one := Incarnation{ID: "i-1", StartedMS: 5}
+	qt.Check(t, one.IsOtherIncarnation(Incarnation{ID: "i-1", StartedMS: 4}), qt.IsTrue)
+	qt.Check(t, one.IsOtherIncarnation(one), qt.IsFalse)
+	qt.Check(t, one.IsOtherIncarnation(Incarnation{ID: "i-1"}), qt.IsFalse)
+	qt.Check(t, one.IsOtherIncarnation(Incarnation{ID: "i-2", StartedMS: 4}), qt.IsFalse)
 	qt.Check(t, CheckIncarnation(one, 0), qt.IsNil)
 	qt.Check(t, CheckIncarnation(one, 5), qt.IsNil)
 	qt.Check(t, CheckIncarnation(one, 6), qt.ErrorMatches, "worker i-1@5 was meant, and i-1@6 answered")
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -27,8 +27,8 @@
 	Accels int64 `json:"accels,omitempty"`
 }
 
-// With returns the sum of both.
-func (re Resources) With(other Resources) Resources {
+// Add returns the sum of both.
+func (re Resources) Add(other Resources) Resources {
 	return Resources{
 		MilliCores: re.MilliCores + other.MilliCores,
 		MemMB:      re.MemMB + other.MemMB,
@@ -36,8 +36,8 @@
 	}
 }
 
-// Without returns the difference.
-func (re Resources) Without(other Resources) Resources {
+// Sub returns the difference.
+func (re Resources) Sub(other Resources) Resources {
 	return Resources{
 		MilliCores: re.MilliCores - other.MilliCores,
 		MemMB:      re.MemMB - other.MemMB,
@@ -45,8 +45,8 @@
 	}
 }
 
-// Times returns the resources of n such tasks.
-func (re Resources) Times(n int) Resources {
+// Mul returns the resources of n such tasks.
+func (re Resources) Mul(n int) Resources {
 	return Resources{MilliCores: re.MilliCores * int64(n), MemMB: re.MemMB * int64(n), Accels: re.Accels * int64(n)}
 }
 
