--- /dev/null
+++ b/internal/job/criticalpath.go
@@ -0,0 +1,48 @@
+package job
+
+// CriticalPathMS returns the longest path through a job's steps by estimated run time, in
+// milliseconds.
+func (sp *Spec) CriticalPathMS() int64 {
+	return sp.longestPath(func(int) bool { return true })
+}
+
+// RemainingMS returns the longest path through the steps that are not done, by estimated
+// run time, in milliseconds.
+func (jo *Job) RemainingMS() int64 {
+	return jo.Spec.longestPath(func(step int) bool { return jo.remaining[step] > 0 })
+}
+
+// longestPath returns the longest path through the steps, where only those that counts
+// selects add their run time, in milliseconds.
+func (sp *Spec) longestPath(counts func(step int) bool) int64 {
+	var longest int64
+	until := make([]int64, len(sp.Steps))
+	for i := range sp.Steps {
+		for _, before := range sp.Steps[i].After {
+			until[i] = max(until[i], until[before])
+		}
+		if counts(i) {
+			until[i] += sp.Steps[i].EstimateMS
+		}
+		longest = max(longest, until[i])
+	}
+	return longest
+}
+
+// RemainingWork returns the estimated processor time of the tasks that are not done, in
+// thousandths of a core times milliseconds. Endless tasks are left out.
+func (jo *Job) RemainingWork() int64 {
+	var sum int64
+	for i := range jo.Spec.Steps {
+		if st := &jo.Spec.Steps[i]; !st.Endless {
+			sum += int64(jo.remaining[i]) * st.EstimateMS * st.Each.MilliCores
+		}
+	}
+	return sum
+}
+
+// TargetDurationMS returns how long after its submission the job should be done, in
+// milliseconds.
+func (jo *Job) TargetDurationMS() int64 {
+	return int64(jo.Terms.Stretch*float64(jo.Spec.CriticalPathMS())) + jo.Terms.AllowanceMS
+}
--- a/internal/job/blame_test.go
+++ b/internal/job/giveup_test.go
@@ -11,9 +11,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// play has the only task of a job begin and end in the given ways, the job read anew after
-// each, and returns how it then is.
-func play(t *testing.T, sp Spec, ends ...End) *Job {
+// playEnds starts the only task of a job and ends it in each of the given ways, reads the
+// job back from its rows after each step, and returns it.
+func playEnds(t *testing.T, sp Spec, ends ...End) *Job {
 	t.Helper()
 	jo := New(testID, Terms{MaxFailures: 2}, sp)
 	for _, end := range ends {
@@ -26,7 +26,7 @@
 	return jo
 }
 
-func TestTaskIsGivenUpForCrashes(t *testing.T) {
+func TestTaskIsGivenUpAfterCrashes(t *testing.T) {
 	endless := chain(1, 1)
 	endless.Steps[0].Endless = true
 	for _, sp := range []Spec{chain(1, 1), endless} {
@@ -48,10 +48,10 @@
 			{[]End{EndLapsed, EndLapsed, EndLapsed, EndLapsed, EndLapsed, EndLapsed}, Running, false, false},
 			{[]End{EndStopped, EndNeverRan, EndStopped, EndNeverRan, EndStopped}, Running, false, false},
 		} {
-			jo := play(t, sp, tc.ends...)
+			jo := playEnds(t, sp, tc.ends...)
 			qt.Check(t, jo.State(), qt.Equals, tc.want, qt.Commentf("%v", tc.ends))
 			if tc.want == Failed {
-				// Nothing is kept of the tasks of a job that is over.
+				// The rows of a job that is over hold no tasks.
 				continue
 			}
 			qt.Check(t, jo.Task(TaskRef{}).Suspect(), qt.Equals, tc.apart, qt.Commentf("%v", tc.ends))
@@ -60,8 +60,8 @@
 	}
 }
 
-func TestTaskThatLastsIsNotBlamed(t *testing.T) {
-	jo := play(t, chain(1, 1), EndCrashed, EndCrashed)
+func TestStableTaskIsNotBlamed(t *testing.T) {
+	jo := playEnds(t, chain(1, 1), EndCrashed, EndCrashed)
 	number := jo.Start(TaskRef{}, worker.Incarnation{ID: "w"})
 	jo.MarkStable(TaskRef{}, number-1)
 	qt.Assert(t, jo.Task(TaskRef{}).Isolated(), qt.IsTrue)
@@ -72,32 +72,29 @@
 	qt.Assert(t, jo.Task(TaskRef{}).Isolated(), qt.IsFalse)
 }
 
-// TestFailureOfAnAttemptThatWasGivenUp is the story of a task that fails more often than
-// its queue allows.
-//
-// Users saw tasks start again after as many failures as the queue allows. Order of events:
-// a worker is silent until its leases have lapsed, or is taken for dead; the attempt is
-// given up and the next one begins; the worker answers again and lists the first as
-// failed. Cause: only a late end as done was taken in. Evidence: the end is listed, and
-// the count of failures in the row stays as it was.
+// TestFailureOfAnAttemptThatWasGivenUp guards against a task that starts again after as
+// many failures as its queue allows. A worker does not answer until its leases have
+// expired, or is taken for dead; the attempt is given up and the next one starts. Then the
+// worker answers and reports the first attempt as failed. That failure must be counted,
+// not only a late completion.
 func TestFailureOfAnAttemptThatWasGivenUp(t *testing.T) {
 	ref := TaskRef{}
-	t.Run("counts once, over a takeover", func(t *testing.T) {
-		jo := play(t, chain(1, 1), EndLapsed)
+	t.Run("counts once, also after a takeover", func(t *testing.T) {
+		jo := playEnds(t, chain(1, 1), EndLapsed)
 		qt.Assert(t, jo.RecordLateFailure(ref, 1), qt.IsTrue)
 		jo = reread(t, jo)
 		qt.Assert(t, jo.RecordLateFailure(ref, 1), qt.IsFalse)
 		qt.Assert(t, jo.Task(ref).Failures, qt.Equals, 1)
 		qt.Assert(t, jo.State(), qt.Equals, Running)
 	})
-	t.Run("ends a task that waits", func(t *testing.T) {
-		jo := play(t, chain(1, 1), EndFailed, EndLost)
+	t.Run("ends a waiting task", func(t *testing.T) {
+		jo := playEnds(t, chain(1, 1), EndFailed, EndLost)
 		qt.Assert(t, jo.RecordLateFailure(ref, 2), qt.IsTrue)
 		qt.Assert(t, jo.State(), qt.Equals, Failed)
 	})
-	t.Run("lets the attempt under way be done", func(t *testing.T) {
+	t.Run("lets the running attempt complete the task", func(t *testing.T) {
 		for _, end := range []End{EndDone, EndStopped, EndLapsed, EndNeverRan} {
-			jo := play(t, chain(1, 1), EndFailed, EndLapsed)
+			jo := playEnds(t, chain(1, 1), EndFailed, EndLapsed)
 			number := jo.Start(ref, worker.Incarnation{ID: "w"})
 			qt.Assert(t, jo.RecordLateFailure(ref, 2), qt.IsTrue)
 			qt.Assert(t, jo.State(), qt.Equals, Running)
@@ -109,25 +106,27 @@
 			qt.Assert(t, jo.State(), qt.Equals, want, qt.Commentf("%s", end))
 		}
 	})
-	t.Run("of an attempt that was not given up", func(t *testing.T) {
-		jo := play(t, chain(1, 1), EndFailed)
+	t.Run("is ignored for an attempt that was not given up", func(t *testing.T) {
+		jo := playEnds(t, chain(1, 1), EndFailed)
 		qt.Assert(t, jo.RecordLateFailure(ref, 1), qt.IsFalse)
 		qt.Assert(t, jo.RecordLateFailure(ref, 2), qt.IsFalse)
 		qt.Assert(t, jo.Task(ref).Failures, qt.Equals, 1)
 	})
 }
 
-// tries is a task that begins and ends at random, and what a model counts of it.
-type tries struct {
+// randomTask is a task that starts and ends at random, with the counts that are expected
+// of it.
+type randomTask struct {
 	rt *rapid.T
 	jo *Job
-	// crashes are those since an attempt lasted, given the attempts that were given up.
+	// crashes counts certain crashes since an attempt was stable, givenUp has the attempts
+	// that were given up.
 	crashes, failures int
-	given             []int
+	givenUp           []int
 }
 
-// once has the task begin and end once more, and reports false if it does not begin.
-func (tr *tries) once(t *testing.T) bool {
+// runOnce starts and ends one attempt. It returns false if the task does not start.
+func (tr *randomTask) runOnce(t *testing.T) bool {
 	t.Helper()
 	number := tr.jo.Start(TaskRef{}, worker.Incarnation{ID: "w"})
 	if number == 0 {
@@ -148,34 +147,35 @@
 	case EndFailed:
 		tr.failures++
 	case EndLapsed, EndLost:
-		tr.given = append(tr.given, number)
+		tr.givenUp = append(tr.givenUp, number)
 	}
-	tr.tellLate()
+	tr.reportLateFailure()
 	if rapid.Bool().Draw(tr.rt, "reread") && !tr.jo.State().Final() {
 		tr.jo = reread(t, tr.jo)
 	}
 	return true
 }
 
-// tellLate has an attempt that was given up turn out to have failed, once or again.
-func (tr *tries) tellLate() {
-	if len(tr.given) == 0 || !rapid.Bool().Draw(tr.rt, "told late") {
+// reportLateFailure reports the failure of an attempt that was given up, for the first
+// time or again.
+func (tr *randomTask) reportLateFailure() {
+	if len(tr.givenUp) == 0 || !rapid.Bool().Draw(tr.rt, "reported late") {
 		return
 	}
-	at := rapid.IntRange(max(0, len(tr.given)-givenUpMost), len(tr.given)-1).Draw(tr.rt, "which")
-	if tr.jo.RecordLateFailure(TaskRef{}, tr.given[at]) {
+	at := rapid.IntRange(max(0, len(tr.givenUp)-maxGivenUp), len(tr.givenUp)-1).Draw(tr.rt, "which")
+	if tr.jo.RecordLateFailure(TaskRef{}, tr.givenUp[at]) {
 		tr.failures++
 	}
 }
 
-// TestStartsAreBounded plays random ends and checks that no task begins after three
-// crashes without an attempt between them that lasted, nor after it failed as often as
-// its queue allows, told late or not.
+// TestStartsAreBounded draws random ends and checks that no task starts after three
+// crashes without a stable attempt between them, nor after it failed as often as its queue
+// allows, whether the failures were reported late or in time.
 func TestStartsAreBounded(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
-		tr := &tries{rt: rt, jo: New(testID, Terms{MaxFailures: 2}, chain(1, 1))}
+		tr := &randomTask{rt: rt, jo: New(testID, Terms{MaxFailures: 2}, chain(1, 1))}
 		for range rapid.IntRange(1, 40).Draw(rt, "attempts") {
-			if !tr.once(t) {
+			if !tr.runOnce(t) {
 				return
 			}
 		}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -8,7 +8,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// State is what a job's caller sees of it.
+// State is the state of a job as its caller sees it.
 type State string
 
 // The states of a job. The last three are final.
@@ -20,19 +20,20 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether a job in the state never changes again.
+// Final reports whether a job in this state never changes its state again.
 func (st State) Final() bool { return st == Succeeded || st == Failed || st == Cancelled }
 
-// TaskState is where a task is in its life.
+// TaskState is the state of a task.
 type TaskState int8
 
 // The states of a task.
 const (
-	// Waiting tasks have no attempt that could run.
+	// Waiting tasks have no attempt that may run.
 	Waiting TaskState = iota
-	// Started tasks have an attempt that runs, or may.
+	// Started tasks have an attempt that runs or may run.
 	Started
-	// Done and Abandoned tasks are over; Abandoned ones failed too often.
+	// Done and Abandoned tasks are over. Abandoned ones failed too often, or too many
+	// workers ended under them.
 	Done
 	Abandoned
 )
@@ -43,143 +44,144 @@
 // The ends of an attempt.
 const (
 	EndDone End = "done"
-	// EndFailed counts against the attempts that the queue allows.
+	// EndFailed counts against the failures that the queue allows.
 	EndFailed End = "failed"
-	// EndStopped: by an order.
+	// EndStopped: the owner ordered the stop.
 	EndStopped End = "stopped"
-	// EndLapsed: the lease ran out, or the worker left.
+	// EndLapsed: the lease expired, or the worker left.
 	EndLapsed End = "lapsed"
-	// EndCrashed: the worker's process certainly ended without a word just after it began
-	// the attempt. EndLost: it ended, and less is known. Both count against the task, see
-	// blame.go.
+	// EndCrashed: the worker's process certainly ended, without a report, just after it
+	// began the attempt. EndLost: the process ended and no more is known. Both count
+	// against the task, see giveup.go.
 	EndCrashed End = "crashed"
 	EndLost    End = "lost"
-	// EndNeverRan: the attempt never ran and never will.
+	// EndNeverRan: the attempt did not run and never will.
 	EndNeverRan End = "never-ran"
 )
 
-// Task is one task.
+// Task is the state of one task.
 type Task struct {
-	// State is where it is.
+	// State is the current state.
 	State TaskState
-	// Attempt is the last attempt's number, from 1; 0 before the first.
+	// Attempt is the number of the last attempt, from 1; 0 before the first.
 	Attempt int
-	// Failures counts attempts that ended failed.
+	// Failures counts attempts that ended with [EndFailed].
 	Failures int
-	// Crashes and Losses count the workers that ended under attempts of it, since one
-	// was last seen to last: those that certainly crashed just after they began it, and
-	// the others, see blame.go.
+	// Crashes and Losses count the workers that ended while they ran an attempt of the
+	// task, since an attempt was last seen to be stable. Crashes are those that certainly
+	// ended just after they began it, Losses the others; see giveup.go.
 	Crashes int
 	Losses  int
-	// GivenUp are the last attempts that ended without the worker's word and may still
-	// be told to have failed.
+	// GivenUp has the last attempts that ended without a report of the worker and may
+	// still be reported as failed.
 	GivenUp []int
-	// EarlierDone is set while an attempt is under way if one before it, which was given
-	// up, turned out to be done: the task is done once this one has ended.
+	// EarlierDone is set while an attempt runs if an earlier one, which was given up,
+	// turned out to be done. The task is then done once the running attempt has ended.
 	EarlierDone bool
-	// Phase is how far the attempt under way was seen to come.
+	// Phase is how far the running attempt was seen to get.
 	Phase Phase
-	// Worker is the incarnation of the last attempt's worker.
+	// Worker is the worker's incarnation of the last attempt.
 	Worker worker.Incarnation
-	// Checkpoint is what the next attempt starts from, Base what the last one
-	// started from.
+	// Checkpoint is the checkpoint that the next attempt starts from, Base the one that
+	// the last attempt started from.
 	Checkpoint string
 	Base       string
 }
 
-// TaskRef names a task within its job.
+// TaskRef identifies a task within its job.
 type TaskRef struct {
-	// Step and Index are from 0.
+	// Step is the index of the step, Index that of the task within it, both from 0.
 	Step, Index int
 }
 
-// Terms are what the queue's configuration said when the job was accepted.
+// Terms are the settings of the queue at the time when the job was accepted. They stay in
+// force for the job.
 type Terms struct {
-	// Queue and Service are names of the configuration.
+	// Queue and Service are the configured names of the queue and of the workers' service.
 	Queue   string `json:"queue"`
 	Service string `json:"service"`
-	// Priority 0 comes first.
+	// Priority 0 is the highest.
 	Priority int `json:"priority,omitempty"`
-	// MaxFailures is how often one task may fail.
+	// MaxFailures is the number of failures after which a task is given up.
 	MaxFailures int `json:"max_failures"`
-	// Stretch and AllowanceMS say how soon the job should be done: within
-	// Stretch times its longest chain of work, and AllowanceMS milliseconds.
+	// Stretch and AllowanceMS set the job's target duration: Stretch times its critical
+	// path, plus AllowanceMS milliseconds.
 	Stretch     float64 `json:"stretch,omitempty"`
 	AllowanceMS int64   `json:"allowance_ms,omitempty"`
 }
 
-// Job is a job that was accepted, and what became of its tasks.
+// Job is an accepted job and the state of its tasks.
 type Job struct {
-	// ID is the caller's, unique over all cells.
+	// ID is chosen by the caller and unique across all cells.
 	ID string
 	// Terms and Spec never change.
 	Terms Terms
 	Spec  Spec
-	// Cancelled is set once the caller cancelled it.
+	// Cancelled is set once the caller has cancelled the job.
 	Cancelled bool
-	// Tasks has the tasks of each step.
+	// Tasks holds the tasks by step and index.
 	Tasks [][]Task
-	// Rev counts the states that were written.
+	// Rev counts the states of the job that were written.
 	Rev int64
 
-	// left counts the tasks of each step that are not done, failed those that
-	// failed too often, begun those that ever had an attempt.
-	left   []int
-	failed int
-	begun  int
-	// ended is the final state of a job of which nothing else was kept.
-	ended State
+	// remaining counts the tasks of each step that are not done, abandoned the tasks that
+	// were given up, started the tasks that had at least one attempt.
+	remaining []int
+	abandoned int
+	started   int
+	// finalState is the state of a job that was restored without its tasks, as it is over.
+	finalState State
 }
 
-// New returns a job none of whose tasks has begun.
+// New returns a job without any started task.
 func New(id string, te Terms, sp Spec) *Job {
 	jo := &Job{ID: id, Terms: te, Spec: sp, Tasks: make([][]Task, len(sp.Steps))}
 	for i, st := range sp.Steps {
 		jo.Tasks[i] = make([]Task, st.Tasks)
 	}
-	jo.count()
+	jo.recount()
 	return jo
 }
 
-// count makes the sums anew from the tasks.
-func (jo *Job) count() {
-	jo.left = make([]int, len(jo.Tasks))
-	jo.failed, jo.begun = 0, 0
+// recount computes the sums from the tasks.
+func (jo *Job) recount() {
+	jo.remaining = make([]int, len(jo.Tasks))
+	jo.abandoned, jo.started = 0, 0
 	for i, tasks := range jo.Tasks {
 		for _, ta := range tasks {
 			if ta.State != Done {
-				jo.left[i]++
+				jo.remaining[i]++
 			}
 			if ta.State == Abandoned {
-				jo.failed++
+				jo.abandoned++
 			}
 			if ta.Attempt > 0 {
-				jo.begun++
+				jo.started++
 			}
 		}
 	}
 }
 
-// State returns what the caller sees.
+// State returns the state that the caller sees.
 func (jo *Job) State() State {
 	switch {
-	case jo.ended != "":
-		return jo.ended
+	case jo.finalState != "":
+		return jo.finalState
 	case jo.Cancelled:
 		return Cancelled
-	case jo.failed > 0:
+	case jo.abandoned > 0:
 		return Failed
-	case jo.unfinished() == 0:
+	case jo.unfinishedTasks() == 0:
 		return Succeeded
-	case jo.begun > 0:
+	case jo.started > 0:
 		return Running
 	}
 	return Queued
 }
 
-func (jo *Job) unfinished() int {
+func (jo *Job) unfinishedTasks() int {
 	n := 0
-	for _, left := range jo.left {
+	for _, left := range jo.remaining {
 		n += left
 	}
 	return n
@@ -190,21 +192,21 @@
 	return slices.ContainsFunc(jo.Spec.Steps, func(st Step) bool { return st.Endless })
 }
 
-// Ready reports whether the tasks of a step may start: the job goes on, and
-// every step before it is done.
+// Ready reports whether the tasks of a step may start: the job is neither cancelled nor
+// failed, and every step that it waits for is done.
 func (jo *Job) Ready(step int) bool {
-	if jo.Cancelled || jo.failed > 0 {
+	if jo.Cancelled || jo.abandoned > 0 {
 		return false
 	}
 	for _, before := range jo.Spec.Steps[step].After {
-		if jo.left[before] > 0 {
+		if jo.remaining[before] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Task returns a task, or nil if there is none of that name.
+// Task returns the task, or nil if the job has no such task.
 func (jo *Job) Task(ref TaskRef) *Task {
 	if ref.Step < 0 || ref.Step >= len(jo.Tasks) || ref.Index < 0 || ref.Index >= len(jo.Tasks[ref.Step]) {
 		return nil
@@ -212,26 +214,26 @@
 	return &jo.Tasks[ref.Step][ref.Index]
 }
 
-// Start begins the next attempt of a waiting task at a worker and returns its
-// number, or 0 if the task may not start.
-func (jo *Job) Start(ref TaskRef, incarnation worker.Incarnation) int {
+// Start begins the next attempt of a waiting task at a worker and returns its number, or 0
+// if the task must not start.
+func (jo *Job) Start(ref TaskRef, inc worker.Incarnation) int {
 	ta := jo.Task(ref)
 	if ta == nil || ta.State != Waiting || !jo.Ready(ref.Step) {
 		return 0
 	}
 	if ta.Attempt == 0 {
-		jo.begun++
+		jo.started++
 	}
 	ta.State = Started
 	ta.Attempt++
-	ta.Worker = incarnation
+	ta.Worker = inc
 	ta.Phase, ta.EarlierDone = PhaseStarting, false
 	ta.Base = ta.Checkpoint
 	return ta.Attempt
 }
 
-// End notes how an attempt ended and reports whether that was news: an end of
-// any but the attempt under way is not.
+// End records how an attempt ended and reports whether that was new. Only the running
+// attempt of a task can end.
 func (jo *Job) End(ref TaskRef, attempt int, end End, checkpoint string) bool {
 	ta := jo.Task(ref)
 	if ta == nil || ta.State != Started || ta.Attempt != attempt {
@@ -246,22 +248,22 @@
 	}
 	switch end {
 	case EndDone:
-		jo.endDone(ref, ta)
+		jo.complete(ref, ta)
 	case EndFailed:
 		ta.Failures++
 	case EndCrashed, EndLost, EndLapsed:
-		jo.countLoss(ta, end)
+		jo.recordLoss(ta, end)
 	}
-	// Also a failure may have been told of an attempt before this one.
+	// An earlier attempt may have been reported as failed while this one ran.
 	if ta.State == Waiting && jo.Exhausted(ref) {
 		jo.giveUp(ta)
 	}
 	return true
 }
 
-// RecordLateCompletion notes that an attempt that had been given up, as its leases had lapsed
-// for all that was known, was done all the same, and reports whether that was news.
-// If another one is under way the task is done once that has ended.
+// RecordLateCompletion records that an attempt was done which had been given up because
+// its leases seemed to have expired, and reports whether that was new. If another attempt
+// is running, the task is done once that one has ended.
 func (jo *Job) RecordLateCompletion(ref TaskRef, attempt int) bool {
 	ta := jo.Task(ref)
 	if ta == nil || attempt < 1 || attempt > ta.Attempt || jo.State().Final() || jo.Spec.Steps[ref.Step].Endless {
@@ -269,7 +271,7 @@
 	}
 	switch {
 	case ta.State == Waiting:
-		jo.endDone(ref, ta)
+		jo.complete(ref, ta)
 	case ta.State == Started && attempt < ta.Attempt && !ta.EarlierDone:
 		ta.EarlierDone = true
 	default:
@@ -278,36 +280,37 @@
 	return true
 }
 
-func (jo *Job) endDone(ref TaskRef, ta *Task) {
+func (jo *Job) complete(ref TaskRef, ta *Task) {
 	if jo.Spec.Steps[ref.Step].Endless {
 		return
 	}
 	ta.State = Done
 	ta.Worker, ta.Checkpoint, ta.Base, ta.GivenUp, ta.EarlierDone = worker.Incarnation{}, "", "", nil, false
-	jo.left[ref.Step]--
+	jo.remaining[ref.Step]--
 }
 
-// taskTimes is the part of a task's name that says which repetition of the job it is
-// of; there is only the first.
-const taskTimes = ".0."
+// taskRepetition is the part of a task's id that numbers the repetition of the job. Jobs
+// are not repeated, so there is only the first.
+const taskRepetition = ".0."
 
-// TaskID names a task towards workers: job, repetition, step and index.
+// TaskID returns the id of a task in requests to workers: job, repetition, step and index.
 func (jo *Job) TaskID(ref TaskRef) string {
-	name := make([]byte, 0, idDigits+len(taskTimes)+len("00.0000"))
+	name := make([]byte, 0, idDigits+len(taskRepetition)+len("00.0000"))
 	name = append(name, jo.ID...)
-	name = append(name, taskTimes...)
+	name = append(name, taskRepetition...)
 	name = strconv.AppendInt(name, int64(ref.Step), 10)
 	name = append(name, '.')
 	return string(strconv.AppendInt(name, int64(ref.Index), 10))
 }
 
-// ParseTaskID takes a task's name apart; ok is false if it is not one.
+// ParseTaskID splits a task's id into the id of the job and the position of the task; ok
+// is false if id is not valid.
 func ParseTaskID(id string) (jobID string, ref TaskRef, ok bool) {
-	if len(id) <= idDigits+len(taskTimes) || !ValidID(id[:idDigits]) {
+	if len(id) <= idDigits+len(taskRepetition) || !ValidID(id[:idDigits]) {
 		return "", ref, false
 	}
-	rest, found := strings.CutPrefix(id[idDigits:], taskTimes)
-	step, index, both := strings.Cut(rest, ".")
+	remainder, found := strings.CutPrefix(id[idDigits:], taskRepetition)
+	step, index, both := strings.Cut(remainder, ".")
 	if !found || !both {
 		return "", ref, false
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -27,7 +27,7 @@
 	return sp
 }
 
-// reread returns the job as it comes back from its rows.
+// reread returns the job as it is read back from its rows.
 func reread(t *testing.T, jo *Job) *Job {
 	t.Helper()
 	spec, err := json.Marshal(jo.SpecRow())
@@ -39,7 +39,7 @@
 	return again
 }
 
-func TestLifeOfAJob(t *testing.T) {
+func TestJobLifecycle(t *testing.T) {
 	jo := New(testID, Terms{MaxFailures: 2}, chain(2, 1))
 	first, second := TaskRef{0, 0}, TaskRef{1, 0}
 	qt.Assert(t, jo.State(), qt.Equals, Queued)
@@ -58,7 +58,7 @@
 	qt.Assert(t, reread(t, jo).State(), qt.Equals, Succeeded)
 }
 
-func TestJobThatFailsTooOften(t *testing.T) {
+func TestJobFailsAfterMaxFailures(t *testing.T) {
 	jo := New(testID, Terms{MaxFailures: 2}, chain(1, 2))
 	ref := TaskRef{0, 0}
 	for attempt := 1; attempt <= 2; attempt++ {
@@ -70,7 +70,7 @@
 	qt.Assert(t, reread(t, jo).State(), qt.Equals, Failed)
 }
 
-func TestEndlessTasksStartAgain(t *testing.T) {
+func TestEndlessTasksAreRestarted(t *testing.T) {
 	sp := chain(1, 1)
 	sp.Steps[0].Endless = true
 	jo := New(testID, Terms{MaxFailures: 1}, sp)
@@ -96,7 +96,7 @@
 
 const oneTask = `{"spec":{"steps":[{"tasks":1,"each":{}}]}}`
 
-func TestRowsThatCannotBeRead(t *testing.T) {
+func TestRestoreRejectsInvalidRows(t *testing.T) {
 	for _, tc := range [][2]string{{"", "{}"}, {"{}", ""}, {`{"spec":{"steps":[{"tasks":1,"each":{}}]}}`, `{"tasks":[[],[]]}`},
 		{oneTask, `{"steps":[{"s":"w"},{"s":"w"}]}`}, {oneTask, `{"steps":[{"s":"ww"}]}`}, {oneTask, `{"steps":[{"s":""}]}`}, {oneTask, `{"steps":[{"s":"x"}]}`},
 		{oneTask, `{"steps":[{"s":"s","w":["a"]}]}`}, {oneTask, `{"steps":[{"s":"s","w":["a"],"o":[1]}]}`}, {oneTask, `{"state":"running"}`},
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestRowsOfSteps reads rows of any tasks back.
-func TestRowsOfSteps(t *testing.T) {
+// TestStepRowRoundTrip checks that the rows of random tasks read back as they were.
+func TestStepRowRoundTrip(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
 		tasks := rapid.SliceOfN(rapid.Custom(drawTask), 1, 40).Draw(rt, "tasks")
 		data, err := json.Marshal(newStepRow(tasks))
@@ -117,15 +117,15 @@
 		again, err := sr.tasks(len(tasks))
 		qt.Assert(t, err, qt.IsNil)
 		for i := range tasks {
-			want := asKept(tasks[i])
+			want := asStored(tasks[i])
 			qt.Assert(t, again[i], qt.DeepEquals, want)
 		}
 	})
 }
 
-// asKept is what is kept of a task: of one that is done nothing else matters, a
-// worker only of one that is started, and of its checkpoints the one before.
-func asKept(ta Task) Task {
+// asStored is what the row holds of a task: of one that is done only the state, the worker
+// only of a started one, and of a started one's checkpoints only the base.
+func asStored(ta Task) Task {
 	switch ta.State {
 	case Done:
 		return Task{State: Done, Attempt: 1}
@@ -149,7 +149,7 @@
 	}
 }
 
-// assertStart starts a task, if it may.
+// assertStart starts a task if it may start, and checks the attempt's number.
 func assertStart(rt *rapid.T, jo *Job, ref TaskRef) {
 	before := *jo.Task(ref)
 	if number := jo.Start(ref, worker.Incarnation{ID: "w"}); number > 0 && (before.State != Waiting || number != before.Attempt+1) {
@@ -157,16 +157,17 @@
 	}
 }
 
-// assertDoneLate has the first attempt turn out to be done.
-func assertDoneLate(rt *rapid.T, jo *Job, ref TaskRef) {
+// assertLateCompletion reports the first attempt as done, and checks the state of the
+// task.
+func assertLateCompletion(rt *rapid.T, jo *Job, ref TaskRef) {
 	if ta := jo.Task(ref); jo.RecordLateCompletion(ref, 1) && ta.State != Done && !ta.EarlierDone {
 		rt.Fatalf("attempt 1 was done, and the task is %v", *ta)
 	}
 }
 
-// TestRandomLives plays random starts and ends, and reads the job anew at
-// random moments.
-func TestRandomLives(t *testing.T) {
+// TestRandomJobLifecycle draws random starts and ends, reads the job back at random
+// moments, and checks that a final state never changes.
+func TestRandomJobLifecycle(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 200}, func(rt *rapid.T) {
 		sp := chain(rapid.IntRange(1, 4).Draw(rt, "steps"), rapid.IntRange(1, 3).Draw(rt, "tasks"))
 		jo := New(testID, Terms{MaxFailures: 2}, sp)
@@ -179,7 +180,7 @@
 				jo.End(ref, jo.Task(ref).Attempt, end, fmt.Sprint(ref))
 			}
 			if rapid.Bool().Draw(rt, "was done") {
-				assertDoneLate(rt, jo, ref)
+				assertLateCompletion(rt, jo, ref)
 			}
 			if rapid.Bool().Draw(rt, "reread") && !jo.State().Final() {
 				jo = reread(t, jo)
--- a/internal/job/row.go
+++ b/internal/job/jobrow.go
@@ -5,35 +5,34 @@
 	"fmt"
 )
 
-// SpecRow is what is written of a job once, when it is accepted. It is removed once
-// the job is over and nothing of it can run any more: a new owner then has less to
-// read, and nobody needs it.
+// SpecRow is the row written once, when a job is accepted. It is removed once the job is
+// over and none of its tasks can run any more, as no one needs it then and a new owner has
+// fewer rows to read.
 type SpecRow struct {
 	// Terms and Spec never change.
 	Terms Terms `json:"terms"`
 	Spec  Spec  `json:"spec"`
 }
 
-// ProgressRow is what is written of a job with every change.
+// ProgressRow is the row written with every change of a job.
 type ProgressRow struct {
-	// Rev counts the states written, and Epoch is the writer's; both make a
-	// row distinct from every other, so that a writer whose answer was lost
-	// can tell its own row.
+	// Rev counts the states written, Epoch is the writer's epoch. Together they make every
+	// row distinct, so that a writer that got no answer recognises its own row.
 	Rev   int64 `json:"rev"`
 	Epoch int64 `json:"epoch"`
-	// State repeats what follows from the rest, for readers.
+	// State follows from the other fields and is stored for readers of the row.
 	State State `json:"state"`
-	// Cancelled is the job's, Steps has its tasks.
+	// Cancelled is set for a cancelled job, Steps holds the tasks.
 	Cancelled bool      `json:"cancelled,omitempty"`
 	Steps     []StepRow `json:"steps,omitempty"`
-	// Queue names the queue of a job that is over, which has no other row.
+	// Queue is the queue of a job that is over, whose SpecRow is removed.
 	Queue string `json:"queue,omitempty"`
 }
 
-// SpecRow returns the row of what never changes.
+// SpecRow returns the row of the job's constant part.
 func (jo *Job) SpecRow() SpecRow { return SpecRow{Terms: jo.Terms, Spec: jo.Spec} }
 
-// NextRow counts one more state written and returns its row. The tasks of a
+// NextRow increments the revision and returns the row of the current state. The tasks of a
 // job in a final state are left out once none can run any more.
 func (jo *Job) NextRow(epoch int64) ProgressRow {
 	jo.Rev++
@@ -48,7 +47,7 @@
 	return row
 }
 
-// Finished reports whether the job is in a final state and nothing of it can run any
+// Finished reports whether the job is in a final state and none of its tasks can run any
 // more.
 func (jo *Job) Finished() bool { return jo.State().Final() && !jo.HasActiveTasks() }
 
@@ -64,8 +63,7 @@
 	return false
 }
 
-// Restore makes a job from its rows. That of the spec may be missing for a job that
-// is over.
+// Restore returns a job from its rows. The spec row may be missing for a job that is over.
 func Restore(id string, spec, progress []byte) (*Job, error) {
 	var pr ProgressRow
 	if err := json.Unmarshal(progress, &pr); err != nil {
@@ -73,7 +71,7 @@
 	}
 	if pr.State.Final() && pr.Steps == nil {
 		jo := New(id, Terms{Queue: pr.Queue}, Spec{})
-		jo.Rev, jo.Cancelled, jo.ended = pr.Rev, pr.Cancelled, pr.State
+		jo.Rev, jo.Cancelled, jo.finalState = pr.Rev, pr.Cancelled, pr.State
 		return jo, nil
 	}
 	var sr SpecRow
@@ -82,17 +80,17 @@
 	}
 	jo := New(id, sr.Terms, sr.Spec)
 	jo.Rev, jo.Cancelled = pr.Rev, pr.Cancelled
-	if err := jo.take(pr.Steps); err != nil {
+	if err := jo.restoreTasks(pr.Steps); err != nil {
 		return nil, fmt.Errorf("progress of job %s: %w", id, err)
 	}
-	jo.count()
+	jo.recount()
 	return jo, nil
 }
 
-// take takes in the tasks of rows.
-func (jo *Job) take(rows []StepRow) error {
+// restoreTasks sets the tasks from the rows of the steps.
+func (jo *Job) restoreTasks(rows []StepRow) error {
 	if len(rows) != len(jo.Tasks) {
-		return fmt.Errorf("%w: %d steps, want %d", errRow, len(rows), len(jo.Tasks))
+		return fmt.Errorf("%w: %d steps, want %d", errRowMismatch, len(rows), len(jo.Tasks))
 	}
 	for i, sr := range rows {
 		tasks, err := sr.tasks(len(jo.Tasks[i]))
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -1,11 +1,11 @@
-// Package job is the model of a job: steps in a graph, tasks of a step, and
-// what became of each task.
+// Package job models a job: a graph of steps, the tasks of each step, and the state of
+// each task.
 //
-// A [Job] changes only through its methods, which keep its promises: a task
-// has one attempt at a time, a step's tasks start after all tasks of the steps
-// before it are done, and a task is given up once it failed as often as its
-// queue allows. The package knows no workers, no clock and no store, so that
-// its rules can be tested by themselves.
+// A [Job] changes only through its methods, which keep these invariants: a task has at
+// most one attempt at a time, the tasks of a step start after all tasks of the steps
+// before it are done, and a task is given up once it has failed as often as its queue
+// allows. The package uses no workers, clock or store, so that its rules can be tested by
+// themselves.
 package job
 
 import (
@@ -16,95 +16,93 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Bounds on a job that is handed in.
+// Limits of a submitted job.
 const (
-	// MaxPayload is the longest payload in bytes, as the users state it.
+	// MaxPayload is the length limit of the payload in bytes, a requirement of the users.
 	MaxPayload = 4000
-	// MaxSteps and MaxTasks bound the state kept of one job, so that its row
-	// stays under the store's 64 KiB at some 60 bytes a task.
+	// MaxSteps and MaxTasks limit the stored state of a job, so that its row stays below
+	// the store's limit of 64 KiB at some 60 bytes per task.
 	MaxSteps = 64
 	MaxTasks = 1000
-	// MaxMilliCores, MaxMemMB and MaxAccels are far over any host's size; a
-	// greater number is a mistake of the caller.
+	// MaxMilliCores, MaxMemMB and MaxAccels are far above the size of any host; a larger
+	// number is a mistake of the caller.
 	MaxMilliCores = 10_000_000
 	MaxMemMB      = 100_000_000
 	MaxAccels     = 10_000
 )
 
-// Step is one step of a job: like tasks that may run side by side.
+// Step is one step of a job: tasks of the same kind that may run in parallel.
 type Step struct {
 	// Tasks is the number of tasks.
 	Tasks int `json:"tasks"`
-	// Each is what every task is given.
+	// Each is the resources of every task.
 	Each worker.Resources `json:"each"`
-	// EstimateMS is a rough guess of a task's run time in milliseconds.
+	// EstimateMS is a rough estimate of a task's run time, in milliseconds.
 	EstimateMS int64 `json:"estimate_ms,omitempty"`
-	// After has the numbers of earlier steps that must be done first.
+	// After has the indices of earlier steps that must be done first.
 	After []int `json:"after,omitempty"`
 	// Checkpoints is set if tasks can be resumed from a checkpoint.
 	Checkpoints bool `json:"checkpoints,omitempty"`
-	// Label is one that a worker must have; empty asks for none.
+	// Label is a label that a worker must have; empty for none.
 	Label string `json:"label,omitempty"`
-	// Rack is where the step's data is; elsewhere it runs slower.
+	// Rack is the rack that holds the step's data; tasks run slower elsewhere.
 	Rack string `json:"rack,omitempty"`
-	// MaxPerWorker is the most tasks of the step on one worker; 0 is no bound.
+	// MaxPerWorker limits the tasks of the step on one worker; 0 for no limit.
 	MaxPerWorker int `json:"per_worker,omitempty"`
-	// Copies is set if several attempts of a task may run side by side.
+	// Copies is set if several attempts of a task may run in parallel.
 	Copies bool `json:"copies,omitempty"`
 	// Endless tasks run until the job is cancelled.
 	Endless bool `json:"endless,omitempty"`
-	// Image names the program; tasks of one image behave alike.
+	// Image is the name of the program; tasks of one image behave alike.
 	Image string `json:"image,omitempty"`
-	// TargetMS is what the tail of the latency of an endless task's own
-	// requests is to stay under, in milliseconds; 0 is no target.
+	// TargetMS is the target of the tail latency of the requests that an endless task
+	// serves, in milliseconds; 0 for no target.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// Filler tasks use what processor time the others leave; their share is
-	// not reserved.
+	// Filler tasks use the processor time that other tasks leave idle; none is reserved
+	// for them.
 	Filler bool `json:"filler,omitempty"`
-	// MaxUnavailable is how many endless tasks may be kept away at once.
+	// MaxUnavailable is how many of the step's endless tasks may be down at the same time.
 	MaxUnavailable int `json:"may_miss,omitempty"`
-	// Gang tasks work only together.
+	// Gang tasks make progress only while all of them run.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack is set if a gang runs slower over more than one rack.
+	// SameRack is set if a gang runs slower when spread over several racks.
 	SameRack bool `json:"same_rack,omitempty"`
 }
 
-// Schedule repeats the steps of a job.
+// Schedule sets repetitions of the steps of a job.
 type Schedule struct {
-	// Times is how often; 0 runs the steps once, at once.
+	// Times is the number of repetitions; 0 runs the steps once, immediately.
 	Times int `json:"times,omitempty"`
-	// FirstMS is when the first is due, in milliseconds since 1970.
+	// FirstMS is when the first repetition is due, in milliseconds since 1970.
 	FirstMS int64 `json:"first_ms,omitempty"`
-	// EveryMS is the time between two.
+	// EveryMS is the time between two repetitions, in milliseconds.
 	EveryMS int64 `json:"every_ms,omitempty"`
 }
 
-// Spec is a job as its caller wants it.
+// Spec is the specification of a job by its caller.
 type Spec struct {
-	// Payload is handed to the workers as it is.
+	// Payload is passed to the workers unchanged.
 	Payload string `json:"payload,omitempty"`
-	// Steps are in an order in which each comes after those it waits for.
+	// Steps are ordered so that each comes after those it waits for.
 	Steps []Step `json:"steps"`
-	// Schedule repeats them.
+	// Schedule sets repetitions of the steps.
 	Schedule Schedule `json:"schedule,omitzero"`
 }
 
-// Errors of a spec.
+// Errors of [Spec.Check].
 var (
-	// ErrInvalid is returned for a spec that contradicts itself or is over a
-	// bound.
+	// ErrInvalid is returned for a spec that is contradictory or exceeds a limit.
 	ErrInvalid = errors.New("invalid job")
-	// ErrUnsupported is returned for a spec that asks for something that is
-	// not built yet.
+	// ErrUnsupported is returned for a spec that needs a feature which is not implemented.
 	ErrUnsupported = errors.New("not supported yet")
 )
 
 // idDigits is the number of hex digits of a job's id.
 const idDigits = 16
 
-// ValidID reports whether id has the form of a job's id: 16 hex digits, in small
-// letters. It is asked of every task in every look at a worker, so it does without
-// a pattern.
+// ValidID reports whether id has the form of a job's id: 16 lower-case hex digits. It is
+// called for every task in every poll of a worker and therefore uses no regular
+// expression.
 func ValidID(id string) bool {
 	if len(id) != idDigits {
 		return false
@@ -118,7 +116,7 @@
 	return true
 }
 
-// Check returns every mistake of the spec, joined, or nil.
+// Check returns all errors of the spec, joined, or nil.
 func (sp Spec) Check() error {
 	var errs []error
 	bad := func(wrong bool, kind error, text string, args ...any) {
@@ -126,33 +124,33 @@
 			errs = append(errs, fmt.Errorf("%w: %s", kind, fmt.Sprintf(text, args...)))
 		}
 	}
-	bad(len(sp.Payload) > MaxPayload, ErrInvalid, "payload of %d bytes, over %d", len(sp.Payload), MaxPayload)
+	bad(len(sp.Payload) > MaxPayload, ErrInvalid, "payload has %d bytes, want at most %d", len(sp.Payload), MaxPayload)
 	bad(len(sp.Steps) == 0 || len(sp.Steps) > MaxSteps, ErrInvalid, "%d steps, want 1 to %d", len(sp.Steps), MaxSteps)
-	bad(sp.Schedule != (Schedule{}), ErrUnsupported, "a job that repeats")
+	bad(sp.Schedule != (Schedule{}), ErrUnsupported, "repeated job")
 	total := 0
 	for i := range sp.Steps {
 		st := &sp.Steps[i]
 		bad(st.Tasks < 1 || st.Tasks > MaxTasks, ErrInvalid, "step %d: %d tasks, want 1 to %d", i, st.Tasks, MaxTasks)
-		bad(!st.sized(), ErrInvalid, "step %d: sizes out of bounds", i)
+		bad(!st.withinLimits(), ErrInvalid, "step %d: resources out of bounds", i)
 		bad(st.EstimateMS < 0 || st.MaxPerWorker < 0 || st.TargetMS < 0 || st.MaxUnavailable < 0, ErrInvalid, "step %d: negative number", i)
-		bad(slices.ContainsFunc(st.After, func(n int) bool { return n < 0 || n >= i }), ErrInvalid, "step %d: waits for a step that is not before it", i)
+		bad(slices.ContainsFunc(st.After, func(n int) bool { return n < 0 || n >= i }), ErrInvalid, "step %d: waits for a step that does not come before it", i)
 		bad(st.Gang || st.SameRack, ErrUnsupported, "step %d: gang", i)
 		total += max(st.Tasks, 0)
 	}
-	bad(total > MaxTasks, ErrInvalid, "%d tasks, over %d", total, MaxTasks)
+	bad(total > MaxTasks, ErrInvalid, "%d tasks, want at most %d", total, MaxTasks)
 	return errors.Join(errs...)
 }
 
-func (st *Step) sized() bool {
+func (st *Step) withinLimits() bool {
 	within := func(n, most int64) bool { return n >= 0 && n <= most }
 	return within(st.Each.MilliCores, MaxMilliCores) && within(st.Each.MemMB, MaxMemMB) && within(st.Each.Accels, MaxAccels)
 }
 
-// HasTarget reports whether the step's tasks serve requests within a target.
+// HasTarget reports whether the step's tasks serve requests and have a latency target.
 func (st *Step) HasTarget() bool { return st.Endless && st.TargetMS > 0 }
 
-// Reserved is what a task of the step takes of a worker's room: a filler's
-// processor time is not reserved.
+// Reserved returns the resources that a task of the step reserves at a worker. A filler
+// reserves no processor time.
 func (st *Step) Reserved() worker.Resources {
 	re := st.Each
 	if st.Filler {
--- a/internal/job/steprow.go
+++ b/internal/job/steprow.go
@@ -9,44 +9,45 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// StepRow is the progress of one step's tasks as it is written. It is written anew
-// with every change of its job, so it is kept short: a character a task, and the
-// rest only where it does not follow from that. A task that goes its usual way takes
-// some three bytes while it runs, and one before and after that; a step whose tasks
-// are all in one state takes one.
+// StepRow is the stored state of one step's tasks. It is rewritten with every change of
+// its job and therefore compact: one character per task, and further fields only where
+// they differ from the default for that state. A typical task takes some three bytes while
+// it runs and one byte before and after; a step whose tasks are all in the same state
+// takes one byte.
 type StepRow struct {
-	// States has a character a task, see stateChars, or one for all if they are
-	// alike.
+	// States has one character per task, see stateChars, or a single one if all tasks are
+	// in the same state.
 	States string `json:"s"`
-	// Attempts has the last attempts' numbers of tasks that are not done, where they
-	// are not the usual ones: 0 of a task that waits, 1 of any other. Its keys, and
-	// those of the maps below, are the tasks' indices.
+	// Attempts has the numbers of last attempts where they differ from defaultAttempt, for
+	// tasks that are not done. The keys of this map and of those below are the indices of
+	// the tasks.
 	Attempts map[int]int `json:"a,omitempty"`
-	// Failures has how often tasks failed that are not done, if they did.
+	// Failures counts the failures of tasks that are not done.
 	Failures map[int]int `json:"f,omitempty"`
-	// Crashes, Losses and GivenUp have what the ends of workers left behind of tasks that
-	// are not done, see Task.
+	// Crashes, Losses and GivenUp are the fields of [Task] of the same names, for tasks
+	// that are not done.
 	Crashes map[int]int   `json:"x,omitempty"`
 	Losses  map[int]int   `json:"l,omitempty"`
 	GivenUp map[int][]int `json:"g,omitempty"`
-	// EarlierDone has the started tasks of which an attempt before was done.
+	// EarlierDone has the started tasks of which an earlier attempt is done.
 	EarlierDone []int `json:"b,omitempty"`
-	// Workers are the incarnations of those on which the step's tasks run; On has,
-	// for each started task in turn, the index of its worker there.
+	// Workers has the incarnations of the workers on which the step's tasks run; On has,
+	// for each started task in order, the index of its worker in Workers.
 	Workers []worker.Incarnation `json:"w,omitempty"`
 	On      []int                `json:"o,omitempty"`
 	// Phases has how far attempts under way were seen to come, see proofsOf.
 	Phases string `json:"p,omitempty"`
-	// Checkpoints has what next attempts start from, and what those under way
-	// started from. What the latter made since is told by their workers.
+	// Checkpoints has the checkpoint that the next attempt of a waiting task starts from,
+	// and the one that the running attempt of a started task started from. Later
+	// checkpoints of running attempts are reported by their workers.
 	Checkpoints map[int]string `json:"c,omitempty"`
 }
 
-// stateChars has the characters of the states, by their value.
+// stateChars has the character of each state in a row, indexed by TaskState.
 const stateChars = "wsdf"
 
-// usualAttempt is the number of the last attempt of most tasks in a state.
-func usualAttempt(state TaskState) int {
+// defaultAttempt is the number of the last attempt of most tasks in a state.
+func defaultAttempt(state TaskState) int {
 	if state == Waiting {
 		return 0
 	}
@@ -63,14 +64,14 @@
 			sr.add(i, ta)
 		}
 	}
-	sr.States = shorten(states.String())
-	sr.Phases = proofsOf(tasks)
+	sr.States = collapse(states.String())
+	sr.Phases = encodePhases(tasks)
 	return sr
 }
 
-// add adds what does not follow from a task's state.
+// add adds the fields of a task that do not follow from its state.
 func (sr *StepRow) add(i int, ta Task) {
-	if ta.Attempt != usualAttempt(ta.State) {
+	if ta.Attempt != defaultAttempt(ta.State) {
 		put(&sr.Attempts, i, ta.Attempt)
 	}
 	if ta.Failures > 0 {
@@ -98,7 +99,7 @@
 	}
 }
 
-// put sets an entry of a map that may be nil.
+// put sets an entry of a map, which it creates if it is nil.
 func put[V any](ma *map[int]V, key int, value V) {
 	if *ma == nil {
 		*ma = map[int]V{}
@@ -106,49 +107,50 @@
 	(*ma)[key] = value
 }
 
-// index returns where a worker stands in the row's list, and adds it.
-func (sr *StepRow) index(incarnation worker.Incarnation) int {
-	if i := slices.Index(sr.Workers, incarnation); i >= 0 {
+// index returns the index of a worker in the row's list, and appends the worker if it is
+// missing.
+func (sr *StepRow) index(inc worker.Incarnation) int {
+	if i := slices.Index(sr.Workers, inc); i >= 0 {
 		return i
 	}
-	sr.Workers = append(sr.Workers, incarnation)
+	sr.Workers = append(sr.Workers, inc)
 	return len(sr.Workers) - 1
 }
 
-// errRow: a row does not fit what it is of.
-var errRow = errors.New("row of progress does not fit its job")
+// errRow: a row of progress does not match the spec of its job.
+var errRowMismatch = errors.New("row of progress does not fit its job")
 
-// tasks returns the tasks of the row, of which there must be n.
+// tasks decodes the row, which must hold n tasks.
 func (sr StepRow) tasks(n int) ([]Task, error) {
 	states := sr.States
 	if len(states) == 1 {
 		states = strings.Repeat(states, n)
 	}
 	if len(states) != n {
-		return nil, fmt.Errorf("%w: %d tasks, want %d", errRow, len(states), n)
+		return nil, fmt.Errorf("%w: %d tasks, want %d", errRowMismatch, len(states), n)
 	}
 	tasks := make([]Task, n)
 	on := sr.On
 	for i := range tasks {
 		state := strings.IndexByte(stateChars, states[i])
 		if state < 0 {
-			return nil, fmt.Errorf("%w: state %q", errRow, states[i])
+			return nil, fmt.Errorf("%w: unknown state %q", errRowMismatch, states[i])
 		}
 		ta := Task{State: TaskState(state), Failures: sr.Failures[i], Crashes: sr.Crashes[i], Losses: sr.Losses[i], GivenUp: sr.GivenUp[i], Checkpoint: sr.Checkpoints[i]}
-		ta.Attempt = usualAttempt(ta.State)
+		ta.Attempt = defaultAttempt(ta.State)
 		if number, ok := sr.Attempts[i]; ok {
 			ta.Attempt = number
 		}
 		if ta.State == Started {
 			if len(on) == 0 || on[0] < 0 || on[0] >= len(sr.Workers) {
-				return nil, fmt.Errorf("%w: task %d runs on no worker", errRow, i)
+				return nil, fmt.Errorf("%w: started task %d has no worker", errRowMismatch, i)
 			}
 			ta.Worker, on, ta.Base = sr.Workers[on[0]], on[1:], ta.Checkpoint
 			ta.EarlierDone = slices.Contains(sr.EarlierDone, i)
 		}
 		tasks[i] = ta
 	}
-	if err := takeProofs(sr.Phases, tasks); err != nil {
+	if err := decodePhases(sr.Phases, tasks); err != nil {
 		return nil, err
 	}
 	return tasks, nil
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -7,150 +7,153 @@
 	"time"
 )
 
-// Attempt names one attempt of a task at a worker.
+// Attempt identifies one attempt of a task at a worker.
 type Attempt struct {
-	// Task is the task's name, Number the attempt's, from 1.
+	// Task is the task's id, Number the attempt's number, from 1.
 	Task   string
 	Number int
 }
 
-// Addr is a worker's process: where it listens, which life is meant, and the way
-// there.
+// Addr is the address of a worker's process: where it listens, the incarnation that is
+// addressed, and the path to it.
 type Addr struct {
-	// HostPort is where it listens.
+	// HostPort is the process's listen address.
 	HostPort string
-	// Incarnation names the process. One with another id refuses; one with this id that
-	// started at another time carries out what it is told, and its answer is a
-	// [IncarnationError].
+	// Incarnation identifies the process. A process with another id refuses the request. A
+	// process with this id that started at another time carries the request out, and the
+	// client returns an [IncarnationError].
 	Incarnation Incarnation
-	// Via names the entry host through which it is reached; empty is directly.
+	// Via is the entry host that relays to the worker; empty for a direct connection.
 	Via string
 }
 
-// Launch orders the start of an attempt.
+// Launch starts an attempt.
 type Launch struct {
 	Attempt
 
-	// Payload is the job's.
+	// Payload is the payload of the job.
 	Payload string
-	// Checkpoint is what to resume from, if anything.
+	// Checkpoint is the checkpoint to resume from; empty starts from the beginning.
 	Checkpoint string
-	// Fence is the orderer's fencing token.
+	// Fence is the fencing token of the sender.
 	Fence int64
-	// LeaseUntilMS is when all leases of the worker end, by its own clock in
-	// milliseconds, unless they end later already.
+	// LeaseUntilMS extends all leases of the worker to this time of its own clock, in
+	// milliseconds. A later end that was set before stays.
 	LeaseUntilMS int64
 }
 
-// Halt orders the end of an attempt.
+// Halt stops an attempt.
 type Halt struct {
 	Attempt
 
-	// Fence is the orderer's fencing token.
+	// Fence is the fencing token of the sender.
 	Fence int64
 }
 
-// Pace sets the share of its speed at which an attempt works.
+// Pace sets the speed of an attempt.
 type Pace struct {
 	Attempt
 
-	// Percent is 0 to 100.
+	// Percent is the speed in percent of full speed, 0 to 100.
 	Percent int
-	// Fence is the orderer's fencing token.
+	// Fence is the fencing token of the sender.
 	Fence int64
 }
 
-// Poll asks what runs and what ended, and extends leases.
+// Poll reads which attempts run and which ended, and extends leases.
 type Poll struct {
-	// Fence is the orderer's fencing token; the worker obeys no lower one
-	// from then on.
+	// Fence is the fencing token of the sender. From then on the worker refuses lower
+	// ones.
 	Fence int64
-	// AckedEnd is the number of the last end that the worker may forget.
+	// AckedEnd is the EndNumber of the last [EndedAttempt] that the worker may forget.
 	AckedEnd int64
-	// LeaseUntilMS extends leases, by the worker's own clock; 0 leaves them.
+	// LeaseUntilMS extends leases to this time of the worker's own clock, in milliseconds;
+	// 0 leaves them as they are.
 	LeaseUntilMS int64
-	// Wait is how long the worker may wait for an end, 0 for not at all.
+	// Wait is how long the worker may delay the answer until an attempt ends; 0 answers at
+	// once.
 	Wait time.Duration
 }
 
-// RunningAttempt is an attempt that runs.
+// RunningAttempt is the state of an attempt that runs.
 type RunningAttempt struct {
 	Attempt
 
-	// Checkpoint is the last one made.
+	// Checkpoint is the last checkpoint written.
 	Checkpoint string
-	// Percent is how far it has come, 0 to 100; an endless task is at 100 once
-	// it serves.
+	// Percent is the progress, 0 to 100. An endless task is at 100 once it serves
+	// requests.
 	Percent int
-	// Usage is a rough figure of the last half second: the tail of latency in
-	// milliseconds of a task with a target, thousandths of a core otherwise.
+	// Usage is an approximate figure of the last half second: the tail latency in
+	// milliseconds of a task with a target, thousandths of a core of any other.
 	Usage int64
 }
 
-// EndedAttempt is an attempt that ended.
+// EndedAttempt is the result of an attempt that ended.
 type EndedAttempt struct {
 	Attempt
 
-	// Number counts the ends of the worker's life, from 1.
+	// EndNumber numbers the ended attempts of the worker's incarnation, from 1.
 	EndNumber int64
-	// Outcome is the worker's word for it.
+	// Outcome is how the attempt ended, in the worker's terms.
 	Outcome string
-	// Checkpoint is the last one made.
+	// Checkpoint is the last checkpoint written.
 	Checkpoint string
 }
 
-// PollResult is what a look saw.
+// PollResult is a worker's answer to a [Poll].
 type PollResult struct {
-	// ClockMS is the worker's clock in milliseconds.
+	// ClockMS is the time of the worker's clock, in milliseconds.
 	ClockMS int64
-	// Running and Ended are the attempts; Ended has at most 500.
+	// Running and Ended are the attempts at the worker; Ended holds at most 500.
 	Running []RunningAttempt
 	Ended   []EndedAttempt
 }
 
-// Ack is the answer to an order that was carried out.
+// Ack is the answer to a request that was carried out.
 type Ack struct {
-	// ClockMS is the worker's clock in milliseconds.
+	// ClockMS is the time of the worker's clock, in milliseconds.
 	ClockMS int64
 }
 
-// Errors of a worker that certainly did not do what it was told. After any
-// other error it may have, or may yet.
+// Errors that rule out that the worker carried out the request. After any other error it
+// may have done so, or may do so later.
 var (
 	// ErrFenced: the worker has seen a higher fencing token.
-	ErrFenced = errors.New("worker obeys a later owner")
-	// ErrStaleAttempt: the attempt, or a later one, has ended there.
-	ErrStaleAttempt = errors.New("attempt has ended at the worker")
-	// ErrLeaseExpired: the lease given had ended already.
-	ErrLeaseExpired = errors.New("lease had ended when the order came")
-	// ErrNoCapacity: the worker has too little room.
-	ErrNoCapacity = errors.New("worker has no room")
-	// ErrUnhealthy: the worker is unhealthy or has too much to do.
-	ErrUnhealthy = errors.New("worker refuses orders")
-	// ErrOtherIncarnation: a process with another id is at the address.
-	ErrOtherIncarnation = errors.New("another incarnation is at the address")
-	// ErrMalformed: the worker cannot read the order.
-	ErrMalformed = errors.New("worker cannot read the order")
-	// ErrNotSent: the order did not leave for the worker.
+	ErrFenced = errors.New("worker has seen a higher fencing token")
+	// ErrStaleAttempt: the attempt, or a later one of the task, has ended at the worker.
+	ErrStaleAttempt = errors.New("attempt has already ended at the worker")
+	// ErrLeaseExpired: the lease in the request had already ended when the worker received
+	// it.
+	ErrLeaseExpired = errors.New("lease had expired when the worker received the request")
+	// ErrNoCapacity: the free resources of the worker do not suffice.
+	ErrNoCapacity = errors.New("worker has too few free resources")
+	// ErrUnhealthy: the worker is unhealthy or overloaded.
+	ErrUnhealthy = errors.New("worker is unhealthy or overloaded")
+	// ErrOtherIncarnation: a process with another id listens at the address.
+	ErrOtherIncarnation = errors.New("a process with another id listens at the worker's address")
+	// ErrMalformed: the worker cannot decode the request.
+	ErrMalformed = errors.New("worker cannot decode the request")
+	// ErrNotSent: the request did not leave for the worker.
 	ErrNotSent = errors.New("order was not sent")
 )
 
-// ErrConnectionLost: the connection to the worker broke off, while other errors of its kind are
-// of answers that did not come in time. The order may have been carried out, or may be yet.
+// ErrConnectionLost: the connection to the worker broke off. Other errors that leave the
+// result open are timeouts. The request may have been carried out, or may be later.
 var ErrConnectionLost = errors.New("connection to the worker broke off")
 
-// ErrNoListener: nothing listens at the worker's address. It is an [ErrConnectionLost] of which
-// it is certain that the order was not sent.
+// ErrNoListener: nothing listens at the worker's address. It is an [ErrConnectionLost]
+// where the request was certainly not sent.
 var ErrNoListener = fmt.Errorf("nothing listens there: %w: %w", ErrNotSent, ErrConnectionLost)
 
-// Agent is a client of workers that are ordered task by task.
+// Agent is a client of workers that take one request per attempt.
 type Agent struct {
-	// LaunchFunc starts an attempt; it is good to send it again.
+	// LaunchFunc starts an attempt. It is idempotent.
 	LaunchFunc func(context.Context, Addr, Launch) (Ack, error)
-	// HaltFunc stops an attempt, or keeps it from ever starting.
+	// HaltFunc stops an attempt, or prevents it from starting if it has not started yet.
 	HaltFunc func(context.Context, Addr, Halt) (Ack, error)
-	// PaceFunc sets an attempt's speed.
+	// PaceFunc sets the speed of an attempt.
 	PaceFunc func(context.Context, Addr, Pace) (Ack, error)
-	// PollFunc sees what runs, and extends leases.
+	// PollFunc reads which attempts run and which ended, and extends leases.
 	PollFunc func(context.Context, Addr, Poll) (PollResult, error)
 }
--- a/internal/worker/incarnation.go
+++ b/internal/worker/incarnation.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// Incarnation names one life of a worker's process. A process that starts again may have
-// the id of the one before: it runs nothing, has seen no fencing token, and its clock and
-// the numbers of its ends begin anew.
+// Incarnation identifies one run of a worker's process. A process that is started again
+// may reuse the id of the one before: it runs no attempts, has seen no fencing token, and
+// its clock and its numbering of ended attempts begin anew.
 type Incarnation struct {
-	// ID is the worker's name in the list of workers.
+	// ID is the worker's id in the list of workers.
 	ID string
-	// StartedMS is when the process started, in milliseconds since 1970 by its host's time of
-	// day; 0 is not known. It tells lives apart and does not order them, as that clock
-	// may be set back.
+	// StartedMS is when the process started, in milliseconds since 1970 by the wall clock
+	// of its host; 0 if unknown. It distinguishes incarnations but does not order them, as
+	// that clock may be set back.
 	StartedMS int64
 }
 
-// bornBase is the base in which Born is written.
+// startBase is the number base in which StartedMS is encoded as text.
 const bornBase = 36
 
-// String returns the id, and when the process started if that is known.
+// String returns the id, followed by "@" and the start time if that is known.
 func (in Incarnation) String() string {
 	if in.StartedMS == 0 && !strings.Contains(in.ID, "@") {
 		return in.ID
@@ -32,8 +32,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (in Incarnation) MarshalText() ([]byte, error) { return []byte(in.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. Text without a start is of rows of
-// earlier versions, and of workers that do not tell it.
+// UnmarshalText implements encoding.TextUnmarshaler. Rows of earlier versions, and workers
+// that do not report their start time, have text without one.
 func (in *Incarnation) UnmarshalText(text []byte) error {
 	at := strings.LastIndexByte(string(text), '@')
 	if at < 0 {
@@ -42,31 +42,32 @@
 	}
 	born, err := strconv.ParseInt(string(text[at+1:]), bornBase, 64)
 	if err != nil {
-		return fmt.Errorf("start of worker %q: %w", text, err)
+		return fmt.Errorf("start time of worker %q: %w", text, err)
 	}
 	*in = Incarnation{ID: string(text[:at]), StartedMS: born}
 	return nil
 }
 
-// IsOtherIncarnation reports whether both name the same worker, and certainly not the same life.
+// IsOtherIncarnation reports whether both have the same id but are certainly different
+// incarnations. An unknown start time proves no difference.
 func (in Incarnation) IsOtherIncarnation(other Incarnation) bool {
 	return in.ID == other.ID && in.StartedMS != other.StartedMS && in.StartedMS != 0 && other.StartedMS != 0
 }
 
-// IncarnationError says that a worker's answer came from another life than the one that was
-// meant. What was asked may have been carried out by it.
+// IncarnationError reports that another incarnation of a worker answered than the one that
+// was addressed. That incarnation may have carried out the request.
 type IncarnationError struct {
-	// Expected is the life that was asked, Answered the one that answered.
+	// Expected is the incarnation that was addressed, Answered the one that answered.
 	Expected, Answered Incarnation
 }
 
 // Error implements error.
 func (le *IncarnationError) Error() string {
-	return fmt.Sprintf("worker %s was meant, and %s answered", le.Expected, le.Answered)
+	return fmt.Sprintf("request for worker %s was answered by %s", le.Expected, le.Answered)
 }
 
-// CheckIncarnation returns a [IncarnationError] if an answer of a process that started at born, or 0 if
-// it did not say, is not from the life that was meant.
+// CheckIncarnation returns an [IncarnationError] if an answer of a process that started at
+// startedMS, or 0 if the answer does not say, does not come from the expected incarnation.
 func CheckIncarnation(meant Incarnation, born int64) error {
 	answered := Incarnation{ID: meant.ID, StartedMS: born}
 	if born == 0 || answered == meant {
--- a/internal/worker/incarnation_test.go
+++ b/internal/worker/incarnation_test.go
@@ -25,7 +25,7 @@
 	var in Incarnation
 	qt.Check(t, in.UnmarshalText([]byte("i-1")), qt.IsNil)
 	qt.Check(t, in, qt.Equals, Incarnation{ID: "i-1"})
-	qt.Check(t, in.UnmarshalText([]byte("i-1@?")), qt.ErrorMatches, `start of worker "i-1@\?": .*`)
+	qt.Check(t, in.UnmarshalText([]byte("i-1@?")), qt.ErrorMatches, `start time of worker "i-1@\?": .*`)
 }
 
 func TestOtherLife(t *testing.T) {
@@ -36,5 +36,5 @@
 	qt.Check(t, one.IsOtherIncarnation(Incarnation{ID: "i-2", StartedMS: 4}), qt.IsFalse)
 	qt.Check(t, CheckIncarnation(one, 0), qt.IsNil)
 	qt.Check(t, CheckIncarnation(one, 5), qt.IsNil)
-	qt.Check(t, CheckIncarnation(one, 6), qt.ErrorMatches, "worker i-1@5 was meant, and i-1@6 answered")
+	qt.Check(t, CheckIncarnation(one, 6), qt.ErrorMatches, "request for worker i-1@5 was answered by i-1@6")
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,11 +1,14 @@
-// Package worker is the protocol spoken with workers: one exchange carries
-// orders to a worker and its report back.
+// Package worker defines the protocol that owners of cells speak with workers. [Agent]
+// takes one request per attempt; [Client] carries all orders to a worker and its report in
+// one exchange.
 //
-// Leases are told in the worker's own clock. A report says what that clock
-// read; the owner's next message extends leases to so much after that
-// reading. However long a message is delayed, or the worker is paused, a
-// lease ends no later than its length after the owner received the report it
-// was based on, and so the owner knows when a silent worker has stopped.
+// Leases are stated in the worker's own clock. A report holds the time of that clock, and
+// the owner's next message extends leases to a fixed time after it. However long a message
+// is delayed, or the worker is paused, a lease therefore ends no later than its length
+// after the owner received the report that it was based on. So the owner knows when a
+// worker that does not answer has stopped its tasks.
+//
+// The package holds no state of workers; callers keep it.
 package worker
 
 import (
@@ -17,7 +20,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Resources is what a task is given or a worker holds.
+// Resources is an amount of resources: what a task is given, or what a worker has.
 type Resources struct {
 	// MilliCores is processor time in thousandths of a core.
 	MilliCores int64 `json:"milli_cores,omitempty"`
@@ -36,7 +39,7 @@
 	}
 }
 
-// Sub returns the difference.
+// Sub returns the difference of both; amounts may be negative.
 func (re Resources) Sub(other Resources) Resources {
 	return Resources{
 		MilliCores: re.MilliCores - other.MilliCores,
@@ -45,7 +48,7 @@
 	}
 }
 
-// Mul returns the resources of n such tasks.
+// Mul returns the resources of n tasks of this size.
 func (re Resources) Mul(n int) Resources {
 	return Resources{MilliCores: re.MilliCores * int64(n), MemMB: re.MemMB * int64(n), Accels: re.Accels * int64(n)}
 }
@@ -55,60 +58,60 @@
 	return re.MilliCores <= free.MilliCores && re.MemMB <= free.MemMB && re.Accels <= free.Accels
 }
 
-// Verb is what an order asks for.
+// Verb is the kind of an order.
 type Verb string
 
-// The verbs.
+// Kinds of orders.
 const (
 	// VerbStart starts a task.
 	VerbStart Verb = "start"
-	// VerbStop stops it; the report says how far it came.
+	// VerbStop stops a task; the next report has its last checkpoint.
 	VerbStop Verb = "stop"
-	// VerbThrottle sets the share of its cores that it may use.
+	// VerbThrottle sets the share of its cores that a task may use.
 	VerbThrottle Verb = "throttle"
-	// VerbForget lets the worker forget an ended task.
+	// VerbForget allows the worker to forget an ended task.
 	VerbForget Verb = "forget"
 )
 
 // Order is one order to a worker.
 type Order struct {
-	// Verb is what to do.
+	// Verb is the kind of the order.
 	Verb Verb `json:"verb"`
-	// Task is the task's id.
+	// Task is the id of the task.
 	Task string `json:"task"`
-	// Attempt counts the task's starts; a worker runs no attempt twice, and
-	// none lower than one it has seen.
+	// Attempt counts the starts of the task. A worker runs no attempt twice, and none with
+	// a lower number than one it has seen.
 	Attempt int `json:"attempt"`
-	// Each is what the task is given.
+	// Each is the resources of the task.
 	Each Resources `json:"each,omitzero"`
-	// Kind is the task's kind.
+	// Kind is the kind of the task; tasks of one kind behave alike.
 	Kind string `json:"kind,omitempty"`
-	// Service is set for a task that has no end.
+	// Service is set for a task that runs until it is stopped.
 	Service bool `json:"service,omitempty"`
-	// RunMS is the run time of a batch task.
+	// RunMS is the run time of a batch task, in milliseconds.
 	RunMS int64 `json:"run_ms,omitempty"`
-	// FromMS is the progress of the checkpoint to start from.
+	// FromMS is the progress of the checkpoint to start from, in milliseconds of run time.
 	FromMS int64 `json:"from_ms,omitempty"`
-	// Share is the share of its cores for VerbThrottle, 0 to 1.
+	// Share is the share of its cores for [VerbThrottle], 0 to 1.
 	Share float64 `json:"share,omitempty"`
 }
 
-// Exchange is one message to a worker.
+// Exchange is one message from an owner to a worker.
 type Exchange struct {
-	// Owner says who orders, Term counts openings of the cell's journal: a
-	// worker takes nothing from a term lower than it has seen.
+	// Owner identifies the sender. Term counts how often the cell's journal was opened: a
+	// worker refuses terms lower than the highest it has seen.
 	Owner string `json:"owner"`
 	Term  int64  `json:"term"`
-	// Seq counts the messages of a term to the worker; one that arrives after
-	// a later one is not obeyed.
+	// Seq numbers the messages of a term to the worker. The worker ignores a message that
+	// arrives after a later one.
 	Seq int64 `json:"seq"`
-	// Incarnation is the process the orders are for; empty asks for a
-	// report only.
+	// Incarnation is the process that the orders are for; if empty, the message only
+	// requests a report.
 	Incarnation string `json:"incarnation,omitempty"`
-	// Orders are taken in order.
+	// Orders are carried out in this order.
 	Orders []Order `json:"orders,omitempty"`
-	// ServiceUntilMS and BatchUntilMS are the worker's clock at which the
-	// leases of service and of batch tasks end, unless extended.
+	// ServiceUntilMS and BatchUntilMS are when the leases of service and of batch tasks
+	// end unless extended, in milliseconds of the worker's clock.
 	ServiceUntilMS int64 `json:"service_until_ms,omitempty"`
 	BatchUntilMS   int64 `json:"batch_until_ms,omitempty"`
 }
@@ -116,64 +119,68 @@
 // State is the state of a task at its worker.
 type State string
 
-// The states.
+// States of a task at its worker.
 const (
 	StateRunning State = "running"
 	StateDone    State = "done"
 	StateStopped State = "stopped"
 	// StateFailed: the task itself failed.
 	StateFailed State = "failed"
-	// StateLapsed: its lease ended and the worker stopped it.
+	// StateLapsed: the lease expired and the worker stopped the task.
 	StateLapsed State = "lapsed"
 )
 
-// TaskReport is what a worker says of one task.
+// TaskReport is a worker's report on one task.
 type TaskReport struct {
-	// Task and Attempt name the start that is reported on.
+	// Task and Attempt identify the attempt.
 	Task    string `json:"task"`
 	Attempt int    `json:"attempt"`
-	// State is its state.
+	// State is the state of the task.
 	State State `json:"state"`
-	// CheckpointMS is the progress of the last checkpoint.
+	// CheckpointMS is the progress of the last checkpoint, in milliseconds of run time.
 	CheckpointMS int64 `json:"checkpoint_ms,omitempty"`
-	// UsedMilliCores is its usage, of a while ago.
+	// UsedMilliCores is the measured processor usage in thousandths of a core. The figure
+	// is from some time before the report.
 	UsedMilliCores int64 `json:"used_milli_cores,omitempty"`
-	// TailMS is a service task's p99 in milliseconds, of a while ago.
+	// TailMS is the measured p99 latency of a service task in milliseconds. The figure is
+	// from some time before the report.
 	TailMS float64 `json:"tail_ms,omitempty"`
-	// Result is what a task that is done left.
+	// Result is the result of a finished task.
 	Result string `json:"result,omitempty"`
 }
 
-// Report is a worker's reply.
+// Report is a worker's answer to an [Exchange].
 type Report struct {
-	// Worker names it.
+	// Worker is the id of the worker.
 	Worker string `json:"worker"`
-	// Incarnation names its process: another one runs nothing of before.
+	// Incarnation identifies the worker's process. A new process runs none of the tasks of
+	// the one before.
 	Incarnation string `json:"incarnation"`
-	// Term is the highest term seen.
+	// Term is the highest term that the worker has seen.
 	Term int64 `json:"term"`
-	// ClockMS is the worker's clock.
+	// ClockMS is the time of the worker's clock, in milliseconds.
 	ClockMS int64 `json:"clock_ms"`
-	// ServiceUntilMS and BatchUntilMS are the leases given, by that clock.
+	// ServiceUntilMS and BatchUntilMS are the ends of the current leases, in milliseconds
+	// of that clock.
 	ServiceUntilMS int64 `json:"service_until_ms,omitempty"`
 	BatchUntilMS   int64 `json:"batch_until_ms,omitempty"`
-	// Tasks are all tasks known there.
+	// Tasks are all tasks that the worker knows, ended ones included.
 	Tasks []TaskReport `json:"tasks,omitempty"`
 }
 
-// CodeStaleTerm is the code of a worker's refusal of an old owner.
+// CodeStaleTerm is the error code with which a worker refuses an owner of an earlier term.
 const CodeStaleTerm = "stale-term"
 
-// Client talks to workers.
+// Client exchanges messages with workers.
 type Client struct {
-	// ExchangeFunc sends one message to the worker at addr.
+	// ExchangeFunc sends one message to the worker at addr and returns its report.
 	ExchangeFunc func(ctx context.Context, addr string, ex Exchange) (Report, error)
 }
 
-// exchangeTimeout bounds one exchange.
+// exchangeTimeout bounds one exchange with a worker.
 const exchangeTimeout = time.Second
 
-// NewClient returns a client over net/http.
+// NewClient returns a client that sends messages with cl.
 func NewClient(cl *http.Client) Client {
 	return Client{ExchangeFunc: func(ctx context.Context, addr string, ex Exchange) (Report, error) {
 		ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
