--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -98,10 +98,10 @@
 	}
 	emptying := wo.Drained || co.leaving || co.unlisted
 	return place.Worker{
-		ID: id, Rack: wo.Rack, Holds: wo.Holds, Used: used,
-		Emptying:  emptying,
-		Closed:    emptying || now.Sub(co.heard) > ow.Timing.Silent || (aside && !onProbation),
-		Probation: onProbation,
+		ID: id, Rack: wo.Rack, Capacity: wo.Holds, Used: used,
+		Draining:      emptying,
+		Unschedulable: emptying || now.Sub(co.heard) > ow.Timing.Silent || (aside && !onProbation),
+		Probation:     onProbation,
 	}
 }
 
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -18,7 +18,7 @@
 	sn := Snapshot{Policy: Policy{TailTargetMS: 100, WeightTail: 1, WeightEvictions: 1, WeightBatch: 1}, Model: &Model{}}
 	each := worker.Resources{MilliCores: 2000, MemMB: 4000}
 	for i := range n {
-		wo := Worker{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%03d", i/8), Holds: worker.Resources{MilliCores: 30_000, MemMB: 125_000}}
+		wo := Worker{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%03d", i/8), Capacity: worker.Resources{MilliCores: 30_000, MemMB: 125_000}}
 		for k := range benchRunning {
 			wo.Used = wo.Used.Add(each)
 			sn.Tasks = append(sn.Tasks, Task{
--- a/internal/place/control.go
+++ b/internal/place/control.go
@@ -60,7 +60,7 @@
 	for _, ta := range batch {
 		if ta.Share > leastShare {
 			ta.Share = max(leastShare, ta.Share*tighten)
-			de.add(Decision{Verb: Throttle, Task: ta.ID, Worker: se.ID, Share: ta.Share, Why: "disturbs " + describe(service)})
+			de.add(Decision{Verb: Throttle, Task: ta.ID, Worker: se.ID, Share: ta.Share, Reason: "disturbs " + describe(service)})
 			return
 		}
 	}
@@ -69,7 +69,7 @@
 	}
 	de.budget--
 	batch[0].Stopping = true
-	de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: se.ID, Why: "disturbs " + describe(service)})
+	de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: se.ID, Reason: "disturbs " + describe(service)})
 }
 
 // disturbers returns the batch tasks of a worker, the most disturbing first.
@@ -114,5 +114,5 @@
 		return
 	}
 	best.Share = min(1, best.Share+loosen)
-	de.add(Decision{Verb: Throttle, Task: best.ID, Worker: se.ID, Share: best.Share, Why: "services are calm"})
+	de.add(Decision{Verb: Throttle, Task: best.ID, Worker: se.ID, Share: best.Share, Reason: "services are calm"})
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -24,14 +24,14 @@
 	// ID and Rack say where it is.
 	ID   string
 	Rack string
-	// Holds is all it has.
-	Holds worker.Resources
+	// Capacity is all it has.
+	Capacity worker.Resources
 	// Used is what tasks on it are given, those that may still run included.
 	Used worker.Resources
-	// Closed workers get no new tasks: drained, leaving, silent or aside.
-	Closed bool
-	// Emptying workers are to lose their tasks: drained or leaving.
-	Emptying bool
+	// Unschedulable workers get no new tasks: drained, leaving, silent or aside.
+	Unschedulable bool
+	// Draining workers are to lose their tasks: drained or leaving.
+	Draining bool
 	// Probation limits a worker that was aside to one new task.
 	Probation bool
 }
@@ -123,8 +123,8 @@
 	Worker string
 	// Share is for Throttle.
 	Share float64
-	// Why is for people.
-	Why string
+	// Reason is for people.
+	Reason string
 }
 
 // Decide returns what to do, in order.
@@ -183,7 +183,7 @@
 		de.model = &Model{}
 	}
 	for _, wo := range sn.Workers {
-		se := &seat{Worker: wo, free: wo.Holds.Sub(wo.Used)}
+		se := &seat{Worker: wo, free: wo.Capacity.Sub(wo.Used)}
 		de.workers[wo.ID] = se
 		de.order = append(de.order, se)
 	}
@@ -216,7 +216,7 @@
 		}
 	}
 	for _, se := range de.order {
-		if !se.Emptying {
+		if !se.Draining {
 			continue
 		}
 		for _, ta := range se.tasks {
@@ -226,7 +226,7 @@
 			if ta.Service {
 				moving[ta.Job] = true
 			}
-			de.add(Decision{Verb: Move, Task: ta.ID, Worker: se.ID, Why: "worker is being emptied"})
+			de.add(Decision{Verb: Move, Task: ta.ID, Worker: se.ID, Reason: "worker is being emptied"})
 			ta.Stopping = true
 		}
 	}
@@ -236,7 +236,7 @@
 // better where it is than nowhere.
 func (de *decider) roomElsewhere(ta *Task) bool {
 	for _, se := range de.order {
-		if !se.Closed && ta.Each.Fits(se.free) {
+		if !se.Unschedulable && ta.Each.Fits(se.free) {
 			return true
 		}
 	}
@@ -314,7 +314,7 @@
 	if ta.Service {
 		de.racks[rackKey(ta.Job, se.Rack)]++
 	}
-	de.add(Decision{Verb: Start, Task: ta.ID, Worker: se.ID, Why: "fits"})
+	de.add(Decision{Verb: Start, Task: ta.ID, Worker: se.ID, Reason: "fits"})
 }
 
 // best returns the worker with the lowest cost for a task, or nil.
@@ -333,7 +333,7 @@
 }
 
 func (de *decider) open(se *seat, ta *Task) bool {
-	return !se.Closed && !ta.Avoid[se.ID] && (!se.Probation || !se.started)
+	return !se.Unschedulable && !ta.Avoid[se.ID] && (!se.Probation || !se.started)
 }
 
 // Costs in units of one service at its target.
@@ -367,7 +367,7 @@
 			co += pol.WeightTail * de.model.Disturbance(other.Kind, ta.Kind) * cores(ta)
 		}
 	}
-	left := float64(se.free.MilliCores-ta.Each.MilliCores) / float64(max(1, se.Holds.MilliCores))
+	left := float64(se.free.MilliCores-ta.Each.MilliCores) / float64(max(1, se.Capacity.MilliCores))
 	co += costTight * left
 	if ta.Service {
 		co += costSameRack * float64(de.racks[rackKey(ta.Job, se.Rack)])
@@ -400,7 +400,7 @@
 	}
 	for _, vi := range best {
 		vi.Stopping = true
-		de.add(Decision{Verb: Evict, Task: vi.ID, Worker: at.ID, Why: "room for urgent " + ta.ID})
+		de.add(Decision{Verb: Evict, Task: vi.ID, Worker: at.ID, Reason: "room for urgent " + ta.ID})
 	}
 	// The room is spoken for, so that the next urgent task looks elsewhere.
 	at.free = at.free.Sub(ta.Each)
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -15,7 +15,7 @@
 	pol.TailTargetMS, pol.Evictions = 100, 1
 	return Snapshot{
 		Policy:  pol,
-		Workers: []Worker{{ID: "w", Rack: "r", Holds: each.Mul(4), Used: each.Mul(2)}},
+		Workers: []Worker{{ID: "w", Rack: "r", Capacity: each.Mul(4), Used: each.Mul(2)}},
 		Tasks: []Task{
 			{ID: "s", Job: "s", Kind: "s", Service: true, Each: each, Worker: "w", Share: 1, TailMS: 150, Fresh: true},
 			{ID: "b", Job: "b", Kind: "b", Each: each, Worker: "w", Share: leastShare, LostMS: lostMS},
--- a/internal/place/trial_test.go
+++ b/internal/place/trial_test.go
@@ -99,7 +99,7 @@
 func (de *decider) byRule(ta *Task, better func(a, b *seat) bool) *seat {
 	var best *seat
 	for _, se := range de.order {
-		if !se.Closed && ta.Each.Fits(se.free) && (best == nil || better(se, best)) {
+		if !se.Unschedulable && ta.Each.Fits(se.free) && (best == nil || better(se, best)) {
 			best = se
 		}
 	}
@@ -148,7 +148,7 @@
 	for i := range trialWorkers {
 		fc.workers = append(fc.workers, Worker{
 			ID: fmt.Sprintf("w%02d", i), Rack: fmt.Sprintf("r%d", i/trialRack),
-			Holds: worker.Resources{MilliCores: trialCores, MemMB: trialMem},
+			Capacity: worker.Resources{MilliCores: trialCores, MemMB: trialMem},
 		})
 	}
 	return fc
@@ -192,12 +192,12 @@
 		fc.fail(&fc.workers[fc.failed])
 	}
 	if fc.now%sc.failEvery == sc.failFor {
-		fc.workers[fc.failed].Closed = false
+		fc.workers[fc.failed].Unschedulable = false
 	}
 }
 
 func (fc *fakeCell) fail(wo *Worker) {
-	wo.Closed = true
+	wo.Unschedulable = true
 	for _, ta := range fc.tasks {
 		if ta.Worker != wo.ID {
 			continue
@@ -267,7 +267,7 @@
 func (fc *fakeCell) run() {
 	fc.now++
 	for _, wo := range fc.workers {
-		if !wo.Closed {
+		if !wo.Unschedulable {
 			fc.left += trialCores / 1000
 		}
 	}
