--- a/internal/job/phase.go
+++ b/internal/job/phase.go
@@ -42,12 +42,12 @@
 	return true
 }
 
-func (jo *Job) advancePhase(ref TaskRef, attempt int, pr Phase) bool {
+func (jo *Job) advancePhase(ref TaskRef, attempt int, ph Phase) bool {
 	ta := jo.Task(ref)
-	if ta == nil || ta.State != Started || ta.Attempt != attempt || ta.Phase >= pr {
+	if ta == nil || ta.State != Started || ta.Attempt != attempt || ta.Phase >= ph {
 		return false
 	}
-	ta.Phase = pr
+	ta.Phase = ph
 	return true
 }
 
--- a/internal/job/steprow.go
+++ b/internal/job/steprow.go
@@ -35,7 +35,7 @@
 	// for each started task in order, the index of its worker in Workers.
 	Workers []worker.Incarnation `json:"w,omitempty"`
 	On      []int                `json:"o,omitempty"`
-	// Phases has how far attempts under way were seen to come, see proofsOf.
+	// Phases has the phases of the running attempts, see encodePhases.
 	Phases string `json:"p,omitempty"`
 	// Checkpoints has the checkpoint that the next attempt of a waiting task starts from,
 	// and the one that the running attempt of a started task started from. Later
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -7,13 +7,13 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Tasks per worker at the target: 115,000 on 9,200 workers.
+// The target is 115,000 tasks on 9,200 workers, some 12 on each.
 const (
 	benchRunning = 12
 	benchWaiting = 200
 )
 
-// benchSnapshot is a cell of n workers, nearly full, with tasks waiting.
+// benchSnapshot returns a cell of n nearly full workers, with tasks waiting.
 func benchSnapshot(n int) Snapshot {
 	sn := Snapshot{Policy: Policy{TailTargetMS: 100, WeightTail: 1, WeightEvictions: 1, WeightBatch: 1}, Model: &Model{}}
 	each := worker.Resources{MilliCores: 2000, MemMB: 4000}
--- a/internal/place/control.go
+++ b/internal/place/control.go
@@ -5,40 +5,42 @@
 	"slices"
 )
 
-// The numbers of control.
+// Parameters of the control of tail latencies.
 const (
-	// calm is the part of the target under which throttles are loosened.
-	calm = 0.7
-	// tighten multiplies the share of a batch task that disturbs.
-	tighten = 0.5
-	// loosen is added to a share while services are calm.
-	loosen = 0.25
-	// leastShare is the lowest share; below it a task is evicted.
-	leastShare = 0.25
+	// relaxBelow is the fraction of the target below which throttled tasks get back some
+	// of their share.
+	relaxBelow = 0.7
+	// throttleFactor multiplies the share of a throttled batch task.
+	throttleFactor = 0.5
+	// shareIncrement is added to the share of a throttled task while the tail is below
+	// relaxBelow.
+	shareIncrement = 0.25
+	// minShare is the lowest share; if it does not suffice, a task is evicted.
+	minShare = 0.25
 )
 
-// control looks after services whose tail is over the target. The cheapest
-// remedy goes first: throttle the batch task that disturbs most; where all
-// are throttled as far as they may be, evict the one that disturbs most for
-// what it costs, under the budget. It acts on a worker only once there is a
-// measurement from after its last action there: acting on older ones would
-// answer the same news twice.
-func (de *decider) control() {
-	for _, se := range de.order {
-		worst := de.worst(se)
+// controlTails acts on workers with a service whose tail latency is over the target. The
+// cheapest remedy comes first: it throttles the batch task that disturbs the service most;
+// once all are at minShare, it evicts the batch task that disturbs most, if that is worth
+// its cost and within the budget. It acts on a worker again only after a measurement that
+// is newer than its last action there, as older ones do not show the effect of that
+// action.
+func (de *decider) controlTails() {
+	for _, se := range de.ordered {
+		worst := de.highestTail(se)
 		switch {
 		case worst == nil:
 		case worst.TailMS > de.sn.Policy.TailTargetMS:
-			de.relieve(se, worst)
-		case worst.TailMS < calm*de.sn.Policy.TailTargetMS:
-			de.relax(se)
+			de.throttleOrEvict(se, worst)
+		case worst.TailMS < relaxBelow*de.sn.Policy.TailTargetMS:
+			de.restoreShare(se)
 		}
 	}
 }
 
-// worst returns the service task with the highest tail, or nil if there is
-// none or a measurement is still to come.
-func (de *decider) worst(se *seat) *Task {
+// highestTail returns the service task with the highest tail latency, or nil if there is
+// none or a measurement after the last action is missing.
+func (de *decider) highestTail(se *workerState) *Task {
 	var worst *Task
 	for _, ta := range se.tasks {
 		if !ta.Service || ta.TailMS == 0 {
@@ -54,26 +56,28 @@
 	return worst
 }
 
-// relieve throttles, or else evicts, for a service over its target.
-func (de *decider) relieve(se *seat, service *Task) {
-	batch := de.disturbers(se, service)
+// throttleOrEvict throttles, or else evicts, a batch task beside a service over its
+// target.
+func (de *decider) throttleOrEvict(se *workerState, service *Task) {
+	batch := de.batchByDisturbance(se, service)
 	for _, ta := range batch {
-		if ta.Share > leastShare {
-			ta.Share = max(leastShare, ta.Share*tighten)
+		if ta.Share > minShare {
+			ta.Share = max(minShare, ta.Share*throttleFactor)
 			de.add(Decision{Verb: Throttle, Task: ta.ID, Worker: se.ID, Share: ta.Share, Reason: "disturbs " + describe(service)})
 			return
 		}
 	}
-	if len(batch) == 0 || de.budget <= 0 || !de.worthEvicting(batch[0], service) {
+	if len(batch) == 0 || de.evictionBudget <= 0 || !de.worthEvicting(batch[0], service) {
 		return
 	}
-	de.budget--
+	de.evictionBudget--
 	batch[0].Stopping = true
 	de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: se.ID, Reason: "disturbs " + describe(service)})
 }
 
-// disturbers returns the batch tasks of a worker, the most disturbing first.
-func (de *decider) disturbers(se *seat, service *Task) []*Task {
+// batchByDisturbance returns the batch tasks of a worker, those that disturb the service
+// most first.
+func (de *decider) batchByDisturbance(se *workerState, service *Task) []*Task {
 	var batch []*Task
 	for _, ta := range se.tasks {
 		if !ta.Service && !ta.Stopping {
@@ -81,29 +85,30 @@
 		}
 	}
 	slices.SortStableFunc(batch, func(a, b *Task) int {
-		return cmp.Compare(de.disturbs(service, b), de.disturbs(service, a))
+		return cmp.Compare(de.disturbance(service, b), de.disturbance(service, a))
 	})
 	return batch
 }
 
-func (de *decider) disturbs(service, ta *Task) float64 {
+func (de *decider) disturbance(service, ta *Task) float64 {
 	return de.model.Disturbance(service.Kind, ta.Kind) * cores(ta) * ta.Share
 }
 
-// worthEvicting weighs the service's excess against the eviction.
+// worthEvicting reports whether the service's excess over its target outweighs the cost of
+// the eviction.
 func (de *decider) worthEvicting(ta, service *Task) bool {
 	pol := de.sn.Policy
 	excess := service.TailMS/pol.TailTargetMS - 1
-	return pol.WeightTail*excess > de.evictionCost(ta)*evictionScale
+	return pol.WeightTail*excess > de.evictionCost(ta)*tailExcessPerEviction
 }
 
-// evictionScale is the excess over the target, as a part of it, that one
-// cheap eviction is worth at even weights.
-const evictionScale = 0.2
+// tailExcessPerEviction is the excess over the target, as a fraction of it, that equals
+// the cost of one eviction without lost work at equal weights.
+const tailExcessPerEviction = 0.2
 
-// relax gives one throttled task of a calm worker some of its share back, the
-// least disturbing first.
-func (de *decider) relax(se *seat) {
+// restoreShare raises the share of one throttled task of a worker whose services are well
+// below their target, the most throttled one.
+func (de *decider) restoreShare(se *workerState) {
 	var best *Task
 	for _, ta := range se.tasks {
 		if !ta.Service && !ta.Stopping && ta.Share < 1 && (best == nil || ta.Share < best.Share) {
@@ -113,6 +118,6 @@
 	if best == nil {
 		return
 	}
-	best.Share = min(1, best.Share+loosen)
-	de.add(Decision{Verb: Throttle, Task: best.ID, Worker: se.ID, Share: best.Share, Reason: "services are calm"})
+	best.Share = min(1, best.Share+shareIncrement)
+	de.add(Decision{Verb: Throttle, Task: best.ID, Worker: se.ID, Share: best.Share, Reason: "tail latencies of services are well below the target"})
 }
--- a/internal/place/model.go
+++ b/internal/place/model.go
@@ -1,27 +1,29 @@
 package place
 
-// Model holds what was learnt of kinds of tasks. The zero value knows nothing.
+// Model holds what was learnt about the interference between kinds of tasks. The zero
+// value has learnt nothing.
 type Model struct {
 	pairs map[pair]float64
-	// base has the tail of services that have no neighbours.
-	base map[string]float64
+	// baselines has the tail latency of each kind of service without neighbours, as a
+	// fraction of its target.
+	baselines map[string]float64
 }
 
 type pair struct{ service, batch string }
 
-// The numbers of learning.
+// Parameters of learning.
 const (
-	// priorDisturbance is assumed of a pair never seen together: a core of
-	// the batch task costs so much of the service's target.
+	// priorDisturbance is assumed of a pair that has not been seen together: the fraction
+	// of the service's target that one core of the batch task adds to the tail.
 	priorDisturbance = 0.02
-	learnRate        = 0.05
-	// priorAlone is the tail assumed of a service without neighbours, as a
-	// part of its target.
-	priorAlone = 0.5
+	learningRate     = 0.05
+	// priorBaseline is the tail assumed of a service without neighbours, as a fraction of
+	// its target.
+	priorBaseline = 0.5
 )
 
-// Disturbance returns what one core of a batch kind adds to the tail of a
-// service kind, as a part of the target.
+// Disturbance returns what one core of a batch kind adds to the tail latency of a service
+// kind, as a fraction of the target.
 func (mo *Model) Disturbance(service, batch string) float64 {
 	if d, ok := mo.pairs[pair{service, batch}]; ok {
 		return d
@@ -29,28 +31,28 @@
 	return priorDisturbance
 }
 
-func (mo *Model) alone(service string) float64 {
-	if tail, ok := mo.base[service]; ok {
+func (mo *Model) baseline(service string) float64 {
+	if tail, ok := mo.baselines[service]; ok {
 		return tail
 	}
-	return priorAlone
+	return priorBaseline
 }
 
-// Neighbour is one batch task beside a service, at the time of a measurement.
+// Neighbour is a batch task that ran beside a service when its tail was measured.
 type Neighbour struct {
-	// Kind is its kind.
+	// Kind is the kind of the batch task.
 	Kind string
-	// Cores is what it used.
+	// Cores is the number of cores that it used.
 	Cores float64
 }
 
-// LearnTail takes one measurement of a service's tail, as a part of its
-// target, and the neighbours it had then. It learns what the service has alone
-// and what a core of each kind adds, by normalised least mean squares: the
-// error of the prediction is shared out by how much each had to do with it.
+// LearnTail updates the model with one measurement of a service's tail latency, as a
+// fraction of its target, and the neighbours at that time. It learns the baseline of the
+// service and what a core of each batch kind adds, by normalised least mean squares: the
+// error of the prediction is distributed in proportion to each one's contribution.
 func (mo *Model) LearnTail(service string, tail float64, neighbours []Neighbour) {
 	byKind := map[string]float64{}
-	norm, predicted := 1.0, mo.alone(service)
+	norm, predicted := 1.0, mo.baseline(service)
 	for _, ne := range neighbours {
 		byKind[ne.Kind] += ne.Cores
 	}
@@ -60,12 +62,12 @@
 	}
 	if mo.pairs == nil {
 		mo.pairs = map[pair]float64{}
-		mo.base = map[string]float64{}
+		mo.baselines = map[string]float64{}
 	}
-	miss := tail - predicted
-	mo.base[service] = max(0, mo.alone(service)+learnRate*miss/norm)
+	residual := tail - predicted
+	mo.baselines[service] = max(0, mo.baseline(service)+learningRate*residual/norm)
 	for kind, cores := range byKind {
-		next := mo.Disturbance(service, kind) + learnRate*miss*cores/norm
+		next := mo.Disturbance(service, kind) + learningRate*residual*cores/norm
 		mo.pairs[pair{service, kind}] = max(0, next)
 	}
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,14 +1,13 @@
-// Package place decides where tasks of a cell run, which are throttled, and
-// which have to make room.
+// Package place decides where the tasks of a cell run, which are throttled, and which are
+// evicted.
 //
-// [Decide] is a function from a snapshot to decisions, without state, clock or
-// chance, so that the same snapshot always gives the same decisions and tests
-// can drive it freely. What is learnt over time is in a [Model], which is part
-// of the snapshot.
+// [Decide] is a pure function from a snapshot to decisions, without state, clock or
+// randomness: the same snapshot always gives the same decisions, so that tests can drive
+// it freely. What is learnt over time is in a [Model], which is part of the snapshot.
 //
-// The aims, in order: no host over what it holds; services within their
-// target; few evictions; batch work done. The users weigh the last three
-// differently, so the weights are settings.
+// The goals, in order: no host over its capacity; services within their target; few
+// evictions; batch work done. Users weigh the last three differently, so the weights are
+// settings.
 package place
 
 import (
@@ -19,151 +18,152 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Worker is a worker as the owner knows it.
+// Worker is the state of a worker as the owner of its cell knows it.
 type Worker struct {
-	// ID and Rack say where it is.
+	// ID is the id of the worker, Rack that of its rack.
 	ID   string
 	Rack string
-	// Capacity is all it has.
+	// Capacity is the worker's total resources.
 	Capacity worker.Resources
-	// Used is what tasks on it are given, those that may still run included.
+	// Used is the resources of the tasks on it, including those that may still run.
 	Used worker.Resources
-	// Unschedulable workers get no new tasks: drained, leaving, silent or aside.
+	// Unschedulable workers get no new tasks: they are drained, leaving, unresponsive or
+	// quarantined.
 	Unschedulable bool
-	// Draining workers are to lose their tasks: drained or leaving.
+	// Draining workers must lose their tasks: they are drained or leaving.
 	Draining bool
-	// Probation limits a worker that was aside to one new task.
+	// Probation limits a worker that was quarantined to one new task per decision.
 	Probation bool
 }
 
-// Task is a task that waits or runs.
+// Task is a waiting or running task.
 type Task struct {
-	// ID, Job, Team and Kind say what it is.
+	// ID is the id of the task, Job and Team those of its job and team. Kind groups tasks
+	// that behave alike.
 	ID   string
 	Job  string
 	Team string
 	Kind string
-	// Service tasks have no end and a target.
+	// Service tasks run until they are stopped and have a latency target.
 	Service bool
-	// Urgent tasks go first, and may have batch evicted.
+	// Urgent tasks are placed first and may preempt batch tasks.
 	Urgent bool
-	// Each is what it is given while it runs, or asks for.
+	// Each is the resources that the task is given, or needs if it waits.
 	Each worker.Resources
-	// Worker is where it runs; empty if it waits.
+	// Worker is the id of the worker that runs it; empty if it waits.
 	Worker string
-	// Stopping is set once a stop was ordered.
+	// Stopping is set once the task was ordered to stop.
 	Stopping bool
-	// Order sorts waiting tasks: lower goes first.
+	// Order sorts waiting tasks, the lowest first.
 	Order int64
-	// Avoid are workers on which it failed.
+	// Avoid has the ids of workers on which the task failed.
 	Avoid map[string]bool
-	// Share is the share of its cores that it may use.
+	// Share is the share of its cores that the task may use, 0 to 1.
 	Share float64
-	// TailMS is a service's measured p99; 0 is not measured. Fresh is set if
-	// the measurement is from after the last decision that touched its
-	// worker.
+	// TailMS is the measured p99 latency of a service in milliseconds; 0 if not measured.
+	// Fresh is set if the measurement is newer than the last decision for its worker.
 	TailMS float64
 	Fresh  bool
-	// LostMS is the work that an eviction would throw away.
+	// LostMS is the run time since the last checkpoint, which an eviction would lose, in
+	// milliseconds.
 	LostMS int64
-	// Evictions counts evictions so far.
+	// Evictions counts the evictions of the task so far.
 	Evictions int
 }
 
-// Policy has the users' weights and bounds.
+// Policy holds the users' weights and limits.
 type Policy struct {
-	// TailTargetMS is the p99 that services are to keep.
+	// TailTargetMS is the target of the p99 latency of services, in milliseconds.
 	TailTargetMS float64
-	// WeightTail, WeightEvictions and WeightBatch weigh the aims.
+	// WeightTail, WeightEvictions and WeightBatch are the relative weights of the goals.
 	WeightTail      float64
 	WeightEvictions float64
 	WeightBatch     float64
-	// Evictions is how many evictions of the system's own accord are left
-	// in the budget.
+	// Evictions is the remaining budget of evictions that the system decides by itself.
 	Evictions int
-	// Quotas bound what a team's tasks may hold.
+	// Quotas limit the resources of a team's running tasks, by team.
 	Quotas map[string]worker.Resources
-	// NoControl turns off throttling and evictions for tails, for
-	// comparison.
+	// NoControl disables throttling and evictions for tail latencies, for comparison.
 	NoControl bool
 }
 
-// Snapshot is what a decision is made from.
+// Snapshot is the input of a decision.
 type Snapshot struct {
-	// Workers and Tasks are all there are.
+	// Workers and Tasks are all workers and tasks of the cell.
 	Workers []Worker
 	Tasks   []Task
-	// Policy has weights and bounds.
+	// Policy holds weights and limits.
 	Policy Policy
-	// Model has what was learnt.
+	// Model predicts the interference between tasks; nil for one that has learnt nothing.
 	Model *Model
 }
 
-// Verb is what a decision does.
+// Verb is the kind of a decision.
 type Verb string
 
-// The verbs.
+// Kinds of decisions.
 const (
 	// Start starts a waiting task at a worker.
 	Start Verb = "start"
-	// Throttle sets a running task's share.
+	// Throttle sets the share of a running task.
 	Throttle Verb = "throttle"
-	// Evict stops a batch task, to be started elsewhere or later.
+	// Evict stops a batch task, which is started again later or elsewhere.
 	Evict Verb = "evict"
-	// Move stops a task of a worker that is being emptied.
+	// Move stops a task on a worker that is being drained.
 	Move Verb = "move"
 )
 
-// Decision is one thing to do.
+// Decision is one action on a task.
 type Decision struct {
-	// Verb says what.
+	// Verb is the kind of the decision.
 	Verb Verb
-	// Task and Worker say with which and where.
+	// Task and Worker are the ids of the task and the worker.
 	Task   string
 	Worker string
-	// Share is for Throttle.
+	// Share is the new share, for [Throttle].
 	Share float64
-	// Reason is for people.
+	// Reason is a text for logs.
 	Reason string
 }
 
-// Decide returns what to do, in order.
+// Decide returns the decisions for a snapshot, in the order in which they are to be
+// carried out.
 func Decide(sn Snapshot) []Decision {
 	de := newDecider(sn)
-	de.empty()
+	de.drain()
 	if !sn.Policy.NoControl {
-		de.control()
+		de.controlTails()
 	}
 	de.start()
-	return de.out
+	return de.decisions
 }
 
-// decider holds the working copy of a snapshot.
+// decider holds the working copy of a snapshot while decisions are made.
 type decider struct {
-	sn      Snapshot
-	model   *Model
-	workers map[string]*seat
-	order   []*seat
-	teams   map[string]worker.Resources
-	racks   map[string]int
-	budget  int
-	// hopeless are shapes for which no worker was found; tasks like them
-	// need not be tried.
-	hopeless map[shape]bool
-	out      []Decision
+	sn             Snapshot
+	model          *Model
+	workers        map[string]*workerState
+	ordered        []*workerState
+	teams          map[string]worker.Resources
+	racks          map[string]int
+	evictionBudget int
+	// infeasible has shapes for which no worker was found. Further tasks of such a shape
+	// are skipped.
+	infeasible map[shape]bool
+	decisions  []Decision
 }
 
-// seat is a worker with its running tasks.
-type seat struct {
+// workerState is a worker with its running tasks.
+type workerState struct {
 	Worker
 
 	free  worker.Resources
 	tasks []*Task
-	// started is set once a start was decided here, for probation.
+	// started is set once a task was started here, for Probation.
 	started bool
 }
 
-// shape is what of a waiting task matters for finding it a worker.
+// shape is the part of a waiting task that determines which workers it fits on.
 type shape struct {
 	each    worker.Resources
 	kind    string
@@ -175,17 +175,17 @@
 
 func newDecider(sn Snapshot) *decider {
 	de := &decider{
-		sn: sn, model: sn.Model, workers: make(map[string]*seat, len(sn.Workers)),
+		sn: sn, model: sn.Model, workers: make(map[string]*workerState, len(sn.Workers)),
 		teams: map[string]worker.Resources{}, racks: map[string]int{},
-		budget: sn.Policy.Evictions, hopeless: map[shape]bool{},
+		evictionBudget: sn.Policy.Evictions, infeasible: map[shape]bool{},
 	}
 	if de.model == nil {
 		de.model = &Model{}
 	}
 	for _, wo := range sn.Workers {
-		se := &seat{Worker: wo, free: wo.Capacity.Sub(wo.Used)}
+		se := &workerState{Worker: wo, free: wo.Capacity.Sub(wo.Used)}
 		de.workers[wo.ID] = se
-		de.order = append(de.order, se)
+		de.ordered = append(de.ordered, se)
 	}
 	for i := range sn.Tasks {
 		ta := &sn.Tasks[i]
@@ -206,36 +206,36 @@
 
 func rackKey(job, rack string) string { return job + "\x00" + rack }
 
-// empty moves tasks off workers that are being emptied: services one of a job
-// at a time, so that a service never loses several tasks at once.
-func (de *decider) empty() {
+// drain moves tasks off workers that are being drained: services one task of a job at a
+// time, so that a service never loses several tasks at once.
+func (de *decider) drain() {
 	moving := map[string]bool{}
 	for _, ta := range de.sn.Tasks {
 		if ta.Service && ta.Stopping {
 			moving[ta.Job] = true
 		}
 	}
-	for _, se := range de.order {
+	for _, se := range de.ordered {
 		if !se.Draining {
 			continue
 		}
 		for _, ta := range se.tasks {
-			if ta.Stopping || (ta.Service && (moving[ta.Job] || !de.roomElsewhere(ta))) {
+			if ta.Stopping || (ta.Service && (moving[ta.Job] || !de.fitsElsewhere(ta))) {
 				continue
 			}
 			if ta.Service {
 				moving[ta.Job] = true
 			}
-			de.add(Decision{Verb: Move, Task: ta.ID, Worker: se.ID, Reason: "worker is being emptied"})
+			de.add(Decision{Verb: Move, Task: ta.ID, Worker: se.ID, Reason: "worker is being drained"})
 			ta.Stopping = true
 		}
 	}
 }
 
-// roomElsewhere reports whether a service task would find another worker:
-// better where it is than nowhere.
-func (de *decider) roomElsewhere(ta *Task) bool {
-	for _, se := range de.order {
+// fitsElsewhere reports whether another worker could take a service task. If none can, the
+// task stays where it is.
+func (de *decider) fitsElsewhere(ta *Task) bool {
+	for _, se := range de.ordered {
 		if !se.Unschedulable && ta.Each.Fits(se.free) {
 			return true
 		}
@@ -244,11 +244,10 @@
 }
 
 func (de *decider) add(dec Decision) {
-	de.out = append(de.out, dec)
+	de.decisions = append(de.decisions, dec)
 }
 
-// start places waiting tasks: urgent before others, services before batch,
-// then in order.
+// start places waiting tasks: urgent before others, services before batch, then by Order.
 func (de *decider) start() {
 	var waiting []*Task
 	for i := range de.sn.Tasks {
@@ -257,7 +256,7 @@
 		}
 	}
 	slices.SortStableFunc(waiting, func(a, b *Task) int {
-		return cmp.Or(cmpTrue(a.Urgent, b.Urgent), cmpTrue(a.Service, b.Service), cmp.Compare(a.Order, b.Order))
+		return cmp.Or(compareTrueFirst(a.Urgent, b.Urgent), compareTrueFirst(a.Service, b.Service), cmp.Compare(a.Order, b.Order))
 	})
 	for _, ta := range waiting {
 		de.place(ta)
@@ -265,7 +264,7 @@
 }
 
 // cmpTrue orders true before false.
-func cmpTrue(a, b bool) int {
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -281,22 +280,22 @@
 		sh.job = ta.Job
 	}
 	plain := len(ta.Avoid) == 0
-	if plain && de.hopeless[sh] {
+	if plain && de.infeasible[sh] {
 		return
 	}
 	if !de.withinQuota(ta) {
-		de.hopeless[sh] = plain
+		de.infeasible[sh] = plain
 		return
 	}
-	if se := de.best(ta); se != nil {
-		de.seatTask(se, ta)
+	if se := de.lowestCost(ta); se != nil {
+		de.assign(se, ta)
 		return
 	}
-	if ta.Urgent && de.makeRoom(ta) {
+	if ta.Urgent && de.preempt(ta) {
 		return
 	}
 	if plain {
-		de.hopeless[sh] = true
+		de.infeasible[sh] = true
 	}
 }
 
@@ -305,7 +304,7 @@
 	return !limited || de.teams[ta.Team].Add(ta.Each).Fits(quota)
 }
 
-func (de *decider) seatTask(se *seat, ta *Task) {
+func (de *decider) assign(se *workerState, ta *Task) {
 	ta.Worker = se.ID
 	se.free = se.free.Sub(ta.Each)
 	se.tasks = append(se.tasks, ta)
@@ -317,12 +316,12 @@
 	de.add(Decision{Verb: Start, Task: ta.ID, Worker: se.ID, Reason: "fits"})
 }
 
-// best returns the worker with the lowest cost for a task, or nil.
-func (de *decider) best(ta *Task) *seat {
-	var best *seat
+// lowestCost returns the worker with the lowest cost for a task, or nil.
+func (de *decider) lowestCost(ta *Task) *workerState {
+	var best *workerState
 	lowest := 0.0
-	for _, se := range de.order {
-		if !de.open(se, ta) || !ta.Each.Fits(se.free) {
+	for _, se := range de.ordered {
+		if !de.accepts(se, ta) || !ta.Each.Fits(se.free) {
 			continue
 		}
 		if co := de.cost(se, ta); best == nil || co < lowest {
@@ -332,29 +331,30 @@
 	return best
 }
 
-func (de *decider) open(se *seat, ta *Task) bool {
+func (de *decider) accepts(se *workerState, ta *Task) bool {
 	return !se.Unschedulable && !ta.Avoid[se.ID] && (!se.Probation || !se.started)
 }
 
-// Costs in units of one service at its target.
+// Costs, in units of the cost of one service at its target.
 const (
-	// costSameRack is for a service task beside another of its job in the
-	// rack, which a failed rack would take together.
+	// costSameRack applies to a service task per task of its job in the same rack, as a
+	// failure of the rack would stop them together.
 	costSameRack = 0.5
-	// costAccel is for taking room beside unused accelerators.
+	// costAccel applies to a task without accelerators on a worker with unused ones.
 	costAccel = 0.2
-	// costTight is for leaving room beside the task: both kinds of work
-	// rather fill a worker up, so that services stand beside services, which
-	// disturb each other least, and room stays in one piece.
+	// costTight applies to the fraction of the worker's cores that the task leaves free.
+	// Both kinds of work therefore fill up a worker before using the next one: services
+	// then run beside services, which disturb each other least, and free resources are
+	// less fragmented.
 	costTight = 0.1
-	// costSameWorker is for a service task on a worker that has one of its
-	// job: a failed worker would take both.
+	// costSameWorker applies to a service task per task of its job on the same worker, as
+	// a failure of the worker would stop them together.
 	costSameWorker = 0.03
 )
 
-// cost of a task at a worker: the disturbance it brings to services there, or
-// suffers, and how well it fits.
-func (de *decider) cost(se *seat, ta *Task) float64 {
+// cost returns the cost of a task at a worker: the interference that it causes to services
+// there, or suffers itself, and how well it fits.
+func (de *decider) cost(se *workerState, ta *Task) float64 {
 	pol := de.sn.Policy
 	co := 0.0
 	for _, other := range se.tasks {
@@ -380,14 +380,14 @@
 
 func cores(ta *Task) float64 { return float64(ta.Each.MilliCores) / 1000 }
 
-// makeRoom evicts batch for an urgent task, where it costs least. The task
-// itself starts once the room is free. It reports whether room is on its way.
-func (de *decider) makeRoom(ta *Task) bool {
+// preempt evicts batch tasks for an urgent task, on the worker where that costs least. The
+// urgent task starts only once they have stopped. It reports whether a worker was found.
+func (de *decider) preempt(ta *Task) bool {
 	var best []*Task
-	var at *seat
+	var at *workerState
 	lowest := 0.0
-	for _, se := range de.order {
-		if !de.open(se, ta) {
+	for _, se := range de.ordered {
+		if !de.accepts(se, ta) {
 			continue
 		}
 		victims, co, ok := de.victims(se, ta)
@@ -400,17 +400,17 @@
 	}
 	for _, vi := range best {
 		vi.Stopping = true
-		de.add(Decision{Verb: Evict, Task: vi.ID, Worker: at.ID, Reason: "room for urgent " + ta.ID})
+		de.add(Decision{Verb: Evict, Task: vi.ID, Worker: at.ID, Reason: "preempted by urgent task " + ta.ID})
 	}
-	// The room is spoken for, so that the next urgent task looks elsewhere.
+	// The resources are reserved for this task, so that the next urgent task uses others.
 	at.free = at.free.Sub(ta.Each)
 	return true
 }
 
-// victims returns the batch tasks of a worker whose end would make room, the
-// cheapest first, and what that costs. Room that stops already under way will
-// free counts for nothing but time.
-func (de *decider) victims(se *seat, ta *Task) ([]*Task, float64, bool) {
+// victims returns the batch tasks of a worker that must be evicted for the task to fit,
+// the cheapest first, and their total cost; ok is false if it cannot fit. Tasks that are
+// already stopping are free of cost.
+func (de *decider) victims(se *workerState, ta *Task) ([]*Task, float64, bool) {
 	free := se.free
 	var batch []*Task
 	for _, other := range se.tasks {
@@ -434,12 +434,13 @@
 	return victims, co, ta.Each.Fits(free)
 }
 
-// evictionCost grows with evictions before, which weigh as evictions, and with
-// the work lost, which weighs as batch work: a minute of it is worth one.
+// evictionCost returns the cost of evicting a task. Each earlier eviction of it counts as
+// one more eviction, and the lost work is weighed as batch work: one minute of it costs as
+// much as one eviction at equal weights.
 func (de *decider) evictionCost(ta *Task) float64 {
 	pol := de.sn.Policy
 	return pol.WeightEvictions*float64(1+ta.Evictions) + pol.WeightBatch*float64(ta.LostMS)/60_000
 }
 
-// describe is for messages.
+// describe returns a service and its latency for the reason of a decision.
 func describe(ta *Task) string { return fmt.Sprintf("%s at p99 %.0f ms", ta.ID, ta.TailMS) }
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -8,9 +8,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// disturbed is a worker with a service over its target and one batch task that
-// is throttled as far as it may be.
-func disturbed(pol Policy, lostMS int64) Snapshot {
+// disturbedService returns a snapshot of one worker with a service over its target and a
+// batch task that is throttled to minShare.
+func disturbedService(pol Policy, lostMS int64) Snapshot {
 	each := worker.Resources{MilliCores: 2000, MemMB: 1000}
 	pol.TailTargetMS, pol.Evictions = 100, 1
 	return Snapshot{
@@ -18,14 +18,14 @@
 		Workers: []Worker{{ID: "w", Rack: "r", Capacity: each.Mul(4), Used: each.Mul(2)}},
 		Tasks: []Task{
 			{ID: "s", Job: "s", Kind: "s", Service: true, Each: each, Worker: "w", Share: 1, TailMS: 150, Fresh: true},
-			{ID: "b", Job: "b", Kind: "b", Each: each, Worker: "w", Share: leastShare, LostMS: lostMS},
+			{ID: "b", Job: "b", Kind: "b", Each: each, Worker: "w", Share: minShare, LostMS: lostMS},
 		},
 	}
 }
 
-// TestWeightsDecide checks that each weight, alone, turns an eviction into
-// none.
-func TestWeightsDecide(t *testing.T) {
+// TestEachWeightPreventsEviction checks that a change of any single weight prevents an
+// eviction that happens at equal weights.
+func TestEachWeightPreventsEviction(t *testing.T) {
 	even := Policy{WeightTail: 1, WeightEvictions: 1, WeightBatch: 1}
 	const lost = 60_000
 	for _, te := range []struct {
@@ -41,7 +41,7 @@
 		t.Run(te.name, func(t *testing.T) {
 			pol := even
 			te.weight(&pol)
-			decs := Decide(disturbed(pol, lost))
+			decs := Decide(disturbedService(pol, lost))
 			qt.Assert(t, len(decs) == 1 && decs[0].Verb == Evict, qt.Equals, te.evicts, qt.Commentf("%v", decs))
 		})
 	}
--- a/internal/place/trial_test.go
+++ b/internal/place/trial_test.go
@@ -18,27 +18,27 @@
 
 var (
 	compare      = flag.Bool("compare", false, "print the comparison of placement policies")
-	compareHours = flag.Int("compare-hours", 6, "modelled hours of each trial")
+	compareHours = flag.Int("compare-hours", 6, "simulated hours of each trial")
 )
 
-// Sizes of a user of today.
+// Sizes of a typical installation.
 const (
-	trialWorkers  = 50
-	trialRack     = 8
-	trialCores    = 30_000
-	trialMem      = 125_000
-	trialServices = 75
-	serviceCores  = 6_000
-	trialTarget   = 100.0
-	trialBase     = 40.0
-	// trialLag is the age of reported usage in seconds.
-	trialLag = 3
-	// trialCheckpoint is the time between a task's own checkpoints.
-	trialCheckpoint = 60
+	trialWorkers      = 50
+	workersPerRack    = 8
+	trialMilliCores   = 30_000
+	trialMemMB        = 125_000
+	trialServices     = 75
+	serviceMilliCores = 6_000
+	trialTargetMS     = 100.0
+	trialBaseMS       = 40.0
+	// trialLag is the delay of measurements, in seconds.
+	trialLagS = 3
+	// trialCheckpoint is the time between checkpoints of a task, in seconds.
+	trialCheckpointS = 60
 )
 
-// trueDisturbance is what a core of a batch kind adds to the tail of a service
-// kind, as a part of the target. Nobody tells the policy.
+// trueDisturbance is what one core of a batch kind adds to the tail latency of a service
+// kind, as a fraction of the target. The policies do not know it.
 var trueDisturbance = map[pair]float64{
 	{"turns", "quiet"}: 0.005, {"turns", "cache"}: 0.06, {"turns", "disk"}: 0.03,
 	{"portal", "quiet"}: 0.005, {"portal", "cache"}: 0.02, {"portal", "disk"}: 0.07,
@@ -46,31 +46,32 @@
 
 var batchKinds = []string{"quiet", "cache", "disk"}
 
-// fakeTask is a task with what is true of it.
-type fakeTask struct {
+// fakeTask is a simulated task with properties that the policies do not know.
+type simTask struct {
 	Task
 
-	// runFor is its true run time, done its progress, kept its checkpoint.
-	runFor, done, kept float64
-	// uses is the part of its declared cores that it uses.
+	// runFor is the actual run time, done the progress and checkpointed the progress of
+	// the last checkpoint, in seconds.
+	runFor, done, checkpointed float64
+	// uses is the fraction of its requested cores that the task uses.
 	uses float64
 }
 
-// policy is a way to place and to control.
+// policy is a method of placement and of control.
 type policy struct {
 	name string
-	// decide returns decisions.
+	// decide returns the decisions for a snapshot.
 	decide func(Snapshot) []Decision
-	// model is whether measurements are learnt.
+	// learns is set if the model learns from measurements.
 	learns bool
 }
 
-// baseline places each waiting task by a plain rule, and evicts a batch task
-// at random order from a worker whose service is over the target.
-func baseline(better func(a, b *seat) bool) func(Snapshot) []Decision {
+// baseline returns a simple policy: it places each waiting task by the given rule, and
+// evicts one batch task from every worker whose service is over the target.
+func baseline(better func(a, b *workerState) bool) func(Snapshot) []Decision {
 	return func(sn Snapshot) []Decision {
 		de := newDecider(sn)
-		for _, se := range de.order {
+		for _, se := range de.ordered {
 			de.evictWhenOver(se)
 		}
 		for i := range sn.Tasks {
@@ -79,26 +80,26 @@
 				continue
 			}
 			if best := de.byRule(ta, better); best != nil {
-				de.seatTask(best, ta)
+				de.assign(best, ta)
 			}
 		}
-		return de.out
+		return de.decisions
 	}
 }
 
-func (de *decider) evictWhenOver(se *seat) {
-	worst := de.worst(se)
+func (de *decider) evictWhenOver(se *workerState) {
+	worst := de.highestTail(se)
 	if worst == nil || worst.TailMS <= de.sn.Policy.TailTargetMS {
 		return
 	}
-	if batch := de.disturbers(se, worst); len(batch) > 0 {
+	if batch := de.batchByDisturbance(se, worst); len(batch) > 0 {
 		de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: se.ID})
 	}
 }
 
-func (de *decider) byRule(ta *Task, better func(a, b *seat) bool) *seat {
-	var best *seat
-	for _, se := range de.order {
+func (de *decider) byRule(ta *Task, better func(a, b *workerState) bool) *workerState {
+	var best *workerState
+	for _, se := range de.ordered {
 		if !se.Unschedulable && ta.Each.Fits(se.free) && (best == nil || better(se, best)) {
 			best = se
 		}
@@ -115,113 +116,117 @@
 		{"pepperhatch", Decide, true},
 		{"pepperhatch, no control", noControl, true},
 		{"pepperhatch, nothing learnt", Decide, false},
-		{"first fit, evict when over", baseline(func(_, _ *seat) bool { return false }), false},
-		{"least loaded, evict when over", baseline(func(a, b *seat) bool { return a.free.MilliCores > b.free.MilliCores }), false},
+		{"first fit, evict when over", baseline(func(_, _ *workerState) bool { return false }), false},
+		{"least loaded, evict when over", baseline(func(a, b *workerState) bool { return a.free.MilliCores > b.free.MilliCores }), false},
 	}
 }
 
-// fakeCell is workers and tasks, second by second.
-type fakeCell struct {
+// fakeCell simulates workers and tasks in steps of one second.
+type simCell struct {
 	rnd     *rand.Rand
 	pol     Policy
 	model   *Model
 	workers []Worker
-	tasks   map[string]*fakeTask
+	tasks   map[string]*simTask
 	acted   map[string]int
 	now     int
 	made    int
-	// services counts those added, failed is the last worker that failed.
+	// services counts the services added, failed is the index of the last worker that
+	// failed.
 	services, failed int
 	history          map[string][]float64
 
 	over, samples, evictions, starts int
-	// useful, wasted, cores and served are core seconds of batch done, lost,
-	// given to batch, and given to services; left is the bound for batch.
-	useful, wasted, cores, served, left float64
+	// useful, wasted, cores and served are in core seconds: batch work done, work lost,
+	// given to batch tasks, and given to services. batchBound is the upper bound for batch
+	// work.
+	useful, wasted, cores, served, batchBound float64
 }
 
-func newFakeCell(seed uint64, pol Policy) *fakeCell {
-	fc := &fakeCell{
-		rnd: rand.New(rand.NewPCG(seed, 1)), pol: pol, model: &Model{}, tasks: map[string]*fakeTask{},
+func newSimCell(seed uint64, pol Policy) *simCell {
+	ce := &simCell{
+		rnd: rand.New(rand.NewPCG(seed, 1)), pol: pol, model: &Model{}, tasks: map[string]*simTask{},
 		acted: map[string]int{}, history: map[string][]float64{},
 	}
 	for i := range trialWorkers {
-		fc.workers = append(fc.workers, Worker{
-			ID: fmt.Sprintf("w%02d", i), Rack: fmt.Sprintf("r%d", i/trialRack),
-			Capacity: worker.Resources{MilliCores: trialCores, MemMB: trialMem},
+		ce.workers = append(ce.workers, Worker{
+			ID: fmt.Sprintf("w%02d", i), Rack: fmt.Sprintf("r%d", i/workersPerRack),
+			Capacity: worker.Resources{MilliCores: trialMilliCores, MemMB: trialMemMB},
 		})
 	}
-	return fc
+	return ce
 }
 
-func (fc *fakeCell) addService() {
-	kind := []string{"turns", "portal"}[fc.services%2]
-	fc.services++
-	fc.add(&fakeTask{Task: Task{
-		Job: kind, Kind: kind, Service: true, Each: worker.Resources{MilliCores: serviceCores, MemMB: 16_000},
+func (ce *simCell) addService() {
+	kind := []string{"turns", "portal"}[ce.services%2]
+	ce.services++
+	ce.add(&simTask{Task: Task{
+		Job: kind, Kind: kind, Service: true, Each: worker.Resources{MilliCores: serviceMilliCores, MemMB: 16_000},
 	}, runFor: math.Inf(1), uses: 1})
 }
 
-// scene is how a trial begins and what goes wrong in it.
-type scene struct {
+// scenario describes how a trial begins and which failures occur in it.
+type scenario struct {
 	name string
-	// every is the seconds between services; 0 has all there at the start.
-	every int
-	// failEvery and failFor have a worker fail, in seconds.
+	// serviceEvery is the time between arrivals of services in seconds; 0 has all services
+	// present at the start.
+	serviceEvery int
+	// failEvery and failFor are the time between failures of workers and their duration,
+	// in seconds.
 	failEvery, failFor int
 }
 
-var scenes = []scene{
+var scenarios = []scenario{
 	{name: "services first"},
-	{name: "services arrive on a full cell, workers fail", every: 20, failEvery: 600, failFor: 300},
+	{name: "services arrive on a full cell, workers fail", serviceEvery: 20, failEvery: 600, failFor: 300},
 }
 
-// happen has services arrive and workers fail and come back.
-func (fc *fakeCell) happen(sc scene) {
-	for fc.services < trialServices && (sc.every == 0 || fc.now%sc.every == 0) {
-		fc.addService()
-		if sc.every > 0 {
+// inject adds services and has workers fail and recover.
+func (ce *simCell) inject(sc scenario) {
+	for ce.services < trialServices && (sc.serviceEvery == 0 || ce.now%sc.serviceEvery == 0) {
+		ce.addService()
+		if sc.serviceEvery > 0 {
 			break
 		}
 	}
-	if sc.failEvery == 0 || fc.now == 0 {
+	if sc.failEvery == 0 || ce.now == 0 {
 		return
 	}
-	if fc.now%sc.failEvery == 0 {
-		fc.failed = fc.rnd.IntN(len(fc.workers))
-		fc.fail(&fc.workers[fc.failed])
+	if ce.now%sc.failEvery == 0 {
+		ce.failed = ce.rnd.IntN(len(ce.workers))
+		ce.fail(&ce.workers[ce.failed])
 	}
-	if fc.now%sc.failEvery == sc.failFor {
-		fc.workers[fc.failed].Unschedulable = false
+	if ce.now%sc.failEvery == sc.failFor {
+		ce.workers[ce.failed].Unschedulable = false
 	}
 }
 
-func (fc *fakeCell) fail(wo *Worker) {
+func (ce *simCell) fail(wo *Worker) {
 	wo.Unschedulable = true
-	for _, ta := range fc.tasks {
+	for _, ta := range ce.tasks {
 		if ta.Worker != wo.ID {
 			continue
 		}
-		fc.wasted += cores(&ta.Task) * (ta.done - ta.kept)
+		ce.wasted += cores(&ta.Task) * (ta.done - ta.checkpointed)
 		if !ta.Service {
-			fc.useful -= cores(&ta.Task) * (ta.done - ta.kept)
+			ce.useful -= cores(&ta.Task) * (ta.done - ta.checkpointed)
 		}
-		ta.Worker, ta.done, ta.Share = "", ta.kept, 1
+		ta.Worker, ta.done, ta.Share = "", ta.checkpointed, 1
 	}
 }
 
-func (fc *fakeCell) add(ta *fakeTask) {
-	fc.made++
-	ta.ID, ta.Order, ta.Share = fmt.Sprintf("t%06d", fc.made), int64(fc.made), 1
-	fc.tasks[ta.ID] = ta
+func (ce *simCell) add(ta *simTask) {
+	ce.made++
+	ta.ID, ta.Order, ta.Share = fmt.Sprintf("t%06d", ce.made), int64(ce.made), 1
+	ce.tasks[ta.ID] = ta
 }
 
-// arrive adds batch tasks: enough to keep the cell full, in noisy waves, with
-// declared sizes off by up to four times, and now and then one that fits no
-// worker.
-func (fc *fakeCell) arrive() {
+// addBatch adds batch tasks: enough to keep the cell full, in waves of one kind between
+// mixed ones, with actual run times off from the declared ones by up to four times, and occasionally
+// one that fits no worker.
+func (ce *simCell) addBatch() {
 	waiting := 0
-	for _, ta := range fc.tasks {
+	for _, ta := range ce.tasks {
 		if !ta.Service && ta.Worker == "" {
 			waiting++
 		}
@@ -229,117 +234,118 @@
 	if waiting > 40 {
 		return
 	}
-	kind := batchKinds[fc.rnd.IntN(len(batchKinds))]
-	if fc.now/1800%2 == 1 {
-		// A wave of one kind.
-		kind = batchKinds[fc.now/3600%len(batchKinds)]
+	kind := batchKinds[ce.rnd.IntN(len(batchKinds))]
+	if ce.now/1800%2 == 1 {
+		// Waves of a single kind alternate with mixed load.
+		kind = batchKinds[ce.now/3600%len(batchKinds)]
 	}
 	for range 10 {
-		each := worker.Resources{MilliCores: int64(1+fc.rnd.IntN(4)) * 1000, MemMB: 3000}
-		if fc.rnd.IntN(200) == 0 {
-			each.MilliCores = 2 * trialCores
+		each := worker.Resources{MilliCores: int64(1+ce.rnd.IntN(4)) * 1000, MemMB: 3000}
+		if ce.rnd.IntN(200) == 0 {
+			each.MilliCores = 2 * trialMilliCores
 		}
-		declared := 120 + 600*fc.rnd.Float64()
-		fc.add(&fakeTask{Task: Task{Job: kind, Kind: kind, Each: each}, uses: 0.25 + 0.75*fc.rnd.Float64(),
-			runFor: declared * math.Exp2(4*fc.rnd.Float64()-2)})
+		declared := 120 + 600*ce.rnd.Float64()
+		ce.add(&simTask{Task: Task{Job: kind, Kind: kind, Each: each}, uses: 0.25 + 0.75*ce.rnd.Float64(),
+			runFor: declared * math.Exp2(4*ce.rnd.Float64()-2)})
 	}
 }
 
-// load is the services' own load, which shifts over the day.
-func (fc *fakeCell) load() float64 {
-	return 1 + 0.25*math.Sin(2*math.Pi*float64(fc.now)/7200)
+// load is the load of the services relative to its mean, which changes over time.
+func (ce *simCell) load() float64 {
+	return 1 + 0.25*math.Sin(2*math.Pi*float64(ce.now)/7200)
 }
 
-func (fc *fakeCell) byWorker() map[string][]*fakeTask {
-	by := map[string][]*fakeTask{}
-	for _, ta := range fc.tasks {
+func (ce *simCell) byWorker() map[string][]*simTask {
+	by := map[string][]*simTask{}
+	for _, ta := range ce.tasks {
 		if ta.Worker != "" {
 			by[ta.Worker] = append(by[ta.Worker], ta)
 		}
 	}
 	for _, tasks := range by {
-		slices.SortFunc(tasks, func(a, b *fakeTask) int { return cmp.Compare(a.ID, b.ID) })
+		slices.SortFunc(tasks, func(a, b *simTask) int { return cmp.Compare(a.ID, b.ID) })
 	}
 	return by
 }
 
-// run lets a second pass.
-func (fc *fakeCell) run() {
-	fc.now++
-	for _, wo := range fc.workers {
+// step advances the simulation by one second.
+func (ce *simCell) step() {
+	ce.now++
+	for _, wo := range ce.workers {
 		if !wo.Unschedulable {
-			fc.left += trialCores / 1000
+			ce.batchBound += trialMilliCores / 1000
 		}
 	}
-	for _, tasks := range fc.byWorker() {
+	for _, tasks := range ce.byWorker() {
 		for _, ta := range tasks {
 			if ta.Service {
-				fc.serve(ta, tasks)
+				ce.serve(ta, tasks)
 			} else {
-				fc.work(ta)
+				ce.work(ta)
 			}
 		}
 	}
 }
 
-func (fc *fakeCell) serve(ta *fakeTask, tasks []*fakeTask) {
-	tail := trialBase * fc.load() * (0.95 + 0.1*fc.rnd.Float64())
+func (ce *simCell) serve(ta *simTask, tasks []*simTask) {
+	tail := trialBaseMS * ce.load() * (0.95 + 0.1*ce.rnd.Float64())
 	for _, other := range tasks {
 		if !other.Service {
-			tail += trialTarget * trueDisturbance[pair{ta.Kind, other.Kind}] * cores(&other.Task) * other.uses * other.Share
+			tail += trialTargetMS * trueDisturbance[pair{ta.Kind, other.Kind}] * cores(&other.Task) * other.uses * other.Share
 		}
 	}
-	fc.served += cores(&ta.Task)
-	fc.left -= cores(&ta.Task)
-	fc.history[ta.ID] = append(fc.history[ta.ID], tail)
-	fc.samples++
-	if tail > trialTarget {
-		fc.over++
+	ce.served += cores(&ta.Task)
+	ce.batchBound -= cores(&ta.Task)
+	ce.history[ta.ID] = append(ce.history[ta.ID], tail)
+	ce.samples++
+	if tail > trialTargetMS {
+		ce.over++
 	}
 }
 
-func (fc *fakeCell) work(ta *fakeTask) {
+func (ce *simCell) work(ta *simTask) {
 	ta.done += ta.Share
-	fc.cores += cores(&ta.Task)
-	fc.useful += cores(&ta.Task) * ta.Share
-	if int(ta.done)/trialCheckpoint > int(ta.kept)/trialCheckpoint {
-		ta.kept = math.Floor(ta.done/trialCheckpoint) * trialCheckpoint
+	ce.cores += cores(&ta.Task)
+	ce.useful += cores(&ta.Task) * ta.Share
+	if int(ta.done)/trialCheckpointS > int(ta.checkpointed)/trialCheckpointS {
+		ta.checkpointed = math.Floor(ta.done/trialCheckpointS) * trialCheckpointS
 	}
 	if ta.done >= ta.runFor {
-		delete(fc.tasks, ta.ID)
+		delete(ce.tasks, ta.ID)
 	}
 }
 
-// decide has the policy decide on what was measured a while ago.
-func (fc *fakeCell) decide(po policy) {
-	sn := Snapshot{Policy: fc.pol, Model: fc.model}
-	by := fc.byWorker()
-	for _, wo := range fc.workers {
+// decide applies the decisions of a policy, which sees measurements with a delay of
+// trialLag.
+func (ce *simCell) decide(po policy) {
+	sn := Snapshot{Policy: ce.pol, Model: ce.model}
+	by := ce.byWorker()
+	for _, wo := range ce.workers {
 		for _, ta := range by[wo.ID] {
 			wo.Used = wo.Used.Add(ta.Each)
 		}
 		sn.Workers = append(sn.Workers, wo)
 	}
-	for _, ta := range fc.tasks {
+	for _, ta := range ce.tasks {
 		pt := ta.Task
-		if hist := fc.history[ta.ID]; ta.Service && len(hist) > trialLag {
-			pt.TailMS = hist[len(hist)-1-trialLag]
-			pt.Fresh = fc.now-trialLag > fc.acted[ta.Worker]
+		if hist := ce.history[ta.ID]; ta.Service && len(hist) > trialLagS {
+			pt.TailMS = hist[len(hist)-1-trialLagS]
+			pt.Fresh = ce.now-trialLagS > ce.acted[ta.Worker]
 		}
-		pt.LostMS = int64(1000 * (ta.done - ta.kept))
+		pt.LostMS = int64(1000 * (ta.done - ta.checkpointed))
 		sn.Tasks = append(sn.Tasks, pt)
 	}
 	slices.SortFunc(sn.Tasks, func(a, b Task) int { return cmp.Compare(a.ID, b.ID) })
 	if po.learns {
-		fc.learn(sn, by)
+		ce.learn(sn, by)
 	}
 	for _, dec := range po.decide(sn) {
-		fc.apply(dec)
+		ce.apply(dec)
 	}
 }
 
-func (fc *fakeCell) learn(sn Snapshot, by map[string][]*fakeTask) {
-	if fc.now%2 == 1 {
+func (ce *simCell) learn(sn Snapshot, by map[string][]*simTask) {
+	if ce.now%2 == 1 {
 		return
 	}
 	for _, ta := range sn.Tasks {
@@ -352,79 +358,80 @@
 				neighbours = append(neighbours, Neighbour{Kind: other.Kind, Cores: cores(&other.Task) * other.uses * other.Share})
 			}
 		}
-		fc.model.LearnTail(ta.Kind, ta.TailMS/fc.pol.TailTargetMS, neighbours)
+		ce.model.LearnTail(ta.Kind, ta.TailMS/ce.pol.TailTargetMS, neighbours)
 	}
 }
 
-func (fc *fakeCell) apply(dec Decision) {
-	ta := fc.tasks[dec.Task]
-	fc.acted[dec.Worker] = fc.now
+func (ce *simCell) apply(dec Decision) {
+	ta := ce.tasks[dec.Task]
+	ce.acted[dec.Worker] = ce.now
 	switch dec.Verb {
 	case Start:
 		ta.Worker, ta.Share = dec.Worker, 1
-		fc.starts++
+		ce.starts++
 	case Throttle:
 		ta.Share = dec.Share
 	case Evict, Move:
-		fc.evictions++
-		// A stop checkpoints; what it costs is the restart.
-		fc.wasted += restartCost * cores(&ta.Task)
-		fc.useful -= restartCost * cores(&ta.Task)
+		ce.evictions++
+		// A stopped task writes a checkpoint, so an eviction costs only the restart.
+		ce.wasted += restartCostS * cores(&ta.Task)
+		ce.useful -= restartCostS * cores(&ta.Task)
 		ta.Worker, ta.Evictions, ta.Share = "", ta.Evictions+1, 1
 	}
 }
 
-// restartCost is the seconds of work that a stop and start takes.
-const restartCost = 15
+// restartCost is the time lost by a stop and a start, in seconds.
+const restartCostS = 15
 
-// row is a line of the comparison. The bound for batch is what a run with
-// true sizes and no services would do on the left-over cores.
-func (fc *fakeCell) row(name string) string {
-	left := fc.left
+// row returns a line of the comparison. The upper bound for batch work is what a run with
+// known sizes and no services would do on the cores that services leave.
+func (ce *simCell) row(name string) string {
+	left := ce.batchBound
 	return fmt.Sprintf("%s\t%.2f%%\t%.1f%%\t%.1f%%\t%d\t%.0f\t%d", name,
-		100*(1-float64(fc.over)/float64(fc.samples)), 100*(fc.cores+fc.served)/(float64(trialWorkers*trialCores)/1000*float64(fc.now)),
-		100*fc.useful/left, fc.evictions, fc.wasted, fc.starts)
+		100*(1-float64(ce.over)/float64(ce.samples)), 100*(ce.cores+ce.served)/(float64(trialWorkers*trialMilliCores)/1000*float64(ce.now)),
+		100*ce.useful/left, ce.evictions, ce.wasted, ce.starts)
 }
 
-func trialOf(po policy, pol Policy, sc scene, seconds int) *fakeCell {
-	fc := newFakeCell(7, pol)
+func runTrial(po policy, pol Policy, sc scenario, seconds int) *simCell {
+	ce := newSimCell(7, pol)
 	for range seconds {
-		fc.happen(sc)
-		if fc.now%5 == 0 {
-			fc.arrive()
+		ce.inject(sc)
+		if ce.now%5 == 0 {
+			ce.addBatch()
 		}
-		fc.decide(po)
-		fc.run()
+		ce.decide(po)
+		ce.step()
 	}
-	return fc
+	return ce
 }
 
-// users are the two users' weights.
+// users are the weights of two users.
 var users = []struct {
 	name string
 	pol  Policy
 }{
-	{"Halvorsen", Policy{TailTargetMS: trialTarget, WeightTail: 3, WeightEvictions: 1, WeightBatch: 1, Evictions: 1}},
-	{"Rentenblick", Policy{TailTargetMS: trialTarget, WeightTail: 1, WeightEvictions: 3, WeightBatch: 2, Evictions: 1}},
+	{"Halvorsen", Policy{TailTargetMS: trialTargetMS, WeightTail: 3, WeightEvictions: 1, WeightBatch: 1, Evictions: 1}},
+	{"Rentenblick", Policy{TailTargetMS: trialTargetMS, WeightTail: 1, WeightEvictions: 3, WeightBatch: 2, Evictions: 1}},
 }
 
-// TestComparePolicies prints the comparison behind docs/DESIGN.md with
-// -compare; on its own it runs a short one.
+// TestComparePolicies checks in a short trial that pepperhatch evicts fewer tasks and
+// violates targets less than a simple policy. With -compare it prints the full comparison
+// of policies, see docs/DESIGN.md.
 func TestComparePolicies(t *testing.T) {
 	c := qt.New(t)
 	if !*compare {
-		ours := trialOf(policies()[0], users[0].pol, scenes[1], 2400)
-		least := trialOf(policies()[4], users[0].pol, scenes[1], 2400)
+		ours := runTrial(policies()[0], users[0].pol, scenarios[1], 2400)
+		least := runTrial(policies()[4], users[0].pol, scenarios[1], 2400)
 		c.Assert(ours.evictions*10 <= least.evictions, qt.IsTrue, qt.Commentf("%d against %d evictions", ours.evictions, least.evictions))
 		c.Assert(ours.over < least.over, qt.IsTrue, qt.Commentf("%d against %d seconds over", ours.over, least.over))
 		return
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	_, _ = fmt.Fprintln(out, "SCENE\tUSER\tPOLICY\tIN TARGET\tCORES GIVEN\tBATCH OF BOUND\tEVICTIONS\tWASTED CORE S\tSTARTS")
-	for _, sc := range scenes {
+	for _, sc := range scenarios {
 		for _, us := range users {
 			for _, po := range policies() {
-				_, _ = fmt.Fprintln(out, trialOf(po, us.pol, sc, *compareHours*3600).row(sc.name+"\t"+us.name+"\t"+po.name))
+				_, _ = fmt.Fprintln(out, runTrial(po, us.pol, sc, *compareHours*3600).row(sc.name+"\t"+us.name+"\t"+po.name))
 			}
 		}
 	}
