--- a/internal/interfere/interfere.go
+++ b/internal/interfere/interfere.go
@@ -110,10 +110,10 @@
 	alikeDrop = 2
 )
 
-// Alike rates how alike the images of two services suffer from fillers: 1 if all
+// Similarity rates how alike the images of two services suffer from fillers: 1 if all
 // drops are the same, 0 if they differ by alikeDrop, -1 if by far more. Too little
 // known of either counts as unlike.
-func (mo *Model) Alike(a, b string) float64 {
+func (mo *Model) Similarity(a, b string) float64 {
 	if a == b {
 		return 1
 	}
@@ -133,8 +133,8 @@
 	return max(1-sum/float64(n)/alikeDrop, -1)
 }
 
-// Learnt is what was learnt of a pair, to be kept.
-type Learnt struct {
+// PairEstimate is what was learnt of a pair, to be kept.
+type PairEstimate struct {
 	Pair
 
 	// Drop is the pair's, see [Model.Drop], and Variance its uncertainty.
@@ -142,21 +142,21 @@
 	Variance float64 `json:"variance"`
 }
 
-// Learnt returns what was learnt, up to a number of pairs, the most certain first.
-func (mo *Model) Learnt(most int) []Learnt {
-	list := make([]Learnt, 0, len(mo.pairs))
+// Estimates returns what was learnt, up to a number of pairs, the most certain first.
+func (mo *Model) Estimates(most int) []PairEstimate {
+	list := make([]PairEstimate, 0, len(mo.pairs))
 	for pa, es := range mo.pairs {
-		list = append(list, Learnt{Pair: pa, Drop: es.mean, Variance: es.variance})
+		list = append(list, PairEstimate{Pair: pa, Drop: es.mean, Variance: es.variance})
 	}
-	slices.SortFunc(list, func(a, b Learnt) int {
+	slices.SortFunc(list, func(a, b PairEstimate) int {
 		return cmp.Or(cmp.Compare(a.Variance, b.Variance), cmp.Compare(a.Service, b.Service), cmp.Compare(a.Filler, b.Filler))
 	})
 	return list[:min(len(list), most)]
 }
 
-// FromLearnt returns a model that begins with what was kept. It is less certain
+// Restore returns a model that begins with what was kept. It is less certain
 // of it than it was, as programs may have changed since.
-func FromLearnt(list []Learnt) Model {
+func Restore(list []PairEstimate) Model {
 	var mo Model
 	for _, le := range list {
 		es := mo.pair(le.Pair)
@@ -168,8 +168,8 @@
 // Shares are the shares of a worker's processors that fillers use, by image.
 type Shares map[string]float64
 
-// Load returns by how much the shares of fillers lower a service's headroom.
-func (mo *Model) Load(service string, sh Shares) float64 {
+// PredictedDrop returns by how much the shares of fillers lower a service's headroom.
+func (mo *Model) PredictedDrop(service string, sh Shares) float64 {
 	sum := 0.0
 	for filler, share := range sh {
 		sum += mo.Drop(Pair{Service: service, Filler: filler}) * share
@@ -204,9 +204,9 @@
 	offset estimate
 }
 
-// Alone returns the headroom that the replica is expected to have at a moment
+// Baseline returns the headroom that the replica is expected to have at a moment
 // without fillers.
-func (re *Replica) Alone(at time.Time) float64 {
+func (re *Replica) Baseline(at time.Time) float64 {
 	level, _ := re.Track.at(at)
 	return level + re.offset.mean
 }
@@ -221,7 +221,7 @@
 	}
 	re.Track.advance(me.At)
 	measured := Headroom(me.TailMS, me.TargetMS)
-	miss := measured - (re.Track.level + re.offset.mean - mo.Load(service, me.Shares))
+	miss := measured - (re.Track.level + re.offset.mean - mo.PredictedDrop(service, me.Shares))
 	// A saturated tail hides how much lower the headroom would be.
 	if measured < saturated && miss > 0 {
 		return
--- a/internal/interfere/interfere_test.go
+++ b/internal/interfere/interfere_test.go
@@ -110,7 +110,7 @@
 	const rounds = 100
 	for range rounds {
 		wo.observe(mo, func() Shares { return nil })
-		expected := wo.replicas[0].Alone(wo.now.Add(600 * time.Millisecond))
+		expected := wo.replicas[0].Baseline(wo.now.Add(600 * time.Millisecond))
 		later := *wo
 		later.now = wo.now.Add(600 * time.Millisecond)
 		miss := expected - later.alone()
@@ -123,7 +123,7 @@
 func TestUnknownPairsGetThePrior(t *testing.T) {
 	mo := &Model{}
 	qt.Assert(t, mo.Drop(Pair{"s", "f"}), qt.Equals, float64(priorDrop))
-	qt.Assert(t, mo.Load("s", Shares{"f": 0.5}), qt.Equals, 0.5*priorDrop)
+	qt.Assert(t, mo.PredictedDrop("s", Shares{"f": 0.5}), qt.Equals, 0.5*priorDrop)
 }
 
 func TestNothingIsLearntFrom(t *testing.T) {
@@ -154,7 +154,7 @@
 				At: now, TailMS: rapid.Int64Range(0, 5000).Draw(rt, "tail"), TargetMS: rapid.Int64Range(1, 500).Draw(rt, "target"),
 				Shares: Shares{"f": rapid.Float64Range(0, 2).Draw(rt, "f"), "g": rapid.Float64Range(0, 2).Draw(rt, "g")},
 			})
-			if alone := re.Alone(now.Add(time.Second)); math.IsNaN(alone) || math.IsInf(alone, 0) {
+			if alone := re.Baseline(now.Add(time.Second)); math.IsNaN(alone) || math.IsInf(alone, 0) {
 				rt.Fatalf("expected headroom %v", alone)
 			}
 		}
@@ -172,23 +172,23 @@
 	for range 20 {
 		wo.observe(&mo, wo.shares)
 	}
-	kept := FromLearnt(mo.Learnt(10))
+	kept := Restore(mo.Estimates(10))
 	for _, filler := range []string{"good", "bad", "unknown"} {
 		qt.Check(t, kept.Drop(Pair{"s", filler}), qt.Equals, mo.Drop(Pair{"s", filler}))
 	}
 }
 
 func TestLearntOutOfBoundsIsNotTrusted(t *testing.T) {
-	mo := FromLearnt([]Learnt{{Pair: Pair{"s", "f"}, Drop: 1e9}, {Pair: Pair{"s", "g"}, Drop: -3}})
+	mo := Restore([]PairEstimate{{Pair: Pair{"s", "f"}, Drop: 1e9}, {Pair: Pair{"s", "g"}, Drop: -3}})
 	qt.Assert(t, mo.Drop(Pair{"s", "f"}), qt.Equals, float64(mostDrop))
 	qt.Assert(t, mo.Drop(Pair{"s", "g"}), qt.Equals, 0.0)
 }
 
 func TestLearntIsBounded(t *testing.T) {
-	mo := FromLearnt([]Learnt{
+	mo := Restore([]PairEstimate{
 		{Pair: Pair{"s", "f"}, Drop: 1, Variance: 9}, {Pair: Pair{"s", "g"}, Drop: 2, Variance: 3}, {Pair: Pair{"s", "h"}, Drop: 3, Variance: 4},
 	})
-	qt.Assert(t, mo.Learnt(2), qt.DeepEquals, []Learnt{
+	qt.Assert(t, mo.Estimates(2), qt.DeepEquals, []PairEstimate{
 		{Pair: Pair{"s", "g"}, Drop: 2, Variance: 3}, {Pair: Pair{"s", "h"}, Drop: 3, Variance: 4},
 	})
 }
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -239,10 +239,10 @@
 		return nil
 	}
 	var row struct {
-		Pairs []interfere.Learnt `json:"pairs"`
+		Pairs []interfere.PairEstimate `json:"pairs"`
 	}
 	for pa, drop := range pl.day.drops {
-		row.Pairs = append(row.Pairs, interfere.Learnt{Pair: pa, Drop: drop})
+		row.Pairs = append(row.Pairs, interfere.PairEstimate{Pair: pa, Drop: drop})
 	}
 	value, err := json.Marshal(row)
 	if err != nil {
--- a/internal/sched/figures.go
+++ b/internal/sched/figures.go
@@ -163,6 +163,6 @@
 // excess is by how much a service's headroom is expected to be short of that at
 // the wanted part of its target, with the fillers as ordered.
 func (ho *host) excess(at *attempt, part float64) float64 {
-	left := at.replica.Alone(time.Now().Add(ho.ow.lookAhead())) - ho.ow.model.Load(at.step().Image, ho.expectedShares())
+	left := at.replica.Baseline(time.Now().Add(ho.ow.lookAhead())) - ho.ow.model.PredictedDrop(at.step().Image, ho.expectedShares())
 	return 1/part - left
 }
--- a/internal/sched/learnt.go
+++ b/internal/sched/learnt.go
@@ -24,7 +24,7 @@
 
 // learntRow is what was learnt in a cell.
 type learntRow struct {
-	Pairs []interfere.Learnt `json:"pairs"`
+	Pairs []interfere.PairEstimate `json:"pairs"`
 }
 
 func (ow *Owner) learntKey() string { return LearntTable + "/" + ow.Cell + "/pairs" }
@@ -43,7 +43,7 @@
 		ow.Log.Warn("what the former owner learnt is not known", "cell", ow.Cell, "err", err)
 		return
 	}
-	ow.model = interfere.FromLearnt(row.Pairs)
+	ow.model = interfere.Restore(row.Pairs)
 	ow.Log.Info("learnt by former owners", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
 }
 
@@ -52,7 +52,7 @@
 	if !ow.uses(MechHandOn) || ow.saving || now.Sub(ow.saved) < saveEvery || ow.storeDown() {
 		return
 	}
-	pairs := ow.model.Learnt(pairsMost)
+	pairs := ow.model.Estimates(pairsMost)
 	if len(pairs) == 0 {
 		return
 	}
--- a/internal/sched/learnt_test.go
+++ b/internal/sched/learnt_test.go
@@ -17,7 +17,7 @@
 		ow, end := la.own()
 		pair := interfere.Pair{Service: "s", Filler: "f"}
 		_, err := ask(t.Context(), ow, func(answer func(struct{})) {
-			ow.model = interfere.FromLearnt([]interfere.Learnt{{Pair: pair, Drop: 9}})
+			ow.model = interfere.Restore([]interfere.PairEstimate{{Pair: pair, Drop: 9}})
 			answer(struct{}{})
 		})
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -80,13 +80,13 @@
 // learnt returns a model that knows the drops of two images of services beside
 // the fillers f0, f1 and so on.
 func learnt(one, other []float64) interfere.Model {
-	var list []interfere.Learnt
+	var list []interfere.PairEstimate
 	for image, drops := range map[string][]float64{"one": one, "other": other} {
 		for i, drop := range drops {
-			list = append(list, interfere.Learnt{Pair: interfere.Pair{Service: image, Filler: fmt.Sprint("f", i)}, Drop: drop})
+			list = append(list, interfere.PairEstimate{Pair: interfere.Pair{Service: image, Filler: fmt.Sprint("f", i)}, Drop: drop})
 		}
 	}
-	return interfere.FromLearnt(list)
+	return interfere.Restore(list)
 }
 
 // TestImagesThatSufferAlike has a worker with a service of another image and an
--- a/internal/sched/rate.go
+++ b/internal/sched/rate.go
@@ -67,7 +67,7 @@
 	if known, ok := ow.likeness[pa]; ok {
 		return known
 	}
-	ow.likeness[pa] = ow.model.Alike(a, b)
+	ow.likeness[pa] = ow.model.Similarity(a, b)
 	return ow.likeness[pa]
 }
 
