--- a/internal/interfere/interfere.go
+++ b/internal/interfere/interfere.go
@@ -1,21 +1,21 @@
-// Package interfere learns how much tasks that fill a worker's idle processors
-// disturb the services beside them.
+// Package interfere learns how much tasks that use a worker's idle processors, the
+// fillers, disturb the services on the same worker.
 //
-// A service's tail latency grows as one over what is left of the capacity that
-// it shares with its neighbours. Its [Headroom], the target over the tail, is
-// therefore linear in what they take: it starts from what the service has by
-// itself and drops by so much per share of the worker's processors that each
-// filler uses. The drop depends on the pair of images, for most pairs it is
-// small and for some large. What the service has by itself moves with its own
-// load, which all replicas of a step share as one balancer feeds them; a [Track]
-// follows it.
+// The tail latency of a service grows as the reciprocal of the remaining part of the
+// capacity that it shares with its neighbours. Its [Headroom], the target divided by the
+// tail, is therefore linear in what they use: it starts at the baseline of the service and
+// drops in proportion to the share of the worker's processors that each filler uses. The
+// drop depends on the pair of images; it is small for most pairs and large for some. The
+// baseline changes with the service's own load, which all replicas of a step share because
+// one balancer distributes it; a [Track] follows it.
 //
-// Each measurement corrects the track, the replica's offset from it and the
-// drops of the pairs beside it, each in proportion to how uncertain it is: a
-// Kalman filter that leaves out the covariances between them. So fillers are
-// told apart by replicas of one step on different workers at the same time as
-// well as by changes on one worker. The zero [Model] assumes something of every
-// pair.
+// Each measurement corrects the track, the replica's offset from it and the drops of the
+// pairs involved, each in proportion to its uncertainty: a Kalman filter without the
+// covariances between them. Fillers are thus told apart by replicas of one step on
+// different workers at the same time as well as by changes on one worker. The zero [Model]
+// assumes the same prior of every pair.
+//
+// The package sees no tasks or workers, only measurements, and makes no decisions.
 package interfere
 
 import (
@@ -25,32 +25,34 @@
 	"time"
 )
 
-// The numbers of learning. Drops are of headroom per whole worker.
+// Parameters of learning. Drops are in units of headroom per whole worker.
 const (
-	// priorDrop is assumed of a pair never seen together, priorVar is its
-	// variance: pairs were seen to have 0 to 10.
+	// priorDrop is assumed of a pair that has not been measured together, priorVar is its
+	// variance. Measured drops were between 0 and 10.
 	priorDrop = 4
 	priorVar  = 16
-	// leastVar keeps learning going, as programs change.
-	leastVar = 0.15
-	// keptVar is the least variance of what was kept from before.
-	keptVar = 1
-	// mostDrop bounds what is learnt.
-	mostDrop = 15
-	// offsetVar is the variance of a replica's offset from its step, which
-	// comes of the other services beside it.
+	// minVariance keeps the estimates adapting, as programs change.
+	minVariance = 0.15
+	// minRestoredVariance is the least variance of restored estimates.
+	minRestoredVariance = 1
+	// maxDrop limits the estimates of drops.
+	maxDrop = 15
+	// offsetVar is the prior variance of a replica's offset from the track of its step,
+	// which results from other services on its worker.
 	offsetVar = 0.1
-	// noisePart is the part of a tail by which its rough figure is off.
-	noisePart = 0.15
-	// clipAt is the error, in standard deviations, beyond which a measurement
-	// counts no more.
-	clipAt = 2.5
-	// saturated is the headroom under which a tail tells only that it is bad.
-	saturated = 0.35
+	// noiseRatio is the standard deviation of a measured tail, as a fraction of it.
+	noiseRatio = 0.15
+	// maxDeviations is the number of standard deviations to which the error of a
+	// measurement is clipped.
+	maxDeviations = 2.5
+	// saturatedHeadroom is the headroom below which a tail latency is high but does not
+	// show by how much.
+	saturatedHeadroom = 0.35
 )
 
-// Headroom rates a tail latency: 1 at the target, above it while the tail is
-// under the target, and close to 0 far over it.
+// Headroom returns the target divided by the tail latency, both in milliseconds: 1 at the
+// target, more while the tail is below the target, close to 0 far above it, and 0 if there
+// is no tail.
 func Headroom(tailMS, targetMS int64) float64 {
 	if tailMS <= 0 {
 		return 0
@@ -58,28 +60,28 @@
 	return float64(targetMS) / float64(tailMS)
 }
 
-// Pair is a service's image and a filler's.
+// Pair identifies a service and a filler by their images.
 type Pair struct {
-	// Service and Filler are the images.
+	// Service and Filler are the names of the images.
 	Service string `json:"service"`
 	Filler  string `json:"filler"`
 }
 
-// estimate is a number and its variance.
+// estimate is an estimated number and its variance.
 type estimate struct {
 	mean, variance float64
 }
 
-// Model holds what was learnt of pairs.
+// Model holds the estimates of all pairs.
 type Model struct {
-	// Fixed keeps the model from learning anything of pairs.
+	// Fixed disables learning about pairs.
 	Fixed bool
 
 	pairs map[Pair]*estimate
 }
 
-// Drop returns by how much a service's headroom drops if a filler takes all
-// processors of its worker.
+// Drop returns the decrease of a service's headroom if a filler uses all processors of its
+// worker.
 func (mo *Model) Drop(pa Pair) float64 {
 	if es := mo.pairs[pa]; es != nil {
 		return es.mean
@@ -99,51 +101,51 @@
 	return es
 }
 
-// The numbers of likeness.
+// Parameters of [Model.Similarity].
 const (
-	// alikePairs is how many fillers must be known beside both services, and
-	// alikeVar the most variance of a drop that is known.
-	alikePairs = 3
-	alikeVar   = 2
-	// alikeDrop is the mean difference of drops at which images are neither alike
-	// nor unlike: harmless pairs were seen to differ by up to 2.
-	alikeDrop = 2
+	// minSharedFillers is how many fillers must be known beside both services,
+	// maxKnownVariance the largest variance of an estimate that counts as known.
+	minSharedFillers = 3
+	maxKnownVariance = 2
+	// neutralDifference is the mean difference of drops with similarity 0. Drops of
+	// harmless pairs differed by up to 2.
+	neutralDifference = 2
 )
 
-// Similarity rates how alike the images of two services suffer from fillers: 1 if all
-// drops are the same, 0 if they differ by alikeDrop, -1 if by far more. Too little
-// known of either counts as unlike.
+// Similarity returns how similarly the images of two services are disturbed by fillers: 1
+// if all drops are equal, 0 if they differ by neutralDifference, -1 if they differ by
+// twice as much or more. Images of which too little is known count as -1.
 func (mo *Model) Similarity(a, b string) float64 {
 	if a == b {
 		return 1
 	}
 	n, sum := 0, 0.0
 	for pa, es := range mo.pairs {
-		if pa.Service != a || es.variance > alikeVar {
+		if pa.Service != a || es.variance > maxKnownVariance {
 			continue
 		}
-		if other := mo.pairs[Pair{Service: b, Filler: pa.Filler}]; other != nil && other.variance <= alikeVar {
+		if other := mo.pairs[Pair{Service: b, Filler: pa.Filler}]; other != nil && other.variance <= maxKnownVariance {
 			n++
 			sum += math.Abs(es.mean - other.mean)
 		}
 	}
-	if n < alikePairs {
+	if n < minSharedFillers {
 		return -1
 	}
-	return max(1-sum/float64(n)/alikeDrop, -1)
+	return max(1-sum/float64(n)/neutralDifference, -1)
 }
 
-// PairEstimate is what was learnt of a pair, to be kept.
+// PairEstimate is the estimate of a pair, to be stored.
 type PairEstimate struct {
 	Pair
 
-	// Drop is the pair's, see [Model.Drop], and Variance its uncertainty.
+	// Drop is the drop of the pair, see [Model.Drop], and Variance its variance.
 	Drop     float64 `json:"drop"`
 	Variance float64 `json:"variance"`
 }
 
-// Estimates returns what was learnt, up to a number of pairs, the most certain first.
-func (mo *Model) Estimates(most int) []PairEstimate {
+// Estimates returns at most limit estimates, the most certain first.
+func (mo *Model) Estimates(limit int) []PairEstimate {
 	list := make([]PairEstimate, 0, len(mo.pairs))
 	for pa, es := range mo.pairs {
 		list = append(list, PairEstimate{Pair: pa, Drop: es.mean, Variance: es.variance})
@@ -151,24 +153,26 @@
 	slices.SortFunc(list, func(a, b PairEstimate) int {
 		return cmp.Or(cmp.Compare(a.Variance, b.Variance), cmp.Compare(a.Service, b.Service), cmp.Compare(a.Filler, b.Filler))
 	})
-	return list[:min(len(list), most)]
+	return list[:min(len(list), limit)]
 }
 
-// Restore returns a model that begins with what was kept. It is less certain
-// of it than it was, as programs may have changed since.
+// Restore returns a model with stored estimates. Their variance is at least
+// minRestoredVariance, as programs may have changed since.
 func Restore(list []PairEstimate) Model {
 	var mo Model
-	for _, le := range list {
-		es := mo.pair(le.Pair)
-		es.mean, es.variance = min(max(le.Drop, 0), mostDrop), max(le.Variance, keptVar)
+	for _, pe := range list {
+		es := mo.pair(pe.Pair)
+		es.mean, es.variance = min(max(pe.Drop, 0), maxDrop), max(pe.Variance, minRestoredVariance)
 	}
 	return mo
 }
 
-// Shares are the shares of a worker's processors that fillers use, by image.
+// Shares holds the shares of a worker's processors that fillers use, by image, from 0 to
+// 1.
 type Shares map[string]float64
 
-// PredictedDrop returns by how much the shares of fillers lower a service's headroom.
+// PredictedDrop returns the decrease of a service's headroom beside fillers with the given
+// shares.
 func (mo *Model) PredictedDrop(service string, sh Shares) float64 {
 	sum := 0.0
 	for filler, share := range sh {
@@ -177,41 +181,41 @@
 	return sum
 }
 
-// Measurement is one of a replica's tail, with the shares of the fillers
-// beside it over the same time.
+// Measurement is one measurement of a replica's tail latency, with the shares of the
+// fillers on its worker at that time.
 type Measurement struct {
-	// At is when it was taken.
+	// At is the time of the measurement.
 	At time.Time
-	// TailMS and TargetMS are the tail and the target in milliseconds.
+	// TailMS and TargetMS are the tail latency and its target, in milliseconds.
 	TailMS, TargetMS int64
-	// Shares are the fillers'.
+	// Shares holds the shares of the fillers.
 	Shares Shares
 }
 
-// variance is that of the measured headroom: the tail is a rough figure, and
-// rounded to whole milliseconds.
+// variance returns the variance of the measured headroom: the tail is an approximate
+// figure, rounded to whole milliseconds.
 func (me Measurement) variance() float64 {
-	noise := noisePart * Headroom(me.TailMS, me.TargetMS)
+	noise := noiseRatio * Headroom(me.TailMS, me.TargetMS)
 	rounding := float64(me.TargetMS) / float64(2*me.TailMS*me.TailMS)
 	return noise*noise + rounding*rounding
 }
 
-// Replica is what was learnt of one replica of a service.
+// Replica holds the estimates of one replica of a service.
 type Replica struct {
-	// Track is that of its step.
+	// Track is the track of the replica's step.
 	Track *Track
 
 	offset estimate
 }
 
-// Baseline returns the headroom that the replica is expected to have at a moment
-// without fillers.
+// Baseline returns the expected headroom of the replica at a time without fillers.
 func (re *Replica) Baseline(at time.Time) float64 {
 	level, _ := re.Track.at(at)
 	return level + re.offset.mean
 }
 
-// Observe takes a measurement of a replica of the service.
+// Observe updates the estimates with a measurement of a replica of the service.
+// Measurements without a tail or a target are ignored.
 func (mo *Model) Observe(re *Replica, service string, me Measurement) {
 	if me.TailMS <= 0 || me.TargetMS <= 0 {
 		return
@@ -221,33 +225,33 @@
 	}
 	re.Track.advance(me.At)
 	measured := Headroom(me.TailMS, me.TargetMS)
-	miss := measured - (re.Track.level + re.offset.mean - mo.PredictedDrop(service, me.Shares))
-	// A saturated tail hides how much lower the headroom would be.
-	if measured < saturated && miss > 0 {
+	residual := measured - (re.Track.level + re.offset.mean - mo.PredictedDrop(service, me.Shares))
+	// The true headroom may be much lower than a saturated one.
+	if measured < saturatedHeadroom && residual > 0 {
 		return
 	}
-	sum := me.variance() + re.Track.levelVar + re.offset.variance
+	residualVar := me.variance() + re.Track.levelVar + re.offset.variance
 	for filler, share := range me.Shares {
-		sum += share * share * mo.pair(Pair{Service: service, Filler: filler}).variance
+		residualVar += share * share * mo.pair(Pair{Service: service, Filler: filler}).variance
 	}
-	bound := clipAt * math.Sqrt(sum)
-	miss = min(max(miss, -bound), bound)
-	re.Track.correct(miss, sum)
-	re.offset.correct(1, miss, sum, 0)
+	bound := maxDeviations * math.Sqrt(residualVar)
+	residual = min(max(residual, -bound), bound)
+	re.Track.correct(residual, residualVar)
+	re.offset.correct(1, residual, residualVar, 0)
 	if mo.Fixed {
 		return
 	}
 	for filler, share := range me.Shares {
 		es := mo.pair(Pair{Service: service, Filler: filler})
-		es.correct(-share, miss, sum, leastVar)
-		es.mean = min(max(es.mean, 0), mostDrop)
+		es.correct(-share, residual, residualVar, minVariance)
+		es.mean = min(max(es.mean, 0), maxDrop)
 	}
 }
 
-// correct moves the estimate by its part of a miss whose variance is sum, where
-// the measurement has factor times the estimated number in it.
-func (es *estimate) correct(factor, miss, sum, least float64) {
-	gain := es.variance * factor / sum
-	es.mean += gain * miss
-	es.variance = max(es.variance*(1-gain*factor), least)
+// correct updates the estimate with its part of a residual whose variance is residualVar.
+// The measurement contains the estimated number multiplied by factor.
+func (es *estimate) correct(factor, residual, residualVar, minVar float64) {
+	gain := es.variance * factor / residualVar
+	es.mean += gain * residual
+	es.variance = max(es.variance*(1-gain*factor), minVar)
 }
--- a/internal/interfere/interfere_test.go
+++ b/internal/interfere/interfere_test.go
@@ -17,9 +17,9 @@
 	testReplicas = 6
 )
 
-// world is a step of several replicas on workers of their own, whose tails
-// follow the law that the package assumes.
-type world struct {
+// simulatedStep is a step with several replicas on separate workers, whose tail latencies
+// follow the model that the package assumes.
+type simulatedStep struct {
 	rng      *rand.Rand
 	drops    map[string]float64
 	replicas []*Replica
@@ -27,113 +27,114 @@
 	began    time.Time
 }
 
-func newWorld(seed uint64, drops map[string]float64) *world {
-	wo := &world{rng: rand.New(rand.NewPCG(seed, 1)), drops: drops, began: time.Unix(0, 0), now: time.Unix(0, 0)}
+func newSimulatedStep(seed uint64, drops map[string]float64) *simulatedStep {
+	ss := &simulatedStep{rng: rand.New(rand.NewPCG(seed, 1)), drops: drops, began: time.Unix(0, 0), now: time.Unix(0, 0)}
 	tr := &Track{}
 	for range testReplicas {
-		wo.replicas = append(wo.replicas, &Replica{Track: tr})
+		ss.replicas = append(ss.replicas, &Replica{Track: tr})
 	}
-	return wo
+	return ss
 }
 
-// alone is the headroom without fillers: the load swings by half of itself in
-// 10 s.
-func (wo *world) alone() float64 {
-	load := 0.48 * (1 + 0.5*math.Sin(wo.now.Sub(wo.began).Seconds()*2*math.Pi/10))
+// baseline returns the headroom without fillers: the load varies by half of its mean, with
+// a period of 10 s.
+func (ss *simulatedStep) baseline() float64 {
+	load := 0.48 * (1 + 0.5*math.Sin(ss.now.Sub(ss.began).Seconds()*2*math.Pi/10))
 	return 6 * (1 - load)
 }
 
-// tail returns a rough tail beside fillers, in whole milliseconds.
-func (wo *world) tail(sh Shares) int64 {
-	headroom := wo.alone()
+// tail returns a tail latency with noise beside fillers, in whole milliseconds.
+func (ss *simulatedStep) tail(sh Shares) int64 {
+	headroom := ss.baseline()
 	for filler, share := range sh {
-		headroom -= wo.drops[filler] * share
+		headroom -= ss.drops[filler] * share
 	}
-	rough := 1 + 0.15*wo.rng.NormFloat64()
+	rough := 1 + 0.15*ss.rng.NormFloat64()
 	return max(int64(math.Round(rough*testTarget/max(headroom, 0.12))), 1)
 }
 
-// shares draws which fillers are at work, and how much. They are drawn in the order
-// of their names: by the order of the map, a seed would not mean one world.
-func (wo *world) shares() Shares {
+// shares draws which fillers run and how much they use. It draws in the order of their
+// names, as the order of map iteration would make a seed irreproducible.
+func (ss *simulatedStep) shares() Shares {
 	sh := Shares{}
-	for _, filler := range slices.Sorted(maps.Keys(wo.drops)) {
-		if wo.rng.IntN(2) == 0 {
-			sh[filler] = 0.05 + 0.1*wo.rng.Float64()
+	for _, filler := range slices.Sorted(maps.Keys(ss.drops)) {
+		if ss.rng.IntN(2) == 0 {
+			sh[filler] = 0.05 + 0.1*ss.rng.Float64()
 		}
 	}
 	return sh
 }
 
-// observe has each replica measured once, over 0.6 s.
-func (wo *world) observe(mo *Model, sharesFunc func() Shares) {
-	for _, re := range wo.replicas {
-		wo.now = wo.now.Add(600 * time.Millisecond / time.Duration(len(wo.replicas)))
+// observe measures each replica once, over 0.6 s.
+func (ss *simulatedStep) observe(mo *Model, sharesFunc func() Shares) {
+	for _, re := range ss.replicas {
+		ss.now = ss.now.Add(600 * time.Millisecond / time.Duration(len(ss.replicas)))
 		sh := sharesFunc()
-		mo.Observe(re, "s", Measurement{At: wo.now, TailMS: wo.tail(sh), TargetMS: testTarget, Shares: sh})
+		mo.Observe(re, "s", Measurement{At: ss.now, TailMS: ss.tail(sh), TargetMS: testTarget, Shares: sh})
 	}
 }
 
-func TestObserveTellsBadPairsFromGood(t *testing.T) {
+func TestObserveSeparatesPairs(t *testing.T) {
 	for seed := range uint64(200) {
-		wo := newWorld(seed, map[string]float64{"good": 0, "bad": 9})
+		ss := newSimulatedStep(seed, map[string]float64{"good": 0, "bad": 9})
 		mo := &Model{}
 		for range 20 {
-			wo.observe(mo, wo.shares)
+			ss.observe(mo, ss.shares)
 		}
 		qt.Check(t, mo.Drop(Pair{"s", "good"}) < 2, qt.IsTrue, qt.Commentf("seed %d: %v", seed, mo.Drop(Pair{"s", "good"})))
 		qt.Check(t, mo.Drop(Pair{"s", "bad"}) > 6, qt.IsTrue, qt.Commentf("seed %d: %v", seed, mo.Drop(Pair{"s", "bad"})))
 	}
 }
 
-// TestObserveWithoutChange has fillers that never change beside replicas whose
-// load swings: they are told apart by replicas that have none.
-func TestObserveWithoutChange(t *testing.T) {
+// TestObserveConstantFillers has fillers with constant shares beside replicas whose load
+// varies. The drops are told apart by the replicas without fillers.
+func TestObserveConstantFillers(t *testing.T) {
 	for seed := range uint64(20) {
-		wo := newWorld(seed, map[string]float64{"good": 0, "bad": 9})
+		ss := newSimulatedStep(seed, map[string]float64{"good": 0, "bad": 9})
 		mo := &Model{}
 		always := []Shares{{"bad": 0.1}, {"good": 0.1}, nil, {"bad": 0.1}, {"good": 0.1}, nil}
 		n := 0
 		for range 30 {
-			wo.observe(mo, func() Shares { n++; return always[n%len(always)] })
+			ss.observe(mo, func() Shares { n++; return always[n%len(always)] })
 		}
 		bad, good := mo.Drop(Pair{"s", "bad"}), mo.Drop(Pair{"s", "good"})
 		qt.Check(t, bad > good+2, qt.IsTrue, qt.Commentf("seed %d: bad %v, good %v", seed, bad, good))
 	}
 }
 
-// TestAloneLooksAhead compares what is expected in 0.6 s with what comes.
-func TestAloneLooksAhead(t *testing.T) {
-	wo := newWorld(3, nil)
+// TestBaselinePredictsAhead compares the headroom predicted for 0.6 s later with the
+// actual one.
+func TestBaselinePredictsAhead(t *testing.T) {
+	ss := newSimulatedStep(3, nil)
 	mo := &Model{}
 	sum := 0.0
 	const rounds = 100
 	for range rounds {
-		wo.observe(mo, func() Shares { return nil })
-		expected := wo.replicas[0].Baseline(wo.now.Add(600 * time.Millisecond))
-		later := *wo
-		later.now = wo.now.Add(600 * time.Millisecond)
-		miss := expected - later.alone()
-		sum += miss * miss
+		ss.observe(mo, func() Shares { return nil })
+		expected := ss.replicas[0].Baseline(ss.now.Add(600 * time.Millisecond))
+		later := *ss
+		later.now = ss.now.Add(600 * time.Millisecond)
+		residual := expected - later.baseline()
+		sum += residual * residual
 	}
 	rms := math.Sqrt(sum / rounds)
 	qt.Assert(t, rms < 0.6, qt.IsTrue, qt.Commentf("%v", rms))
 }
 
-func TestUnknownPairsGetThePrior(t *testing.T) {
+func TestUnknownPairHasPriorDrop(t *testing.T) {
 	mo := &Model{}
 	qt.Assert(t, mo.Drop(Pair{"s", "f"}), qt.Equals, float64(priorDrop))
 	qt.Assert(t, mo.PredictedDrop("s", Shares{"f": 0.5}), qt.Equals, 0.5*priorDrop)
 }
 
-func TestNothingIsLearntFrom(t *testing.T) {
+func TestMeasurementsThatAreIgnored(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		me   Measurement
 	}{
 		{"no tail", Measurement{At: time.Unix(1, 0), TargetMS: testTarget, Shares: Shares{"f": 0.1}}},
 		{"no target", Measurement{At: time.Unix(1, 0), TailMS: 9, Shares: Shares{"f": 0.1}}},
-		{"a tail that tells only that it is bad", Measurement{At: time.Unix(1, 0), TailMS: 5000, TargetMS: testTarget, Shares: Shares{"f": 2}}},
+		{"a saturated tail", Measurement{At: time.Unix(1, 0), TailMS: 5000, TargetMS: testTarget, Shares: Shares{"f": 2}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			mo := &Model{}
@@ -143,7 +144,7 @@
 	}
 }
 
-func TestEstimatesStayInBounds(t *testing.T) {
+func TestEstimatesStayInRange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		mo := &Model{}
 		re := &Replica{Track: &Track{}}
@@ -159,32 +160,32 @@
 			}
 		}
 		for _, filler := range []string{"f", "g"} {
-			if drop := mo.Drop(Pair{"s", filler}); !(drop >= 0 && drop <= mostDrop) {
+			if drop := mo.Drop(Pair{"s", filler}); !(drop >= 0 && drop <= maxDrop) {
 				rt.Fatalf("drop %v", drop)
 			}
 		}
 	})
 }
 
-func TestLearntIsKept(t *testing.T) {
-	wo := newWorld(1, map[string]float64{"good": 0, "bad": 9})
+func TestRestoreKeepsEstimates(t *testing.T) {
+	ss := newSimulatedStep(1, map[string]float64{"good": 0, "bad": 9})
 	var mo Model
 	for range 20 {
-		wo.observe(&mo, wo.shares)
+		ss.observe(&mo, ss.shares)
 	}
-	kept := Restore(mo.Estimates(10))
+	restored := Restore(mo.Estimates(10))
 	for _, filler := range []string{"good", "bad", "unknown"} {
-		qt.Check(t, kept.Drop(Pair{"s", filler}), qt.Equals, mo.Drop(Pair{"s", filler}))
+		qt.Check(t, restored.Drop(Pair{"s", filler}), qt.Equals, mo.Drop(Pair{"s", filler}))
 	}
 }
 
-func TestLearntOutOfBoundsIsNotTrusted(t *testing.T) {
+func TestRestoreClipsDrops(t *testing.T) {
 	mo := Restore([]PairEstimate{{Pair: Pair{"s", "f"}, Drop: 1e9}, {Pair: Pair{"s", "g"}, Drop: -3}})
-	qt.Assert(t, mo.Drop(Pair{"s", "f"}), qt.Equals, float64(mostDrop))
+	qt.Assert(t, mo.Drop(Pair{"s", "f"}), qt.Equals, float64(maxDrop))
 	qt.Assert(t, mo.Drop(Pair{"s", "g"}), qt.Equals, 0.0)
 }
 
-func TestLearntIsBounded(t *testing.T) {
+func TestEstimatesAreLimited(t *testing.T) {
 	mo := Restore([]PairEstimate{
 		{Pair: Pair{"s", "f"}, Drop: 1, Variance: 9}, {Pair: Pair{"s", "g"}, Drop: 2, Variance: 3}, {Pair: Pair{"s", "h"}, Drop: 3, Variance: 4},
 	})
--- a/internal/interfere/track.go
+++ b/internal/interfere/track.go
@@ -5,77 +5,76 @@
 	"time"
 )
 
-// The numbers of a track.
+// Parameters of a track.
 const (
-	// firstLevel is the headroom assumed of a service of which nothing is
-	// known, firstVar its variance.
-	firstLevel = 3
-	firstVar   = 4
-	// wobble is the density of the noise that drives the trend: load was seen
-	// to swing by half of itself within 10 s.
-	wobble = 0.6
-	// trendVar is the variance of a trend not known yet, in headroom a second
-	// squared.
-	trendVar = 0.3
-	// trendLasts is the time within which a trend fades without measurements.
-	trendLasts = 2 * time.Second
+	// priorLevel is the headroom assumed of a service without measurements, priorLevelVar
+	// its variance.
+	priorLevel    = 3
+	priorLevelVar = 4
+	// trendNoise is the spectral density of the noise that drives the trend. Loads varied
+	// by half of their mean within 10 s.
+	trendNoise = 0.6
+	// priorTrendVar is the variance of an unknown trend, in (headroom per second) squared.
+	priorTrendVar = 0.3
+	// trendDecay is the time constant with which a trend decays without measurements.
+	trendDecay = 2 * time.Second
 )
 
-// Track follows the headroom that the replicas of a step have by themselves:
-// its level and its trend. The zero Track knows nothing.
+// Track follows the baseline of the replicas of a step, their headroom without fillers:
+// its level and its trend per second. The zero Track has no measurements.
 type Track struct {
 	level, trend float64
-	// levelVar, cross and trendVar are the covariance of both.
-	levelVar, cross, trendVar float64
-	seen                      time.Time
+	// levelVar, covariance and trendVar form the covariance matrix of level and trend.
+	levelVar, covariance, trendVar float64
+	updated                        time.Time
 }
 
-// at returns the level expected at a moment, and the trend by then.
+// at returns the expected level and trend at a time.
 func (tr *Track) at(at time.Time) (level, trend float64) {
-	if tr.seen.IsZero() {
-		return firstLevel, 0
+	if tr.updated.IsZero() {
+		return priorLevel, 0
 	}
-	ahead := max(at.Sub(tr.seen).Seconds(), 0)
-	lasts := trendLasts.Seconds()
-	fade := math.Exp(-ahead / lasts)
-	return tr.level + tr.trend*lasts*(1-fade), tr.trend * fade
+	ahead := max(at.Sub(tr.updated).Seconds(), 0)
+	decay := trendDecay.Seconds()
+	fade := math.Exp(-ahead / decay)
+	return tr.level + tr.trend*decay*(1-fade), tr.trend * fade
 }
 
-// advance moves the track on to a moment.
+// advance predicts the track's state at a time.
 func (tr *Track) advance(now time.Time) {
-	if tr.seen.IsZero() {
-		tr.level, tr.levelVar, tr.trendVar, tr.seen = firstLevel, firstVar, trendVar, now
+	if tr.updated.IsZero() {
+		tr.level, tr.levelVar, tr.trendVar, tr.updated = priorLevel, priorLevelVar, priorTrendVar, now
 		return
 	}
-	dt := now.Sub(tr.seen).Seconds()
+	dt := now.Sub(tr.updated).Seconds()
 	if dt <= 0 {
 		return
 	}
-	fade := math.Exp(-dt / trendLasts.Seconds())
-	reach := trendLasts.Seconds() * (1 - fade)
+	fade := math.Exp(-dt / trendDecay.Seconds())
+	reach := trendDecay.Seconds() * (1 - fade)
 	tr.level, tr.trend = tr.at(now)
-	tr.levelVar += 2*reach*tr.cross + reach*reach*tr.trendVar + wobble*reach*reach*reach/3
-	tr.cross = fade*(tr.cross+reach*tr.trendVar) + wobble*reach*reach/2
-	tr.trendVar = fade*fade*tr.trendVar + wobble*reach
-	tr.bound()
-	tr.seen = now
+	tr.levelVar += 2*reach*tr.covariance + reach*reach*tr.trendVar + trendNoise*reach*reach*reach/3
+	tr.covariance = fade*(tr.covariance+reach*tr.trendVar) + trendNoise*reach*reach/2
+	tr.trendVar = fade*fade*tr.trendVar + trendNoise*reach
+	tr.boundVariance()
+	tr.updated = now
 }
 
-// bound keeps the level's variance under that of a level not known at all.
-func (tr *Track) bound() {
-	if tr.levelVar <= firstVar {
+// boundVariance keeps the variance of the level below that of an unknown level.
+func (tr *Track) boundVariance() {
+	if tr.levelVar <= priorLevelVar {
 		return
 	}
-	tr.cross *= math.Sqrt(firstVar / tr.levelVar)
-	tr.levelVar = firstVar
+	tr.covariance *= math.Sqrt(priorLevelVar / tr.levelVar)
+	tr.levelVar = priorLevelVar
 }
 
-// correct takes in a miss of the level whose variance is sum.
-func (tr *Track) correct(miss, sum float64) {
-	byLevel, byTrend := tr.levelVar/sum, tr.cross/sum
-	tr.level += byLevel * miss
-	tr.trend += byTrend * miss
-	tr.trendVar -= byTrend * tr.cross
-	tr.cross -= byLevel * tr.cross
-	tr.levelVar -= byLevel * tr.levelVar
+// correct updates the track with a residual of the level whose variance is residualVar.
+func (tr *Track) correct(residual, residualVar float64) {
+	levelGain, trendGain := tr.levelVar/residualVar, tr.covariance/residualVar
+	tr.level += levelGain * residual
+	tr.trend += trendGain * residual
+	tr.trendVar -= trendGain * tr.covariance
+	tr.covariance -= levelGain * tr.covariance
+	tr.levelVar -= levelGain * tr.levelVar
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,8 +1,9 @@
-// Package queue is the operator's configuration of queues and services, and
-// finds the queue of a request.
+// Package queue holds the operator's configuration of queues and services, and finds the
+// queue for a request.
 //
-// A configuration comes whole and is never changed; hosts replace it by a
-// newer one. Version numbers only rise.
+// A configuration is immutable, so that requests read it without locks; hosts replace it
+// as a whole by a newer one. Version numbers only increase. Reading and distributing
+// configurations is left to other packages.
 package queue
 
 import (
@@ -13,27 +14,28 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// Queue is one queue.
+// Queue is the configuration of one queue.
 type Queue struct {
-	// Name is the operator's.
+	// Name is the name that the operator gave the queue.
 	Name string
-	// Host and PathPrefix are what a request's host and path must match.
+	// Host and PathPrefix select requests: the host must be equal, the path must begin
+	// with the prefix.
 	Host       string
 	PathPrefix string
-	// Service names the workers that run its tasks.
+	// Service is the name of the service whose workers run the queue's tasks.
 	Service string
-	// Priority 0 comes first.
+	// Priority 0 is the highest.
 	Priority int
-	// MaxFailures is how often one task may fail.
+	// MaxFailures is the number of failures after which a task is given up.
 	MaxFailures int
-	// Stretch and AllowanceMS say how soon a job should be done; see [job.Terms].
+	// Stretch and AllowanceMS set the target duration of jobs; see [job.Terms].
 	Stretch     float64
 	AllowanceMS int64
-	// Advised queues may run a step only where an advisor allows it.
+	// Advised is set if an advisor must approve where a step runs.
 	Advised bool
 }
 
-// Terms returns what a job accepted now is held to.
+// Terms returns the terms of a job that is accepted now. A task may fail at least once.
 func (qu Queue) Terms() job.Terms {
 	return job.Terms{Queue: qu.Name, Service: qu.Service, Priority: qu.Priority, MaxFailures: max(qu.MaxFailures, 1),
 		Stretch: qu.Stretch, AllowanceMS: qu.AllowanceMS}
@@ -41,9 +43,9 @@
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version rises with every change; 0 is none.
+	// Version increases with every change; 0 if there is no configuration.
 	Version int64
-	// MaxBody is the largest body of a request, in bytes.
+	// MaxBody is the size limit of a request's body, in bytes.
 	MaxBody int64
 
 	byHost map[string][]Queue
@@ -63,14 +65,14 @@
 	return co
 }
 
-// Queue returns the queue of a name.
+// Queue returns the queue with the given name.
 func (co *Config) Queue(name string) (Queue, bool) {
 	qu, ok := co.byName[name]
 	return qu, ok
 }
 
-// Match finds the queue with the longest prefix of the path, and what of the
-// path follows it.
+// Match returns the queue of the host with the longest matching path prefix, and the rest
+// of the path after that prefix.
 func (co *Config) Match(host, path string) (qu Queue, rest string, ok bool) {
 	for _, qu := range co.byHost[host] {
 		if rest, ok := strings.CutPrefix(path, qu.PathPrefix); ok {
