--- a/internal/interfere/interfere_test.go
+++ b/internal/interfere/interfere_test.go
@@ -155,8 +155,8 @@
 				At: now, TailMS: rapid.Int64Range(0, 5000).Draw(rt, "tail"), TargetMS: rapid.Int64Range(1, 500).Draw(rt, "target"),
 				Shares: Shares{"f": rapid.Float64Range(0, 2).Draw(rt, "f"), "g": rapid.Float64Range(0, 2).Draw(rt, "g")},
 			})
-			if alone := re.Baseline(now.Add(time.Second)); math.IsNaN(alone) || math.IsInf(alone, 0) {
-				rt.Fatalf("expected headroom %v", alone)
+			if baseline := re.Baseline(now.Add(time.Second)); math.IsNaN(baseline) || math.IsInf(baseline, 0) {
+				rt.Fatalf("expected headroom %v", baseline)
 			}
 		}
 		for _, filler := range []string{"f", "g"} {
--- a/internal/job/giveup_test.go
+++ b/internal/job/giveup_test.go
@@ -31,9 +31,9 @@
 	endless.Steps[0].Endless = true
 	for _, sp := range []Spec{chain(1, 1), endless} {
 		for _, tc := range []struct {
-			ends         []End
-			want         State
-			apart, alone bool
+			ends              []End
+			want              State
+			suspect, isolated bool
 		}{
 			{[]End{EndCrashed}, Running, true, false},
 			{[]End{EndCrashed, EndCrashed}, Running, true, true},
@@ -54,8 +54,8 @@
 				// The rows of a job that is over hold no tasks.
 				continue
 			}
-			qt.Check(t, jo.Task(TaskRef{}).Suspect(), qt.Equals, tc.apart, qt.Commentf("%v", tc.ends))
-			qt.Check(t, jo.Task(TaskRef{}).Isolated(), qt.Equals, tc.alone, qt.Commentf("%v", tc.ends))
+			qt.Check(t, jo.Task(TaskRef{}).Suspect(), qt.Equals, tc.suspect, qt.Commentf("%v", tc.ends))
+			qt.Check(t, jo.Task(TaskRef{}).Isolated(), qt.Equals, tc.isolated, qt.Commentf("%v", tc.ends))
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	if tr.crashes >= 3 || tr.failures >= 2 {
 		tr.rt.Fatalf("attempt %d after %d crashes and %d failures", number, tr.crashes, tr.failures)
 	}
-	if rapid.IntRange(0, 3).Draw(tr.rt, "lasts") == 0 {
+	if rapid.IntRange(0, 3).Draw(tr.rt, "stable") == 0 {
 		tr.jo.MarkStable(TaskRef{}, number)
 		tr.crashes = 0
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -172,7 +172,7 @@
 		sp := chain(rapid.IntRange(1, 4).Draw(rt, "steps"), rapid.IntRange(1, 3).Draw(rt, "tasks"))
 		jo := New(testID, Terms{MaxFailures: 2}, sp)
 		var last State
-		for range rapid.IntRange(1, 80).Draw(rt, "acts") {
+		for range rapid.IntRange(1, 80).Draw(rt, "actions") {
 			ref := TaskRef{rapid.IntRange(0, len(sp.Steps)-1).Draw(rt, "step"), rapid.IntRange(0, sp.Steps[0].Tasks-1).Draw(rt, "index")}
 			assertStart(rt, jo, ref)
 			end := rapid.SampledFrom([]End{EndDone, EndFailed, EndStopped, EndLapsed, EndNeverRan, EndCrashed, EndLost}).Draw(rt, "end")
--- a/internal/place/control.go
+++ b/internal/place/control.go
@@ -26,23 +26,23 @@
 // is newer than its last action there, as older ones do not show the effect of that
 // action.
 func (de *decider) controlTails() {
-	for _, se := range de.ordered {
-		worst := de.highestTail(se)
+	for _, ws := range de.ordered {
+		worst := de.highestTail(ws)
 		switch {
 		case worst == nil:
 		case worst.TailMS > de.sn.Policy.TailTargetMS:
-			de.throttleOrEvict(se, worst)
+			de.throttleOrEvict(ws, worst)
 		case worst.TailMS < relaxBelow*de.sn.Policy.TailTargetMS:
-			de.restoreShare(se)
+			de.restoreShare(ws)
 		}
 	}
 }
 
 // highestTail returns the service task with the highest tail latency, or nil if there is
 // none or a measurement after the last action is missing.
-func (de *decider) highestTail(se *workerState) *Task {
+func (de *decider) highestTail(ws *workerState) *Task {
 	var worst *Task
-	for _, ta := range se.tasks {
+	for _, ta := range ws.tasks {
 		if !ta.Service || ta.TailMS == 0 {
 			continue
 		}
@@ -58,12 +58,12 @@
 
 // throttleOrEvict throttles, or else evicts, a batch task beside a service over its
 // target.
-func (de *decider) throttleOrEvict(se *workerState, service *Task) {
-	batch := de.batchByDisturbance(se, service)
+func (de *decider) throttleOrEvict(ws *workerState, service *Task) {
+	batch := de.batchByDisturbance(ws, service)
 	for _, ta := range batch {
 		if ta.Share > minShare {
 			ta.Share = max(minShare, ta.Share*throttleFactor)
-			de.add(Decision{Verb: Throttle, Task: ta.ID, Worker: se.ID, Share: ta.Share, Reason: "disturbs " + describe(service)})
+			de.add(Decision{Verb: Throttle, Task: ta.ID, Worker: ws.ID, Share: ta.Share, Reason: "disturbs " + describe(service)})
 			return
 		}
 	}
@@ -72,14 +72,14 @@
 	}
 	de.evictionBudget--
 	batch[0].Stopping = true
-	de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: se.ID, Reason: "disturbs " + describe(service)})
+	de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: ws.ID, Reason: "disturbs " + describe(service)})
 }
 
 // batchByDisturbance returns the batch tasks of a worker, those that disturb the service
 // most first.
-func (de *decider) batchByDisturbance(se *workerState, service *Task) []*Task {
+func (de *decider) batchByDisturbance(ws *workerState, service *Task) []*Task {
 	var batch []*Task
-	for _, ta := range se.tasks {
+	for _, ta := range ws.tasks {
 		if !ta.Service && !ta.Stopping {
 			batch = append(batch, ta)
 		}
@@ -108,9 +108,9 @@
 
 // restoreShare raises the share of one throttled task of a worker whose services are well
 // below their target, the most throttled one.
-func (de *decider) restoreShare(se *workerState) {
+func (de *decider) restoreShare(ws *workerState) {
 	var best *Task
-	for _, ta := range se.tasks {
+	for _, ta := range ws.tasks {
 		if !ta.Service && !ta.Stopping && ta.Share < 1 && (best == nil || ta.Share < best.Share) {
 			best = ta
 		}
@@ -119,5 +119,5 @@
 		return
 	}
 	best.Share = min(1, best.Share+shareIncrement)
-	de.add(Decision{Verb: Throttle, Task: best.ID, Worker: se.ID, Share: best.Share, Reason: "tail latencies of services are well below the target"})
+	de.add(Decision{Verb: Throttle, Task: best.ID, Worker: ws.ID, Share: best.Share, Reason: "tail latencies of services are well below the target"})
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -183,22 +183,22 @@
 		de.model = &Model{}
 	}
 	for _, wo := range sn.Workers {
-		se := &workerState{Worker: wo, free: wo.Capacity.Sub(wo.Used)}
-		de.workers[wo.ID] = se
-		de.ordered = append(de.ordered, se)
+		ws := &workerState{Worker: wo, free: wo.Capacity.Sub(wo.Used)}
+		de.workers[wo.ID] = ws
+		de.ordered = append(de.ordered, ws)
 	}
 	for i := range sn.Tasks {
 		ta := &sn.Tasks[i]
-		se := de.workers[ta.Worker]
+		ws := de.workers[ta.Worker]
 		if ta.Worker != "" {
 			de.teams[ta.Team] = de.teams[ta.Team].Add(ta.Each)
 		}
-		if se == nil {
+		if ws == nil {
 			continue
 		}
-		se.tasks = append(se.tasks, ta)
+		ws.tasks = append(ws.tasks, ta)
 		if ta.Service {
-			de.racks[rackKey(ta.Job, se.Rack)]++
+			de.racks[rackKey(ta.Job, ws.Rack)]++
 		}
 	}
 	return de
@@ -215,18 +215,18 @@
 			moving[ta.Job] = true
 		}
 	}
-	for _, se := range de.ordered {
-		if !se.Draining {
+	for _, ws := range de.ordered {
+		if !ws.Draining {
 			continue
 		}
-		for _, ta := range se.tasks {
+		for _, ta := range ws.tasks {
 			if ta.Stopping || (ta.Service && (moving[ta.Job] || !de.fitsElsewhere(ta))) {
 				continue
 			}
 			if ta.Service {
 				moving[ta.Job] = true
 			}
-			de.add(Decision{Verb: Move, Task: ta.ID, Worker: se.ID, Reason: "worker is being drained"})
+			de.add(Decision{Verb: Move, Task: ta.ID, Worker: ws.ID, Reason: "worker is being drained"})
 			ta.Stopping = true
 		}
 	}
@@ -235,8 +235,8 @@
 // fitsElsewhere reports whether another worker could take a service task. If none can, the
 // task stays where it is.
 func (de *decider) fitsElsewhere(ta *Task) bool {
-	for _, se := range de.ordered {
-		if !se.Unschedulable && ta.Each.Fits(se.free) {
+	for _, ws := range de.ordered {
+		if !ws.Unschedulable && ta.Each.Fits(ws.free) {
 			return true
 		}
 	}
@@ -287,8 +287,8 @@
 		de.infeasible[sh] = plain
 		return
 	}
-	if se := de.lowestCost(ta); se != nil {
-		de.assign(se, ta)
+	if ws := de.lowestCost(ta); ws != nil {
+		de.assign(ws, ta)
 		return
 	}
 	if ta.Urgent && de.preempt(ta) {
@@ -304,35 +304,35 @@
 	return !limited || de.teams[ta.Team].Add(ta.Each).Fits(quota)
 }
 
-func (de *decider) assign(se *workerState, ta *Task) {
-	ta.Worker = se.ID
-	se.free = se.free.Sub(ta.Each)
-	se.tasks = append(se.tasks, ta)
-	se.started = true
+func (de *decider) assign(ws *workerState, ta *Task) {
+	ta.Worker = ws.ID
+	ws.free = ws.free.Sub(ta.Each)
+	ws.tasks = append(ws.tasks, ta)
+	ws.started = true
 	de.teams[ta.Team] = de.teams[ta.Team].Add(ta.Each)
 	if ta.Service {
-		de.racks[rackKey(ta.Job, se.Rack)]++
+		de.racks[rackKey(ta.Job, ws.Rack)]++
 	}
-	de.add(Decision{Verb: Start, Task: ta.ID, Worker: se.ID, Reason: "fits"})
+	de.add(Decision{Verb: Start, Task: ta.ID, Worker: ws.ID, Reason: "fits"})
 }
 
 // lowestCost returns the worker with the lowest cost for a task, or nil.
 func (de *decider) lowestCost(ta *Task) *workerState {
 	var best *workerState
 	lowest := 0.0
-	for _, se := range de.ordered {
-		if !de.accepts(se, ta) || !ta.Each.Fits(se.free) {
+	for _, ws := range de.ordered {
+		if !de.accepts(ws, ta) || !ta.Each.Fits(ws.free) {
 			continue
 		}
-		if co := de.cost(se, ta); best == nil || co < lowest {
-			best, lowest = se, co
+		if co := de.cost(ws, ta); best == nil || co < lowest {
+			best, lowest = ws, co
 		}
 	}
 	return best
 }
 
-func (de *decider) accepts(se *workerState, ta *Task) bool {
-	return !se.Unschedulable && !ta.Avoid[se.ID] && (!se.Probation || !se.started)
+func (de *decider) accepts(ws *workerState, ta *Task) bool {
+	return !ws.Unschedulable && !ta.Avoid[ws.ID] && (!ws.Probation || !ws.started)
 }
 
 // Costs, in units of the cost of one service at its target.
@@ -342,11 +342,11 @@
 	costSameRack = 0.5
 	// costAccel applies to a task without accelerators on a worker with unused ones.
 	costAccel = 0.2
-	// costTight applies to the fraction of the worker's cores that the task leaves free.
+	// costFragmentation applies to the fraction of the worker's cores that the task leaves free.
 	// Both kinds of work therefore fill up a worker before using the next one: services
 	// then run beside services, which disturb each other least, and free resources are
 	// less fragmented.
-	costTight = 0.1
+	costFragmentation = 0.1
 	// costSameWorker applies to a service task per task of its job on the same worker, as
 	// a failure of the worker would stop them together.
 	costSameWorker = 0.03
@@ -354,10 +354,10 @@
 
 // cost returns the cost of a task at a worker: the interference that it causes to services
 // there, or suffers itself, and how well it fits.
-func (de *decider) cost(se *workerState, ta *Task) float64 {
+func (de *decider) cost(ws *workerState, ta *Task) float64 {
 	pol := de.sn.Policy
 	co := 0.0
-	for _, other := range se.tasks {
+	for _, other := range ws.tasks {
 		switch {
 		case ta.Service && other.Job == ta.Job:
 			co += costSameWorker
@@ -367,12 +367,12 @@
 			co += pol.WeightTail * de.model.Disturbance(other.Kind, ta.Kind) * cores(ta)
 		}
 	}
-	left := float64(se.free.MilliCores-ta.Each.MilliCores) / float64(max(1, se.Capacity.MilliCores))
-	co += costTight * left
+	left := float64(ws.free.MilliCores-ta.Each.MilliCores) / float64(max(1, ws.Capacity.MilliCores))
+	co += costFragmentation * left
 	if ta.Service {
-		co += costSameRack * float64(de.racks[rackKey(ta.Job, se.Rack)])
+		co += costSameRack * float64(de.racks[rackKey(ta.Job, ws.Rack)])
 	}
-	if ta.Each.Accels == 0 && se.free.Accels > 0 {
+	if ta.Each.Accels == 0 && ws.free.Accels > 0 {
 		co += costAccel
 	}
 	return co
@@ -386,13 +386,13 @@
 	var best []*Task
 	var at *workerState
 	lowest := 0.0
-	for _, se := range de.ordered {
-		if !de.accepts(se, ta) {
+	for _, ws := range de.ordered {
+		if !de.accepts(ws, ta) {
 			continue
 		}
-		victims, co, ok := de.victims(se, ta)
+		victims, co, ok := de.victims(ws, ta)
 		if ok && (at == nil || co < lowest) {
-			best, at, lowest = victims, se, co
+			best, at, lowest = victims, ws, co
 		}
 	}
 	if at == nil {
@@ -410,10 +410,10 @@
 // victims returns the batch tasks of a worker that must be evicted for the task to fit,
 // the cheapest first, and their total cost; ok is false if it cannot fit. Tasks that are
 // already stopping are free of cost.
-func (de *decider) victims(se *workerState, ta *Task) ([]*Task, float64, bool) {
-	free := se.free
+func (de *decider) victims(ws *workerState, ta *Task) ([]*Task, float64, bool) {
+	free := ws.free
 	var batch []*Task
-	for _, other := range se.tasks {
+	for _, other := range ws.tasks {
 		if other.Stopping {
 			free = free.Add(other.Each)
 		} else if !other.Service && !other.Urgent {
--- a/internal/place/trial_test.go
+++ b/internal/place/trial_test.go
@@ -31,9 +31,9 @@
 	serviceMilliCores = 6_000
 	trialTargetMS     = 100.0
 	trialBaseMS       = 40.0
-	// trialLag is the delay of measurements, in seconds.
+	// trialLagS is the delay of measurements, in seconds.
 	trialLagS = 3
-	// trialCheckpoint is the time between checkpoints of a task, in seconds.
+	// trialCheckpointS is the time between checkpoints of a task, in seconds.
 	trialCheckpointS = 60
 )
 
@@ -46,7 +46,7 @@
 
 var batchKinds = []string{"quiet", "cache", "disk"}
 
-// fakeTask is a simulated task with properties that the policies do not know.
+// simTask is a simulated task with properties that the policies do not know.
 type simTask struct {
 	Task
 
@@ -71,8 +71,8 @@
 func baseline(better func(a, b *workerState) bool) func(Snapshot) []Decision {
 	return func(sn Snapshot) []Decision {
 		de := newDecider(sn)
-		for _, se := range de.ordered {
-			de.evictWhenOver(se)
+		for _, ws := range de.ordered {
+			de.evictWhenOver(ws)
 		}
 		for i := range sn.Tasks {
 			ta := &sn.Tasks[i]
@@ -87,21 +87,21 @@
 	}
 }
 
-func (de *decider) evictWhenOver(se *workerState) {
-	worst := de.highestTail(se)
+func (de *decider) evictWhenOver(ws *workerState) {
+	worst := de.highestTail(ws)
 	if worst == nil || worst.TailMS <= de.sn.Policy.TailTargetMS {
 		return
 	}
-	if batch := de.batchByDisturbance(se, worst); len(batch) > 0 {
-		de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: se.ID})
+	if batch := de.batchByDisturbance(ws, worst); len(batch) > 0 {
+		de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: ws.ID})
 	}
 }
 
 func (de *decider) byRule(ta *Task, better func(a, b *workerState) bool) *workerState {
 	var best *workerState
-	for _, se := range de.ordered {
-		if !se.Unschedulable && ta.Each.Fits(se.free) && (best == nil || better(se, best)) {
-			best = se
+	for _, ws := range de.ordered {
+		if !ws.Unschedulable && ta.Each.Fits(ws.free) && (best == nil || better(ws, best)) {
+			best = ws
 		}
 	}
 	return best
@@ -121,7 +121,7 @@
 	}
 }
 
-// fakeCell simulates workers and tasks in steps of one second.
+// simCell simulates workers and tasks in steps of one second.
 type simCell struct {
 	rnd     *rand.Rand
 	pol     Policy
@@ -222,8 +222,8 @@
 }
 
 // addBatch adds batch tasks: enough to keep the cell full, in waves of one kind between
-// mixed ones, with actual run times off from the declared ones by up to four times, and occasionally
-// one that fits no worker.
+// mixed ones, with actual run times off from the declared ones by up to four times, and
+// occasionally one that fits no worker.
 func (ce *simCell) addBatch() {
 	waiting := 0
 	for _, ta := range ce.tasks {
@@ -380,7 +380,7 @@
 	}
 }
 
-// restartCost is the time lost by a stop and a start, in seconds.
+// restartCostS is the time lost by a stop and a start, in seconds.
 const restartCostS = 15
 
 // row returns a line of the comparison. The upper bound for batch work is what a run with
--- a/internal/worker/incarnation.go
+++ b/internal/worker/incarnation.go
@@ -19,14 +19,14 @@
 }
 
 // startBase is the number base in which StartedMS is encoded as text.
-const bornBase = 36
+const startBase = 36
 
 // String returns the id, followed by "@" and the start time if that is known.
 func (in Incarnation) String() string {
 	if in.StartedMS == 0 && !strings.Contains(in.ID, "@") {
 		return in.ID
 	}
-	return in.ID + "@" + strconv.FormatInt(in.StartedMS, bornBase)
+	return in.ID + "@" + strconv.FormatInt(in.StartedMS, startBase)
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -40,11 +40,11 @@
 		*in = Incarnation{ID: string(text)}
 		return nil
 	}
-	born, err := strconv.ParseInt(string(text[at+1:]), bornBase, 64)
+	startedMS, err := strconv.ParseInt(string(text[at+1:]), startBase, 64)
 	if err != nil {
 		return fmt.Errorf("start time of worker %q: %w", text, err)
 	}
-	*in = Incarnation{ID: string(text[:at]), StartedMS: born}
+	*in = Incarnation{ID: string(text[:at]), StartedMS: startedMS}
 	return nil
 }
 
@@ -62,16 +62,16 @@
 }
 
 // Error implements error.
-func (le *IncarnationError) Error() string {
-	return fmt.Sprintf("request for worker %s was answered by %s", le.Expected, le.Answered)
+func (ie *IncarnationError) Error() string {
+	return fmt.Sprintf("request for worker %s was answered by %s", ie.Expected, ie.Answered)
 }
 
 // CheckIncarnation returns an [IncarnationError] if an answer of a process that started at
 // startedMS, or 0 if the answer does not say, does not come from the expected incarnation.
-func CheckIncarnation(meant Incarnation, born int64) error {
-	answered := Incarnation{ID: meant.ID, StartedMS: born}
-	if born == 0 || answered == meant {
+func CheckIncarnation(expected Incarnation, startedMS int64) error {
+	answered := Incarnation{ID: expected.ID, StartedMS: startedMS}
+	if startedMS == 0 || answered == expected {
 		return nil
 	}
-	return &IncarnationError{Expected: meant, Answered: answered}
+	return &IncarnationError{Expected: expected, Answered: answered}
 }
--- a/internal/worker/unresponsive_test.go
+++ b/internal/worker/stalled_test.go
@@ -11,7 +11,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-func TestWorkerThatStandsStill(t *testing.T) {
+func TestExchangeEndsWithStalledWorker(t *testing.T) {
 	hs := httptest.NewServer(standin.NewWorker(standin.WorkerSettings{ID: "w1"}).Handler())
 	t.Cleanup(hs.Close)
 	linetest.Check(t, hs.Listener.Addr().String(), func(addr string) linetest.Call {
