--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,9 +1,8 @@
 // Package queue holds the operator's configuration of queues and services, and finds the
 // queue for a request.
 //
-// A configuration is immutable, so that requests read it without locks; hosts replace it
-// as a whole by a newer one. Version numbers only increase. Reading and distributing
-// configurations is left to other packages.
+// A configuration is immutable; hosts replace it as a whole by a newer one. Version numbers
+// only increase. Reading and distributing configurations is left to other packages.
 package queue
 
 import (
