--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -27,7 +27,7 @@
 	return sp
 }
 
-// reread returns the job as it comes back from its rows.
+// reread returns the job as it is read back from its rows.
 func reread(t *testing.T, jo *Job) *Job {
 	t.Helper()
 	spec, err := json.Marshal(jo.SpecRow())
@@ -39,7 +39,7 @@
 	return again
 }
 
-func TestLifeOfAJob(t *testing.T) {
+func TestJobLifecycle(t *testing.T) {
 	jo := New(testID, Terms{MaxFailures: 2}, chain(2, 1))
 	first, second := TaskRef{0, 0}, TaskRef{1, 0}
 	qt.Assert(t, jo.State(), qt.Equals, Queued)
@@ -58,7 +58,7 @@
 	qt.Assert(t, reread(t, jo).State(), qt.Equals, Succeeded)
 }
 
-func TestJobThatFailsTooOften(t *testing.T) {
+func TestJobFailsAfterMaxFailures(t *testing.T) {
 	jo := New(testID, Terms{MaxFailures: 2}, chain(1, 2))
 	ref := TaskRef{0, 0}
 	for attempt := 1; attempt <= 2; attempt++ {
@@ -70,12 +70,12 @@
 	qt.Assert(t, reread(t, jo).State(), qt.Equals, Failed)
 }
 
-func TestEndlessTasksStartAgain(t *testing.T) {
+func TestEndlessTasksAreRestarted(t *testing.T) {
 	sp := chain(1, 1)
 	sp.Steps[0].Endless = true
 	jo := New(testID, Terms{MaxFailures: 1}, sp)
 	ref := TaskRef{0, 0}
-	for attempt, end := range []End{EndFailed, EndDone, EndLapsed, EndStopped, EndNever, EndCrashed, EndLost} {
+	for attempt, end := range []End{EndFailed, EndDone, EndLapsed, EndStopped, EndNeverRan, EndCrashed, EndLost} {
 		qt.Assert(t, jo.Start(ref, worker.Incarnation{ID: "w"}), qt.Equals, attempt+1)
 		qt.Assert(t, jo.End(ref, attempt+1, end, ""), qt.IsTrue)
 		qt.Assert(t, jo.State(), qt.Equals, Running)
@@ -96,7 +96,7 @@
 
 const oneTask = `{"spec":{"steps":[{"tasks":1,"each":{}}]}}`
 
-func TestRowsThatCannotBeRead(t *testing.T) {
+func TestRestoreRejectsInvalidRows(t *testing.T) {
 	for _, tc := range [][2]string{{"", "{}"}, {"{}", ""}, {`{"spec":{"steps":[{"tasks":1,"each":{}}]}}`, `{"tasks":[[],[]]}`},
 		{oneTask, `{"steps":[{"s":"w"},{"s":"w"}]}`}, {oneTask, `{"steps":[{"s":"ww"}]}`}, {oneTask, `{"steps":[{"s":""}]}`}, {oneTask, `{"steps":[{"s":"x"}]}`},
 		{oneTask, `{"steps":[{"s":"s","w":["a"]}]}`}, {oneTask, `{"steps":[{"s":"s","w":["a"],"o":[1]}]}`}, {oneTask, `{"state":"running"}`},
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestRowsOfSteps reads rows of any tasks back.
-func TestRowsOfSteps(t *testing.T) {
+// TestStepRowRoundTrip checks that the rows of random tasks read back as they were.
+func TestStepRowRoundTrip(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
 		tasks := rapid.SliceOfN(rapid.Custom(drawTask), 1, 40).Draw(rt, "tasks")
 		data, err := json.Marshal(newStepRow(tasks))
@@ -117,22 +117,22 @@
 		again, err := sr.tasks(len(tasks))
 		qt.Assert(t, err, qt.IsNil)
 		for i := range tasks {
-			want := asKept(tasks[i])
+			want := asStored(tasks[i])
 			qt.Assert(t, again[i], qt.DeepEquals, want)
 		}
 	})
 }
 
-// asKept is what is kept of a task: of one that is done nothing else matters, a
-// worker only of one that is started, and of its checkpoints the one before.
-func asKept(ta Task) Task {
+// asStored is what the row holds of a task: of one that is done only the state, the worker
+// only of a started one, and of a started one's checkpoints only the base.
+func asStored(ta Task) Task {
 	switch ta.State {
 	case Done:
 		return Task{State: Done, Attempt: 1}
 	case Started:
 		ta.Checkpoint = ta.Base
 	default:
-		ta.Worker, ta.Base, ta.Proof, ta.DoneBefore = worker.Incarnation{}, "", Unproven, false
+		ta.Worker, ta.Base, ta.Phase, ta.EarlierDone = worker.Incarnation{}, "", PhaseStarting, false
 	}
 	return ta
 }
@@ -140,16 +140,16 @@
 func drawTask(rt *rapid.T) Task {
 	return Task{
 		State: TaskState(rapid.IntRange(0, len(stateChars)-1).Draw(rt, "state")), Attempt: rapid.IntRange(0, 3).Draw(rt, "attempt"),
-		Failures: rapid.IntRange(0, 2).Draw(rt, "failures"), Worker: rapid.SampledFrom([]worker.Incarnation{{ID: "i-1"}, {ID: "i-1", Born: 7}, {ID: "i-3", Born: 1787123510000}}).Draw(rt, "worker"),
+		Failures: rapid.IntRange(0, 2).Draw(rt, "failures"), Worker: rapid.SampledFrom([]worker.Incarnation{{ID: "i-1"}, {ID: "i-1", StartedMS: 7}, {ID: "i-3", StartedMS: 1787123510000}}).Draw(rt, "worker"),
 		Checkpoint: rapid.SampledFrom([]string{"", "c1"}).Draw(rt, "checkpoint"),
 		Base:       rapid.SampledFrom([]string{"", "c0"}).Draw(rt, "base"),
 		Crashes:    rapid.IntRange(0, 2).Draw(rt, "crashes"), Losses: rapid.IntRange(0, 3).Draw(rt, "losses"),
-		GivenUp:    rapid.SampledFrom([][]int{nil, {1}, {2, 5}}).Draw(rt, "given up"),
-		DoneBefore: rapid.Bool().Draw(rt, "done before"),
+		GivenUp:     rapid.SampledFrom([][]int{nil, {1}, {2, 5}}).Draw(rt, "given up"),
+		EarlierDone: rapid.Bool().Draw(rt, "done before"),
 	}
 }
 
-// assertStart starts a task, if it may.
+// assertStart starts a task if it may start, and checks the attempt's number.
 func assertStart(rt *rapid.T, jo *Job, ref TaskRef) {
 	before := *jo.Task(ref)
 	if number := jo.Start(ref, worker.Incarnation{ID: "w"}); number > 0 && (before.State != Waiting || number != before.Attempt+1) {
@@ -157,29 +157,30 @@
 	}
 }
 
-// assertDoneLate has the first attempt turn out to be done.
-func assertDoneLate(rt *rapid.T, jo *Job, ref TaskRef) {
-	if ta := jo.Task(ref); jo.DoneLate(ref, 1) && ta.State != Done && !ta.DoneBefore {
+// assertLateCompletion reports the first attempt as done, and checks the state of the
+// task.
+func assertLateCompletion(rt *rapid.T, jo *Job, ref TaskRef) {
+	if ta := jo.Task(ref); jo.RecordLateCompletion(ref, 1) && ta.State != Done && !ta.EarlierDone {
 		rt.Fatalf("attempt 1 was done, and the task is %v", *ta)
 	}
 }
 
-// TestRandomLives plays random starts and ends, and reads the job anew at
-// random moments.
-func TestRandomLives(t *testing.T) {
+// TestRandomJobLifecycle draws random starts and ends, reads the job back at random
+// moments, and checks that a final state never changes.
+func TestRandomJobLifecycle(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 200}, func(rt *rapid.T) {
 		sp := chain(rapid.IntRange(1, 4).Draw(rt, "steps"), rapid.IntRange(1, 3).Draw(rt, "tasks"))
 		jo := New(testID, Terms{MaxFailures: 2}, sp)
 		var last State
-		for range rapid.IntRange(1, 80).Draw(rt, "acts") {
+		for range rapid.IntRange(1, 80).Draw(rt, "actions") {
 			ref := TaskRef{rapid.IntRange(0, len(sp.Steps)-1).Draw(rt, "step"), rapid.IntRange(0, sp.Steps[0].Tasks-1).Draw(rt, "index")}
 			assertStart(rt, jo, ref)
-			end := rapid.SampledFrom([]End{EndDone, EndFailed, EndStopped, EndLapsed, EndNever, EndCrashed, EndLost}).Draw(rt, "end")
+			end := rapid.SampledFrom([]End{EndDone, EndFailed, EndStopped, EndLapsed, EndNeverRan, EndCrashed, EndLost}).Draw(rt, "end")
 			if rapid.Bool().Draw(rt, "ends") {
 				jo.End(ref, jo.Task(ref).Attempt, end, fmt.Sprint(ref))
 			}
 			if rapid.Bool().Draw(rt, "was done") {
-				assertDoneLate(rt, jo, ref)
+				assertLateCompletion(rt, jo, ref)
 			}
 			if rapid.Bool().Draw(rt, "reread") && !jo.State().Final() {
 				jo = reread(t, jo)
--- a/internal/relay/listed.go
+++ b/internal/relay/listed.go
@@ -61,7 +61,7 @@
 }
 
 // diff returns how a look differs from the one before.
-func (di *differ) diff(si worker.Sight, now time.Time) *listed {
+func (di *differ) diff(si worker.PollResult, now time.Time) *listed {
 	li := &listed{}
 	if di.rows == nil {
 		di.rows = map[worker.Attempt]row{}
@@ -95,8 +95,8 @@
 	} else {
 		en.Task, en.Number = ea.Task, ea.Number-1
 	}
-	if ea.How != howDone {
-		en.How, en.Checkpoint = ea.How, ea.Checkpoint
+	if ea.Outcome != howDone {
+		en.How, en.Checkpoint = ea.Outcome, ea.Checkpoint
 	}
 	return en
 }
@@ -123,7 +123,7 @@
 }
 
 // merge returns the whole look that a difference stands for.
-func (me *merger) merge(li *listed, clockMS int64) worker.Sight {
+func (me *merger) merge(li *listed, clockMS int64) worker.PollResult {
 	if me.rows == nil {
 		me.rows = map[int]worker.RunningAttempt{}
 	}
@@ -135,7 +135,7 @@
 		ra.Checkpoint, ra.Percent, ra.Usage = ro.Checkpoint, ro.Percent, ro.Usage
 		me.rows[ro.Row] = ra
 	}
-	si := worker.Sight{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(me.rows))}
+	si := worker.PollResult{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(me.rows))}
 	for _, en := range li.Ended {
 		si.Ended = append(si.Ended, me.end(en))
 	}
@@ -150,12 +150,12 @@
 
 // end returns an end as the worker listed it.
 func (me *merger) end(en ended) worker.EndedAttempt {
-	ea := worker.EndedAttempt{Attempt: worker.Attempt{Task: en.Task, Number: en.Number + 1}, EndNumber: en.EndNumber, How: en.How, Checkpoint: en.Checkpoint}
+	ea := worker.EndedAttempt{Attempt: worker.Attempt{Task: en.Task, Number: en.Number + 1}, EndNumber: en.EndNumber, Outcome: en.How, Checkpoint: en.Checkpoint}
 	if en.Row > 0 {
 		ea.Attempt = me.rows[en.Row].Attempt
 	}
-	if ea.How == "" {
-		ea.How = howDone
+	if ea.Outcome == "" {
+		ea.Outcome = howDone
 	}
 	return ea
 }
--- a/internal/sched/cluster_test.go
+++ b/internal/sched/cluster_test.go
@@ -130,7 +130,7 @@
 	ag := co.cr.fleet.Agent()
 	return worker.Agent{
 		LaunchFunc: withUnreachable(co, ag.LaunchFunc), HaltFunc: withUnreachable(co, ag.HaltFunc),
-		PaceFunc: withUnreachable(co, ag.PaceFunc), LookFunc: withUnreachable(co, ag.LookFunc),
+		PaceFunc: withUnreachable(co, ag.PaceFunc), PollFunc: withUnreachable(co, ag.PollFunc),
 	}
 }
 
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -114,7 +114,7 @@
 	wr.txn.Puts = append(wr.txn.Puts, store.Put{Key: pa.key, Value: pa.value})
 	size := len(pa.value)
 	switch {
-	case en.jo.Over():
+	case en.jo.Finished():
 		wr.txn.Puts = append(wr.txn.Puts, ow.specRemoval(en)...)
 	case pa.firstWrite:
 		en.specStored = true
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -143,10 +143,10 @@
 
 // slowToSettle has workers that came back answer no look before 400 ms.
 func slowToSettle(ag worker.Agent) worker.Agent {
-	look := ag.LookFunc
+	look := ag.PollFunc
 	var mu sync.Mutex
 	first := map[worker.Incarnation]time.Time{}
-	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 		mu.Lock()
 		if first[ad.Incarnation].IsZero() {
 			first[ad.Incarnation] = time.Now()
@@ -154,7 +154,7 @@
 		wait := 400*time.Millisecond - time.Since(first[ad.Incarnation])
 		mu.Unlock()
 		if strings.HasPrefix(ad.Incarnation.ID, "life-") && !clock.Sleep(ctx, max(wait, 0)) {
-			return worker.Sight{}, ctx.Err()
+			return worker.PollResult{}, ctx.Err()
 		}
 		return look(ctx, ad, lo)
 	}
@@ -252,12 +252,12 @@
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
 		var silent atomic.Pointer[worker.Incarnation]
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+			look := ag.PollFunc
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 				si, err := look(ctx, ad, lo)
 				if id := silent.Load(); id != nil && *id == ad.Incarnation {
 					<-ctx.Done()
-					return worker.Sight{}, ctx.Err()
+					return worker.PollResult{}, ctx.Err()
 				}
 				return si, err
 			}
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -131,7 +131,7 @@
 	ran := at.sightings().ran
 	switch {
 	case !at.orderSent && !at.inherited:
-		return job.EndNever
+		return job.EndNeverRan
 	case ran >= lastsAfter:
 		return job.EndLapsed
 	case ran >= provenAfter, at.ho.silent, !at.inherited && at.launchedAt.IsZero():
@@ -147,22 +147,22 @@
 // unseenVerdict is what it means for an attempt that its worker was never seen by this
 // owner. If the list of workers is sound, its process has ended: nothing that runs is
 // without an entry for so long.
-func unseenVerdict(pr job.Proof, listSound bool) job.End {
+func unseenVerdict(pr job.Phase, listSound bool) job.End {
 	switch {
-	case pr == job.Lasting:
+	case pr == job.PhaseStable:
 		return job.EndLapsed
-	case pr == job.Begun || !listSound:
+	case pr == job.PhaseStarted || !listSound:
 		return job.EndLost
 	}
 	return job.EndCrashed
 }
 
 // workedBy is for how long an attempt was at work at least, by what its row says.
-func workedBy(pr job.Proof) time.Duration {
+func workedBy(pr job.Phase) time.Duration {
 	switch pr {
-	case job.Begun:
+	case job.PhaseStarted:
 		return provenAfter
-	case job.Lasting:
+	case job.PhaseStable:
 		return lastsAfter
 	}
 	return 0
--- a/internal/sched/entry.go
+++ b/internal/sched/entry.go
@@ -140,7 +140,7 @@
 // addJob creates the entry of a job.
 func (ow *Owner) addJob(jo *job.Job) *entry {
 	ow.seq++
-	en := &entry{ow: ow, jo: jo, order: ow.seq, targetMS: jo.AimMS(), sortKey: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
+	en := &entry{ow: ow, jo: jo, order: ow.seq, targetMS: jo.TargetDurationMS(), sortKey: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
 	ow.entries[jo.ID] = en
 	return en
 }
@@ -188,14 +188,14 @@
 // failure exhausts the task's limit, the next attempt is withdrawn unless an order for it was
 // sent.
 func (ow *Owner) recordLateFailure(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
-	if !en.jo.FailedLate(ref, number) {
+	if !en.jo.RecordLateFailure(ref, number) {
 		return
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "failed-late")
 	ow.Log.Info("abandoned attempt had failed", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation,
 		"failures", en.jo.Task(ref).Failures, "state", en.jo.State())
 	if at := en.attempts[ref]; at != nil && en.jo.Exhausted(ref) && !at.orderSent && !at.inherited {
-		ow.recordEnd(en, ref, at.number, job.EndNever, "", "an earlier attempt had failed")
+		ow.recordEnd(en, ref, at.number, job.EndNeverRan, "", "an earlier attempt had failed")
 	} else {
 		ow.tellGivenUp(en, ref, job.EndFailed)
 	}
@@ -207,9 +207,9 @@
 // attempt is withdrawn if no order for it was sent, and stopped otherwise.
 func (ow *Owner) recordLateSuccess(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
 	if at := en.attempts[ref]; at != nil && at.number > number && !at.orderSent && !at.inherited {
-		ow.recordEnd(en, ref, at.number, job.EndNever, "", "an earlier attempt had succeeded")
+		ow.recordEnd(en, ref, at.number, job.EndNeverRan, "", "an earlier attempt had succeeded")
 	}
-	if !en.jo.DoneLate(ref, number) {
+	if !en.jo.RecordLateCompletion(ref, number) {
 		return
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "done-late")
--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -165,7 +165,7 @@
 		if ca.ho == except || !ca.fits(en, ref, st) {
 			continue
 		}
-		ca.free = ca.free.Without(st.Reserved())
+		ca.free = ca.free.Sub(st.Reserved())
 		return true
 	}
 	return false
--- a/internal/sched/interference.go
+++ b/internal/sched/interference.go
@@ -23,7 +23,7 @@
 
 // interferenceRow has what was learnt in a cell.
 type interferenceRow struct {
-	Pairs []interfere.Learnt `json:"pairs"`
+	Pairs []interfere.PairEstimate `json:"pairs"`
 }
 
 func (ow *Owner) interferenceKey() string { return InterferenceTable + "/" + ow.Cell + "/pairs" }
@@ -42,7 +42,7 @@
 		ow.Log.Warn("what the former owner learnt is not known", "cell", ow.Cell, "err", err)
 		return
 	}
-	ow.model = interfere.FromLearnt(row.Pairs)
+	ow.model = interfere.Restore(row.Pairs)
 	ow.Log.Info("loaded what former owners learnt of interference", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
 }
 
@@ -51,7 +51,7 @@
 	if !ow.uses(MechHandOn) || ow.savingModel || now.Sub(ow.modelSavedAt) < saveInterval || ow.storeDown() {
 		return
 	}
-	pairs := ow.model.Learnt(maxPairs)
+	pairs := ow.model.Estimates(maxPairs)
 	if len(pairs) == 0 {
 		return
 	}
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -89,7 +89,7 @@
 		}
 		found = true
 		delete(ow.unowned, incarnation)
-		if incarnation.OtherLife(ho.incarnation) {
+		if incarnation.IsOtherIncarnation(ho.incarnation) {
 			ho.lives = append(ho.lives, incarnation)
 		}
 	}
@@ -110,9 +110,9 @@
 			remaining = append(remaining, ref)
 			continue
 		}
-		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, inheritedRunTime: workedBy(ta.Proof), pace: unknownPace}
-		if ta.Worker.OtherLife(ho.incarnation) {
-			at.inheritedRunTime, at.endIfNotRun = 0, unseenVerdict(ta.Proof, ho.ow.listReliable(time.Now()))
+		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, inheritedRunTime: workedBy(ta.Phase), pace: unknownPace}
+		if ta.Worker.IsOtherIncarnation(ho.incarnation) {
+			at.inheritedRunTime, at.endIfNotRun = 0, unseenVerdict(ta.Phase, ho.ow.listReliable(time.Now()))
 		}
 		ho.put(at)
 	}
@@ -148,7 +148,7 @@
 				remaining = append(remaining, ref)
 				continue
 			}
-			end := unseenVerdict(ta.Proof, reliable)
+			end := unseenVerdict(ta.Phase, reliable)
 			le.add(&en.jo.Spec.Steps[ref.Step], end)
 			ow.recordEnd(en, ref, ta.Attempt, end, "", unseenReason)
 		}
--- a/internal/sched/nextlife.go
+++ b/internal/sched/nextlife.go
@@ -23,7 +23,7 @@
 // listedHost returns the worker that an entry is of, or nil. An entry that does not tell
 // when the process started is of the one life that is known.
 func (ow *Owner) listedHost(li Listed) *host {
-	if ho := ow.hosts[li.Incarnation]; ho != nil || li.Incarnation.Born != 0 {
+	if ho := ow.hosts[li.Incarnation]; ho != nil || li.Incarnation.StartedMS != 0 {
 		return ho
 	}
 	return ow.onlyLife(li.Incarnation.ID)
@@ -68,7 +68,7 @@
 	switch {
 	case next != nil:
 		ho.giveWay(next)
-	case ho.incarnation.Born == 0:
+	case ho.incarnation.StartedMS == 0:
 		ho.learnLife(answered)
 	default:
 		ho.giveWay(ho.enterNext(answered))
@@ -78,7 +78,7 @@
 // tellLife takes in the error of an order or a look, from any goroutine: another life may
 // have answered.
 func (ho *host) tellLife(err error) {
-	if le := (*worker.LifeError)(nil); errors.As(err, &le) {
+	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
 		ho.ow.post(func() { ho.answeredBy(le.Answered) })
 	}
 }
@@ -102,7 +102,7 @@
 	next := ho.ow.enter(li)
 	next.Listed.Incarnation = ho.Listed.Incarnation
 	next.gone, next.goneAt = ho.gone, ho.goneAt
-	if ho.Listed.Incarnation.Born != 0 && !ho.gone {
+	if ho.Listed.Incarnation.StartedMS != 0 && !ho.gone {
 		next.gone, next.goneAt = true, time.Now()
 	}
 	return next
@@ -119,7 +119,7 @@
 	crashed := ho.crashed()
 	for at := range ho.attempts {
 		end := at.verdictIf(crashed)
-		if end == job.EndNever {
+		if end == job.EndNeverRan {
 			ho.ow.recordEnd(at.en, at.ref, at.number, end, "", "its worker ended before the order was sent")
 			continue
 		}
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -52,7 +52,7 @@
 		en, stranger := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
 		own.put(&attempt{ho: own, en: en, number: 1})
 		other.put(&attempt{ho: other, en: stranger, number: 1})
-		other.reserved = other.reserved.With(worker.Resources{MilliCores: 8000})
+		other.reserved = other.reserved.Add(worker.Resources{MilliCores: 8000})
 		pl := ow.newPlacer()
 		ca := pl.rank(en, 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "own")
@@ -71,7 +71,7 @@
 		}
 		stranger := addJob(ow, 1, serviceStep(1, "other"))
 		mixed.put(&attempt{ho: mixed, en: stranger, number: 1})
-		mixed.reserved = mixed.reserved.With(worker.Resources{MilliCores: 48_000})
+		mixed.reserved = mixed.reserved.Add(worker.Resources{MilliCores: 48_000})
 		ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "s")), 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "empty")
 	})
@@ -80,13 +80,13 @@
 // learnt returns a model that knows the drops of two images of services beside
 // the fillers f0, f1 and so on.
 func learnt(one, other []float64) interfere.Model {
-	var list []interfere.Learnt
+	var list []interfere.PairEstimate
 	for image, drops := range map[string][]float64{"one": one, "other": other} {
 		for i, drop := range drops {
-			list = append(list, interfere.Learnt{Pair: interfere.Pair{Service: image, Filler: fmt.Sprint("f", i)}, Drop: drop})
+			list = append(list, interfere.PairEstimate{Pair: interfere.Pair{Service: image, Filler: fmt.Sprint("f", i)}, Drop: drop})
 		}
 	}
-	return interfere.FromLearnt(list)
+	return interfere.Restore(list)
 }
 
 // TestImagesThatSufferAlike has a worker with a service of another image and an
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -17,10 +17,10 @@
 	at.lastSeenAt = now
 	ran := at.sightings().ran
 	switch {
-	case ran >= lastsAfter && at.en.jo.Lasted(at.ref, at.number):
+	case ran >= lastsAfter && at.en.jo.MarkStable(at.ref, at.number):
 		at.en.backoffs.lasted(at.ref)
 		at.en.scheduleProofWrite(now)
-	case ran >= provenAfter && at.en.jo.Began(at.ref, at.number) && at.wrongBlameCostly():
+	case ran >= provenAfter && at.en.jo.MarkStarted(at.ref, at.number) && at.wrongBlameCostly():
 		at.en.scheduleProofWrite(now)
 	}
 }
--- a/internal/sched/rate.go
+++ b/internal/sched/rate.go
@@ -67,7 +67,7 @@
 	if known, ok := ow.similarity[pa]; ok {
 		return known
 	}
-	ow.similarity[pa] = ow.model.Alike(a, b)
+	ow.similarity[pa] = ow.model.Similarity(a, b)
 	return ow.similarity[pa]
 }
 
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -110,10 +110,10 @@
 		started := la.progressRow(ow, 1).Rev
 		short := la.progressRow(ow, 2).Rev
 		time.Sleep(2400 * time.Millisecond)
-		qt.Check(t, la.progressRow(ow, 1).Steps[0].Proofs, qt.Equals, "1")
+		qt.Check(t, la.progressRow(ow, 1).Steps[0].Phases, qt.Equals, "1")
 		qt.Check(t, la.progressRow(ow, 2).Rev, qt.Equals, short)
 		time.Sleep(12 * time.Second)
-		qt.Check(t, la.progressRow(ow, 1).Steps[0].Proofs, qt.Equals, "2")
+		qt.Check(t, la.progressRow(ow, 1).Steps[0].Phases, qt.Equals, "2")
 		time.Sleep(time.Minute)
 		qt.Check(t, la.progressRow(ow, 1).Rev-started <= 2*maxProofWrites, qt.IsTrue, qt.Commentf("%d writes", la.progressRow(ow, 1).Rev-started))
 	})
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -123,8 +123,8 @@
 		fl.workers = map[string]*FleetWorker{}
 	}
 	fw.fl, fw.since = fl, time.Now()
-	if fw.Addr.Incarnation.Born == 0 {
-		fw.Addr.Incarnation.Born = fw.since.UnixMilli()
+	if fw.Addr.Incarnation.StartedMS == 0 {
+		fw.Addr.Incarnation.StartedMS = fw.since.UnixMilli()
 	}
 	fw.running, fw.last, fw.wake = map[string]*fleetTask{}, map[string]int{}, make(chan struct{})
 	fl.workers[fw.Addr.HostPort] = fw
@@ -137,9 +137,9 @@
 	fl.Kill(fw)
 	next := &FleetWorker{Addr: fw.Addr, Holds: fw.Holds}
 	next.Addr.HostPort = hostPort
-	next.Addr.Incarnation.Born = time.Now().Add(stepped).UnixMilli()
+	next.Addr.Incarnation.StartedMS = time.Now().Add(stepped).UnixMilli()
 	if next.Addr.Incarnation == fw.Addr.Incarnation {
-		next.Addr.Incarnation.Born++
+		next.Addr.Incarnation.StartedMS++
 	}
 	fl.Add(next)
 	return next
@@ -263,13 +263,13 @@
 	fw.extend(la.LeaseUntilMS)
 	switch {
 	case fw.running[la.Task] != nil || la.Number <= fw.last[la.Task]:
-		return fw.ack(), worker.ErrOldAttempt
+		return fw.ack(), worker.ErrStaleAttempt
 	case fw.lease <= fw.clock():
-		return fw.ack(), worker.ErrLateLease
+		return fw.ack(), worker.ErrLeaseExpired
 	}
 	takes := fw.fl.room(la.Attempt)
 	if !takes.Fits(fw.free()) {
-		return fw.ack(), worker.ErrNoRoom
+		return fw.ack(), worker.ErrNoCapacity
 	}
 	fw.start(la, takes)
 	return fw.ack(), nil
@@ -285,7 +285,7 @@
 func (fw *FleetWorker) free() worker.Resources {
 	free := fw.Holds
 	for _, ta := range fw.running {
-		free = free.Without(ta.takes)
+		free = free.Sub(ta.takes)
 	}
 	return free
 }
@@ -333,7 +333,7 @@
 	ta.run.Until, ta.run.How = time.Now(), how
 	fw.last[name] = max(fw.last[name], ta.run.Number)
 	fw.ends++
-	fw.ended = append(fw.ended, worker.EndedAttempt{Attempt: ta.run.Attempt, EndNumber: fw.ends, How: how, Checkpoint: ta.checkpoint()})
+	fw.ended = append(fw.ended, worker.EndedAttempt{Attempt: ta.run.Attempt, EndNumber: fw.ends, Outcome: how, Checkpoint: ta.checkpoint()})
 	fw.endedRuns = append(fw.endedRuns, ta.run)
 	if fw.fl.Remembers {
 		fw.forget(fw.told)
@@ -400,27 +400,27 @@
 }
 
 // look answers what runs and what ended, at once or at the next end.
-func (fl *Fleet) look(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+func (fl *Fleet) look(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 	fw, err := fl.reach(ad)
 	if err != nil {
-		return worker.Sight{}, err
+		return worker.PollResult{}, err
 	}
-	return gated(ctx, &fw.Gate, func() (worker.Sight, error) {
+	return gated(ctx, &fw.Gate, func() (worker.PollResult, error) {
 		wake, err := fw.prepare(lo)
 		if err != nil {
-			return worker.Sight{}, cmp.Or(worker.CheckLife(ad.Incarnation, fw.Addr.Incarnation.Born), err)
+			return worker.PollResult{}, cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.StartedMS), err)
 		}
 		if wake != nil && lo.Wait > 0 {
 			select {
 			case <-wake:
 			case <-time.After(lo.Wait):
 			case <-ctx.Done():
-				return worker.Sight{}, ctx.Err()
+				return worker.PollResult{}, ctx.Err()
 			}
 		}
 		si, err := fw.sight()
 		if err == nil {
-			err = worker.CheckLife(ad.Incarnation, fw.Addr.Incarnation.Born)
+			err = worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.StartedMS)
 		}
 		return si, err
 	})
@@ -428,15 +428,15 @@
 
 // prepare takes in what a look says, and returns what to wait for if no end is
 // listed.
-func (fw *FleetWorker) prepare(lo worker.Look) (chan struct{}, error) {
+func (fw *FleetWorker) prepare(lo worker.Poll) (chan struct{}, error) {
 	fw.fl.mu.Lock()
 	defer fw.fl.mu.Unlock()
 	if fw.fenced(lo.Fence) {
 		return nil, worker.ErrFenced
 	}
 	fw.extend(lo.LeaseUntilMS)
-	fw.told = max(fw.told, lo.Seen)
-	fw.forget(lo.Seen)
+	fw.told = max(fw.told, lo.AckedEnd)
+	fw.forget(lo.AckedEnd)
 	if len(fw.ended) > 0 {
 		return nil, nil
 	}
@@ -445,13 +445,13 @@
 
 // sight is the answer to a look. A process that ended says nothing, also not of the ends
 // that woke its look.
-func (fw *FleetWorker) sight() (worker.Sight, error) {
+func (fw *FleetWorker) sight() (worker.PollResult, error) {
 	fw.fl.mu.Lock()
 	defer fw.fl.mu.Unlock()
 	if fw.dead {
-		return worker.Sight{}, errReset(fw.Addr)
+		return worker.PollResult{}, errReset(fw.Addr)
 	}
-	si := worker.Sight{ClockMS: fw.clock(), Ended: append([]worker.EndedAttempt(nil), fw.ended...)}
+	si := worker.PollResult{ClockMS: fw.clock(), Ended: append([]worker.EndedAttempt(nil), fw.ended...)}
 	for _, ta := range fw.running {
 		si.Running = append(si.Running, worker.RunningAttempt{Attempt: ta.run.Attempt, Checkpoint: ta.checkpoint(), Percent: ta.percent(), Usage: ta.usage})
 	}
