--- a/internal/jobhost/host.go
+++ b/internal/jobhost/host.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sched.GaugeNoWorkers(me)
+	sched.ResetGauges(me)
 	ho := &Host{log: log, metrics: me, scrape: scrape, workers: transport.NewClient(workerConns, log)}
 	ho.se.Store(&se)
 	ho.table = platform.NewTable(platform.Client{
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -59,7 +59,7 @@
 		qt.Assert(t, free.Served > 0, qt.IsTrue)
 	})
 	t.Run("fillers that nobody slows disturb", func(t *testing.T) {
-		rough := playIn(t, mi, 1, Variant{Without: sched.MechPace | sched.MechHold | sched.MechPatience | sched.MechMove})
+		rough := playIn(t, mi, 1, Variant{Without: sched.MechPace | sched.MechHold | sched.MechFillerWait | sched.MechMove})
 		qt.Assert(t, rough.OverByFillers > usual.OverByFillers, qt.IsTrue, qt.Commentf("%v, usual %v", rough.OverByFillers, usual.OverByFillers))
 	})
 }
--- a/internal/sched/aside_test.go
+++ b/internal/sched/aside_test.go
@@ -37,7 +37,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
 		failingJobs(la, func(worker.Attempt) (time.Duration, string) { return time.Second, "done" })
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		for n := range 40 {
@@ -88,9 +88,9 @@
 func TestFailingWorkerIsSparedAmongOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
-		sick := la.crew[0].Addr.Incarnation
-		la.crew[0].RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
-		ow, end := la.own()
+		sick := la.fleetWorkers[0].Addr.Incarnation
+		la.fleetWorkers[0].RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		for n := range 20 {
--- a/internal/sched/backlog_test.go
+++ b/internal/sched/backlog_test.go
@@ -19,7 +19,7 @@
 		la.submit(ow, n, job.Spec{Payload: "serve", Steps: []job.Step{{Tasks: 8, Each: each, Endless: true, TargetMS: 24, Image: fmt.Sprint("s", i%5)}}})
 	}
 	time.Sleep(time.Second)
-	for _, fw := range la.crew[:3*workers/10] {
+	for _, fw := range la.fleetWorkers[:3*workers/10] {
 		la.fleet.Kill(fw)
 	}
 	time.Sleep(9 * time.Second)
@@ -36,7 +36,7 @@
 	for _, workers := range []int{48, 350} {
 		la := newLab(b, workers)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return -1, "" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(200 * time.Millisecond)
 		backlog(la, ow, workers)
@@ -62,7 +62,7 @@
 		}
 		return 700 * time.Millisecond, "done"
 	}
-	ow, end := la.own()
+	ow, end := la.startOwner()
 	defer end()
 	time.Sleep(200 * time.Millisecond)
 	backlog(la, ow, 350)
--- a/internal/sched/rest.go
+++ b/internal/sched/backoff.go
@@ -11,17 +11,17 @@
 // started 50 times a second.
 const (
 	// restFirst is the rest after the second failure in a row; it doubles with each.
-	restFirst = 100 * time.Millisecond
+	backoffInitial = 100 * time.Millisecond
 	// restMost bounds it: users miss a task that last ran 6 s ago.
-	restMost = 3200 * time.Millisecond
+	backoffMax = 3200 * time.Millisecond
 	// restDoublings is how often restFirst doubles to restMost.
-	restDoublings = 5
+	backoffDoublings = 5
 )
 
 // rests has the rests of a job's tasks that last. The zero value has none.
-type rests struct{ tasks map[job.TaskRef]rest }
+type backoffs struct{ tasks map[job.TaskRef]taskBackoff }
 
-type rest struct {
+type taskBackoff struct {
 	// failures are those in a row.
 	failures int
 	// until is when the task may begin again.
@@ -29,23 +29,25 @@
 }
 
 // failed notes that an attempt of a task failed.
-func (re *rests) failed(en *entry, ref job.TaskRef, now time.Time) {
+func (bo *backoffs) recordFailure(en *entry, ref job.TaskRef, now time.Time) {
 	if !en.jo.Spec.Steps[ref.Step].Endless {
 		return
 	}
-	if re.tasks == nil {
-		re.tasks = map[job.TaskRef]rest{}
+	if bo.tasks == nil {
+		bo.tasks = map[job.TaskRef]taskBackoff{}
 	}
-	ta := re.tasks[ref]
+	ta := bo.tasks[ref]
 	if ta.failures > 0 {
-		ta.until = now.Add(min(restFirst<<min(ta.failures-1, restDoublings), restMost))
+		ta.until = now.Add(min(backoffInitial<<min(ta.failures-1, backoffDoublings), backoffMax))
 	}
 	ta.failures++
-	re.tasks[ref] = ta
+	bo.tasks[ref] = ta
 }
 
 // lasted forgets the failures of a task.
-func (re *rests) lasted(ref job.TaskRef) { delete(re.tasks, ref) }
+func (bo *backoffs) reset(ref job.TaskRef) { delete(bo.tasks, ref) }
 
 // resting reports whether a task is not to begin yet.
-func (re *rests) resting(ref job.TaskRef, now time.Time) bool { return now.Before(re.tasks[ref].until) }
+func (bo *backoffs) active(ref job.TaskRef, now time.Time) bool {
+	return now.Before(bo.tasks[ref].until)
+}
--- a/internal/sched/rest_test.go
+++ b/internal/sched/backoff_test.go
@@ -13,7 +13,7 @@
 // TestLastingTaskThatFailsAtOnce has a task that is to last fail 10 ms after each start
 // for 20 s, and then last. It was started as fast as writes allow; now the starts get
 // fewer, and it is back soon after it can last.
-func TestLastingTaskThatFailsAtOnce(t *testing.T) {
+func TestBackoffOfEndlessTaskThatFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		began := time.Now()
@@ -23,14 +23,14 @@
 			}
 			return -1, ""
 		}
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(1))
 		time.Sleep(20 * time.Second)
 		t.Logf("%d runs in 20 s", len(la.fleet.Runs()))
 		qt.Check(t, len(la.fleet.Runs()) <= 15, qt.IsTrue, qt.Commentf("%d runs", len(la.fleet.Runs())))
-		time.Sleep(restMost + time.Second)
+		time.Sleep(backoffMax + time.Second)
 		la.assertRunning(1)
 	})
 }
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -41,7 +41,7 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			la := newLab(b, workers)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return -1, "" }
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			defer end()
 			time.Sleep(200 * time.Millisecond)
 			mixture(la, ow, workers)
@@ -62,7 +62,7 @@
 func BenchmarkAttempts(b *testing.B) {
 	la := newLab(b, 48)
 	la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Millisecond, "done" }
-	ow, end := la.own()
+	ow, end := la.startOwner()
 	defer end()
 	time.Sleep(200 * time.Millisecond)
 	b.ReportAllocs()
@@ -82,7 +82,7 @@
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			la := newLab(b, workers)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 50 * time.Millisecond, "done" }
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			defer end()
 			time.Sleep(200 * time.Millisecond)
 			la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 12})
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -36,7 +36,7 @@
 func newCapacities(t *testing.T, workers int) *capacities {
 	t.Helper()
 	ca := &capacities{lab: newLab(t, workers), said: map[worker.Incarnation][]saying{}}
-	for _, fw := range ca.crew {
+	for _, fw := range ca.fleetWorkers {
 		ca.note(fw, fw.Holds)
 		fw.Holds = worker.Resources{MilliCores: 1 << 40, MemMB: 1 << 40}
 	}
@@ -49,7 +49,7 @@
 	if ca.end != nil {
 		ca.end()
 	}
-	ow, loaded, end := ca.begin()
+	ow, loaded, end := ca.startLoading()
 	qt.Assert(ca.t, <-loaded, qt.IsNil)
 	ca.ow, ca.end = ow, end
 	ca.tell()
@@ -119,7 +119,7 @@
 			time.Sleep(time.Second)
 			ca.submit(ca.ow, 1, lasting(12))
 			time.Sleep(time.Second)
-			ca.say(ca.crew[0], 16)
+			ca.say(ca.fleetWorkers[0], 16)
 			time.Sleep(time.Second)
 			if takeover {
 				ca.own()
@@ -128,7 +128,7 @@
 			ca.submit(ca.ow, 2, lasting(4))
 			time.Sleep(5 * time.Second)
 			ca.assertRunning(12)
-			ca.say(ca.crew[0], 32)
+			ca.say(ca.fleetWorkers[0], 32)
 			time.Sleep(500 * time.Millisecond)
 			ca.assertRunning(16)
 			qt.Check(t, ca.overfilled(), qt.HasLen, 0)
@@ -151,7 +151,7 @@
 					jobs++
 					ca.submit(ca.ow, jobs, batch(1, rapid.IntRange(1, 30).Draw(rt, "tasks")))
 				case "say":
-					fw := ca.crew[rapid.IntRange(0, len(ca.crew)-1).Draw(rt, "worker")]
+					fw := ca.fleetWorkers[rapid.IntRange(0, len(ca.fleetWorkers)-1).Draw(rt, "worker")]
 					ca.say(fw, int64(rapid.IntRange(0, 40).Draw(rt, "cores")))
 				case "owner":
 					ca.own()
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -113,7 +113,7 @@
 			return short(at)
 		}
 		// The next process settles late, so that the task is tried where others are at work.
-		cr.throughFunc = slowToSettle
+		cr.wrapAgentFunc = slowToSettle
 		ow := cr.own()
 		defer func() { cr.end() }()
 		time.Sleep(time.Second)
@@ -190,13 +190,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			la, li := loggedLab(t, 6)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			defer end()
 			time.Sleep(time.Second)
 			la.submit(ow, 1, batch(1, 1))
 			for range 4 {
 				time.Sleep(50 * time.Millisecond)
-				i := slices.IndexFunc(la.crew, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
+				i := slices.IndexFunc(la.fleetWorkers, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
 				leaving := la.listed()[i]
 				leaving.Draining, leaving.Remaining = true, time.Minute
 				if drains {
@@ -228,7 +228,7 @@
 func TestRefusedByTheNextProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 100})
@@ -251,7 +251,7 @@
 		la, li := loggedLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
 		var silent atomic.Pointer[worker.Incarnation]
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 				si, err := look(ctx, ad, lo)
@@ -263,13 +263,13 @@
 			}
 			return ag
 		}
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(10 * time.Millisecond)
-		i := slices.IndexFunc(la.crew, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
-		silent.Store(&la.crew[i].Addr.Incarnation)
+		i := slices.IndexFunc(la.fleetWorkers, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
+		silent.Store(&la.fleetWorkers[i].Addr.Incarnation)
 		time.Sleep(4 * time.Second)
 		silent.Store(nil)
 		_, now := la.nextLife(i)
@@ -315,7 +315,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 2500 * time.Millisecond, "failed" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -83,7 +83,7 @@
 	if cr.end != nil {
 		cr.end()
 	}
-	ow, loaded, end := cr.begin()
+	ow, loaded, end := cr.startLoading()
 	if err := <-loaded; err != nil {
 		cr.t.Fatal(err)
 	}
@@ -139,9 +139,9 @@
 		next.Addr.HostPort = fmt.Sprintf("10.1.0.%d:80", cr.lives)
 	}
 	cr.fleet.Add(next)
-	for i := range cr.crew {
-		if cr.crew[i] == fw {
-			cr.crew[i] = next
+	for i := range cr.fleetWorkers {
+		if cr.fleetWorkers[i] == fw {
+			cr.fleetWorkers[i] = next
 		}
 	}
 	cr.mu.Unlock()
@@ -191,13 +191,13 @@
 func (cr *crashes) workers() []*standin.FleetWorker {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	return slices.Clone(cr.crew)
+	return slices.Clone(cr.fleetWorkers)
 }
 
 // crashAny crashes one of the workers that are up.
 func (cr *crashes) crashAny(rt *rapid.T) {
 	cr.mu.Lock()
-	fw := cr.crew[rapid.IntRange(0, len(cr.crew)-1).Draw(rt, "worker")]
+	fw := cr.fleetWorkers[rapid.IntRange(0, len(cr.fleetWorkers)-1).Draw(rt, "worker")]
 	up := !cr.down[fw]
 	cr.mu.Unlock()
 	if up {
--- a/internal/sched/crowd_test.go
+++ b/internal/sched/crowd_test.go
@@ -234,7 +234,7 @@
 func (co *contender) die() {
 	co.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	co.set(func(co *contender) {
-		for _, fw := range co.cr.crew {
+		for _, fw := range co.cr.fleetWorkers {
 			co.cut[fw.Addr.Incarnation] = true
 		}
 		co.reborn = true
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -16,7 +16,7 @@
 func (ow *Owner) askOthers(li Listed) {
 	for _, other := range ow.others(li.Addr) {
 		ow.Log.Info("another process is listed at a worker's address or under its id", "worker", other.incarnation, "addr", li.HostPort, "other", li.Incarnation,
-			"heard", other.quietFor(time.Now()))
+			"heard", other.sinceLastContact(time.Now()))
 		nudge(other.rerouted)
 	}
 }
@@ -82,7 +82,7 @@
 		le.add(at.step(), end)
 		ho.ow.end(at.en, at.ref, at.number, end, "", why)
 	}
-	ho.ow.tellLost(ho.incarnation, le, why, ho.quietFor(time.Now()))
+	ho.ow.tellLost(ho.incarnation, le, why, ho.sinceLastContact(time.Now()))
 }
 
 // verdictIf is how an attempt ended on a worker that was lost, and whose process has ended
@@ -210,7 +210,7 @@
 		goneFor = now.Sub(ho.goneAt)
 	}
 	ho.ow.Log.Warn("worker is dead", "worker", ho.incarnation, "attempts", len(ho.attempts), "why", why, "by", by, "unanswered", unanswered,
-		"heard", ho.quietFor(now), "failing_for", since(now, ho.failing), "silent", ho.silent, "listed", !ho.gone, "gone_for", goneFor, "draining", ho.Draining)
+		"heard", ho.sinceLastContact(now), "failing_for", since(now, ho.failing), "silent", ho.silent, "listed", !ho.gone, "gone_for", goneFor, "draining", ho.Draining)
 }
 
 // since is how long ago something began, or 0 if it did not.
--- a/internal/sched/death_test.go
+++ b/internal/sched/death_test.go
@@ -21,14 +21,14 @@
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(2)
 		time.Sleep(3 * time.Second)
-		was := la.crew[0]
+		was := la.fleetWorkers[0]
 		la.fleet.Kill(was)
 		time.Sleep(time.Second)
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(time.Second)
 		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
 		la.fleet.Add(now)
-		la.crew[0] = now
+		la.fleetWorkers[0] = now
 		ow.SetWorkers(la.listed(), nil, false)
 		time.Sleep(time.Second)
 		dead := li.with(`msg="worker is dead"`, "worker="+was.Addr.Incarnation.String()+" ")
@@ -59,7 +59,7 @@
 		cr := newCrashes(t, la)
 		cr.crashing()
 		var once sync.Once
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			launch := ag.LaunchFunc
 			ag.LaunchFunc = func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
 				once.Do(func() {
--- a/internal/sched/scarce.go
+++ b/internal/sched/demand.go
@@ -4,75 +4,75 @@
 
 // scarceEvery is the time between lines on tasks that last and find no room: what single
 // jobs write of it tells neither how many they are nor what room there is in all.
-const scarceEvery = time.Second
+const demandLogInterval = time.Second
 
 // scarcity is the room that there is for tasks that last and wait.
-type scarcity struct {
+type endlessDemand struct {
 	// jobs and tasks wait for room; again are those tasks of them that ran before.
-	jobs, tasks, again int
+	jobs, tasks, interrupted int
 	// needMilliCores is what they need, longest for how long one has waited.
 	needMilliCores int64
-	longest        time.Duration
+	longestWait    time.Duration
 	// workers get new tasks; of these free is the sum and most the most of one that is
 	// free, and passing what tasks there take that end by themselves, in thousandths of a
 	// core. Of kept workers the room is kept, and promised is promised to tasks that are to
 	// begin again.
-	workers, kept       int
-	promised            int64
-	free, most, passing int64
+	workers, earmarked     int
+	reserved               int64
+	free, mostFree, finite int64
 }
 
 // tellScarcity writes a line on tasks that last and wait for room.
-func (ow *Owner) tellScarcity(now time.Time) {
-	if now.Sub(ow.scarceAt) < scarceEvery {
+func (ow *Owner) logEndlessDemand(now time.Time) {
+	if now.Sub(ow.scarceAt) < demandLogInterval {
 		return
 	}
-	sc := ow.scarcity(now)
-	if sc.tasks == 0 {
+	ed := ow.endlessDemand(now)
+	if ed.tasks == 0 {
 		return
 	}
 	ow.scarceAt = now
-	ow.Log.Info("room for lasting tasks", "jobs", sc.jobs, "tasks", sc.tasks, "again", sc.again, "need_millicores", sc.needMilliCores, "longest", sc.longest,
-		"workers", sc.workers, "kept", sc.kept, "free_millicores", sc.free, "most_millicores", sc.most, "passing_millicores", sc.passing,
-		"promised_millicores", sc.promised, "promises_lacking", ow.promises.lacking)
+	ow.Log.Info("room for lasting tasks", "jobs", ed.jobs, "tasks", ed.tasks, "again", ed.interrupted, "need_millicores", ed.needMilliCores, "longest", ed.longestWait,
+		"workers", ed.workers, "kept", ed.earmarked, "free_millicores", ed.free, "most_millicores", ed.mostFree, "passing_millicores", ed.finite,
+		"promised_millicores", ed.reserved, "promises_lacking", ow.promises.lacking)
 }
 
 // scarcity sums up what waits for long, and the room.
-func (ow *Owner) scarcity(now time.Time) scarcity {
-	var sc scarcity
+func (ow *Owner) endlessDemand(now time.Time) endlessDemand {
+	var ed endlessDemand
 	for _, en := range ow.active {
 		if en.jo.Endless() && en.lack == CauseRoom && now.Sub(en.waitingSince) >= firstWait {
-			sc.add(en, now)
+			ed.add(en, now)
 		}
 	}
-	if sc.tasks == 0 {
-		return sc
+	if ed.tasks == 0 {
+		return ed
 	}
 	for _, ho := range ow.hosts {
 		if ho.bar(now) != "" {
 			continue
 		}
 		free := max(ho.Holds.MilliCores-ho.reserved.MilliCores, 0)
-		sc.workers++
-		sc.free += free
-		sc.most = max(sc.most, free)
-		sc.passing += ho.passing.MilliCores
-		sc.promised += ho.promised.MilliCores
-		if ho.isKept() {
-			sc.kept++
+		ed.workers++
+		ed.free += free
+		ed.mostFree = max(ed.mostFree, free)
+		ed.finite += ho.passing.MilliCores
+		ed.reserved += ho.promised.MilliCores
+		if ho.isEarmarked() {
+			ed.earmarked++
 		}
 	}
-	return sc
+	return ed
 }
 
 // add adds the tasks of a job that wait.
-func (sc *scarcity) add(en *entry, now time.Time) {
-	sc.jobs++
-	sc.longest = max(sc.longest, now.Sub(en.waitingSince))
+func (ed *endlessDemand) add(en *entry, now time.Time) {
+	ed.jobs++
+	ed.longestWait = max(ed.longestWait, now.Sub(en.waitingSince))
 	for step := range en.jo.Spec.Steps {
 		n := en.waitingOf(step)
-		sc.tasks += n
-		sc.needMilliCores += int64(n) * en.jo.Spec.Steps[step].Reserved().MilliCores
-		sc.again += en.waitingAgain(step)
+		ed.tasks += n
+		ed.needMilliCores += int64(n) * en.jo.Spec.Steps[step].Reserved().MilliCores
+		ed.interrupted += en.waitingAgain(step)
 	}
 }
--- a/internal/sched/entry.go
+++ b/internal/sched/entry.go
@@ -62,7 +62,7 @@
 	// stood counts how often attempts of a task were found to stand still.
 	stood map[job.TaskRef]int
 	// rests has the tasks that last and failed again and again.
-	rests rests
+	rests backoffs
 	// triedAt is when a worker was last chosen to try a task of it alone.
 	triedAt time.Time
 	// lack is what the last round of placement lacked for a task that waits.
@@ -164,7 +164,7 @@
 			en.failedOn = map[worker.Incarnation]bool{}
 		}
 		en.failedOn[incarnation] = true
-		en.rests.failed(en, ref, time.Now())
+		en.rests.recordFailure(en, ref, time.Now())
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", string(end))
 	ow.Log.Info("attempt ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "end", end, "why", why, "state", en.jo.State(),
--- a/internal/sched/expect.go
+++ b/internal/sched/expect.go
@@ -52,7 +52,7 @@
 
 // promiseRoom promises room to the lasting tasks that are to begin again.
 func (ow *Owner) promiseRoom(now time.Time) {
-	if !ow.uses(MechKeepRoom) {
+	if !ow.uses(MechReserveCapacity) {
 		return
 	}
 	list := ow.expected(now)
@@ -162,7 +162,7 @@
 		}
 		for index := range tasks {
 			ref := job.TaskRef{Step: step, Index: index}
-			if tasks[index].State == job.Waiting && en.interrupted(ref) && !en.rests.resting(ref, now) {
+			if tasks[index].State == job.Waiting && en.interrupted(ref) && !en.rests.active(ref, now) {
 				list = append(list, expectation{en: en, st: st, waits: true})
 			}
 		}
--- a/internal/sched/expect_test.go
+++ b/internal/sched/expect_test.go
@@ -20,7 +20,7 @@
 			la.fleet.Kill(lost)
 			if takeover {
 				var end func()
-				ow, end = la.own()
+				ow, end = la.startOwner()
 				defer end()
 			}
 			time.Sleep(time.Second)
@@ -51,7 +51,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 1)
 				la.fleet.RunFunc = endless
-				ow, end := la.own()
+				ow, end := la.startOwner()
 				defer end()
 				time.Sleep(time.Second)
 				large, small := 1, 2
@@ -61,7 +61,7 @@
 				la.submit(ow, large, lastingOf(1, 24))
 				la.submit(ow, small, lastingOf(2, 4))
 				time.Sleep(time.Second)
-				lost := la.crew[0]
+				lost := la.fleetWorkers[0]
 				for i, cores := range tc.others {
 					la.addWorker(2 + i)
 					ow.SetWorkers(la.listed(), nil, true)
@@ -83,13 +83,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lastingOf(1, 24))
 		la.submit(ow, 2, lastingOf(2, 4))
 		time.Sleep(time.Second)
-		lost := la.crew[0]
+		lost := la.fleetWorkers[0]
 		la.addWorker(2)
 		ow.SetWorkers(la.listed(), nil, true)
 		la.submit(ow, 3, lastingOf(1, 6))
--- a/internal/sched/formerlife_test.go
+++ b/internal/sched/formerlife_test.go
@@ -18,12 +18,12 @@
 // entries of both.
 func (la *lab) nextLife(i int) (was, now Listed) {
 	was = la.listed()[i]
-	fw := la.crew[i]
+	fw := la.fleetWorkers[i]
 	la.fleet.Kill(fw)
 	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fw.Addr.Incarnation.ID + "b"}}, Holds: fw.Holds}
 	la.fleet.Add(next)
-	la.crew[i] = next
-	la.former = append(la.former, was)
+	la.fleetWorkers[i] = next
+	la.formerEntries = append(la.formerEntries, was)
 	return was, la.listed()[i]
 }
 
@@ -70,7 +70,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
 			la.fleet.RunFunc = endless
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			time.Sleep(time.Second)
 			la.submit(ow, 1, lasting(12))
 			time.Sleep(time.Second)
@@ -81,10 +81,10 @@
 			time.Sleep(time.Second)
 			la.nextLife(1)
 			end()
-			ow, loaded, end := la.begin()
+			ow, loaded, end := la.startLoading()
 			defer end()
 			qt.Assert(t, <-loaded, qt.IsNil)
-			list := append(la.listed(), la.former...)
+			list := append(la.listed(), la.formerEntries...)
 			if !formerLast {
 				slices.Reverse(list)
 			}
@@ -104,7 +104,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		var hung atomic.Bool
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 				if hung.Load() && ad.Incarnation.ID == "i-0" {
--- a/internal/sched/gone_test.go
+++ b/internal/sched/gone_test.go
@@ -99,7 +99,7 @@
 		owner.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		owner.set(func(co *contender) {
 			co.dark = true
-			for _, fw := range cr.crew {
+			for _, fw := range cr.fleetWorkers {
 				co.cut[fw.Addr.Incarnation] = true
 			}
 		})
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -42,7 +42,7 @@
 	ow *Owner
 	// way is how it is reached now. Orders on their way read it from any
 	// goroutine.
-	way         atomic.Pointer[way]
+	way         atomic.Pointer[path]
 	incarnation worker.Incarnation
 	// entered is when it was first seen. lives are other lives of the worker whose
 	// attempts it may run, of rows of former owners, and movedUntil is when leases of
@@ -115,7 +115,7 @@
 	failures     int
 	failedJobs   map[string]bool
 	// fill follows the fillers.
-	fill fillers
+	fill fillerStats
 }
 
 // SetWorkers takes in rows of the platform's list of workers. If whole is set
@@ -192,7 +192,7 @@
 		entered: time.Now(), attempts: map[*attempt]bool{}, failedJobs: map[string]bool{},
 	}
 	ho.leaves = time.Now().Add(li.Remaining)
-	ho.way.Store(ow.firstWay(li))
+	ho.way.Store(ow.newPath(li))
 	ow.hosts[li.Incarnation] = ho
 	ow.sorted = nil
 	ow.byAddr[li.HostPort] = append(ow.byAddr[li.HostPort], ho)
@@ -270,7 +270,7 @@
 	delete(ho.attempts, at)
 	ho.endTrial(at)
 	ho.ow.land(at)
-	ho.noteEnded(at, time.Now())
+	ho.recordEndedFiller(at, time.Now())
 	ho.services = slices.DeleteFunc(ho.services, func(other *attempt) bool { return other == at })
 	ho.reserved = ho.reserved.Without(at.step().Reserved())
 	ho.inUse -= likelyUse(at.step())
@@ -294,7 +294,7 @@
 	if at.task().Alone() {
 		ho.trial = &trial{en: at.en, ref: at.ref, at: at}
 	}
-	ho.fill.change()
+	ho.fill.invalidate()
 	at.en.attempts[at.ref] = at
 }
 
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -25,13 +25,13 @@
 
 // lab is one cell with stand-ins for everything outside of it.
 type lab struct {
-	t     testing.TB
-	table standin.Table
-	fleet standin.Fleet
-	crew  []*standin.FleetWorker
+	t            testing.TB
+	table        standin.Table
+	fleet        standin.Fleet
+	fleetWorkers []*standin.FleetWorker
 	// former are the entries of processes that ended, in their order.
-	former []Listed
-	epoch  int64
+	formerEntries []Listed
+	epoch         int64
 	// specs are the jobs handed in, by id.
 	mu    sync.Mutex
 	specs map[string]job.Spec
@@ -43,11 +43,11 @@
 	// readRate is how many bytes a second owners get from the store, if set.
 	readRate int
 	// throughFunc changes the client of workers, if set.
-	throughFunc func(worker.Agent) worker.Agent
+	wrapAgentFunc func(worker.Agent) worker.Agent
 	// via is the entry host through which workers are reached, if any.
 	via atomic.Pointer[string]
 	// viaOf has the entry hosts of workers with one of their own, by id.
-	viaOf map[string]string
+	viaByWorker map[string]string
 	// listFunc, confirmedFunc and writtenFunc are what owners know of the age of the list
 	// of workers, and of when the store confirmed their tenure and took a heartbeat, if set.
 	listFunc                   func() (last, since time.Time)
@@ -80,14 +80,14 @@
 }
 
 func (la *lab) agent() worker.Agent {
-	if la.throughFunc != nil {
-		return la.throughFunc(la.fleet.Agent())
+	if la.wrapAgentFunc != nil {
+		return la.wrapAgentFunc(la.fleet.Agent())
 	}
 	return la.fleet.Agent()
 }
 
-func (la *lab) viaNow(li Listed) string {
-	if via, ok := la.viaOf[li.Incarnation.ID]; ok {
+func (la *lab) currentVia(li Listed) string {
+	if via, ok := la.viaByWorker[li.Incarnation.ID]; ok {
 		return via
 	}
 	if via := la.via.Load(); via != nil {
@@ -109,12 +109,12 @@
 		Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000},
 	}
 	la.fleet.Add(fw)
-	la.crew = append(la.crew, fw)
+	la.fleetWorkers = append(la.fleetWorkers, fw)
 }
 
 func (la *lab) listed() []Listed {
 	var list []Listed
-	for _, fw := range la.crew {
+	for _, fw := range la.fleetWorkers {
 		list = append(list, Listed{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Holds: fw.Holds})
 	}
 	return list
@@ -161,8 +161,8 @@
 }
 
 // own starts an owner, and returns what ends it.
-func (la *lab) own() (*Owner, context.CancelFunc) {
-	ow, loaded, cancel := la.begin()
+func (la *lab) startOwner() (*Owner, context.CancelFunc) {
+	ow, loaded, cancel := la.startLoading()
 	qt.Assert(la.t, <-loaded, qt.IsNil)
 	ow.SetWorkers(la.listed(), nil, true)
 	return ow, cancel
@@ -170,7 +170,7 @@
 
 // begin starts an owner, and returns what says that it has loaded the cell, or why it
 // ended, and what ends it.
-func (la *lab) begin() (*Owner, <-chan error, context.CancelFunc) {
+func (la *lab) startLoading() (*Owner, <-chan error, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	te := la.claim()
 	te.Renounce = func(error) { cancel() }
@@ -182,7 +182,7 @@
 	}
 	ow := New(&Owner{
 		Cell: "c0", Tenure: te, Table: la.client(), Agent: la.agent(), Metrics: la.metrics, Log: la.log,
-		ViaFunc: la.viaNow, ListFunc: la.listFunc,
+		ViaFunc: la.currentVia, ListFunc: la.listFunc,
 		Limits: Limits{MaxLease: 6 * time.Second, StopTime: 900 * time.Millisecond, HarmAfter: 4 * time.Second, KeepEnded: 2 * time.Minute},
 	})
 	loaded := make(chan error, 2)
@@ -244,12 +244,12 @@
 		}
 	}
 	for _, ru := range runs {
-		list = append(list, la.outOfOrder(ru, doneAt)...)
+		list = append(list, la.outOfOrderRuns(ru, doneAt)...)
 	}
 	return list
 }
 
-func (la *lab) outOfOrder(ru standin.FleetRun, doneAt map[string]time.Time) []string {
+func (la *lab) outOfOrderRuns(ru standin.FleetRun, doneAt map[string]time.Time) []string {
 	var list []string
 	id, ref, _ := job.ParseTaskID(ru.Task)
 	for _, before := range la.spec(id).Steps[ref.Step].After {
--- a/internal/sched/lapse_test.go
+++ b/internal/sched/lapse_test.go
@@ -104,10 +104,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		ls := looksSeen{down: "r0"}
-		la.throughFunc = ls.through
+		la.wrapAgentFunc = ls.through
 		via := ls.down
 		la.via.Store(&via)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		// In the midst of a pause.
 		time.Sleep(3*time.Second + lookRetry/2)
@@ -126,7 +126,7 @@
 func TestFirstExtension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		time.Sleep(time.Second)
 		qt.Assert(t, la.submit(ow, 1, batch(1, 4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(100 * time.Millisecond)
@@ -134,9 +134,9 @@
 		// The tasks end with nobody to take note of it.
 		time.Sleep(2 * time.Second)
 		var ls looksSeen
-		la.throughFunc = ls.through
+		la.wrapAgentFunc = ls.through
 		opened := time.Now()
-		ow, end = la.own()
+		ow, end = la.startOwner()
 		defer end()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 		time.Sleep(5 * time.Second)
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -25,7 +25,7 @@
 	time.Sleep(time.Second)
 	qt.Assert(la.t, la.submit(ow, 1, batch(1, 1)).Outcome, qt.Equals, Accepted)
 	time.Sleep(300 * time.Millisecond)
-	la.crew[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+	la.fleetWorkers[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 	time.Sleep(10 * time.Second)
 }
 
@@ -41,10 +41,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		la.fleet.RunFunc = workLong
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		silence(la, ow)
-		la.crew[0].Gate.Set(standin.Fault{})
+		la.fleetWorkers[0].Gate.Set(standin.Fault{})
 		time.Sleep(2 * time.Second)
 		assertRunOnce(la, ow)
 	})
@@ -55,20 +55,20 @@
 		la := newLab(t, 1)
 		la.fleet.RunFunc = workLong
 		la.formerKnown = true
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(300 * time.Millisecond)
-		la.crew[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		la.fleetWorkers[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(3 * time.Second)
 		// The attempt is given up and that is not written, when its end is listed.
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		time.Sleep(7 * time.Second)
-		la.crew[0].Gate.Set(standin.Fault{})
+		la.fleetWorkers[0].Gate.Set(standin.Fault{})
 		time.Sleep(time.Second)
 		end()
 		la.table.Gate.Set(standin.Fault{})
-		ow, end = la.own()
+		ow, end = la.startOwner()
 		defer end()
 		time.Sleep(4 * time.Second)
 		assertRunOnce(la, ow)
@@ -83,7 +83,7 @@
 			la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 				return time.Duration(at.Number) * 3 * time.Second, "done"
 			}
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			defer func() { end() }()
 			time.Sleep(time.Second)
 			la.submit(ow, 1, batch(1, 1))
@@ -96,9 +96,9 @@
 			time.Sleep(500 * time.Millisecond)
 			if replaced {
 				end()
-				ow, end = la.own()
+				ow, end = la.startOwner()
 			}
-			for i, fw := range la.crew {
+			for i, fw := range la.fleetWorkers {
 				if fw != silent {
 					la.restart(i, 0, fw.Addr.HostPort)
 				}
@@ -118,10 +118,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 1)
 			la.fleet.RunFunc = endless
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			defer func() { end() }()
 			time.Sleep(time.Second)
-			la.fleet.SetLate(la.crew[0], 3*time.Second)
+			la.fleet.SetLate(la.fleetWorkers[0], 3*time.Second)
 			la.submit(ow, 1, lasting(1))
 			time.Sleep(500 * time.Millisecond)
 			ve, err := ow.Cancel(t.Context(), jobID(1))
@@ -129,11 +129,11 @@
 			qt.Assert(t, ve.Outcome, qt.Equals, Accepted)
 			if replaced {
 				end()
-				ow, end = la.own()
+				ow, end = la.startOwner()
 			}
 			time.Sleep(2700 * time.Millisecond)
 			// Orders to stop it that were sent before were late too.
-			la.fleet.SetLate(la.crew[0], 0)
+			la.fleet.SetLate(la.fleetWorkers[0], 0)
 			time.Sleep(idleWait + lookGrace + ow.Limits.StopTime)
 			// A worker that has heard of the next owner obeys no order of the former.
 			started := 1
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -61,7 +61,7 @@
 func (ow *Owner) sendLaunch(at *attempt, la worker.Launch) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ow.ctx, launchTimeout)
-	wa := at.ho.wayNow()
+	wa := at.ho.currentPath()
 	la.Fence = wa.fence
 	ack, err := ow.Agent.LaunchFunc(ctx, wa.addr, la)
 	cancel()
@@ -195,7 +195,7 @@
 func (ow *Owner) listedAt(ho *host, wa worker.Attempt) (bool, error) {
 	ctx, cancel := context.WithTimeout(ow.ctx, lookGrace)
 	defer cancel()
-	way := ho.wayNow()
+	way := ho.currentPath()
 	si, err := ow.Agent.LookFunc(ctx, way.addr, worker.Look{Fence: way.fence})
 	if err != nil {
 		ho.tellLife(err)
@@ -229,7 +229,7 @@
 func (ow *Owner) sendHalt(ho *host, wa worker.Attempt) bool {
 	ctx, cancel := context.WithTimeout(ow.ctx, haltTimeout)
 	defer cancel()
-	way := ho.wayNow()
+	way := ho.currentPath()
 	_, err := ow.Agent.HaltFunc(ctx, way.addr, worker.Halt{Attempt: wa, Fence: way.fence})
 	if err != nil {
 		ho.tellLife(err)
--- a/internal/sched/learnt.go
+++ b/internal/sched/learnt.go
@@ -32,7 +32,7 @@
 // loadLearnt begins with what the former owner learnt. Without it the owner
 // learns anew.
 func (ow *Owner) loadLearnt(ctx context.Context) {
-	if !ow.uses(MechHandOn) {
+	if !ow.uses(MechPersistPairs) {
 		return
 	}
 	lctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -49,7 +49,7 @@
 
 // saveLearnt writes what was learnt, if the last write was long enough ago.
 func (ow *Owner) saveLearnt(now time.Time) {
-	if !ow.uses(MechHandOn) || ow.saving || now.Sub(ow.saved) < saveEvery || ow.storeDown() {
+	if !ow.uses(MechPersistPairs) || ow.saving || now.Sub(ow.saved) < saveEvery || ow.storeDown() {
 		return
 	}
 	pairs := ow.model.Learnt(pairsMost)
--- a/internal/sched/learnt_test.go
+++ b/internal/sched/learnt_test.go
@@ -14,7 +14,7 @@
 func TestNextOwnerKnowsWhatWasLearnt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		pair := interfere.Pair{Service: "s", Filler: "f"}
 		_, err := ask(t.Context(), ow, func(answer func(struct{})) {
 			ow.model = interfere.FromLearnt([]interfere.Learnt{{Pair: pair, Drop: 9}})
@@ -23,7 +23,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(saveEvery + time.Second)
 		end()
-		next, end := la.own()
+		next, end := la.startOwner()
 		defer end()
 		drop, err := ask(t.Context(), next, func(answer func(float64)) { answer(next.model.Drop(pair)) })
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -25,7 +25,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 1)
 				la.fleet.RunFunc = endless
-				ow, end := la.own()
+				ow, end := la.startOwner()
 				time.Sleep(time.Second)
 				const jobs = 400
 				for n := range jobs {
@@ -39,7 +39,7 @@
 				// The time that the bytes take, and half as much again.
 				bytes := jobs * 4500
 				most := time.Duration(bytes) * time.Second * 3 / 2 / time.Duration(rate)
-				next, loaded, end := la.begin()
+				next, loaded, end := la.startLoading()
 				defer end()
 				select {
 				case err := <-loaded:
--- a/internal/sched/looks.go
+++ b/internal/sched/looks.go
@@ -49,7 +49,7 @@
 		sent := time.Now()
 		lctx, cancel := context.WithTimeout(ctx, lo.Wait+lookGrace)
 		forget(ho.rerouted)
-		wa := ho.wayNow()
+		wa := ho.currentPath()
 		lo.Fence = wa.fence
 		si, err := ho.ow.Agent.LookFunc(lctx, wa.addr, lo)
 		cancel()
@@ -185,7 +185,7 @@
 	case errors.Is(err, worker.ErrOtherLife):
 		ho.die("another process answers at its address", worker.Incarnation{})
 	case errors.Is(err, worker.ErrFenced):
-		ho.ow.Log.Warn("worker obeys a higher fencing token", "worker", ho.incarnation, "epoch", ho.ow.Tenure.Epoch, "fence", ho.wayNow().fence)
+		ho.ow.Log.Warn("worker obeys a higher fencing token", "worker", ho.incarnation, "epoch", ho.ow.Tenure.Epoch, "fence", ho.currentPath().fence)
 		ho.failing = time.Now()
 		// It may be of this owner, from a way that was given up; those of the next are
 		// higher than all that follow.
@@ -290,7 +290,7 @@
 		ho.started(at, got)
 		at.sight(got)
 		at.usage = ra.Usage
-		at.follow(ra.Percent, got)
+		at.recordProgress(ra.Percent, got)
 		if ra.Checkpoint != "" {
 			at.en.jo.Task(at.ref).Checkpoint = ra.Checkpoint
 		}
@@ -301,7 +301,7 @@
 			ho.ow.halt(at, "still running after it was to stop")
 		}
 		if at.stalled(got) {
-			ho.relieve(at, got)
+			ho.stopStalled(at, got)
 		}
 	}
 }
@@ -318,7 +318,7 @@
 		return
 	}
 	at.launched = now
-	ho.easeIn(at, now)
+	ho.setInitialPace(at, now)
 }
 
 // find returns the attempt that the worker names, if it runs here.
--- a/internal/sched/lost.go
+++ b/internal/sched/lost.go
@@ -32,5 +32,5 @@
 		return
 	}
 	ow.Log.Warn("attempts of a lost worker ended", "worker", incarnation, "attempts", le.attempts, "lasting", le.lasting,
-		"ends", listCounts(le.verdicts), "why", why, "quiet", quiet, "opened", time.Since(ow.opened))
+		"ends", formatCounts(le.verdicts), "why", why, "quiet", quiet, "opened", time.Since(ow.opened))
 }
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -17,21 +17,21 @@
 	// MechPairs learns how much each filler's image disturbs each service's.
 	MechPairs
 	// MechHandOn keeps what was learnt of pairs for the next owner.
-	MechHandOn
+	MechPersistPairs
 	// MechApart keeps services of different images on different workers.
-	MechApart
+	MechSeparateImages
 	// MechAlike counts images that were seen to suffer alike as one.
-	MechAlike
+	MechSimilarImages
 	// MechSiblings places replicas of one step side by side.
-	MechSiblings
+	MechColocateReplicas
 	// MechLeastWork has jobs with least work left go first.
 	MechLeastWork
 	// MechByAge has every third job take its turn by age.
-	MechByAge
+	MechTurnsByAge
 	// MechHope has jobs that can be in time go before those that cannot.
-	MechHope
+	MechFeasibleFirst
 	// MechPatience has fillers wait for a good place.
-	MechPatience
+	MechFillerWait
 	// MechPace slows fillers beside services that are close to their target.
 	MechPace
 	// MechHold holds fillers beside services that are over their target for long.
@@ -41,7 +41,7 @@
 	// MechStall tries attempts that make no progress elsewhere.
 	MechStall
 	// MechKeepRoom keeps room for endless tasks that find none.
-	MechKeepRoom
+	MechReserveCapacity
 )
 
 // MechanismEntry documents a mechanism.
@@ -56,19 +56,19 @@
 var Mechanisms = []MechanismEntry{
 	{MechTrend, "trend", "looks ahead along the trend of a step's load"},
 	{MechPairs, "pairs", "learns how much each filler's image disturbs each service's"},
-	{MechHandOn, "hand-on", "keeps what was learnt of pairs for the next owner"},
-	{MechApart, "apart", "keeps services of different images on different workers"},
-	{MechAlike, "alike", "counts images of services that were seen to suffer alike as one"},
-	{MechSiblings, "siblings", "places replicas of one step side by side"},
+	{MechPersistPairs, "hand-on", "keeps what was learnt of pairs for the next owner"},
+	{MechSeparateImages, "apart", "keeps services of different images on different workers"},
+	{MechSimilarImages, "alike", "counts images of services that were seen to suffer alike as one"},
+	{MechColocateReplicas, "siblings", "places replicas of one step side by side"},
 	{MechLeastWork, "least-work", "has jobs with least work left go first"},
-	{MechByAge, "by-age", "has every third job take its turn by age"},
-	{MechHope, "hope", "has jobs that can be in time go before those that cannot"},
-	{MechPatience, "patience", "has fillers wait for a good place"},
+	{MechTurnsByAge, "by-age", "has every third job take its turn by age"},
+	{MechFeasibleFirst, "hope", "has jobs that can be in time go before those that cannot"},
+	{MechFillerWait, "patience", "has fillers wait for a good place"},
 	{MechPace, "pace", "slows fillers beside services that are close to their target"},
 	{MechHold, "hold", "holds fillers beside services that are over their target for long"},
 	{MechMove, "move", "moves held fillers to better places"},
 	{MechStall, "stall", "tries attempts that make no progress elsewhere"},
-	{MechKeepRoom, "keep-room", "keeps room for endless tasks that find none"},
+	{MechReserveCapacity, "keep-room", "keeps room for endless tasks that find none"},
 }
 
 // ErrMechanism is returned for a word that names no mechanism.
--- a/internal/sched/mechanism_test.go
+++ b/internal/sched/mechanism_test.go
@@ -38,12 +38,12 @@
 
 // TestSwitchedOff has a job that is too late for its caller, with and without
 // what tells it from others.
-func TestSwitchedOff(t *testing.T) {
-	ow := idleOwner(t)
+func TestDisabledMechanism(t *testing.T) {
+	ow := ownerWithoutLoop(t)
 	en := addJob(ow, 1, job.Step{Tasks: 1, EstimateMS: 1000})
 	en.aimMS = 500
 	qt.Assert(t, en.judge(time.Now()), qt.Equals, late)
-	ow.Without = MechHope
+	ow.Without = MechFeasibleFirst
 	qt.Assert(t, en.judge(time.Now()), qt.Equals, inTime)
 	qt.Assert(t, ow.uses(MechMove), qt.IsTrue)
 }
--- a/internal/sched/nextlife.go
+++ b/internal/sched/nextlife.go
@@ -88,7 +88,7 @@
 	delete(ho.ow.hosts, ho.incarnation)
 	ho.incarnation = answered
 	ho.ow.hosts[answered], ho.ow.sorted = ho, nil
-	wa := ho.wayNow()
+	wa := ho.currentPath()
 	wa.addr.Incarnation = answered
 	ho.way.Store(&wa)
 	nudge(ho.rerouted)
@@ -113,7 +113,7 @@
 func (ho *host) giveWay(next *host) {
 	ho.dead = true
 	ho.tellDeath("another life of the worker answers", next.incarnation, time.Now())
-	if next.wayNow().fence <= ho.wayNow().fence {
+	if next.currentPath().fence <= ho.currentPath().fence {
 		next.raiseFence()
 	}
 	crashed := ho.crashed()
@@ -141,7 +141,7 @@
 
 // raiseFence has the worker be told a fencing token that is higher than all before.
 func (ho *host) raiseFence() {
-	wa := ho.wayNow()
+	wa := ho.currentPath()
 	wa.fence = ho.ow.nextFence()
 	ho.way.Store(&wa)
 }
@@ -150,7 +150,7 @@
 // ordered there.
 func (ho *host) unsettle() {
 	now := time.Now()
-	ho.settled, ho.settleFence = false, ho.wayNow().fence
+	ho.settled, ho.settleFence = false, ho.currentPath().fence
 	ho.movedUntil = now.Add(lateOrderMost + slowest(ho.ow.Limits.MaxLease) + lapseMargin)
 	nudge(ho.release)
 	nudge(ho.rerouted)
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -35,7 +35,7 @@
 // judge returns the job's hope at a moment.
 func (en *entry) judge(now time.Time) hope {
 	// An endless task is worth something at any time.
-	if en.aimMS <= 0 || en.jo.Endless() || !en.ow.uses(MechHope) {
+	if en.aimMS <= 0 || en.jo.Endless() || !en.ow.uses(MechFeasibleFirst) {
 		return inTime
 	}
 	done := now.Sub(en.acceptedAt).Milliseconds() + en.jo.RemainingMS()
@@ -62,7 +62,7 @@
 	if ow.uses(MechLeastWork) {
 		ow.takeTurns(1, func(a, b *entry) int { return cmp.Compare(a.work, b.work) })
 	}
-	if ow.uses(MechByAge) {
+	if ow.uses(MechTurnsByAge) {
 		ow.takeTurns(bySizePerAge, func(a, b *entry) int { return cmp.Compare(a.order, b.order) })
 	}
 	slices.SortFunc(ow.active, compareEntries)
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -115,7 +115,7 @@
 	// model is what was learnt of fillers and services.
 	model interfere.Model
 	// noPlace has what no place was found for.
-	noPlace noPlace
+	noPlace noFitCache
 	// likeness has what was worked out in this round of placement.
 	likeness map[imagePair]float64
 	// saved is when what was learnt was last written, saving is set while it is.
@@ -163,7 +163,7 @@
 // Run reads the state of the cell, calls loaded, and serves it until ctx ends.
 func (ow *Owner) Run(ctx context.Context, loaded func()) error {
 	defer close(ow.ended)
-	defer GaugeNoWorkers(ow.Metrics)
+	defer ResetGauges(ow.Metrics)
 	ow.ctx = ctx
 	ow.opened = time.Now()
 	ow.roll.trouble = ow.opened
@@ -230,12 +230,12 @@
 	}
 	ow.noteSilent(now)
 	ow.noteLeases(now)
-	ow.noteReach(now)
+	ow.updateReach(now)
 	ow.writeProofs(now)
 	ow.account(now)
 	ow.promiseRoom(now)
-	ow.tellScarcity(now)
-	ow.noteStuck(now)
+	ow.logEndlessDemand(now)
+	ow.reportStuck(now)
 	ow.sortActive(now)
 	ow.moveHeld(now)
 	ow.noteList(now)
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -16,7 +16,7 @@
 )
 
 // shop is one worker with a service and fillers, whose figures a test sets.
-type shop struct {
+type pacingFixture struct {
 	t       *testing.T
 	ho      *host
 	service *attempt
@@ -25,13 +25,13 @@
 
 const testTargetMS = 24
 
-func newShop(t *testing.T, fillers int) *shop {
+func newPacingFixture(t *testing.T, fillers int) *pacingFixture {
 	t.Helper()
 	ag := worker.Agent{PaceFunc: func(context.Context, worker.Addr, worker.Pace) (worker.Ack, error) { return worker.Ack{}, nil }}
 	ow := New(&Owner{Log: slog.New(slog.DiscardHandler), Agent: ag, Limits: Limits{HarmAfter: 4 * time.Second}})
 	ow.ctx = t.Context()
 	ho := &host{Listed: Listed{Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
-	sh := &shop{t: t, ho: ho}
+	sh := &pacingFixture{t: t, ho: ho}
 	sh.service = sh.put(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: "s"})
 	for i := range fillers {
 		sh.fillers = append(sh.fillers, sh.put(1+i, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "f"}))
@@ -39,7 +39,7 @@
 	return sh
 }
 
-func (sh *shop) put(n int, st job.Step) *attempt {
+func (sh *pacingFixture) put(n int, st job.Step) *attempt {
 	en := sh.ho.ow.add(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
 	at := &attempt{number: 1, ho: sh.ho, en: en, pace: fullPace, launched: time.Now()}
 	sh.ho.put(at)
@@ -47,14 +47,14 @@
 }
 
 // figure has the worker report a tail of the service.
-func (sh *shop) figure(tailMS int64) {
+func (sh *pacingFixture) reportTail(tailMS int64) {
 	time.Sleep(usageWindow)
 	sh.service.usage = tailMS
 	sh.ho.measure(time.Now())
 }
 
 // learnHarmless has the model learn that the fillers do not disturb.
-func (sh *shop) learnHarmless() {
+func (sh *pacingFixture) learnNoInterference() {
 	re := interfere.Replica{Track: &interfere.Track{}}
 	for i := range 200 {
 		me := interfere.Measurement{At: time.Now().Add(time.Duration(i) * time.Second), TailMS: 20, TargetMS: testTargetMS}
@@ -66,24 +66,24 @@
 }
 
 // paces returns the paces of the fillers.
-func (sh *shop) paces() string {
+func (sh *pacingFixture) paces() string {
 	text := ""
 	for _, at := range sh.fillers {
-		text += fmt.Sprint(at.speed(), " ")
+		text += fmt.Sprint(at.effectivePace(), " ")
 	}
 	return text
 }
 
 func TestFillersAreSlowedAndSpedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newShop(t, 2)
-		sh.figure(10)
+		sh := newPacingFixture(t, 2)
+		sh.reportTail(10)
 		qt.Assert(t, sh.paces(), qt.Equals, "100 100 ")
-		sh.figure(26)
-		sh.figure(26)
-		qt.Assert(t, sh.fillers[0].speed()+sh.fillers[1].speed() < 200, qt.IsTrue)
+		sh.reportTail(26)
+		sh.reportTail(26)
+		qt.Assert(t, sh.fillers[0].effectivePace()+sh.fillers[1].effectivePace() < 200, qt.IsTrue)
 		for range 12 {
-			sh.figure(8)
+			sh.reportTail(8)
 		}
 		qt.Assert(t, sh.paces(), qt.Equals, "100 100 ")
 	})
@@ -91,35 +91,35 @@
 
 // TestFiguresThatWaver has the figures of a service waver about its target;
 // they are rough, and it counts as over it all the while.
-func TestFiguresThatWaver(t *testing.T) {
+func TestTailsFluctuatingAroundTargetCountAsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newShop(t, 1)
-		sh.learnHarmless()
+		sh := newPacingFixture(t, 1)
+		sh.learnNoInterference()
 		for i := range 7 {
-			sh.figure([]int64{26, 23}[i%2])
+			sh.reportTail([]int64{26, 23}[i%2])
 		}
 		qt.Assert(t, sh.paces(), qt.Equals, "0 ")
 	})
 }
 
-func TestFillersBesideABadServiceAreHeldFromTheStart(t *testing.T) {
+func TestFillerStartsHeldBesideServiceOverTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newShop(t, 1)
+		sh := newPacingFixture(t, 1)
 		for range 6 {
-			sh.figure(90)
+			sh.reportTail(90)
 		}
 		late := sh.put(9, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "g"})
 		late.launched = time.Time{}
 		sh.ho.started(late, time.Now())
-		qt.Assert(t, late.speed(), qt.Equals, 0)
+		qt.Assert(t, late.effectivePace(), qt.Equals, 0)
 	})
 }
 
 // TestOrdersOfOnePaceDoNotPassEachOther has the first order take long: the next
 // goes out only after it, with the pace that is wanted by then.
-func TestOrdersOfOnePaceDoNotPassEachOther(t *testing.T) {
+func TestPaceOrdersAreNotReordered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newShop(t, 1)
+		sh := newPacingFixture(t, 1)
 		at := sh.fillers[0]
 		var got []int
 		sh.ho.ow.Agent.PaceFunc = func(_ context.Context, _ worker.Addr, pa worker.Pace) (worker.Ack, error) {
--- a/internal/sched/way.go
+++ b/internal/sched/path.go
@@ -5,11 +5,11 @@
 // waysPerEpoch is how many ways to workers an owner may use one after the other:
 // each has a fencing token of its own, and those of the next owner are higher than
 // all of them. It is some 900 changes of all ways at 1,100 workers.
-const waysPerEpoch = 1 << 20
+const pathsPerEpoch = 1 << 20
 
 // way is a way to a worker, directly or through another entry host. It does not
 // change.
-type way struct {
+type path struct {
 	addr worker.Addr
 	// fence is the fencing token of orders that go this way. Once a worker has had
 	// an order by the next way, it obeys none that still comes by this one.
@@ -18,16 +18,16 @@
 
 // firstWay returns the way to a worker that was just seen. It may have been seen
 // before, and forgotten.
-func (ow *Owner) firstWay(li Listed) *way {
+func (ow *Owner) newPath(li Listed) *path {
 	addr := li.Addr
 	addr.Via = ow.via(li)
-	return &way{addr: addr, fence: ow.nextFence()}
+	return &path{addr: addr, fence: ow.nextFence()}
 }
 
 // nextFence returns a fencing token that is higher than all before it.
 func (ow *Owner) nextFence() int64 {
-	ow.ways = min(ow.ways+1, waysPerEpoch-1)
-	return ow.Tenure.Epoch*waysPerEpoch + ow.ways
+	ow.ways = min(ow.ways+1, pathsPerEpoch-1)
+	return ow.Tenure.Epoch*pathsPerEpoch + ow.ways
 }
 
 func (ow *Owner) via(li Listed) string {
@@ -38,11 +38,11 @@
 }
 
 // wayNow returns the way to the worker now.
-func (ho *host) wayNow() way {
-	if wa := ho.way.Load(); wa != nil {
-		return *wa
+func (ho *host) currentPath() path {
+	if pa := ho.way.Load(); pa != nil {
+		return *pa
 	}
-	return way{addr: ho.Addr}
+	return path{addr: ho.Addr}
 }
 
 // Reroute has workers reached by the ways that are wanted now.
@@ -60,13 +60,13 @@
 // by the former one may be carried out until the worker hears of this; as with a
 // lost answer, what became of them is settled by the worker's word.
 func (ho *host) reroute() {
-	was, via := ho.wayNow(), ho.ow.via(ho.Listed)
-	if via == was.addr.Via {
+	former, via := ho.currentPath(), ho.ow.via(ho.Listed)
+	if via == former.addr.Via {
 		return
 	}
-	now := &way{addr: was.addr, fence: ho.ow.nextFence()}
-	now.addr.Via = via
-	ho.way.Store(now)
+	next := &path{addr: former.addr, fence: ho.ow.nextFence()}
+	next.addr.Via = via
+	ho.way.Store(next)
 	nudge(ho.rerouted)
-	ho.ow.Log.Info("worker reached another way", "worker", ho.incarnation, "via", via, "was", was.addr.Via, "fence", now.fence)
+	ho.ow.Log.Info("worker reached another way", "worker", ho.incarnation, "via", via, "was", former.addr.Via, "fence", next.fence)
 }
--- a/internal/sched/way_test.go
+++ b/internal/sched/path_test.go
@@ -14,13 +14,13 @@
 )
 
 // waysSeen notes the ways and fencing tokens of the looks at workers.
-type waysSeen struct {
+type pathRecorder struct {
 	mu     sync.Mutex
 	via    []string
 	fences []int64
 }
 
-func (ws *waysSeen) through(ag worker.Agent) worker.Agent {
+func (ws *pathRecorder) wrap(ag worker.Agent) worker.Agent {
 	look := ag.LookFunc
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 		ws.mu.Lock()
@@ -31,12 +31,12 @@
 	return ag
 }
 
-func TestEachWayHasItsToken(t *testing.T) {
+func TestEachPathHasItsOwnFencingToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		var ws waysSeen
-		la.throughFunc = ws.through
-		ow, end := la.own()
+		var ws pathRecorder
+		la.wrapAgentFunc = ws.wrap
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(5 * time.Second)
 		for _, via := range []string{"e1", "e1", "e2", ""} {
@@ -58,15 +58,15 @@
 		qt.Assert(t, len(highest), qt.Equals, 4)
 		next := &Owner{Tenure: ow.Tenure}
 		next.Tenure.Epoch++
-		qt.Assert(t, next.firstWay(Listed{}).fence > ws.fences[len(ws.fences)-1], qt.IsTrue)
+		qt.Assert(t, next.newPath(Listed{}).fence > ws.fences[len(ws.fences)-1], qt.IsTrue)
 	})
 }
 
-func TestOrdersWithNoWayAreGivenElsewhere(t *testing.T) {
+func TestUnreachableWorkerTasksRunElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		la.throughFunc = func(ag worker.Agent) worker.Agent { return withoutWay(ag, "i-0") }
-		ow, end := la.own()
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent { return withoutPath(ag, "i-0") }
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 6))
@@ -79,7 +79,7 @@
 }
 
 // withoutWay has launches for one worker not sent.
-func withoutWay(ag worker.Agent, id string) worker.Agent {
+func withoutPath(ag worker.Agent, id string) worker.Agent {
 	launch := ag.LaunchFunc
 	ag.LaunchFunc = func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
 		if ad.Incarnation.ID == id {
@@ -92,10 +92,10 @@
 
 // TestWorkerThatIsListedAgain has a worker's entry go and come back after the way to
 // it has changed.
-func TestWorkerThatIsListedAgain(t *testing.T) {
+func TestWorkerListedAgainAfterReroute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		for _, via := range []string{"e1", "e2"} {
 			la.via.Store(&via)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -11,7 +11,7 @@
 
 // servingLoad is the share of their processor time that endless tasks are taken
 // to use, as their load is not reported.
-const servingLoad = 0.5
+const assumedEndlessLoad = 0.5
 
 // place starts what may start and has room, jobs of higher priority first.
 func (ow *Owner) place() {
@@ -22,16 +22,16 @@
 	ow.rounds++
 	ow.Metrics.Add(telemetry.PlaceRounds, 1)
 	pl := ow.newPlacer()
-	for rest := slices.Clone(ow.active); len(rest) > 0; {
-		n := samePriority(rest)
-		pl.placeInterrupted(rest[:n])
-		pl.placeJobs(rest[:n])
-		rest = rest[n:]
+	for jobs := slices.Clone(ow.active); len(jobs) > 0; {
+		n := countSamePriority(jobs)
+		pl.placeInterrupted(jobs[:n])
+		pl.placeJobs(jobs[:n])
+		jobs = jobs[n:]
 	}
 }
 
 // samePriority counts the jobs, of some that are sorted, that have the priority of the first.
-func samePriority(list []*entry) int {
+func countSamePriority(list []*entry) int {
 	n := slices.IndexFunc(list, func(en *entry) bool { return en.jo.Terms.Priority != list[0].jo.Terms.Priority })
 	if n < 0 {
 		return len(list)
@@ -56,7 +56,7 @@
 func (ow *Owner) newPlacer() *placer {
 	pl := &placer{ow: ow, now: time.Now()}
 	clear(ow.likeness)
-	ow.noPlace.begin(pl.now, len(ow.hosts))
+	ow.noPlace.startRound(pl.now, len(ow.hosts))
 	var reserved, holds int64
 	for _, ho := range ow.sortedHosts() {
 		if why := ho.bar(pl.now); why != "" {
@@ -66,12 +66,12 @@
 			continue
 		}
 		ca := newCandidate(ho, pl.now)
-		ca.index, ca.kept = len(pl.hosts), ho.awaited
+		ca.index, ca.earmarked = len(pl.hosts), ho.awaited
 		pl.hosts = append(pl.hosts, ca)
 		reserved += ho.reserved.MilliCores
 		holds += ho.Holds.MilliCores
 	}
-	pl.patience = patience(share(reserved, holds))
+	pl.fillerWait = fillerWaitLimit(share(reserved, holds))
 	return pl
 }
 
@@ -85,22 +85,22 @@
 	// of a core.
 	idle int64
 	// stubborn is set if a service there was over its target for long.
-	stubborn bool
+	overTarget bool
 	// kept is set if its room is kept for an endless task, taken if nothing is to begin
 	// there beside a task that is tried alone.
-	kept  bool
-	taken bool
+	earmarked bool
+	isolated  bool
 }
 
 func newCandidate(ho *host, now time.Time) *candidate {
-	return &candidate{ho: ho, free: ho.Holds.Without(ho.reserved), idle: ho.Holds.MilliCores - ho.inUse, stubborn: ho.stubborn(now)}
+	return &candidate{ho: ho, free: ho.Holds.Without(ho.reserved), idle: ho.Holds.MilliCores - ho.inUse, overTarget: ho.anyOverTargetTooLong(now)}
 }
 
 // likelyUse is the processor time that a task of the step is likely to use, in
 // thousandths of a core.
 func likelyUse(st *job.Step) int64 {
 	if st.Endless {
-		return int64(float64(st.Each.MilliCores) * servingLoad)
+		return int64(float64(st.Each.MilliCores) * assumedEndlessLoad)
 	}
 	return st.Each.MilliCores
 }
@@ -113,9 +113,9 @@
 	// failing are the workers that are set aside for failures.
 	failing []*candidate
 	// patience is how long fillers wait for a good place.
-	patience time.Duration
+	fillerWait time.Duration
 	// keeps counts the workers whose room is kept.
-	keeps int
+	earmarks int
 }
 
 // placeJob starts the waiting tasks of a job that find room.
@@ -136,7 +136,7 @@
 		if ta.State != job.Waiting || en.interrupted(ref) != interrupted {
 			continue
 		}
-		if en.rests.resting(ref, pl.now) {
+		if en.rests.active(ref, pl.now) {
 			en.lack = CauseRest
 			continue
 		}
@@ -154,25 +154,25 @@
 			ra = pl.rank(en, step, interrupted)
 		}
 		ca := ra.best()
-		en.lack = ra.lack
+		en.lack = ra.cause
 		if ca == nil && pl.lastResort(en, ref) {
 			continue
 		}
 		if ca == nil {
-			pl.keepRoom(en, ref)
+			pl.earmark(en, ref)
 			if interrupted {
 				continue
 			}
 			return
 		}
 		pl.start(en, ref, ca)
-		ra.changed(ca)
+		ra.update(ca)
 	}
 }
 
 // patient reports whether the fillers of a job still wait for a good place.
-func (pl *placer) patient(en *entry) bool {
-	return pl.ow.uses(MechPatience) && pl.now.Sub(en.waitingSince) <= pl.patience
+func (pl *placer) selective(en *entry) bool {
+	return pl.ow.uses(MechFillerWait) && pl.now.Sub(en.waitingSince) <= pl.fillerWait
 }
 
 func (ca *candidate) fits(en *entry, ref job.TaskRef, st *job.Step) bool {
@@ -182,7 +182,7 @@
 // hasRoom reports whether the worker has room for a task of the step. Room is not kept from
 // tasks that were interrupted: what it is kept for may never get enough of it.
 func (ca *candidate) hasRoom(st *job.Step, interrupted bool) bool {
-	return st.Reserved().Fits(ca.free) && (!ca.kept || st.Filler || interrupted) && !ca.taken
+	return st.Reserved().Fits(ca.free) && (!ca.earmarked || st.Filler || interrupted) && !ca.isolated
 }
 
 // allowed reports whether a task may run on the worker, if it had room.
@@ -199,20 +199,20 @@
 // anywhere, to be paced there. While little is used a job must not run nothing
 // for 3 s; else a bad place costs the services there more than waiting costs
 // the job.
-func patience(used float64) time.Duration {
+func fillerWaitLimit(used float64) time.Duration {
 	if used < busyShare {
-		return patienceIdle
+		return fillerWaitIdle
 	}
-	return patienceBusy
+	return fillerWaitBusy
 }
 
 // suits reports whether a filler finds idle processors on the worker and
 // leaves the services there under their targets.
-func (ca *candidate) suits(st *job.Step) bool {
-	if ca.stubborn || ca.idle < int64(leastIdle*float64(st.Each.MilliCores)) {
+func (ca *candidate) acceptsFiller(st *job.Step) bool {
+	if ca.overTarget || ca.idle < int64(minIdlePart*float64(st.Each.MilliCores)) {
 		return false
 	}
-	_, over := ca.disturbs(st)
+	_, over := ca.disturbance(st)
 	return over <= 0
 }
 
@@ -220,11 +220,11 @@
 const (
 	// busyShare is the share of all processors reserved from which on waiting
 	// is the lesser evil; the users' bound is a half.
-	busyShare    = 0.6
-	patienceIdle = 1500 * time.Millisecond
-	patienceBusy = time.Minute
+	busyShare      = 0.6
+	fillerWaitIdle = 1500 * time.Millisecond
+	fillerWaitBusy = time.Minute
 	// leastIdle is the part of its processor time that a filler must find idle.
-	leastIdle = 0.3
+	minIdlePart = 0.3
 )
 
 func (ho *host) hasLabel(label string) bool {
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -16,7 +16,7 @@
 )
 
 // idleOwner is an owner without a loop, for decisions by themselves.
-func idleOwner(t *testing.T) *Owner {
+func ownerWithoutLoop(t *testing.T) *Owner {
 	t.Helper()
 	ow := New(&Owner{Log: slog.New(slog.DiscardHandler), Limits: Limits{HarmAfter: 4 * time.Second}})
 	ow.ctx = t.Context()
@@ -45,9 +45,9 @@
 // TestReplicasOfOneStepSideBySide has two workers with one service of the same
 // image each: a job's next task goes where its first is, although the other
 // worker is fuller.
-func TestReplicasOfOneStepSideBySide(t *testing.T) {
+func TestReplicasOfOneStepShareWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		own, other := emptyHost(ow, "own"), emptyHost(ow, "other")
 		en, stranger := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
 		own.put(&attempt{ho: own, en: en, number: 1})
@@ -62,9 +62,9 @@
 // TestImagesKeepApart has two workers of 64 cores, one with a service of another
 // image and one empty: the service goes to the empty one, although the other is
 // fuller, since beside another image it would leave less room to fillers.
-func TestImagesKeepApart(t *testing.T) {
+func TestServicesOfDifferentImagesAreSeparated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		mixed, empty := emptyHost(ow, "mixed"), emptyHost(ow, "empty")
 		for _, ho := range []*host{mixed, empty} {
 			ho.Holds = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
@@ -79,7 +79,7 @@
 
 // learnt returns a model that knows the drops of two images of services beside
 // the fillers f0, f1 and so on.
-func learnt(one, other []float64) interfere.Model {
+func modelWithDrops(one, other []float64) interfere.Model {
 	var list []interfere.Learnt
 	for image, drops := range map[string][]float64{"one": one, "other": other} {
 		for i, drop := range drops {
@@ -91,19 +91,19 @@
 
 // TestImagesThatSufferAlike has a worker with a service of another image and an
 // empty one: the service joins the other if the same fillers are bad for both.
-func TestImagesThatSufferAlike(t *testing.T) {
+func TestImagesWithSimilarInterferenceShareWorker(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		model interfere.Model
 		want  string
 	}{
-		{"alike", learnt([]float64{11, 0, 1, 10}, []float64{10, 1, 0, 12}), "other"},
-		{"unlike", learnt([]float64{11, 0, 1, 10}, []float64{1, 10, 11, 0}), "empty"},
-		{"too little known", learnt([]float64{11, 0}, []float64{11, 0}), "empty"},
+		{"alike", modelWithDrops([]float64{11, 0, 1, 10}, []float64{10, 1, 0, 12}), "other"},
+		{"unlike", modelWithDrops([]float64{11, 0, 1, 10}, []float64{1, 10, 11, 0}), "empty"},
+		{"too little known", modelWithDrops([]float64{11, 0}, []float64{11, 0}), "empty"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ow := idleOwner(t)
+				ow := ownerWithoutLoop(t)
 				ow.model = tc.model
 				emptyHost(ow, "empty")
 				other := emptyHost(ow, "other")
@@ -117,9 +117,9 @@
 
 // TestShortTasksBeforeEndless has an endless job and short ones, the endless one
 // handed in after the first: it takes its turn by age alone.
-func TestShortTasksBeforeEndless(t *testing.T) {
+func TestEndlessJobTakesTurnByAgeOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		short := job.Step{Tasks: 2, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}
 		ow.touch(addJob(ow, 1, short))
 		ow.touch(addJob(ow, 2, serviceStep(9, "s")))
@@ -137,9 +137,9 @@
 
 // TestFullerWorkerFirst has a short task for two workers of different sizes: it
 // goes where the smaller share is free, although more is.
-func TestFullerWorkerFirst(t *testing.T) {
+func TestSmallestFreeShareFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		emptyHost(ow, "empty")
 		fuller := emptyHost(ow, "fuller")
 		fuller.Holds = worker.Resources{MilliCores: 96_000, MemMB: 384_000}
@@ -151,9 +151,9 @@
 
 // TestSmallJobsGoFirst has jobs that came in the order of their sizes, the
 // largest first: two take their turn by size for one that does by age.
-func TestSmallJobsGoFirst(t *testing.T) {
+func TestTurnsBySizeAndAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		for i, tasks := range []int{60, 50, 40, 30, 20, 10} {
 			ow.touch(addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}))
 		}
@@ -168,9 +168,9 @@
 
 // TestJobsWithoutHopeTakeNoTurns has an old job that is too late for its caller:
 // those that can be in time take their turns among themselves.
-func TestJobsWithoutHopeTakeNoTurns(t *testing.T) {
+func TestInfeasibleJobsTakeNoTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		for i, tasks := range []int{99, 60, 10, 20} {
 			en := addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000})
 			en.aimMS = 2000
@@ -190,10 +190,10 @@
 
 // TestOneRoundOfPlacementAWrite has jobs come in one after the other while the
 // store is slow: they are placed together when a write can go out.
-func TestOneRoundOfPlacementAWrite(t *testing.T) {
+func TestOnePlacementRoundPerWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 4)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
@@ -211,7 +211,7 @@
 
 // TestEndlessTasksFindRoom has short tasks come all the time and take each part
 // of a worker as it gets free: a large endless task starts all the same.
-func TestEndlessTasksFindRoom(t *testing.T) {
+func TestEndlessTaskIsNotStarvedByShortTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
@@ -221,7 +221,7 @@
 			}
 			return 700 * time.Millisecond, "done"
 		}
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		large := lasting(1)
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -17,7 +17,7 @@
 	ran := at.sightings().ran
 	switch {
 	case ran >= lastsAfter && at.en.jo.Lasted(at.ref, at.number):
-		at.en.rests.lasted(at.ref)
+		at.en.rests.reset(at.ref)
 		at.en.dueProof(now)
 	case ran >= provenAfter && at.en.jo.Began(at.ref, at.number) && at.exposed():
 		at.en.dueProof(now)
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -20,22 +20,22 @@
 )
 
 // drama is a lab to which random things happen.
-type drama struct {
+type faultRun struct {
 	*lab
 
 	rt *rapid.T
 	ow *Owner
 	// end ends the owner.
-	end context.CancelFunc
+	stopOwner context.CancelFunc
 	// accepted and cancelled are jobs for which that was said, refused those
 	// that were refused and not accepted since.
 	// Jobs in maybe were cancelled with an unknown outcome.
-	accepted, cancelled, refused, maybe map[int]bool
+	accepted, cancelled, refused, cancelUnknown map[int]bool
 	// shown are states told of jobs.
-	shown map[int]job.State
-	jobs  int
+	lastStates map[int]job.State
+	jobs       int
 	// lives counts the lives of workers that came after others.
-	lives int
+	replacements int
 	// crashed are workers that a task crashed and that are not back yet.
 	crashedMu sync.Mutex
 	crashed   []*standin.FleetWorker
@@ -46,9 +46,9 @@
 
 func crashesWorkers(n int) bool { return n%crashesEvery == 4 }
 
-func newDrama(t *testing.T, rt *rapid.T) *drama {
+func newFaultRun(t *testing.T, rt *rapid.T) *faultRun {
 	t.Helper()
-	dr := &drama{lab: newLab(t, 4), rt: rt, accepted: map[int]bool{}, cancelled: map[int]bool{}, refused: map[int]bool{}, maybe: map[int]bool{}, shown: map[int]job.State{}}
+	dr := &faultRun{lab: newLab(t, 4), rt: rt, accepted: map[int]bool{}, cancelled: map[int]bool{}, refused: map[int]bool{}, cancelUnknown: map[int]bool{}, lastStates: map[int]job.State{}}
 	dr.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 		id, ref, _ := job.ParseTaskID(at.Task)
 		switch {
@@ -68,7 +68,7 @@
 	}
 	dr.fleet.Remembers = rapid.Bool().Draw(rt, "workers remember acknowledgements")
 	dr.fleet.Untold = rapid.Bool().Draw(rt, "orders do not tell lives")
-	dr.ow, dr.end = dr.own()
+	dr.ow, dr.stopOwner = dr.startOwner()
 	time.Sleep(time.Second)
 	return dr
 }
@@ -83,8 +83,8 @@
 }
 
 // act does one random thing.
-func (dr *drama) act() {
-	dr.reviveCrashed()
+func (dr *faultRun) injectRandom() {
+	dr.replaceCrashed()
 	switch rapid.SampledFrom([]string{
 		"submit", "submit", "submit", "again", "cancel", "kill", "kill, entry stays", "freeze", "lose", "late", "heal",
 		"store down", "store lost", "store slow", "store heal", "replace", "look", "reroute",
@@ -93,23 +93,23 @@
 	}).Draw(dr.rt, "act") {
 	case "submit":
 		dr.jobs++
-		dr.handIn(dr.jobs)
+		dr.submitNumbered(dr.jobs)
 	case "again":
 		if dr.jobs > 0 {
-			dr.handIn(rapid.IntRange(1, dr.jobs).Draw(dr.rt, "job"))
+			dr.submitNumbered(rapid.IntRange(1, dr.jobs).Draw(dr.rt, "job"))
 		}
 	case "cancel":
-		dr.cancelOne()
+		dr.cancelRandom()
 	case "kill":
-		dr.nextLife(rapid.IntRange(0, len(dr.crew)-1).Draw(dr.rt, "worker"), false)
+		dr.replaceProcess(rapid.IntRange(0, len(dr.fleetWorkers)-1).Draw(dr.rt, "worker"), false)
 	case "kill, entry stays":
-		dr.nextLife(rapid.IntRange(0, len(dr.crew)-1).Draw(dr.rt, "worker"), true)
+		dr.replaceProcess(rapid.IntRange(0, len(dr.fleetWorkers)-1).Draw(dr.rt, "worker"), true)
 	case "freeze":
-		dr.one().Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		dr.randomWorker().Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 	case "lose":
-		dr.one().Gate.Set(standin.Fault{Mode: standin.ModeLost})
+		dr.randomWorker().Gate.Set(standin.Fault{Mode: standin.ModeLost})
 	case "late":
-		dr.setLate(dr.one(), 3*time.Second)
+		dr.setLate(dr.randomWorker(), 3*time.Second)
 	case "heal":
 		dr.heal()
 	case "store down":
@@ -121,72 +121,72 @@
 	case "store heal":
 		dr.table.Gate.Set(standin.Fault{})
 	case "replace":
-		dr.replace()
+		dr.replaceOwner()
 	case "look":
-		dr.lookAtStates()
+		dr.checkStates()
 	case "reroute":
 		via := rapid.SampledFrom([]string{"", "e1", "e2"}).Draw(dr.rt, "via")
 		dr.via.Store(&via)
 		dr.ow.Reroute()
 	case "entry lapses":
-		dr.ow.SetWorkers(nil, []string{dr.one().Addr.Incarnation.ID}, false)
+		dr.ow.SetWorkers(nil, []string{dr.randomWorker().Addr.Incarnation.ID}, false)
 	case "all entries lapse":
 		dr.ow.SetWorkers(nil, nil, true)
 	case "entries back":
 		dr.ow.SetWorkers(dr.listed(), nil, true)
 	case "restart":
-		dr.again(false)
+		dr.restartWorker(false)
 		dr.ow.SetWorkers(dr.listed(), nil, true)
 	case "restart elsewhere":
-		dr.again(true)
+		dr.restartWorker(true)
 		dr.ow.SetWorkers(dr.listed(), nil, true)
 	case "restart, entry late":
-		dr.again(false)
+		dr.restartWorker(false)
 	case "restart, former entry again":
-		was := dr.again(rapid.Bool().Draw(dr.rt, "elsewhere"))
+		former := dr.restartWorker(rapid.Bool().Draw(dr.rt, "elsewhere"))
 		dr.ow.SetWorkers(dr.listed(), nil, true)
 		time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 100, 1000}).Draw(dr.rt, "until")) * time.Millisecond)
-		dr.ow.SetWorkers([]Listed{was}, nil, false)
+		dr.ow.SetWorkers([]Listed{former}, nil, false)
 	}
 }
 
 // again has a worker's process start again under its id after a pause, at its address or
 // at another, and returns the entry of the one before. The clock that tells when it
 // started may have been set back.
-func (dr *drama) again(elsewhere bool) Listed {
-	i := rapid.IntRange(0, len(dr.crew)-1).Draw(dr.rt, "worker")
-	was, fw := dr.listed()[i], dr.crew[i]
+func (dr *faultRun) restartWorker(elsewhere bool) Listed {
+	i := rapid.IntRange(0, len(dr.fleetWorkers)-1).Draw(dr.rt, "worker")
+	former, fw := dr.listed()[i], dr.fleetWorkers[i]
 	dr.fleet.Kill(fw)
-	away := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(dr.rt, "away")) * time.Millisecond
+	downFor := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(dr.rt, "away")) * time.Millisecond
 	if dr.fleet.Remembers {
 		// A look that follows an answer within that time may reach the next process.
-		away = max(away, ackWithin+lookGrace)
+		downFor = max(downFor, ackWithin+lookGrace)
 	}
-	time.Sleep(away)
+	time.Sleep(downFor)
 	hostPort := fw.Addr.HostPort
 	if elsewhere {
-		dr.lives++
-		hostPort = fmt.Sprintf("10.2.0.%d:80", dr.lives)
+		dr.replacements++
+		hostPort = fmt.Sprintf("10.2.0.%d:80", dr.replacements)
 	}
-	stepped := time.Duration(rapid.SampledFrom([]int{0, -2, 3}).Draw(dr.rt, "stepped")) * time.Hour
-	dr.crew[i] = dr.fleet.Restart(fw, hostPort, stepped)
-	return was
+	clockStep := time.Duration(rapid.SampledFrom([]int{0, -2, 3}).Draw(dr.rt, "stepped")) * time.Hour
+	dr.fleetWorkers[i] = dr.fleet.Restart(fw, hostPort, clockStep)
+	return former
 }
 
-func (dr *drama) one() *standin.FleetWorker {
-	return dr.crew[rapid.IntRange(0, len(dr.crew)-1).Draw(dr.rt, "worker")]
+func (dr *faultRun) randomWorker() *standin.FleetWorker {
+	return dr.fleetWorkers[rapid.IntRange(0, len(dr.fleetWorkers)-1).Draw(dr.rt, "worker")]
 }
 
-func (dr *drama) setLate(fw *standin.FleetWorker, d time.Duration) { dr.fleet.SetLate(fw, d) }
+func (dr *faultRun) setLate(fw *standin.FleetWorker, d time.Duration) { dr.fleet.SetLate(fw, d) }
 
-func (dr *drama) heal() {
-	for _, fw := range dr.crew {
+func (dr *faultRun) heal() {
+	for _, fw := range dr.fleetWorkers {
 		fw.Gate.Set(standin.Fault{})
 		dr.setLate(fw, 0)
 	}
 }
 
-func (dr *drama) handIn(n int) {
+func (dr *faultRun) submitNumbered(n int) {
 	sp := batch(1+n%3, 1+n%5)
 	if n%7 == 0 {
 		sp = lasting(2)
@@ -205,7 +205,7 @@
 	}
 }
 
-func (dr *drama) cancelOne() {
+func (dr *faultRun) cancelRandom() {
 	if dr.jobs == 0 {
 		return
 	}
@@ -217,22 +217,22 @@
 	case err == nil && ve.Outcome == Accepted:
 		dr.cancelled[n] = true
 	case err != nil || ve.Outcome == Unknown:
-		dr.maybe[n] = true
+		dr.cancelUnknown[n] = true
 	}
 }
 
 // nextLife ends a worker's process; another life comes at its address. The entry of the
 // one before may stay, and be met before or after the next one's.
-func (dr *drama) nextLife(i int, stays bool) {
-	fw, was := dr.crew[i], dr.listed()[i]
+func (dr *faultRun) replaceProcess(i int, stays bool) {
+	fw, former := dr.fleetWorkers[i], dr.listed()[i]
 	dr.fleet.Kill(fw)
-	dr.lives++
-	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", dr.lives)}}, Holds: fw.Holds}
+	dr.replacements++
+	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", dr.replacements)}}, Holds: fw.Holds}
 	dr.fleet.Add(next)
-	dr.crew[i] = next
+	dr.fleetWorkers[i] = next
 	list := dr.listed()
 	if stays {
-		list = append(list, was)
+		list = append(list, former)
 	}
 	if stays && rapid.Bool().Draw(dr.rt, "former first") {
 		slices.Reverse(list)
@@ -241,62 +241,62 @@
 }
 
 // reviveCrashed has workers that a task crashed come back.
-func (dr *drama) reviveCrashed() {
+func (dr *faultRun) replaceCrashed() {
 	dr.crashedMu.Lock()
 	crashed := dr.crashed
 	dr.crashed = nil
 	dr.crashedMu.Unlock()
 	for _, fw := range crashed {
-		if i := slices.Index(dr.crew, fw); i >= 0 {
-			dr.nextLife(i, true)
+		if i := slices.Index(dr.fleetWorkers, fw); i >= 0 {
+			dr.replaceProcess(i, true)
 		}
 	}
 }
 
 // replace ends the owner, and begins another once the store lets it.
-func (dr *drama) replace() {
+func (dr *faultRun) replaceOwner() {
 	dr.table.Gate.Set(standin.Fault{})
-	dr.end()
-	dr.ow, dr.end = dr.own()
+	dr.stopOwner()
+	dr.ow, dr.stopOwner = dr.startOwner()
 }
 
 // lookAtStates checks that no state goes back.
-func (dr *drama) lookAtStates() {
+func (dr *faultRun) checkStates() {
 	for n := range dr.accepted {
 		state, known, err := dr.ow.State(context.Background(), jobID(n))
 		qt.Assert(dr.t, err, qt.IsNil)
 		if !known {
 			dr.rt.Fatalf("job %d was accepted and is not known", n)
 		}
-		if was := dr.shown[n]; was.Final() && state != was {
-			dr.rt.Fatalf("job %d was %s and is %s", n, was, state)
+		if former := dr.lastStates[n]; former.Final() && state != former {
+			dr.rt.Fatalf("job %d was %s and is %s", n, former, state)
 		}
-		dr.shown[n] = state
+		dr.lastStates[n] = state
 	}
 }
 
 // finish heals everything and checks what must hold in the end.
-func (dr *drama) finish() {
+func (dr *faultRun) healAndCheck() {
 	dr.table.Gate.Set(standin.Fault{})
 	dr.heal()
 	dr.ow.SetWorkers(dr.listed(), nil, true)
 	for range 45 {
 		time.Sleep(time.Second)
-		dr.reviveCrashed()
+		dr.replaceCrashed()
 	}
-	dr.lookAtStates()
+	dr.checkStates()
 	for n := range dr.accepted {
-		state := dr.shown[n]
+		state := dr.lastStates[n]
 		endless := dr.spec(jobID(n)).Steps[0].Endless
 		switch {
 		case dr.cancelled[n] && !state.Final():
 			dr.rt.Errorf("job %d was cancelled and is %s", n, state)
-		case dr.maybe[n] && state == job.Cancelled:
+		case dr.cancelUnknown[n] && state == job.Cancelled:
 		case state == job.Failed && dr.crashedUnder(n) >= 2:
-		case crashesWorkers(n) && !dr.cancelled[n] && !dr.maybe[n] && dr.crashedUnder(n) > 0:
+		case crashesWorkers(n) && !dr.cancelled[n] && !dr.cancelUnknown[n] && dr.crashedUnder(n) > 0:
 			dr.rt.Errorf("job %d crashes its workers and is %s", n, state)
 		case !dr.cancelled[n] && !endless && state != job.Succeeded:
-			dr.rt.Errorf("job %d is %s, after %s", n, state, dr.runsOf(n))
+			dr.rt.Errorf("job %d is %s, after %s", n, state, dr.describeRuns(n))
 		}
 	}
 	dr.checkRuns()
@@ -306,13 +306,13 @@
 	}
 	if dr.rt.Failed() {
 		for n := range dr.jobs {
-			dr.rt.Logf("job %d: %s", n+1, dr.runsOf(n+1))
+			dr.rt.Logf("job %d: %s", n+1, dr.describeRuns(n+1))
 		}
 	}
 }
 
 // runsOf tells of the runs of a job's tasks.
-func (dr *drama) runsOf(n int) string {
+func (dr *faultRun) describeRuns(n int) string {
 	var sb strings.Builder
 	for _, ru := range dr.fleet.Runs() {
 		if id, _, _ := job.ParseTaskID(ru.Task); id == jobID(n) {
@@ -325,7 +325,7 @@
 
 // crashedUnder is the most workers that have ended under a task of the job. From two on
 // users bear that it is given up.
-func (dr *drama) crashedUnder(n int) int {
+func (dr *faultRun) crashedUnder(n int) int {
 	counts, most := map[string]int{}, 0
 	for _, ru := range dr.fleet.Runs() {
 		if id, _, _ := job.ParseTaskID(ru.Task); id == jobID(n) && (ru.How == "killed" || ru.How == standin.Crashes) {
@@ -338,7 +338,7 @@
 
 // checkStarts checks that no task that crashes its workers begins more often than users
 // bear.
-func (dr *drama) checkStarts() {
+func (dr *faultRun) checkStarts() {
 	counts := map[string]int{}
 	for _, ru := range dr.fleet.Runs() {
 		if ru.How == standin.Crashes {
@@ -354,7 +354,7 @@
 
 // checkRuns checks that nothing ran that was refused, and nothing still runs of
 // a job that is over.
-func (dr *drama) checkRuns() {
+func (dr *faultRun) checkRuns() {
 	for _, ru := range dr.fleet.Runs() {
 		id, _, _ := job.ParseTaskID(ru.Task)
 		var n int
@@ -363,8 +363,8 @@
 		if dr.refused[n] {
 			dr.rt.Errorf("job %d was refused and task %s ran", n, ru.Task)
 		}
-		if ru.Until.IsZero() && dr.shown[n].Final() {
-			dr.rt.Errorf("task %s still runs, its job is %s", ru.Task, dr.shown[n])
+		if ru.Until.IsZero() && dr.lastStates[n].Final() {
+			dr.rt.Errorf("task %s still runs, its job is %s", ru.Task, dr.lastStates[n])
 		}
 	}
 }
@@ -373,19 +373,19 @@
 // runs twice at once, none after it was done, none before its turn, none of a
 // refused or cancelled job; that no accepted job is lost and no state goes
 // back.
-func TestAnythingMayHappen(t *testing.T) {
-	proptest.Check(t, proptest.Size{Checks: randomScripts}, func(rt *rapid.T) {
+func TestRandomFaults(t *testing.T) {
+	proptest.Check(t, proptest.Size{Checks: randomRuns}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
-			dr := newDrama(t, rt)
-			defer func() { dr.end() }()
+			dr := newFaultRun(t, rt)
+			defer func() { dr.stopOwner() }()
 			for range rapid.IntRange(5, 40).Draw(rt, "acts") {
-				dr.act()
+				dr.injectRandom()
 				time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 30, 300, 1500}).Draw(rt, "pause")) * time.Millisecond)
 			}
-			dr.finish()
+			dr.healAndCheck()
 		})
 	})
 }
 
 // randomScripts is the number of scripts; PEPPERHATCH_SEED plays others.
-const randomScripts = 200
+const randomRuns = 200
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -15,25 +15,25 @@
 	step int
 	st   *job.Step
 	// patient is set if fillers still wait for a good place.
-	patient bool
+	selective bool
 	// interrupted is set for tasks that were, yields if the tasks leave room for those.
-	interrupted, yields bool
+	interrupted, respectsReservations bool
 	// counts are the attempts of the step by worker, if their number is bounded.
 	counts map[*host]int
-	heap   rated
+	heap   ratingHeap
 	// lack is what lacks if there is no worker.
-	lack Cause
+	cause Cause
 }
 
 // rank rates all workers for a step, for its tasks that were interrupted or the others.
 func (pl *placer) rank(en *entry, step int, interrupted bool) *ranking {
 	st := &en.jo.Spec.Steps[step]
-	ra := &ranking{pl: pl, en: en, step: step, st: st, patient: st.Filler && pl.patient(en), interrupted: interrupted, lack: CauseRoom}
-	ra.yields = st.Endless && !interrupted && pl.ow.promises.binds(en)
-	sh := shape{st: st, service: en.jo.Terms.Service, patient: ra.patient, interrupted: interrupted, yields: ra.yields}
+	ra := &ranking{pl: pl, en: en, step: step, st: st, selective: st.Filler && pl.selective(en), interrupted: interrupted, cause: CauseRoom}
+	ra.respectsReservations = st.Endless && !interrupted && pl.ow.promises.binds(en)
+	sh := shape{st: st, service: en.jo.Terms.Service, selective: ra.selective, interrupted: interrupted, respectsReservations: ra.respectsReservations}
 	if pl.ow.noPlace.has(sh) {
 		if st.Filler {
-			ra.lack = CausePlace
+			ra.cause = CausePlace
 		}
 		return ra
 	}
@@ -58,11 +58,11 @@
 	if !ca.hasRoom(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.PerWorker) {
 		return false
 	}
-	if ra.yields && !ra.st.Reserved().Fits(ca.free.Without(ca.ho.promised)) {
+	if ra.respectsReservations && !ra.st.Reserved().Fits(ca.free.Without(ca.ho.promised)) {
 		return false
 	}
-	if ra.patient && !ca.suits(ra.st) {
-		ra.lack = CausePlace
+	if ra.selective && !ca.acceptsFiller(ra.st) {
+		ra.cause = CausePlace
 		return false
 	}
 	return true
@@ -73,16 +73,16 @@
 	if len(ra.heap) == 0 {
 		return nil
 	}
-	ra.lack = CauseOrder
+	ra.cause = CauseOrder
 	return ra.heap[0].ca
 }
 
 // changed rates the best worker anew, after a task went there.
-func (ra *ranking) changed(ca *candidate) {
+func (ra *ranking) update(ca *candidate) {
 	if ra.counts != nil {
 		ra.counts[ca.ho]++
 	}
-	ra.lack = CauseRoom
+	ra.cause = CauseRoom
 	if !ra.fits(ca) {
 		heap.Pop(&ra.heap)
 		return
@@ -98,13 +98,13 @@
 }
 
 // rated are workers as a heap, the best first.
-type rated []rating
+type ratingHeap []rating
 
 // Len implements heap.Interface.
-func (ra rated) Len() int { return len(ra) }
+func (ra ratingHeap) Len() int { return len(ra) }
 
 // Less implements heap.Interface.
-func (ra rated) Less(i, j int) bool {
+func (ra ratingHeap) Less(i, j int) bool {
 	if ra[i].score != ra[j].score {
 		return ra[i].score > ra[j].score
 	}
@@ -112,13 +112,13 @@
 }
 
 // Swap implements heap.Interface.
-func (ra rated) Swap(i, j int) { ra[i], ra[j] = ra[j], ra[i] }
+func (ra ratingHeap) Swap(i, j int) { ra[i], ra[j] = ra[j], ra[i] }
 
 // Push implements heap.Interface.
-func (ra *rated) Push(x any) { *ra = append(*ra, x.(rating)) }
+func (ra *ratingHeap) Push(x any) { *ra = append(*ra, x.(rating)) }
 
 // Pop implements heap.Interface.
-func (ra *rated) Pop() any {
+func (ra *ratingHeap) Pop() any {
 	last := (*ra)[len(*ra)-1]
 	*ra = (*ra)[:len(*ra)-1]
 	return last
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -19,30 +19,30 @@
 )
 
 // mute is a relay that may take orders and answer none.
-type mute struct {
-	name string
-	on   atomic.Bool
+type unresponsiveRelay struct {
+	name    string
+	enabled atomic.Bool
 }
 
 // wait is what an order through the relay comes to, if it is not carried out.
-func (mu *mute) wait(ctx context.Context, ad worker.Addr) error {
-	if ad.Via != mu.name || !mu.on.Load() {
+func (mu *unresponsiveRelay) block(ctx context.Context, ad worker.Addr) error {
+	if ad.Via != mu.name || !mu.enabled.Load() {
 		return nil
 	}
 	<-ctx.Done()
 	return worker.ErrNotSent
 }
 
-func (mu *mute) through(ag worker.Agent) worker.Agent {
+func (mu *unresponsiveRelay) wrap(ag worker.Agent) worker.Agent {
 	look, launch := ag.LookFunc, ag.LaunchFunc
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-		if err := mu.wait(ctx, ad); err != nil {
+		if err := mu.block(ctx, ad); err != nil {
 			return worker.Sight{}, err
 		}
 		return look(ctx, ad, lo)
 	}
 	ag.LaunchFunc = func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
-		if err := mu.wait(ctx, ad); err != nil {
+		if err := mu.block(ctx, ad); err != nil {
 			return worker.Ack{}, err
 		}
 		return launch(ctx, ad, la)
@@ -52,12 +52,12 @@
 
 // relayedLab is a logged lab of six workers, four of them behind a relay that can be
 // mute.
-func relayedLab(t *testing.T) (*lab, *lines, *mute) {
+func relayedLab(t *testing.T) (*lab, *lines, *unresponsiveRelay) {
 	t.Helper()
 	la, li := loggedLab(t, 6)
-	mu := &mute{name: "e1"}
-	la.throughFunc = mu.through
-	la.viaOf = map[string]string{"i-0": "e1", "i-1": "e1", "i-2": "e1", "i-3": "e1", "i-4": "e2", "i-5": "e2"}
+	mu := &unresponsiveRelay{name: "e1"}
+	la.wrapAgentFunc = mu.wrap
+	la.viaByWorker = map[string]string{"i-0": "e1", "i-1": "e1", "i-2": "e1", "i-3": "e1", "i-4": "e2", "i-5": "e2"}
 	return la, li, mu
 }
 
@@ -72,11 +72,11 @@
 //
 // Evidence: it took a list of all lines of all workers, joined with the relays that
 // former orders had gone through, to see that a third of the room was gone.
-func TestWorkersWithoutOrdersAreTold(t *testing.T) {
+func TestWorkersWithoutOrdersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li, mu := relayedLab(t)
-		mu.on.Store(true)
-		_, end := la.own()
+		mu.enabled.Store(true)
+		_, end := la.startOwner()
 		defer end()
 		time.Sleep(10 * time.Second)
 		told := li.with("level=WARN", `msg="workers without orders"`, "workers=4", "of=6", "via=e1", "via_workers=4", "via_all=4")
@@ -86,24 +86,24 @@
 
 // TestWorkersFallSilent has a relay that worked fall mute while its workers have
 // attempts, and answer again.
-func TestWorkersFallSilent(t *testing.T) {
+func TestRelayBecomesUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li, mu := relayedLab(t)
 		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(6*16))
 		time.Sleep(time.Second)
 		la.assertRunning(6 * 16)
-		mu.on.Store(true)
+		mu.enabled.Store(true)
 		time.Sleep(4 * time.Second)
 		whole := li.with("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
 		qt.Assert(t, whole, qt.Not(qt.HasLen), 0)
 		// A look that was under way then was answered.
 		longest := longestOf(t, whole[len(whole)-1])
-		qt.Assert(t, longest > 4*time.Second-lookWait-tellReachEvery && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
-		mu.on.Store(false)
+		qt.Assert(t, longest > 4*time.Second-lookWait-outageLogInterval && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
+		mu.enabled.Store(false)
 		time.Sleep(4 * time.Second)
 		told := len(li.with("workers without orders"))
 		qt.Assert(t, li.with("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
@@ -122,13 +122,13 @@
 }
 
 // TestOneLostLookIsNotTold has each worker miss one look.
-func TestOneLostLookIsNotTold(t *testing.T) {
+func TestSingleLostPollIsNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
-		_, end := la.own()
+		_, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		for _, fw := range la.crew {
+		for _, fw := range la.fleetWorkers {
 			fw.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
 		}
 		time.Sleep(5 * time.Second)
@@ -140,12 +140,12 @@
 
 // TestLooksThatNeverEnd has the client of workers wait for ever, also once its time
 // is over: no look fails, and yet the workers get no orders.
-func TestLooksThatNeverEnd(t *testing.T) {
+func TestPollsThatNeverReturnAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 3)
 		let := make(chan struct{})
 		var stuck atomic.Bool
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 				if stuck.Load() {
@@ -155,7 +155,7 @@
 			}
 			return ag
 		}
-		_, end := la.own()
+		_, end := la.startOwner()
 		defer end()
 		defer close(let)
 		time.Sleep(time.Second)
@@ -168,16 +168,16 @@
 
 // TestWorkersThatAreGoneAreNotTold has the list drop a worker that does not answer
 // and may still run something.
-func TestWorkersThatAreGoneAreNotTold(t *testing.T) {
+func TestUnlistedWorkersAreNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(2*16))
 		time.Sleep(time.Second)
-		la.crew[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		la.fleetWorkers[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, li.with("worker does not answer", "worker=i-0"), qt.HasLen, 1)
@@ -191,7 +191,7 @@
 	re := httptest.NewRecorder()
 	page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	var list []string
-	for _, state := range []reach{reachAnswering, reachSilent, reachUnsettled} {
+	for _, state := range []reach{reachAnswering, reachUnresponsive, reachUnsettled} {
 		_, after, found := strings.Cut(re.Body.String(), fmt.Sprintf("%s{state=%q} ", telemetry.Workers, state))
 		qt.Assert(t, found, qt.IsTrue, qt.Commentf("no gauge of workers that are %s", state))
 		value, _, _ := strings.Cut(after, "\n")
@@ -200,22 +200,22 @@
 	return list
 }
 
-func TestGaugeOfWorkers(t *testing.T) {
+func TestWorkersGauge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, _, mu := relayedLab(t)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
-		GaugeNoWorkers(me)
+		ResetGauges(me)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"0", "0", "0"})
-		mu.on.Store(true)
-		_, end := la.own()
+		mu.enabled.Store(true)
+		_, end := la.startOwner()
 		time.Sleep(time.Second)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"2", "0", "4"})
-		mu.on.Store(false)
+		mu.enabled.Store(false)
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"6", "0", "0"})
-		mu.on.Store(true)
+		mu.enabled.Store(true)
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"2", "4", "0"})
 		end()
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -17,9 +17,9 @@
 // restart ends a worker's process and has it start again under its id after a pause, at
 // its address or at another.
 func (la *lab) restart(i int, pause time.Duration, hostPort string) {
-	la.fleet.Kill(la.crew[i])
+	la.fleet.Kill(la.fleetWorkers[i])
 	time.Sleep(pause)
-	la.crew[i] = la.fleet.Restart(la.crew[i], hostPort, 0)
+	la.fleetWorkers[i] = la.fleet.Restart(la.fleetWorkers[i], hostPort, 0)
 }
 
 // TestTasksOfRestartedWorkersRunOnce guards against ends that count as known by the numbers of a worker's former process.
@@ -29,14 +29,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				const workers, tasks = 3, 144
 				la := newLab(t, workers)
-				ow, end := la.own()
+				ow, end := la.startOwner()
 				defer end()
 				time.Sleep(time.Second)
 				la.submit(ow, 1, batch(1, tasks))
 				time.Sleep(8 * time.Second)
 				qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 				for i := range workers {
-					la.restart(i, pause, la.crew[i].Addr.HostPort)
+					la.restart(i, pause, la.fleetWorkers[i].Addr.HostPort)
 					ow.SetWorkers(la.listed(), nil, true)
 				}
 				time.Sleep(time.Second)
@@ -65,7 +65,7 @@
 				ow.SetWorkers(la.listed(), nil, true)
 				time.Sleep(time.Second)
 				la.assertRunning(12)
-				la.fleet.Kill(la.crew[0])
+				la.fleet.Kill(la.fleetWorkers[0])
 				// Its leases lapse 6 s after the last look.
 				time.Sleep(9 * time.Second)
 				la.assertRunning(12)
@@ -80,7 +80,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := lastingLab(t, 3, 12)
 		was := la.listed()
-		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
+		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
 		la.assertRunning(12)
 		qt.Check(t, la.runningAt("i-0"), qt.Equals, 0)
@@ -103,7 +103,7 @@
 func TestEntryOfAFormerLifeDoesNotFenceTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 				si, err := look(ctx, ad, lo)
@@ -114,7 +114,7 @@
 		}
 		ow := la.withLasting(12)
 		was := la.listed()[:1]
-		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
+		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		ow.SetWorkers(la.listed(), nil, true)
 		time.Sleep(time.Second)
 		la.submit(ow, 2, lasting(18))
@@ -135,7 +135,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		untold := func() {
 			list := la.listed()
@@ -147,7 +147,7 @@
 		untold()
 		la.submit(ow, 1, lasting(12))
 		time.Sleep(time.Second)
-		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
+		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
 		untold()
 		la.submit(ow, 2, lasting(30))
@@ -185,20 +185,20 @@
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 3)
 				la.fleet.Untold = untold
-				la.throughFunc = slowFirstLooks(200 * time.Millisecond)
+				la.wrapAgentFunc = slowFirstLooks(200 * time.Millisecond)
 				la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
-				ow, end := la.own()
+				ow, end := la.startOwner()
 				defer end()
 				time.Sleep(time.Second)
-				for _, fw := range la.crew {
+				for _, fw := range la.fleetWorkers {
 					la.fleet.SetLate(fw, late)
 				}
 				la.submit(ow, 1, batch(1, 12))
 				time.Sleep(10 * time.Millisecond)
-				for _, fw := range la.crew {
+				for _, fw := range la.fleetWorkers {
 					la.fleet.SetLate(fw, 0)
 				}
-				la.restart(0, 0, la.crew[0].Addr.HostPort)
+				la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
 				time.Sleep(2 * time.Second)
 				ow.SetWorkers(la.listed(), nil, true)
 				time.Sleep(20 * time.Second)
@@ -214,21 +214,21 @@
 	for late := 50 * time.Millisecond; late < 3*time.Second; late += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
-			la.throughFunc = slowFirstLooks(200 * time.Millisecond)
+			la.wrapAgentFunc = slowFirstLooks(200 * time.Millisecond)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			time.Sleep(time.Second)
-			for _, fw := range la.crew {
+			for _, fw := range la.fleetWorkers {
 				la.fleet.SetLate(fw, late)
 			}
 			la.submit(ow, 1, batch(1, 12))
 			time.Sleep(10 * time.Millisecond)
 			end()
-			for i, fw := range la.crew {
+			for i, fw := range la.fleetWorkers {
 				la.restart(i, 0, fw.Addr.HostPort)
 			}
 			time.Sleep(time.Second)
-			ow, end = la.own()
+			ow, end = la.startOwner()
 			defer end()
 			time.Sleep(12 * time.Second)
 			qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
@@ -244,16 +244,16 @@
 		const tasks = 48
 		la := newLab(t, 1)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 20 * time.Millisecond, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, tasks))
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		la.fleet.SetLate(la.crew[0], 50*time.Millisecond)
+		la.fleet.SetLate(la.fleetWorkers[0], 50*time.Millisecond)
 		la.submit(ow, 2, batch(1, 12))
 		time.Sleep(10 * time.Millisecond)
-		la.restart(0, 0, la.crew[0].Addr.HostPort)
+		la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
 		ow.SetWorkers(la.listed(), nil, true)
 		time.Sleep(5 * time.Second)
@@ -268,7 +268,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		var busy atomic.Pointer[Owner]
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			look := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 				si, err := look(ctx, ad, lo)
@@ -280,7 +280,7 @@
 			return ag
 		}
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 2 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 4))
--- a/internal/sched/rate.go
+++ b/internal/sched/score.go
@@ -9,19 +9,19 @@
 func (ca *candidate) score(en *entry, st *job.Step) float64 {
 	score := -share(ca.free.MilliCores, ca.ho.Holds.MilliCores)
 	if st.Filler {
-		sum, over := ca.disturbs(st)
-		score = share(ca.idle, ca.ho.Holds.MilliCores) - disturbWeight*sum - overWeight*over
+		sum, over := ca.disturbance(st)
+		score = share(ca.idle, ca.ho.Holds.MilliCores) - disturbanceWeight*sum - excessWeight*over
 	}
 	if st.Endless && st.Image != "" {
-		score += ca.kinship(en, st.Image)
+		score += ca.affinity(en, st.Image)
 	}
 	if st.Rack != "" && st.Rack != ca.ho.Rack {
-		score -= farPenalty
+		score -= otherRackPenalty
 	}
 	if en.failedOn[ca.ho.incarnation] {
 		score -= failedPenalty
 	}
-	return score - float64(ca.ho.failures)*doubtPenalty
+	return score - float64(ca.ho.failures)*perFailurePenalty
 }
 
 // kinship rates the company that an endless task would have. A filler must suit
@@ -29,23 +29,23 @@
 // services suffer alike: those of one image do, and others may be seen to. Replicas
 // of one step share their load, so side by side they leave room to fillers at the
 // same time.
-func (ca *candidate) kinship(en *entry, image string) float64 {
+func (ca *candidate) affinity(en *entry, image string) float64 {
 	ow, all := ca.ho.ow, len(ca.ho.services)
 	if all == 0 {
 		return 0
 	}
-	alike, sameJob := 0.0, 0
+	similar, sameJob := 0.0, 0
 	for _, at := range ca.ho.services {
-		alike += ow.alike(image, at.step().Image)
+		similar += ow.imageSimilarity(image, at.step().Image)
 		if at.en == en {
 			sameJob++
 		}
 	}
 	sum := 0.0
-	if ow.uses(MechApart) {
-		sum += imageWeight * alike / float64(all)
+	if ow.uses(MechSeparateImages) {
+		sum += imageWeight * similar / float64(all)
 	}
-	if ow.uses(MechSiblings) {
+	if ow.uses(MechColocateReplicas) {
 		sum += jobWeight * balance(sameJob, all)
 	}
 	return sum
@@ -56,11 +56,11 @@
 
 // alike rates how alike two images of services suffer from fillers, from -1 to 1.
 // It is worked out once a round of placement.
-func (ow *Owner) alike(a, b string) float64 {
+func (ow *Owner) imageSimilarity(a, b string) float64 {
 	switch {
 	case a == b:
 		return 1
-	case !ow.uses(MechAlike):
+	case !ow.uses(MechSimilarImages):
 		return -1
 	}
 	pa := imagePair{a, b}
@@ -86,9 +86,9 @@
 const (
 	// farPenalty is taken off the share of free room of a worker outside the
 	// rack that has the step's data.
-	farPenalty = 0.5
+	otherRackPenalty = 0.5
 	// failedPenalty keeps a job's tasks off a worker that failed one of them.
 	failedPenalty = 4
 	// doubtPenalty is for each attempt that failed there since one was done.
-	doubtPenalty = 1
+	perFailurePenalty = 1
 )
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -15,10 +15,10 @@
 // shortage is why the tasks of a step find no room: what the worker that comes nearest
 // has, what holds the rest of it, and which workers have room but may not be used.
 type shortage struct {
-	st   *job.Step
-	best *host
+	st      *job.Step
+	nearest *host
 	// lacks is what the best one lacks, as a share of what the step needs.
-	lacks float64
+	shortfall float64
 	// barred counts the workers with enough room that may not be used, by reason.
 	barred map[string]int
 }
@@ -32,14 +32,14 @@
 		if !ca.suitable(en, st) {
 			continue
 		}
-		if why := cmp.Or(ho.bar(now), ho.refuses(en, step)); why != "" {
+		if why := cmp.Or(ho.bar(now), ho.stepBar(en, step)); why != "" {
 			if st.Reserved().Fits(ca.free) {
 				sh.barred[why]++
 			}
 			continue
 		}
-		if lacks := lacking(st.Reserved(), ca.free); sh.best == nil || lacks < sh.lacks {
-			sh.best, sh.lacks = ho, lacks
+		if missing := shortfall(st.Reserved(), ca.free); sh.nearest == nil || missing < sh.shortfall {
+			sh.nearest, sh.shortfall = ho, missing
 		}
 	}
 	return sh
@@ -48,27 +48,27 @@
 // Reasons why a worker that gets new tasks gets none of a step.
 const (
 	// barKept: its room is kept for a task that lasts.
-	barKept = "kept"
+	barEarmarked = "kept"
 	// barApart: it has as many tasks of the step as may stand on one worker.
-	barApart = "apart"
+	barSpread = "apart"
 )
 
 // refuses returns why the worker gets none of a step's tasks though it gets others, or
 // nothing.
-func (ho *host) refuses(en *entry, step int) string {
+func (ho *host) stepBar(en *entry, step int) string {
 	st := &en.jo.Spec.Steps[step]
 	switch {
-	case ho.isKept() && !st.Filler && en.waitingAgain(step) == 0:
-		return barKept
+	case ho.isEarmarked() && !st.Filler && en.waitingAgain(step) == 0:
+		return barEarmarked
 	case st.PerWorker > 0 && en.countAt(step, ho) >= st.PerWorker:
-		return barApart
+		return barSpread
 	}
 	return ""
 }
 
 // lacking returns how much of what is needed is not free, as a share of it: that of the
 // resource of which most is lacking.
-func lacking(need, free worker.Resources) float64 {
+func shortfall(need, free worker.Resources) float64 {
 	return max(
 		share(need.MilliCores-free.MilliCores, need.MilliCores),
 		share(need.MemMB-free.MemMB, need.MemMB),
@@ -81,22 +81,22 @@
 	need := sh.st.Reserved()
 	list := []slog.Attr{
 		slog.Int64("need_millicores", need.MilliCores), slog.Int64("need_mem_mb", need.MemMB),
-		slog.String("barred", listCounts(sh.barred)),
+		slog.String("barred", formatCounts(sh.barred)),
 	}
-	if sh.best == nil {
+	if sh.nearest == nil {
 		return append(list, slog.String("best", "none"))
 	}
-	free := sh.best.Holds.Without(sh.best.reserved)
+	free := sh.nearest.Holds.Without(sh.nearest.reserved)
 	return append(list,
-		slog.String("best", sh.best.incarnation.String()),
+		slog.String("best", sh.nearest.incarnation.String()),
 		slog.Int64("free_millicores", free.MilliCores), slog.Int64("free_mem_mb", free.MemMB),
-		slog.Int64("passing_millicores", sh.best.passing.MilliCores), slog.Int64("passing_mem_mb", sh.best.passing.MemMB),
-		slog.Int64("stopping_millicores", sh.best.stopping().MilliCores), slog.Int("attempts", len(sh.best.attempts)),
+		slog.Int64("passing_millicores", sh.nearest.passing.MilliCores), slog.Int64("passing_mem_mb", sh.nearest.passing.MemMB),
+		slog.Int64("stopping_millicores", sh.nearest.stopping().MilliCores), slog.Int("attempts", len(sh.nearest.attempts)),
 	)
 }
 
 // listCounts lists names with their numbers.
-func listCounts[K ~string](counts map[K]int) string {
+func formatCounts[K ~string](counts map[K]int) string {
 	list := make([]string, 0, len(counts))
 	for name, n := range counts {
 		list = append(list, fmt.Sprintf("%s:%d", name, n))
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -19,12 +19,12 @@
 //
 // Evidence: lines with no more than the word "room", from owners that had workers which
 // they may not use beside full ones.
-func TestLinesOnRoomSayWhatHoldsIt(t *testing.T) {
+func TestLogOfMissingCapacityNamesItsCause(t *testing.T) {
 	waits := `msg="lasting tasks wait"`
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		ow := la.withLasting(2*16 - 1)
-		full, other := la.crew[0], la.crew[1]
+		full, other := la.fleetWorkers[0], la.fleetWorkers[1]
 		if la.running()[full.Addr.Incarnation] < 16 {
 			full, other = other, full
 		}
@@ -41,7 +41,7 @@
 
 // TestRoomThatIsKeptIsTold has a task wait that finds room only beside one of its own step,
 // where it may not stand, and then only where room is kept: the lines say so.
-func TestRoomThatIsKeptIsTold(t *testing.T) {
+func TestLogNamesSpreadAndEarmarkedWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(15)
@@ -64,7 +64,7 @@
 
 // TestScarcityIsTold has 16 of 20 tasks that last find room: once a second a line says how
 // many wait, and what room there is in all.
-func TestScarcityIsTold(t *testing.T) {
+func TestEndlessDemandIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(16)
@@ -77,11 +77,11 @@
 
 // TestRestsAreNotToldAsLackOfRoom has a task that fails whenever it starts: once it rests
 // between its starts, lines say so.
-func TestRestsAreNotToldAsLackOfRoom(t *testing.T) {
+func TestBackoffIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(1))
@@ -95,7 +95,7 @@
 
 // TestStartsThatWaitForOthersAreNotToldAsLackOfRoom has as many starts under way as may
 // be: tasks behind them wait for orders, also where their job found no room before.
-func TestStartsThatWaitForOthersAreNotToldAsLackOfRoom(t *testing.T) {
+func TestFullLaunchWindowIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(16)
--- a/internal/sched/spent_test.go
+++ b/internal/sched/spent_test.go
@@ -56,7 +56,7 @@
 func TestTimeOfJobsAddsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 40))
@@ -84,7 +84,7 @@
 func TestLongWaitsAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		sp := batch(1, 1)
@@ -110,17 +110,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li, mu := relayedLab(t)
 		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(6*16))
 		time.Sleep(time.Second)
-		mu.on.Store(true)
+		mu.enabled.Store(true)
 		time.Sleep(30 * time.Second)
 		qt.Assert(t, li.with("end=lapsed", "job="+jobID(1)), qt.HasLen, 4*16)
 		told := li.with(`msg="lasting tasks wait"`, "job="+jobID(1), "for=room", "tasks=64")
 		qt.Assert(t, len(told) >= 3 && len(told) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(told)))
-		mu.on.Store(false)
+		mu.enabled.Store(false)
 		time.Sleep(10 * time.Second)
 		la.assertRunning(6 * 16)
 	})
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -15,22 +15,22 @@
 	stalledAfter = time.Second
 	stalledPart  = 0.06
 	// stalledLooks is how many looks must have shown none.
-	stalledLooks = 2
+	stalledPolls = 2
 	// stalledDoublings is how often the time doubles, each time that a task was found to
 	// stand still: one that is 300 times as long as estimated was stopped each 3 s, for
 	// ever, and set a worker aside each time.
 	stalledDoublings = 6
 	// stalledPerCents is how many of its own per cent's time an attempt may show none: one
 	// that took 3 s for each was stopped at its last, after 300 s, in one of 1,000 plays.
-	stalledPerCents = 3
+	stalledPercents = 3
 	// asideStalled is how long a worker is set aside on which an attempt stands
 	// still.
-	asideStalled = 2500 * time.Millisecond
+	quarantineStalled = 2500 * time.Millisecond
 )
 
 // follow takes in how far an attempt has come.
-func (at *attempt) follow(percent int, now time.Time) {
-	begins := at.movedAt.IsZero() || at.speed() <= heldPace
+func (at *attempt) recordProgress(percent int, now time.Time) {
+	begins := at.movedAt.IsZero() || at.effectivePace() <= heldBelowPace
 	if begins {
 		at.firstAt, at.first = now, percent
 	}
@@ -44,16 +44,16 @@
 
 // stalled reports whether an attempt that should get on stands still.
 func (at *attempt) stalled(now time.Time) bool {
-	if at.step().Endless || !at.ho.ow.uses(MechStall) || at.still < stalledLooks || !at.halted.IsZero() {
+	if at.step().Endless || !at.ho.ow.uses(MechStall) || at.still < stalledPolls || !at.halted.IsZero() {
 		return false
 	}
 	part := time.Duration(stalledPart * float64(at.step().EstimateMS) * float64(time.Millisecond))
 	limit := (stalledAfter + part) << min(at.en.stood[at.ref], stalledDoublings)
-	return now.Sub(at.movedAt) > max(limit, stalledPerCents*at.perCent())
+	return now.Sub(at.movedAt) > max(limit, stalledPercents*at.timePerPercent())
 }
 
 // perCent is how long the attempt took for each per cent so far, or 0 if it did none.
-func (at *attempt) perCent() time.Duration {
+func (at *attempt) timePerPercent() time.Duration {
 	done := at.percent - at.first
 	if done <= 0 {
 		return 0
@@ -62,12 +62,12 @@
 }
 
 // relieve stops an attempt that stands still, so that it is tried elsewhere.
-func (ho *host) relieve(at *attempt, now time.Time) {
+func (ho *host) stopStalled(at *attempt, now time.Time) {
 	if at.en.stood == nil {
 		at.en.stood = map[job.TaskRef]int{}
 	}
 	at.en.stood[at.ref]++
 	ho.ow.Metrics.Add(telemetry.Stalls, 1)
-	ho.setAside(asideStalled, "attempts stand still")
+	ho.setAside(quarantineStalled, "attempts stand still")
 	ho.ow.halt(at, "no progress for "+now.Sub(at.movedAt).Round(time.Millisecond).String())
 }
--- a/internal/sched/stall_test.go
+++ b/internal/sched/stall_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestAttemptsThatStandStill has each task's first attempt make no progress.
-func TestAttemptsThatStandStill(t *testing.T) {
+func TestStalledAttemptsAreRetriedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 6)
 		la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
@@ -21,7 +21,7 @@
 			}
 			return time.Second, "done"
 		}
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 3))
@@ -32,11 +32,11 @@
 }
 
 // TestSlowAttemptsAreLeftAlone has tasks take eight times as long as estimated.
-func TestSlowAttemptsAreLeftAlone(t *testing.T) {
+func TestSlowAttemptsAreNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 8 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 6))
@@ -47,14 +47,14 @@
 }
 
 // TestHeldFillersDoNotStandStill has a filler that was ordered not to work.
-func TestHeldFillersDoNotStandStill(t *testing.T) {
+func TestHeldFillersAreNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newShop(t, 1)
+		sh := newPacingFixture(t, 1)
 		at := sh.fillers[0]
 		for range 20 {
 			time.Sleep(time.Second)
 			at.pace = 0
-			at.follow(30, time.Now())
+			at.recordProgress(30, time.Now())
 		}
 		qt.Assert(t, at.stalled(time.Now()), qt.IsFalse)
 	})
@@ -70,15 +70,15 @@
 //
 // Evidence: one of 1,000 plays of the test below, "stopping attempt .. why=no progress for
 // 3s" at 306 s.
-func TestSteadyTasksAreLeftAlone(t *testing.T) {
+func TestSteadyProgressIsNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newShop(t, 1)
+		sh := newPacingFixture(t, 1)
 		at := sh.fillers[0]
 		at.pace = fullPace
 		began := time.Now()
 		for range 100 {
 			time.Sleep(700 * time.Millisecond)
-			at.follow(int(time.Since(began)/(3*time.Second)), time.Now())
+			at.recordProgress(int(time.Since(began)/(3*time.Second)), time.Now())
 			if time.Since(began) > 10*time.Second {
 				qt.Assert(t, at.stalled(time.Now()), qt.IsFalse, qt.Commentf("after %v", time.Since(began)))
 			}
@@ -86,7 +86,7 @@
 		still := at.percent
 		for range 20 {
 			time.Sleep(700 * time.Millisecond)
-			at.follow(still, time.Now())
+			at.recordProgress(still, time.Now())
 		}
 		qt.Assert(t, at.stalled(time.Now()), qt.IsTrue)
 	})
@@ -95,11 +95,11 @@
 // TestVeryLongTasksAreLeftAlone has a task take 300 times as long as estimated, which has
 // no checkpoints. Users saw such jobs never end: each whole per cent took longer than an
 // attempt may stand still, so it was stopped and begun anew for ever.
-func TestVeryLongTasksAreLeftAlone(t *testing.T) {
+func TestTaskFarOverEstimateEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 3)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 300 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -25,7 +25,7 @@
 func TestStopsKeepTheRoomTheyCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			halt := ag.HaltFunc
 			ag.HaltFunc = func(ctx context.Context, ad worker.Addr, ha worker.Halt) (worker.Ack, error) {
 				time.AfterFunc(800*time.Millisecond, func() { _, _ = halt(context.WithoutCancel(ctx), ad, ha) })
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		var lost atomic.Int32
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			halt := ag.HaltFunc
 			ag.HaltFunc = func(ctx context.Context, ad worker.Addr, ha worker.Halt) (worker.Ack, error) {
 				if lost.Add(1) <= 3 {
@@ -105,7 +105,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		var lost atomic.Bool
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			halt := ag.HaltFunc
 			ag.HaltFunc = func(ctx context.Context, ad worker.Addr, ha worker.Halt) (worker.Ack, error) {
 				if lost.CompareAndSwap(false, true) {
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -17,9 +17,9 @@
 	// until it counts as stuck.
 	stuckAfter = 5 * time.Second
 	// stuckEvery is the time between two looks for such tasks.
-	stuckEvery = time.Second
+	stuckCheckInterval = time.Second
 	// stuckNamed bounds the jobs that a line names.
-	stuckNamed = 8
+	stuckJobsLogged = 8
 )
 
 // obstacle is what holds back a task that is stuck.
@@ -27,23 +27,23 @@
 
 const (
 	// obstacleRest: it failed several times in a row and is not to begin yet.
-	obstacleRest obstacle = "rest"
+	obstacleBackoff obstacle = "rest"
 	// obstacleTrial: it waits to be tried alone on a worker, or apart from others.
-	obstacleTrial obstacle = "trial"
+	obstacleIsolation obstacle = "trial"
 	// obstacleRoom, obstaclePlace, obstacleOrder and obstacleStore are the causes of
 	// those names.
-	obstacleRoom  obstacle = "room"
-	obstaclePlace obstacle = "place"
-	obstacleOrder obstacle = "order"
-	obstacleStore obstacle = "store"
+	obstacleCapacity  obstacle = "room"
+	obstaclePlacement obstacle = "place"
+	obstacleOrder     obstacle = "order"
+	obstacleStore     obstacle = "store"
 	// obstacleSilent: it is taken to run on a worker that does not answer.
-	obstacleSilent obstacle = "silent-worker"
+	obstacleUnresponsive obstacle = "silent-worker"
 	// obstacleStopping: the end of its attempt was ordered and is not listed.
 	obstacleStopping obstacle = "stopping"
 )
 
 var obstacles = []obstacle{
-	obstacleRest, obstacleTrial, obstacleRoom, obstaclePlace, obstacleOrder, obstacleStore, obstacleSilent, obstacleStopping,
+	obstacleBackoff, obstacleIsolation, obstacleCapacity, obstaclePlacement, obstacleOrder, obstacleStore, obstacleUnresponsive, obstacleStopping,
 }
 
 // stuckJob are the stuck tasks of one job.
@@ -55,8 +55,8 @@
 
 // noteStuck counts the tasks that are stuck by what holds them back, and tells of the
 // longest.
-func (ow *Owner) noteStuck(now time.Time) {
-	if now.Sub(ow.stuckAt) < stuckEvery {
+func (ow *Owner) reportStuck(now time.Time) {
+	if now.Sub(ow.stuckAt) < stuckCheckInterval {
 		return
 	}
 	ow.stuckAt = now
@@ -72,18 +72,18 @@
 			counts[en.jo.Endless()][ob] += n
 		}
 	}
-	held, reserved, barred := ow.capacityNow(now)
-	gaugeStuck(ow.Metrics, counts)
-	gaugeCores(ow.Metrics, held, reserved)
+	held, reserved, barred := ow.capacity(now)
+	setStuckGauge(ow.Metrics, counts)
+	setCoresGauge(ow.Metrics, held, reserved)
 	if len(list) == 0 {
 		return
 	}
-	ow.Log.Info("tasks are stuck", "jobs", len(list), "lasting", listCounts(counts[true]), "ending", listCounts(counts[false]),
-		"reserved_share", share(reserved, held), "barred", listCounts(barred), "longest", nameLongest(list))
+	ow.Log.Info("tasks are stuck", "jobs", len(list), "lasting", formatCounts(counts[true]), "ending", formatCounts(counts[false]),
+		"reserved_share", share(reserved, held), "barred", formatCounts(barred), "longest", formatLongest(list))
 }
 
 // gaugeStuck sets the gauge of stuck tasks, by whether they last.
-func gaugeStuck(me *telemetry.Metrics, counts map[bool]map[obstacle]int) {
+func setStuckGauge(me *telemetry.Metrics, counts map[bool]map[obstacle]int) {
 	for _, ob := range obstacles {
 		me.Set(telemetry.StuckTasks, int64(counts[true][ob]), "kind", "lasting", "why", string(ob))
 		me.Set(telemetry.StuckTasks, int64(counts[false][ob]), "kind", "ending", "why", string(ob))
@@ -91,14 +91,14 @@
 }
 
 // gaugeCores sets the gauge of cores, of which some are held and reserved in thousandths.
-func gaugeCores(me *telemetry.Metrics, held, reserved int64) {
+func setCoresGauge(me *telemetry.Metrics, held, reserved int64) {
 	me.Set(telemetry.CellCores, held/1000, "part", "held")
 	me.Set(telemetry.CellCores, reserved/1000, "part", "reserved")
 }
 
 // capacityNow sums up what workers that get tasks hold and what is reserved there, in
 // thousandths of a core, and counts the others by why they get none.
-func (ow *Owner) capacityNow(now time.Time) (held, reserved int64, barred map[string]int) {
+func (ow *Owner) capacity(now time.Time) (held, reserved int64, barred map[string]int) {
 	barred = map[string]int{}
 	for _, ho := range ow.hosts {
 		if why := ho.bar(now); why != "" {
@@ -143,10 +143,10 @@
 				continue
 			}
 			switch {
-			case en.rests.resting(job.TaskRef{Step: step, Index: index}, now):
-				counts[obstacleRest]++
+			case en.rests.active(job.TaskRef{Step: step, Index: index}, now):
+				counts[obstacleBackoff]++
 			case tasks[index].Suspect():
-				counts[obstacleTrial]++
+				counts[obstacleIsolation]++
 			default:
 				counts[lack]++
 			}
@@ -158,9 +158,9 @@
 func (at *attempt) obstacle() (obstacle, time.Time) {
 	switch {
 	case !at.ho.failing.IsZero():
-		return obstacleSilent, at.ho.failing
+		return obstacleUnresponsive, at.ho.failing
 	case !at.ho.settled:
-		return obstacleSilent, at.ho.entered
+		return obstacleUnresponsive, at.ho.entered
 	case !at.halted.IsZero():
 		return obstacleStopping, at.halted
 	}
@@ -168,13 +168,13 @@
 }
 
 // nameLongest names the jobs whose tasks are stuck for longest.
-func nameLongest(list []stuckJob) string {
+func formatLongest(list []stuckJob) string {
 	slices.SortFunc(list, func(a, b stuckJob) int {
 		return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(a.en.jo.ID, b.en.jo.ID))
 	})
 	var named []string
-	for _, sj := range list[:min(len(list), stuckNamed)] {
-		named = append(named, fmt.Sprintf("%s %s %.1fs", sj.en.jo.ID, listCounts(sj.counts), sj.wait.Seconds()))
+	for _, sj := range list[:min(len(list), stuckJobsLogged)] {
+		named = append(named, fmt.Sprintf("%s %s %.1fs", sj.en.jo.ID, formatCounts(sj.counts), sj.wait.Seconds()))
 	}
 	return strings.Join(named, "; ")
 }
--- a/internal/sched/stuck_test.go
+++ b/internal/sched/stuck_test.go
@@ -13,14 +13,14 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-func TestStuckTasksAreTold(t *testing.T) {
+func TestStuckTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
 		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		stuck := func(kind string, why obstacle, n int) {
@@ -31,16 +31,16 @@
 		}
 		la.submit(ow, 1, lasting(40))
 		time.Sleep(4 * time.Second)
-		stuck("lasting", obstacleRoom, 0)
+		stuck("lasting", obstacleCapacity, 0)
 		qt.Check(t, li.with(`msg="tasks are stuck"`), qt.HasLen, 0)
 		time.Sleep(3 * time.Second)
 		waiting := 40 - len(la.fleet.Runs())
 		qt.Assert(t, waiting > 0, qt.IsTrue)
-		stuck("lasting", obstacleRoom, waiting)
+		stuck("lasting", obstacleCapacity, waiting)
 		qt.Check(t, len(li.with(`msg="tasks are stuck"`, fmt.Sprintf("lasting=room:%d", waiting), "reserved_share=", "longest=")) > 0, qt.IsTrue)
 		end()
 		time.Sleep(time.Second)
-		stuck("lasting", obstacleRoom, 0)
+		stuck("lasting", obstacleCapacity, 0)
 	})
 }
 
@@ -53,8 +53,8 @@
 	}{
 		{&host{settled: true}, time.Time{}, ""},
 		{&host{settled: true}, long, obstacleStopping},
-		{&host{settled: true, failing: long}, long, obstacleSilent},
-		{&host{entered: long}, time.Time{}, obstacleSilent},
+		{&host{settled: true, failing: long}, long, obstacleUnresponsive},
+		{&host{entered: long}, time.Time{}, obstacleUnresponsive},
 	} {
 		at := &attempt{ho: tc.ho, halted: tc.halted}
 		ob, since := at.obstacle()
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -110,7 +110,7 @@
 		return
 	}
 	en.lack = CauseRoom
-	pl.keepRoom(en, ref)
+	pl.earmark(en, ref)
 }
 
 // placeAlone starts a task alone, once the turn of its job has come and its worker is ready
@@ -144,10 +144,10 @@
 	ca := pl.loneliest(en, ref)
 	if ca == nil {
 		en.lack = CauseRoom
-		pl.keepRoom(en, ref)
+		pl.earmark(en, ref)
 		return nil
 	}
-	en.triedAt, ca.taken = pl.now, true
+	en.triedAt, ca.isolated = pl.now, true
 	ca.ho.trial = &trial{en: en, ref: ref, since: pl.now}
 	return ca.ho
 }
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -108,7 +108,7 @@
 			}
 			return 3 * time.Second, "done"
 		}
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(40))
--- a/internal/sched/third_test.go
+++ b/internal/sched/third_test.go
@@ -33,7 +33,7 @@
 
 // busy returns a worker that runs something.
 func (cr *crowd) busy() *standin.FleetWorker {
-	for _, fw := range cr.crew {
+	for _, fw := range cr.fleetWorkers {
 		if cr.running()[fw.Addr.Incarnation] > 0 {
 			return fw
 		}
@@ -203,7 +203,7 @@
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		first.set(func(co *contender) {
 			co.dark = true
-			for _, fw := range cr.crew {
+			for _, fw := range cr.fleetWorkers {
 				co.cut[fw.Addr.Incarnation] = true
 			}
 		})
@@ -306,7 +306,7 @@
 func TestNotesOfAFormerOwnerAreNotTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		first, endFirst := la.own()
+		first, endFirst := la.startOwner()
 		defer endFirst()
 		note := func(silent map[string]bool) {
 			first.post(func() {
@@ -323,7 +323,7 @@
 		note(map[string]bool{"i-0": true})
 		written := read()
 		qt.Assert(t, written > 0, qt.IsTrue)
-		_, endSecond := la.own()
+		_, endSecond := la.startOwner()
 		defer endSecond()
 		note(map[string]bool{"i-0": true})
 		qt.Assert(t, read(), qt.Equals, written)
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -78,7 +78,7 @@
 func (ow *Owner) doubtList(now time.Time) {
 	listed := 0
 	for _, ho := range ow.hosts {
-		if ho.expected() {
+		if ho.needsOrders() {
 			listed++
 		}
 	}
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -19,8 +19,8 @@
 
 // busiest returns the worker with most runs, and how many these are.
 func (la *lab) busiest() (*standin.FleetWorker, int) {
-	most, best := la.crew[0], 0
-	for _, fw := range la.crew {
+	most, best := la.fleetWorkers[0], 0
+	for _, fw := range la.fleetWorkers {
 		if n := la.running()[fw.Addr.Incarnation]; n > best {
 			most, best = fw, n
 		}
@@ -50,7 +50,7 @@
 func (la *lab) withLasting(tasks int) *Owner {
 	la.t.Helper()
 	la.fleet.RunFunc = endless
-	ow, end := la.own()
+	ow, end := la.startOwner()
 	la.t.Cleanup(end)
 	time.Sleep(time.Second)
 	la.submit(ow, 1, lasting(tasks))
@@ -144,14 +144,14 @@
 func TestListComesBackWithAnotherLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := lastingLab(t, 3, 12)
-		was := la.crew[0]
+		was := la.fleetWorkers[0]
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, lasting(1))
 		time.Sleep(time.Second)
 		la.fleet.Kill(was)
 		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
 		la.fleet.Add(now)
-		la.crew[0] = now
+		la.fleetWorkers[0] = now
 		time.Sleep(2 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
@@ -183,7 +183,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 8 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 8))
@@ -280,7 +280,7 @@
 func TestDrainingWorkerLosesItsEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := lastingLab(t, 2, 2*16)
-		leaving := la.crew[0]
+		leaving := la.fleetWorkers[0]
 		list := la.listed()
 		list[0].Draining, list[0].Remaining = true, 4*time.Second
 		ow.SetWorkers(list, nil, true)
@@ -309,7 +309,7 @@
 	for _, draining := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 2)
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			defer end()
 			time.Sleep(time.Second)
 			la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
@@ -399,17 +399,17 @@
 			la := newLab(t, 3)
 			la.formerKnown = known
 			la.fleet.RunFunc = endless
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			time.Sleep(time.Second)
 			la.submit(ow, 1, lasting(12))
 			time.Sleep(time.Second)
 			end()
-			crew := la.crew
-			la.crew = nil
-			ow, end = la.own()
+			crew := la.fleetWorkers
+			la.fleetWorkers = nil
+			ow, end = la.startOwner()
 			defer end()
 			time.Sleep(2 * time.Second)
-			la.crew = crew
+			la.fleetWorkers = crew
 			ow.SetWorkers(la.listed(), nil, true)
 			time.Sleep(15 * time.Second)
 			la.assertRunning(12)
--- a/internal/sched/figures.go
+++ b/internal/sched/usage.go
@@ -14,30 +14,30 @@
 	usageWindow = 500 * time.Millisecond
 	// steadyAfter is how long after a change of pace a filler's figure is of
 	// the new pace alone.
-	steadyAfter = usageWindow + 200*time.Millisecond
+	steadyPaceAfter = usageWindow + 200*time.Millisecond
 	// usesLeast and usesMost bound what part of its declared processor time a
 	// filler is taken to use, usesRate is the part by which that is corrected
 	// with a figure.
-	usesLeast = 0.3
-	usesMost  = 1.2
-	usesRate  = 0.5
+	minUses       = 0.3
+	maxUses       = 1.2
+	usesSmoothing = 0.5
 )
 
 // fillers follows what fills a worker.
-type fillers struct {
+type fillerStats struct {
 	// ended are fillers that were still at work within the last window.
 	ended []endedFiller
 	// expected are the shares by the paces ordered, or nil if they are to be
 	// summed up anew, and sums those services, summed up at summedAt.
-	expected interfere.Shares
-	sums     []serving
-	summedAt time.Time
+	expectedShares interfere.Shares
+	summaries      []imageServices
+	summariesAt    time.Time
 	// measured is when the services were last measured.
-	measured time.Time
+	measuredAt time.Time
 }
 
 // change has what was summed up summed up anew.
-func (fi *fillers) change() { fi.expected, fi.summedAt = nil, time.Time{} }
+func (fi *fillerStats) invalidate() { fi.expectedShares, fi.summariesAt = nil, time.Time{} }
 
 // endedFiller is a filler that ended, with the share that it used.
 type endedFiller struct {
@@ -54,7 +54,7 @@
 }
 
 // speed is the pace in per cent that the attempt is taken to work at.
-func (at *attempt) speed() int {
+func (at *attempt) effectivePace() int {
 	if at.pace < 0 {
 		return fullPace
 	}
@@ -73,20 +73,20 @@
 
 // expectedShare is the share that a filler uses at its pace.
 func (at *attempt) expectedShare() float64 {
-	return at.fullShare() * float64(at.speed()) / fullPace
+	return at.fullShare() * float64(at.effectivePace()) / fullPace
 }
 
 // seeUsage learns what part of its declared processor time a filler uses.
-func (at *attempt) seeUsage(now time.Time) {
-	if !at.step().Filler || at.usage <= 0 || at.pace < fullPace || now.Sub(at.pacedAt) < steadyAfter || now.Sub(at.launched) < steadyAfter {
+func (at *attempt) learnUsage(now time.Time) {
+	if !at.step().Filler || at.usage <= 0 || at.pace < fullPace || now.Sub(at.pacedAt) < steadyPaceAfter || now.Sub(at.launched) < steadyPaceAfter {
 		return
 	}
-	uses := min(max(share(at.usage, at.step().Each.MilliCores), usesLeast), usesMost)
+	uses := min(max(share(at.usage, at.step().Each.MilliCores), minUses), maxUses)
 	if at.uses == 0 {
 		at.uses = uses
 		return
 	}
-	at.uses += usesRate * (uses - at.uses)
+	at.uses += usesSmoothing * (uses - at.uses)
 }
 
 // usedShares are the shares of fillers over the window that ends now, as the
@@ -97,7 +97,7 @@
 		if !at.step().Filler || at.launched.IsZero() {
 			continue
 		}
-		at.seeUsage(now)
+		at.learnUsage(now)
 		if at.usage > 0 {
 			sh[at.step().Image] += share(at.usage, ho.Holds.MilliCores)
 		}
@@ -113,21 +113,21 @@
 // expectedShares are the shares of fillers by the paces ordered, those on their
 // way to the worker included.
 func (ho *host) expectedShares() interfere.Shares {
-	if ho.fill.expected != nil {
-		return ho.fill.expected
+	if ho.fill.expectedShares != nil {
+		return ho.fill.expectedShares
 	}
-	ho.fill.expected = interfere.Shares{}
+	ho.fill.expectedShares = interfere.Shares{}
 	for at := range ho.attempts {
 		if at.step().Filler {
-			ho.fill.expected[at.step().Image] += at.expectedShare()
+			ho.fill.expectedShares[at.step().Image] += at.expectedShare()
 		}
 	}
-	return ho.fill.expected
+	return ho.fill.expectedShares
 }
 
 // noteEnded keeps the share of a filler that is taken off the worker.
-func (ho *host) noteEnded(at *attempt, now time.Time) {
-	ho.fill.change()
+func (ho *host) recordEndedFiller(at *attempt, now time.Time) {
+	ho.fill.invalidate()
 	if at.step().Filler && !at.launched.IsZero() {
 		ho.fill.ended = append(ho.fill.ended, endedFiller{image: at.step().Image, share: at.expectedShare(), at: now})
 	}
@@ -136,11 +136,11 @@
 // measure learns from the figures of a look and sets the pace of fillers.
 func (ho *host) measure(got time.Time) {
 	fi := &ho.fill
-	if got.Sub(fi.measured) < usageWindow/2 {
+	if got.Sub(fi.measuredAt) < usageWindow/2 {
 		return
 	}
-	fi.measured = got
-	fi.change()
+	fi.measuredAt = got
+	fi.invalidate()
 	used := ho.usedShares(got)
 	for _, at := range ho.services {
 		if at.serves() {
@@ -149,20 +149,20 @@
 		}
 	}
 	fi.ended = slices.DeleteFunc(fi.ended, func(ef endedFiller) bool { return got.Sub(ef.at) > usageWindow })
-	ho.control(got)
+	ho.adjustPaces(got)
 }
 
 // lookAhead is how far ahead of the figures control looks.
-func (ow *Owner) lookAhead() time.Duration {
+func (ow *Owner) predictionHorizon() time.Duration {
 	if !ow.uses(MechTrend) {
 		return 0
 	}
-	return ahead
+	return predictAhead
 }
 
 // excess is by how much a service's headroom is expected to be short of that at
 // the wanted part of its target, with the fillers as ordered.
 func (ho *host) excess(at *attempt, part float64) float64 {
-	left := at.replica.Alone(time.Now().Add(ho.ow.lookAhead())) - ho.ow.model.Load(at.step().Image, ho.expectedShares())
+	left := at.replica.Alone(time.Now().Add(ho.ow.predictionHorizon())) - ho.ow.model.Load(at.step().Image, ho.expectedShares())
 	return 1/part - left
 }
--- a/internal/sched/workers_test.go
+++ b/internal/sched/workers_test.go
@@ -58,14 +58,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		qt.Assert(t, la.submit(ow, 1, lasting(6)).Outcome, qt.Equals, Accepted)
 		time.Sleep(time.Second)
 		la.assertRunning(6)
-		busiest := la.crew[0]
-		for _, fw := range la.crew {
+		busiest := la.fleetWorkers[0]
+		for _, fw := range la.fleetWorkers {
 			if la.running()[fw.Addr.Incarnation] > la.running()[busiest.Addr.Incarnation] {
 				busiest = fw
 			}
@@ -81,16 +81,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(4))
 		time.Sleep(time.Second)
-		for _, fw := range la.crew {
+		for _, fw := range la.fleetWorkers {
 			fw.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		}
 		time.Sleep(3 * time.Second)
-		for _, fw := range la.crew {
+		for _, fw := range la.fleetWorkers {
 			fw.Gate.Set(standin.Fault{})
 		}
 		time.Sleep(3 * time.Second)
@@ -102,15 +102,15 @@
 func TestWorkerThatLosesAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		for _, fw := range la.crew {
+		for _, fw := range la.fleetWorkers {
 			fw.Gate.Set(standin.Fault{Mode: standin.ModeLost})
 		}
 		la.submit(ow, 1, batch(2, 4))
 		time.Sleep(2 * time.Second)
-		for _, fw := range la.crew {
+		for _, fw := range la.fleetWorkers {
 			fw.Gate.Set(standin.Fault{})
 		}
 		time.Sleep(10 * time.Second)
@@ -122,13 +122,13 @@
 func TestOrdersCarriedOutLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 4)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.fleet.SetLate(la.crew[0], 3*time.Second)
+		la.fleet.SetLate(la.fleetWorkers[0], 3*time.Second)
 		la.submit(ow, 1, batch(2, 16))
 		time.Sleep(8 * time.Second)
-		la.fleet.SetLate(la.crew[0], 0)
+		la.fleet.SetLate(la.fleetWorkers[0], 0)
 		time.Sleep(12 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 		la.assertNothingTwice()
@@ -139,12 +139,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 4 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(2, 6))
 		time.Sleep(2 * time.Second)
 		end()
-		next, end := la.own()
+		next, end := la.startOwner()
 		defer end()
 		time.Sleep(8 * time.Second)
 		qt.Assert(t, la.state(next, 1), qt.Equals, job.Succeeded)
@@ -156,10 +156,10 @@
 func TestFormerOwnerCanWriteNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		old, endOld := la.own()
+		old, endOld := la.startOwner()
 		defer endOld()
 		time.Sleep(time.Second)
-		_, end := la.own()
+		_, end := la.startOwner()
 		defer end()
 		ve := la.submit(old, 1, batch(1, 2))
 		qt.Assert(t, ve.Outcome, qt.Not(qt.Equals), Accepted)
@@ -172,7 +172,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 2 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 4))
@@ -198,7 +198,7 @@
 func TestAnswersOfTheStoreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 3})
@@ -214,7 +214,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 4)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 100 * time.Millisecond, "failed" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
@@ -233,17 +233,17 @@
 			la := newLab(t, 3)
 			la.formerKnown = known
 			la.fleet.RunFunc = endless
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			time.Sleep(time.Second)
 			la.submit(ow, 1, lasting(6))
 			time.Sleep(time.Second)
-			for _, fw := range la.crew {
+			for _, fw := range la.fleetWorkers {
 				la.fleet.Kill(fw)
 			}
 			end()
-			la.crew = nil
+			la.fleetWorkers = nil
 			la.addWorker(7)
-			_, end = la.own()
+			_, end = la.startOwner()
 			defer end()
 			time.Sleep(7 * time.Second)
 			if !known {
@@ -271,15 +271,15 @@
 			}
 			return 8 * time.Second, "done"
 		}
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(4))
 		la.submit(ow, 2, batch(1, 4))
 		la.submit(ow, 3, batch(1, 4))
 		time.Sleep(time.Second)
-		leaving := la.crew[0]
-		for _, fw := range la.crew {
+		leaving := la.fleetWorkers[0]
+		for _, fw := range la.fleetWorkers {
 			if la.running()[fw.Addr.Incarnation] > la.running()[leaving.Addr.Incarnation] {
 				leaving = fw
 			}
@@ -310,11 +310,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(4))
 		time.Sleep(time.Second)
-		for _, fw := range la.crew {
+		for _, fw := range la.fleetWorkers {
 			if la.running()[fw.Addr.Incarnation] > 0 {
 				la.fleet.Kill(fw)
 			}
@@ -323,7 +323,7 @@
 			time.Sleep(2 * time.Second)
 			la.handover = ow.Handover()
 			end()
-			ow, end = la.own()
+			ow, end = la.startOwner()
 		}
 		defer func() { end() }()
 		time.Sleep(4 * time.Second)
