--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -36,7 +36,7 @@
 func newCapacityLab(t *testing.T, workers int) *capacityLab {
 	t.Helper()
 	ca := &capacityLab{lab: newLab(t, workers), reported: map[worker.Incarnation][]capacityReport{}}
-	for _, fw := range ca.crew {
+	for _, fw := range ca.fleetWorkers {
 		ca.record(fw, fw.Holds)
 		fw.Holds = worker.Resources{MilliCores: 1 << 40, MemMB: 1 << 40}
 	}
@@ -49,7 +49,7 @@
 	if ca.end != nil {
 		ca.end()
 	}
-	ow, loaded, end := ca.begin()
+	ow, loaded, end := ca.startLoading()
 	qt.Assert(ca.t, <-loaded, qt.IsNil)
 	ca.ow, ca.end = ow, end
 	ca.sendReports()
@@ -120,7 +120,7 @@
 			time.Sleep(time.Second)
 			ca.submit(ca.ow, 1, lasting(12))
 			time.Sleep(time.Second)
-			ca.report(ca.crew[0], 16)
+			ca.report(ca.fleetWorkers[0], 16)
 			time.Sleep(time.Second)
 			if takeover {
 				ca.own()
@@ -129,7 +129,7 @@
 			ca.submit(ca.ow, 2, lasting(4))
 			time.Sleep(5 * time.Second)
 			ca.assertRunning(12)
-			ca.report(ca.crew[0], 32)
+			ca.report(ca.fleetWorkers[0], 32)
 			time.Sleep(500 * time.Millisecond)
 			ca.assertRunning(16)
 			qt.Check(t, ca.overfilled(), qt.HasLen, 0)
@@ -152,7 +152,7 @@
 					jobs++
 					ca.submit(ca.ow, jobs, batch(1, rapid.IntRange(1, 30).Draw(rt, "tasks")))
 				case "say":
-					fw := ca.crew[rapid.IntRange(0, len(ca.crew)-1).Draw(rt, "worker")]
+					fw := ca.fleetWorkers[rapid.IntRange(0, len(ca.fleetWorkers)-1).Draw(rt, "worker")]
 					ca.report(fw, int64(rapid.IntRange(0, 40).Draw(rt, "cores")))
 				case "owner":
 					ca.own()
--- a/internal/sched/cluster_test.go
+++ b/internal/sched/cluster_test.go
@@ -235,7 +235,7 @@
 func (co *clusterHost) kill() {
 	co.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	co.set(func(co *clusterHost) {
-		for _, fw := range co.cr.crew {
+		for _, fw := range co.cr.fleetWorkers {
 			co.unreachable[fw.Addr.Incarnation] = true
 		}
 		co.restarted = true
--- a/internal/sched/entry.go
+++ b/internal/sched/entry.go
@@ -60,7 +60,7 @@
 	// stallCounts counts the stalled attempts of each task.
 	stallCounts map[job.TaskRef]int
 	// backoffs holds the restart delays of long-running tasks that failed repeatedly.
-	backoffs rests
+	backoffs backoffs
 	// isolatedTrialAt is when a worker was last chosen to run a suspect task of the job in
 	// isolation.
 	isolatedTrialAt time.Time
@@ -163,7 +163,7 @@
 			en.failedOn = map[worker.Incarnation]bool{}
 		}
 		en.failedOn[incarnation] = true
-		en.backoffs.failed(en, ref, time.Now())
+		en.backoffs.recordFailure(en, ref, time.Now())
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", string(end))
 	ow.Log.Info("attempt ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "end", end, "why", reason, "state", en.jo.State(),
--- a/internal/sched/gone_test.go
+++ b/internal/sched/gone_test.go
@@ -99,7 +99,7 @@
 		owner.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		owner.set(func(co *clusterHost) {
 			co.partitioned = true
-			for _, fw := range cr.crew {
+			for _, fw := range cr.fleetWorkers {
 				co.unreachable[fw.Addr.Incarnation] = true
 			}
 		})
--- a/internal/sched/interference_test.go
+++ b/internal/sched/interference_test.go
@@ -15,7 +15,7 @@
 func TestNextOwnerLoadsInterference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		pair := interfere.Pair{Service: "s", Filler: "f"}
 		_, err := call(t.Context(), ow, func(answer func(struct{})) {
 			ow.model = interfere.Restore([]interfere.PairEstimate{{Pair: pair, Drop: 9}})
@@ -24,7 +24,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(saveInterval + time.Second)
 		end()
-		next, end := la.own()
+		next, end := la.startOwner()
 		defer end()
 		drop, err := call(t.Context(), next, func(answer func(float64)) { answer(next.model.Drop(pair)) })
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -20,7 +20,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 1)
 				la.fleet.RunFunc = endless
-				ow, end := la.own()
+				ow, end := la.startOwner()
 				time.Sleep(time.Second)
 				const jobs = 400
 				for n := range jobs {
@@ -34,7 +34,7 @@
 				// The transfer time of the bytes plus 50%.
 				bytes := jobs * 4500
 				timeout := time.Duration(bytes) * time.Second * 3 / 2 / time.Duration(rate)
-				next, loaded, end := la.begin()
+				next, loaded, end := la.startLoading()
 				defer end()
 				select {
 				case err := <-loaded:
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -35,7 +35,7 @@
 // evaluateFeasibility returns the job's feasibility at the given time.
 func (en *entry) evaluateFeasibility(now time.Time) feasibility {
 	// An endless task has no time by which it is worthless.
-	if en.targetMS <= 0 || en.jo.Endless() || !en.ow.uses(MechHope) {
+	if en.targetMS <= 0 || en.jo.Endless() || !en.ow.uses(MechFeasibleFirst) {
 		return inTime
 	}
 	done := now.Sub(en.acceptedAt).Milliseconds() + en.jo.RemainingMS()
@@ -62,7 +62,7 @@
 	if ow.uses(MechLeastWork) {
 		ow.assignSortKeys(1, func(a, b *entry) int { return cmp.Compare(a.workLeft, b.workLeft) })
 	}
-	if ow.uses(MechByAge) {
+	if ow.uses(MechTurnsByAge) {
 		ow.assignSortKeys(bySizePerAge, func(a, b *entry) int { return cmp.Compare(a.order, b.order) })
 	}
 	slices.SortFunc(ow.active, compareEntries)
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -123,7 +123,7 @@
 	model interfere.Model
 	// noPlace has the shapes of tasks for which no worker was found, in this round of
 	// placement or recently.
-	noPlace noPlace
+	noPlace noFitCache
 	// similarity caches the similarity of pairs of images for one round of placement.
 	similarity map[imagePair]float64
 	// modelSavedAt is when the model was last written; savingModel is set while a write of it
@@ -173,7 +173,7 @@
 // returns an error if the state cannot be read.
 func (ow *Owner) Run(ctx context.Context, loaded func()) error {
 	defer close(ow.ended)
-	defer GaugeNoWorkers(ow.Metrics)
+	defer ResetGauges(ow.Metrics)
 	ow.ctx = ctx
 	ow.startedAt = time.Now()
 	ow.listTrust.untrustedAt = ow.startedAt
@@ -241,12 +241,12 @@
 	}
 	ow.recordUnresponsive(now)
 	ow.recordLeases(now)
-	ow.noteReach(now)
+	ow.updateReach(now)
 	ow.writeDueProofs(now)
 	ow.account(now)
 	ow.promiseRoom(now)
-	ow.tellScarcity(now)
-	ow.noteStuck(now)
+	ow.logEndlessDemand(now)
+	ow.reportStuck(now)
 	ow.sortActive(now)
 	ow.moveHeld(now)
 	ow.checkWorkerList(now)
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -18,7 +18,7 @@
 	ran := at.sightings().ran
 	switch {
 	case ran >= lastsAfter && at.en.jo.MarkStable(at.ref, at.number):
-		at.en.backoffs.lasted(at.ref)
+		at.en.backoffs.reset(at.ref)
 		at.en.scheduleProofWrite(now)
 	case ran >= provenAfter && at.en.jo.MarkStarted(at.ref, at.number) && at.wrongBlameCostly():
 		at.en.scheduleProofWrite(now)
--- a/internal/sched/quarantine_test.go
+++ b/internal/sched/quarantine_test.go
@@ -31,7 +31,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
 		failTasksOfJobs(la, func(worker.Attempt) (time.Duration, string) { return time.Second, "done" })
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		for n := range 40 {
@@ -76,9 +76,9 @@
 func TestOnlyFailingWorkerIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
-		faulty := la.crew[0].Addr.Incarnation
-		la.crew[0].RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
-		ow, end := la.own()
+		faulty := la.fleetWorkers[0].Addr.Incarnation
+		la.fleetWorkers[0].RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		for n := range 20 {
--- a/internal/sched/successiveowners_test.go
+++ b/internal/sched/successiveowners_test.go
@@ -33,7 +33,7 @@
 
 // busyWorker returns a worker that runs a task.
 func (cr *cluster) busyWorker() *standin.FleetWorker {
-	for _, fw := range cr.crew {
+	for _, fw := range cr.fleetWorkers {
 		if cr.running()[fw.Addr.Incarnation] > 0 {
 			return fw
 		}
@@ -199,7 +199,7 @@
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		first.set(func(co *clusterHost) {
 			co.partitioned = true
-			for _, fw := range cr.crew {
+			for _, fw := range cr.fleetWorkers {
 				co.unreachable[fw.Addr.Incarnation] = true
 			}
 		})
@@ -296,7 +296,7 @@
 func TestLeaseRecordOfReplacedOwnerIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		first, endFirst := la.own()
+		first, endFirst := la.startOwner()
 		defer endFirst()
 		record := func(recorded map[string]bool) {
 			first.post(func() {
@@ -313,7 +313,7 @@
 		record(map[string]bool{"i-0": true})
 		written := read()
 		qt.Assert(t, written > 0, qt.IsTrue)
-		_, endSecond := la.own()
+		_, endSecond := la.startOwner()
 		defer endSecond()
 		record(map[string]bool{"i-0": true})
 		qt.Assert(t, read(), qt.Equals, written)
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -79,7 +79,7 @@
 func (ow *Owner) updateListDoubt(now time.Time) {
 	listed := 0
 	for _, ho := range ow.hosts {
-		if ho.expected() {
+		if ho.needsOrders() {
 			listed++
 		}
 	}
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -19,8 +19,8 @@
 
 // busiest returns the worker with the most runs, and their number.
 func (la *lab) busiest() (*standin.FleetWorker, int) {
-	busiest, runs := la.crew[0], 0
-	for _, fw := range la.crew {
+	busiest, runs := la.fleetWorkers[0], 0
+	for _, fw := range la.fleetWorkers {
 		if n := la.running()[fw.Addr.Incarnation]; n > runs {
 			busiest, runs = fw, n
 		}
@@ -50,7 +50,7 @@
 func (la *lab) withLasting(tasks int) *Owner {
 	la.t.Helper()
 	la.fleet.RunFunc = endless
-	ow, end := la.own()
+	ow, end := la.startOwner()
 	la.t.Cleanup(end)
 	time.Sleep(time.Second)
 	la.submit(ow, 1, lasting(tasks))
@@ -139,14 +139,14 @@
 func TestWorkerRestartsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 3, 12)
-		was := la.crew[0]
+		was := la.fleetWorkers[0]
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, lasting(1))
 		time.Sleep(time.Second)
 		la.fleet.Kill(was)
 		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
 		la.fleet.Add(now)
-		la.crew[0] = now
+		la.fleetWorkers[0] = now
 		time.Sleep(2 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
@@ -178,7 +178,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 8 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 8))
@@ -273,7 +273,7 @@
 func TestDrainingWorkerLosesItsEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 2, 2*16)
-		leaving := la.crew[0]
+		leaving := la.fleetWorkers[0]
 		list := la.listed()
 		list[0].Draining, list[0].Remaining = true, 4*time.Second
 		ow.SetWorkers(list, nil, true)
@@ -299,7 +299,7 @@
 	for _, draining := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 2)
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			defer end()
 			time.Sleep(time.Second)
 			la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
@@ -389,17 +389,17 @@
 			la := newLab(t, 3)
 			la.formerKnown = known
 			la.fleet.RunFunc = endless
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			time.Sleep(time.Second)
 			la.submit(ow, 1, lasting(12))
 			time.Sleep(time.Second)
 			end()
-			crew := la.crew
-			la.crew = nil
-			ow, end = la.own()
+			crew := la.fleetWorkers
+			la.fleetWorkers = nil
+			ow, end = la.startOwner()
 			defer end()
 			time.Sleep(2 * time.Second)
-			la.crew = crew
+			la.fleetWorkers = crew
 			ow.SetWorkers(la.listed(), nil, true)
 			time.Sleep(15 * time.Second)
 			la.assertRunning(12)
