--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -162,7 +162,7 @@
 			for _, over := range ca.overfilled() {
 				rt.Errorf("started over what its worker holds: %s", over)
 			}
-			for _, problem := range ca.problems() {
+			for _, problem := range ca.runProblems() {
 				rt.Error(problem)
 			}
 		})
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -218,7 +218,7 @@
 			qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 			qt.Check(t, li.with("end=lapsed"), qt.HasLen, 4)
 			qt.Check(t, len(li.with("end=crashed"))+len(li.with("end=lost")), qt.Equals, 0)
-			la.assertNothingTwice()
+			la.assertRunsConsistent()
 		})
 	}
 }
--- a/internal/sched/crashcost_test.go
+++ b/internal/sched/crashcost_test.go
@@ -60,7 +60,7 @@
 		qt.Check(t, cr.state(ow, 2000+n) == job.Failed, qt.IsFalse, qt.Commentf("healthy job %d", n))
 	}
 	qt.Check(t, cr.state(ow, 1), qt.Equals, job.Running)
-	cr.assertNothingTwice()
+	cr.assertRunsConsistent()
 	return cc
 }
 
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -228,7 +228,7 @@
 			rt.Errorf("job %d is %s, after %d crashes under one task", n, state, crashed[n])
 		}
 	}
-	for _, problem := range cr.problems() {
+	for _, problem := range cr.runProblems() {
 		rt.Error(problem)
 	}
 }
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -227,14 +227,14 @@
 
 // assertNothingTwice checks that no task ran in two places at once, none again
 // after it was done, and each after the steps before it.
-func (la *lab) assertNothingTwice() {
-	for _, problem := range la.problems() {
+func (la *lab) assertRunsConsistent() {
+	for _, problem := range la.runProblems() {
 		la.t.Error(problem)
 	}
 }
 
 // problems lists what of that was not so.
-func (la *lab) problems() []string {
+func (la *lab) runProblems() []string {
 	runs := la.fleet.Runs()
 	list := standin.RunProblems(runs)
 	doneAt := map[string]time.Time{}
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -34,7 +34,7 @@
 	la.t.Helper()
 	qt.Check(la.t, len(la.fleet.Runs()), qt.Equals, 1)
 	qt.Check(la.t, la.state(ow, 1), qt.Equals, job.Succeeded)
-	la.assertNothingTwice()
+	la.assertRunsConsistent()
 }
 
 func TestDoneThoughGivenUp(t *testing.T) {
--- a/internal/sched/move.go
+++ b/internal/sched/move.go
@@ -9,7 +9,7 @@
 // Moves of fillers.
 const (
 	// heldPace is the pace in per cent under which a filler counts as held.
-	heldBelowPace = 35
+	heldMaxPace = 35
 	// heldAfter is how long it is held before it is moved to a better place.
 	moveAfter = 400 * time.Millisecond
 	// movesPerTick bounds the moves at one look, so that not all go to the
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -217,7 +217,7 @@
 	ho.ow.Log.Info("pacing attempt", "task", taskID(at), "attempt", at.number, "worker", ho.incarnation, "percent", percent, "was", at.pace, "why", why)
 	at.pace = percent
 	switch {
-	case percent > heldBelowPace:
+	case percent > heldMaxPace:
 		at.heldSince = time.Time{}
 	case at.heldSince.IsZero():
 		at.heldSince = now
--- a/internal/sched/path_test.go
+++ b/internal/sched/path_test.go
@@ -21,12 +21,12 @@
 }
 
 func (ws *pathRecorder) wrap(ag worker.Agent) worker.Agent {
-	look := ag.LookFunc
+	poll := ag.LookFunc
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 		ws.mu.Lock()
 		ws.via, ws.fences = append(ws.via, ad.Via), append(ws.fences, lo.Fence)
 		ws.mu.Unlock()
-		return look(ctx, ad, lo)
+		return poll(ctx, ad, lo)
 	}
 	return ag
 }
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -49,9 +49,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
 		own, other := emptyHost(ow, "own"), emptyHost(ow, "other")
-		en, stranger := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
+		en, otherJob := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
 		own.put(&attempt{ho: own, en: en, number: 1})
-		other.put(&attempt{ho: other, en: stranger, number: 1})
+		other.put(&attempt{ho: other, en: otherJob, number: 1})
 		other.reserved = other.reserved.With(worker.Resources{MilliCores: 8000})
 		pl := ow.newPlacer()
 		ca := pl.rank(en, 0, false).best()
@@ -69,8 +69,8 @@
 		for _, ho := range []*host{mixed, empty} {
 			ho.Holds = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
 		}
-		stranger := addJob(ow, 1, serviceStep(1, "other"))
-		mixed.put(&attempt{ho: mixed, en: stranger, number: 1})
+		otherJob := addJob(ow, 1, serviceStep(1, "other"))
+		mixed.put(&attempt{ho: mixed, en: otherJob, number: 1})
 		mixed.reserved = mixed.reserved.With(worker.Resources{MilliCores: 48_000})
 		ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "s")), 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "empty")
@@ -227,7 +227,7 @@
 		large := lasting(1)
 		large.Steps[0].Each = worker.Resources{MilliCores: 20_000, MemMB: 20_000}
 		n := 0
-		stream := func(seconds int) {
+		submitShort := func(seconds int) {
 			for range seconds * 20 {
 				n++
 				short := batch(1, 3)
@@ -236,9 +236,9 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
-		stream(2)
+		submitShort(2)
 		go la.submit(ow, 1_000_000, large)
-		stream(4)
+		submitShort(4)
 		started := false
 		for _, ru := range la.fleet.Runs() {
 			id, _, _ := job.ParseTaskID(ru.Task)
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -153,7 +153,7 @@
 // again has a worker's process start again under its id after a pause, at its address or
 // at another, and returns the entry of the one before. The clock that tells when it
 // started may have been set back.
-func (dr *faultRun) restartWorker(elsewhere bool) Listed {
+func (dr *faultRun) restartWorker(newAddress bool) Listed {
 	i := rapid.IntRange(0, len(dr.fleetWorkers)-1).Draw(dr.rt, "worker")
 	former, fw := dr.listed()[i], dr.fleetWorkers[i]
 	dr.fleet.Kill(fw)
@@ -164,7 +164,7 @@
 	}
 	time.Sleep(downFor)
 	hostPort := fw.Addr.HostPort
-	if elsewhere {
+	if newAddress {
 		dr.replacements++
 		hostPort = fmt.Sprintf("10.2.0.%d:80", dr.replacements)
 	}
@@ -223,7 +223,7 @@
 
 // nextLife ends a worker's process; another life comes at its address. The entry of the
 // one before may stay, and be met before or after the next one's.
-func (dr *faultRun) replaceProcess(i int, stays bool) {
+func (dr *faultRun) replaceProcess(i int, entryStays bool) {
 	fw, former := dr.fleetWorkers[i], dr.listed()[i]
 	dr.fleet.Kill(fw)
 	dr.replacements++
@@ -231,10 +231,10 @@
 	dr.fleet.Add(next)
 	dr.fleetWorkers[i] = next
 	list := dr.listed()
-	if stays {
+	if entryStays {
 		list = append(list, former)
 	}
-	if stays && rapid.Bool().Draw(dr.rt, "former first") {
+	if entryStays && rapid.Bool().Draw(dr.rt, "former first") {
 		slices.Reverse(list)
 	}
 	dr.ow.SetWorkers(list, nil, true)
@@ -301,7 +301,7 @@
 	}
 	dr.checkRuns()
 	dr.checkStarts()
-	for _, problem := range dr.problems() {
+	for _, problem := range dr.runProblems() {
 		dr.rt.Error(problem)
 	}
 	if dr.rt.Failed() {
--- a/internal/sched/reach.go
+++ b/internal/sched/reach.go
@@ -124,13 +124,13 @@
 // common.
 func (ow *Owner) logWithoutOrders(counts map[reach]int, now time.Time) {
 	attempts, longest := 0, time.Duration(0)
-	var vias, centres commonFactor
+	var relays, centres groupCounts
 	for _, ho := range ow.hosts {
 		if !ho.needsOrders() {
 			continue
 		}
 		without := !ho.quiet.IsZero()
-		vias.add(ho.currentPath().addr.Via, without)
+		relays.add(ho.currentPath().addr.Via, without)
 		centres.add(ho.DataCentre, without)
 		if !without {
 			continue
@@ -141,19 +141,19 @@
 			ow.outage.beganAt = ho.quiet
 		}
 	}
-	via, centre := vias.most(), centres.most()
+	relay, centre := relays.largest(), centres.largest()
 	ow.Log.Warn("workers without orders", "cell", ow.Cell, "workers", counts[reachUnresponsive]+counts[reachUnsettled],
 		"of", counts[reachUnresponsive]+counts[reachUnsettled]+counts[reachAnswering],
 		"silent", counts[reachUnresponsive], "unsettled", counts[reachUnsettled], "attempts", attempts, "longest", longest,
-		"via", via, "via_workers", vias.without[via], "via_all", vias.all[via],
+		"via", relay, "via_workers", relays.without[relay], "via_all", relays.all[relay],
 		"data_centre", centre, "data_centre_workers", centres.without[centre], "data_centre_all", centres.all[centre])
 }
 
 // common counts workers by what they have in common: all of them, and those without
 // orders. The zero value has none.
-type commonFactor struct{ all, without map[string]int }
+type groupCounts struct{ all, without map[string]int }
 
-func (co *commonFactor) add(what string, without bool) {
+func (co *groupCounts) add(what string, without bool) {
 	if co.all == nil {
 		co.all, co.without = map[string]int{}, map[string]int{}
 	}
@@ -164,7 +164,7 @@
 }
 
 // most returns what most workers without orders have in common.
-func (co *commonFactor) most() string {
+func (co *groupCounts) largest() string {
 	best := ""
 	for what, n := range co.without {
 		if n > co.without[best] || n == co.without[best] && what < best {
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -34,12 +34,12 @@
 }
 
 func (mu *unresponsiveRelay) wrap(ag worker.Agent) worker.Agent {
-	look, launch := ag.LookFunc, ag.LaunchFunc
+	poll, launch := ag.LookFunc, ag.LaunchFunc
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 		if err := mu.block(ctx, ad); err != nil {
 			return worker.Sight{}, err
 		}
-		return look(ctx, ad, lo)
+		return poll(ctx, ad, lo)
 	}
 	ag.LaunchFunc = func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
 		if err := mu.block(ctx, ad); err != nil {
@@ -79,8 +79,8 @@
 		_, end := la.startOwner()
 		defer end()
 		time.Sleep(10 * time.Second)
-		told := li.with("level=WARN", `msg="workers without orders"`, "workers=4", "of=6", "via=e1", "via_workers=4", "via_all=4")
-		qt.Assert(t, len(told) >= 8 && len(told) <= 10, qt.IsTrue, qt.Commentf("%d lines", len(told)))
+		logged := li.with("level=WARN", `msg="workers without orders"`, "workers=4", "of=6", "via=e1", "via_workers=4", "via_all=4")
+		qt.Assert(t, len(logged) >= 8 && len(logged) <= 10, qt.IsTrue, qt.Commentf("%d lines", len(logged)))
 	})
 }
 
@@ -98,17 +98,17 @@
 		la.assertRunning(6 * 16)
 		mu.enabled.Store(true)
 		time.Sleep(4 * time.Second)
-		whole := li.with("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
-		qt.Assert(t, whole, qt.Not(qt.HasLen), 0)
+		outageLines := li.with("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
+		qt.Assert(t, outageLines, qt.Not(qt.HasLen), 0)
 		// A look that was under way then was answered.
-		longest := longestOf(t, whole[len(whole)-1])
+		longest := longestOf(t, outageLines[len(outageLines)-1])
 		qt.Assert(t, longest > 4*time.Second-lookWait-outageLogInterval && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
 		mu.enabled.Store(false)
 		time.Sleep(4 * time.Second)
-		told := len(li.with("workers without orders"))
+		logged := len(li.with("workers without orders"))
 		qt.Assert(t, li.with("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
 		time.Sleep(10 * time.Second)
-		qt.Assert(t, li.with("workers without orders"), qt.HasLen, told)
+		qt.Assert(t, li.with("workers without orders"), qt.HasLen, logged)
 		qt.Assert(t, li.with("all workers get orders again"), qt.HasLen, 1)
 	})
 }
@@ -143,23 +143,23 @@
 func TestPollsThatNeverReturnAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 3)
-		let := make(chan struct{})
-		var stuck atomic.Bool
+		released := make(chan struct{})
+		var blocked atomic.Bool
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
+			poll := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-				if stuck.Load() {
-					<-let
+				if blocked.Load() {
+					<-released
 				}
-				return look(ctx, ad, lo)
+				return poll(ctx, ad, lo)
 			}
 			return ag
 		}
 		_, end := la.startOwner()
 		defer end()
-		defer close(let)
+		defer close(released)
 		time.Sleep(time.Second)
-		stuck.Store(true)
+		blocked.Store(true)
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, li.with("worker does not answer"), qt.HasLen, 0)
 		qt.Assert(t, li.with("workers without orders", "workers=3 of=3 silent=3 "), qt.Not(qt.HasLen), 0)
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -44,7 +44,7 @@
 				time.Sleep(30 * time.Second)
 				qt.Check(t, la.state(ow, 2), qt.Equals, job.Succeeded)
 				qt.Check(t, la.fleet.Runs(), qt.HasLen, 2*tasks)
-				la.assertNothingTwice()
+				la.assertRunsConsistent()
 			})
 		})
 	}
@@ -69,7 +69,7 @@
 				// Its leases lapse 6 s after the last look.
 				time.Sleep(9 * time.Second)
 				la.assertRunning(12)
-				la.assertNothingTwice()
+				la.assertRunsConsistent()
 			})
 		})
 	}
@@ -126,7 +126,7 @@
 		time.Sleep(30 * time.Second)
 		la.assertRunning(30)
 		qt.Check(t, la.ends()["lapsed"], qt.Equals, 0)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -203,7 +203,7 @@
 				ow.SetWorkers(la.listed(), nil, true)
 				time.Sleep(20 * time.Second)
 				qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-				la.assertNothingTwice()
+				la.assertRunsConsistent()
 			})
 		}
 	}
@@ -233,7 +233,7 @@
 			time.Sleep(12 * time.Second)
 			qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 			qt.Check(t, la.fleet.Runs(), qt.HasLen, 12)
-			la.assertNothingTwice()
+			la.assertRunsConsistent()
 		})
 	}
 }
@@ -259,7 +259,7 @@
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.state(ow, 2), qt.Equals, job.Succeeded)
 		qt.Check(t, la.fleet.Runs(), qt.HasLen, tasks+12)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -20,7 +20,7 @@
 // Evidence: lines with no more than the word "room", from owners that had workers which
 // they may not use beside full ones.
 func TestLogOfMissingCapacityNamesItsCause(t *testing.T) {
-	waits := `msg="lasting tasks wait"`
+	waitLine := `msg="lasting tasks wait"`
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		ow := la.withLasting(2*16 - 1)
@@ -33,9 +33,9 @@
 		sp.Steps[0].Each = worker.Resources{MilliCores: 1000, MemMB: 1000}
 		la.submit(ow, 2, sp)
 		time.Sleep(1500 * time.Millisecond)
-		told := li.with(waits, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
+		logged := li.with(waitLine, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
 			"best="+full.Addr.Incarnation.String(), "free_millicores=0", "free_mem_mb=64000", "passing_millicores=0", "stopping_millicores=0", "attempts=16")
-		qt.Assert(t, told, qt.HasLen, 1)
+		qt.Assert(t, logged, qt.HasLen, 1)
 	})
 }
 
@@ -45,20 +45,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(15)
-		apart := lasting(2)
-		apart.Steps[0].Each = worker.Resources{MilliCores: 500, MemMB: 500}
-		apart.Steps[0].PerWorker = 1
-		la.submit(ow, 2, apart)
+		spread := lasting(2)
+		spread.Steps[0].Each = worker.Resources{MilliCores: 500, MemMB: 500}
+		spread.Steps[0].PerWorker = 1
+		la.submit(ow, 2, spread)
 		time.Sleep(1500 * time.Millisecond)
-		waits := `msg="lasting tasks wait"`
-		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
+		waitLine := `msg="lasting tasks wait"`
+		qt.Assert(t, li.with(waitLine, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
 		ow.post(func() {
 			ow.onlyLife("i-0").keptIn = ow.rounds
 			ow.entries[jobID(2)].spent.tell = 0
 			ow.account(time.Now())
 		})
 		synctest.Wait()
-		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
+		qt.Assert(t, li.with(waitLine, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
 	})
 }
 
@@ -70,8 +70,8 @@
 		ow := la.withLasting(16)
 		la.submit(ow, 2, lasting(4))
 		time.Sleep(3500 * time.Millisecond)
-		told := li.with(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
-		qt.Assert(t, told, qt.HasLen, 3)
+		logged := li.with(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
+		qt.Assert(t, logged, qt.HasLen, 3)
 	})
 }
 
@@ -86,10 +86,10 @@
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(1))
 		time.Sleep(20 * time.Second)
-		waits := `msg="lasting tasks wait"`
-		qt.Assert(t, len(li.with(waits, "for=rest")) > 0, qt.IsTrue)
-		qt.Assert(t, li.with(waits, "for=room"), qt.HasLen, 0)
-		qt.Assert(t, li.with(waits, "for=order"), qt.HasLen, 0)
+		waitLine := `msg="lasting tasks wait"`
+		qt.Assert(t, len(li.with(waitLine, "for=rest")) > 0, qt.IsTrue)
+		qt.Assert(t, li.with(waitLine, "for=room"), qt.HasLen, 0)
+		qt.Assert(t, li.with(waitLine, "for=order"), qt.HasLen, 0)
 	})
 }
 
@@ -103,7 +103,7 @@
 		time.Sleep(500 * time.Millisecond)
 		ow.post(func() { ow.window.underWay = ow.window.limit(); ow.place() })
 		time.Sleep(time.Second)
-		waits := `msg="lasting tasks wait"`
-		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=order"), qt.HasLen, 1)
+		waitLine := `msg="lasting tasks wait"`
+		qt.Assert(t, li.with(waitLine, "job="+jobID(2), "for=order"), qt.HasLen, 1)
 	})
 }
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -30,7 +30,7 @@
 
 // follow takes in how far an attempt has come.
 func (at *attempt) recordProgress(percent int, now time.Time) {
-	begins := at.movedAt.IsZero() || at.effectivePace() <= heldBelowPace
+	begins := at.movedAt.IsZero() || at.effectivePace() <= heldMaxPace
 	if begins {
 		at.firstAt, at.first = now, percent
 	}
--- a/internal/sched/stall_test.go
+++ b/internal/sched/stall_test.go
@@ -27,7 +27,7 @@
 		la.submit(ow, 1, batch(1, 3))
 		time.Sleep(8 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -83,10 +83,10 @@
 				qt.Assert(t, at.stalled(time.Now()), qt.IsFalse, qt.Commentf("after %v", time.Since(began)))
 			}
 		}
-		still := at.percent
+		last := at.percent
 		for range 20 {
 			time.Sleep(700 * time.Millisecond)
-			at.recordProgress(still, time.Now())
+			at.recordProgress(last, time.Now())
 		}
 		qt.Assert(t, at.stalled(time.Now()), qt.IsTrue)
 	})
--- a/internal/sched/stuck_test.go
+++ b/internal/sched/stuck_test.go
@@ -16,31 +16,31 @@
 func TestStuckTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
-		me, page, err := telemetry.New()
+		me, handler, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
 		la.fleet.RunFunc = endless
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		stuck := func(kind string, why obstacle, n int) {
+		assertGauge := func(kind string, why obstacle, n int) {
 			t.Helper()
 			re := httptest.NewRecorder()
-			page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+			handler.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 			qt.Check(t, re.Body.String(), qt.Contains, fmt.Sprintf("%s{kind=%q,why=%q} %d\n", telemetry.StuckTasks, kind, why, n))
 		}
 		la.submit(ow, 1, lasting(40))
 		time.Sleep(4 * time.Second)
-		stuck("lasting", obstacleCapacity, 0)
+		assertGauge("lasting", obstacleCapacity, 0)
 		qt.Check(t, li.with(`msg="tasks are stuck"`), qt.HasLen, 0)
 		time.Sleep(3 * time.Second)
 		waiting := 40 - len(la.fleet.Runs())
 		qt.Assert(t, waiting > 0, qt.IsTrue)
-		stuck("lasting", obstacleCapacity, waiting)
+		assertGauge("lasting", obstacleCapacity, waiting)
 		qt.Check(t, len(li.with(`msg="tasks are stuck"`, fmt.Sprintf("lasting=room:%d", waiting), "reserved_share=", "longest=")) > 0, qt.IsTrue)
 		end()
 		time.Sleep(time.Second)
-		stuck("lasting", obstacleCapacity, 0)
+		assertGauge("lasting", obstacleCapacity, 0)
 	})
 }
 
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -53,7 +53,7 @@
 				time.Sleep(20 * time.Second)
 				qt.Check(t, cr.state(ow, 1), qt.Equals, job.Running)
 				cr.assertRunning(12)
-				cr.assertNothingTwice()
+				cr.assertRunsConsistent()
 			})
 		})
 	}
@@ -159,7 +159,7 @@
 			if state := cr.state(ow, 1); state != job.Running {
 				rt.Errorf("the job is %s", state)
 			}
-			for _, problem := range cr.problems() {
+			for _, problem := range cr.runProblems() {
 				rt.Error(problem)
 			}
 		})
--- a/internal/sched/third_test.go
+++ b/internal/sched/third_test.go
@@ -293,7 +293,7 @@
 						lose.fn(cr, first, fw)
 					}
 					time.Sleep(25 * time.Second)
-					cr.assertNothingTwice()
+					cr.assertRunsConsistent()
 					cr.assertRunning(4)
 				})
 			}
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -101,7 +101,7 @@
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
 		qt.Check(t, la.runningAt("i-0")+la.runningAt("i-1")+la.runningAt("i-2")+la.runningAt("i-3") >= 24, qt.IsTrue)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -135,7 +135,7 @@
 				qt.Check(t, ru.Worker, qt.Not(qt.Equals), gone.Addr.Incarnation)
 			}
 		}
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -191,7 +191,7 @@
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(10 * time.Second)
 		qt.Check(t, la.ends(), qt.DeepEquals, map[string]int{"done": 8})
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -328,7 +328,7 @@
 			for _, ru := range la.fleet.Runs() {
 				qt.Check(t, ru.Worker.ID == "i-0" && !ru.From.Before(went), qt.IsFalse, qt.Commentf("%s, %v after", ru.Task, ru.From.Sub(went)))
 			}
-			la.assertNothingTwice()
+			la.assertRunsConsistent()
 		})
 	}
 }
--- a/internal/sched/workers_test.go
+++ b/internal/sched/workers_test.go
@@ -51,7 +51,7 @@
 		total += count
 	}
 	qt.Assert(la.t, total, qt.Equals, n)
-	la.assertNothingTwice()
+	la.assertRunsConsistent()
 }
 
 func TestWorkerGoneForGood(t *testing.T) {
@@ -115,7 +115,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -131,7 +131,7 @@
 		la.fleet.SetLate(la.fleetWorkers[0], 0)
 		time.Sleep(12 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -149,7 +149,7 @@
 		time.Sleep(8 * time.Second)
 		qt.Assert(t, la.state(next, 1), qt.Equals, job.Succeeded)
 		qt.Assert(t, len(la.fleet.Runs()), qt.Equals, 12)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -191,7 +191,7 @@
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 		qt.Assert(t, la.state(ow, 3), qt.Equals, job.State(""))
 		qt.Assert(t, la.submit(ow, 3, batch(1, 4)).Outcome, qt.Equals, Accepted)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -206,7 +206,7 @@
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 		qt.Assert(t, len(la.fleet.Runs()), qt.Equals, 12)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
