--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -6,75 +6,77 @@
 	"strings"
 )
 
-// Mechanism is a part of how the owner decides that can be switched off, for
-// trials of what it is worth. Several are or'ed together.
+// Mechanism is a set of parts of the owner's placement and pacing, as bits. Each can be
+// disabled to measure its effect.
 type Mechanism uint32
 
 // The mechanisms.
 const (
-	// MechTrend looks ahead along the trend of a step's load.
+	// MechTrend predicts a step's load from its trend.
 	MechTrend Mechanism = 1 << iota
-	// MechPairs learns how much each filler's image disturbs each service's.
+	// MechPairs learns how much each filler image interferes with each service image.
 	MechPairs
-	// MechHandOn keeps what was learnt of pairs for the next owner.
+	// MechPersistPairs persists the learnt interference of pairs for the next owner.
 	MechPersistPairs
-	// MechApart keeps services of different images on different workers.
+	// MechSeparateImages places services of different images on different workers.
 	MechSeparateImages
-	// MechAlike counts images that were seen to suffer alike as one.
+	// MechSimilarImages treats service images that fillers affect alike as the same image.
 	MechSimilarImages
-	// MechSiblings places replicas of one step side by side.
+	// MechColocateReplicas places replicas of one step on the same worker.
 	MechColocateReplicas
-	// MechLeastWork has jobs with least work left go first.
+	// MechLeastWork orders jobs by the work that is left, the least first.
 	MechLeastWork
-	// MechByAge has every third job take its turn by age.
+	// MechTurnsByAge gives every third turn to the oldest job.
 	MechTurnsByAge
-	// MechHope has jobs that can be in time go before those that cannot.
+	// MechFeasibleFirst orders jobs that can still finish in time before those that cannot.
 	MechFeasibleFirst
-	// MechPatience has fillers wait for a good place.
+	// MechFillerWait lets fillers wait for a worker that accepts them without harm to its
+	// services.
 	MechFillerWait
 	// MechPace slows fillers beside services that are close to their target.
 	MechPace
-	// MechHold holds fillers beside services that are over their target for long.
+	// MechHold stops fillers beside services that are over their target for long.
 	MechHold
-	// MechMove moves held fillers to better places.
+	// MechMove moves held fillers to better workers.
 	MechMove
-	// MechStall tries attempts that make no progress elsewhere.
+	// MechStall retries attempts without progress on another worker.
 	MechStall
-	// MechKeepRoom keeps room for endless tasks that find none.
+	// MechReserveCapacity sets capacity aside for endless tasks that fit on no worker.
 	MechReserveCapacity
 )
 
 // MechanismEntry documents a mechanism.
 type MechanismEntry struct {
-	// Mechanism is the bit, Name the word in the settings, Means what it does.
+	// Mechanism is its bit, Name the word in the settings, Means a description.
 	Mechanism Mechanism
 	Name      string
 	Means     string
 }
 
-// Mechanisms documents all that can be switched off.
+// Mechanisms documents all mechanisms that can be disabled.
 var Mechanisms = []MechanismEntry{
-	{MechTrend, "trend", "looks ahead along the trend of a step's load"},
-	{MechPairs, "pairs", "learns how much each filler's image disturbs each service's"},
-	{MechPersistPairs, "hand-on", "keeps what was learnt of pairs for the next owner"},
-	{MechSeparateImages, "apart", "keeps services of different images on different workers"},
-	{MechSimilarImages, "alike", "counts images of services that were seen to suffer alike as one"},
-	{MechColocateReplicas, "siblings", "places replicas of one step side by side"},
-	{MechLeastWork, "least-work", "has jobs with least work left go first"},
-	{MechTurnsByAge, "by-age", "has every third job take its turn by age"},
-	{MechFeasibleFirst, "hope", "has jobs that can be in time go before those that cannot"},
-	{MechFillerWait, "patience", "has fillers wait for a good place"},
+	{MechTrend, "trend", "predicts a step's load from its trend"},
+	{MechPairs, "pairs", "learns how much each filler image interferes with each service image"},
+	{MechPersistPairs, "hand-on", "persists the learnt interference of pairs for the next owner"},
+	{MechSeparateImages, "apart", "places services of different images on different workers"},
+	{MechSimilarImages, "alike", "treats service images that fillers affect alike as the same image"},
+	{MechColocateReplicas, "siblings", "places replicas of one step on the same worker"},
+	{MechLeastWork, "least-work", "orders jobs by the work that is left, the least first"},
+	{MechTurnsByAge, "by-age", "gives every third turn to the oldest job"},
+	{MechFeasibleFirst, "hope", "orders jobs that can still finish in time before those that cannot"},
+	{MechFillerWait, "patience", "lets fillers wait for a worker that accepts them without harm to its services"},
 	{MechPace, "pace", "slows fillers beside services that are close to their target"},
-	{MechHold, "hold", "holds fillers beside services that are over their target for long"},
-	{MechMove, "move", "moves held fillers to better places"},
-	{MechStall, "stall", "tries attempts that make no progress elsewhere"},
-	{MechReserveCapacity, "keep-room", "keeps room for endless tasks that find none"},
+	{MechHold, "hold", "stops fillers beside services that are over their target for long"},
+	{MechMove, "move", "moves held fillers to better workers"},
+	{MechStall, "stall", "retries attempts without progress on another worker"},
+	{MechReserveCapacity, "keep-room", "sets capacity aside for endless tasks that fit on no worker"},
 }
 
-// ErrMechanism is returned for a word that names no mechanism.
-var ErrMechanism = errors.New("no such mechanism")
+// ErrMechanism is returned for a name that is not in Mechanisms.
+var ErrMechanism = errors.New("unknown mechanism")
 
-// ParseMechanisms reads names separated by commas; none is no mechanism.
+// ParseMechanisms parses names separated by commas into their bits; empty names are
+// ignored. An unknown name returns ErrMechanism.
 func ParseMechanisms(text string) (Mechanism, error) {
 	var all Mechanism
 	for _, name := range strings.Split(text, ",") {
@@ -99,5 +101,5 @@
 	return 0, fmt.Errorf("%w: %q", ErrMechanism, name)
 }
 
-// uses reports whether a mechanism is on.
+// uses reports whether a mechanism is enabled.
 func (ow *Owner) uses(me Mechanism) bool { return ow.Without&me == 0 }
