--- a/internal/sched/backoff_test.go
+++ b/internal/sched/backoff_test.go
@@ -10,9 +10,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestLastingTaskThatFailsAtOnce has a task that is to last fail 10 ms after each start
-// for 20 s, and then last. It was started as fast as writes allow; now the starts get
-// fewer, and it is back soon after it can last.
+// TestBackoffOfEndlessTaskThatFailsAtOnce has an endless task fail 10 ms after each start
+// for 20 s, and then keep running. Without a backoff it was started as fast as writes
+// allow; with it the starts become rarer, and the task is back soon after it stops failing.
 func TestBackoffOfEndlessTaskThatFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -29,30 +29,32 @@
 	table        standin.Table
 	fleet        standin.Fleet
 	fleetWorkers []*standin.FleetWorker
-	// former are the entries of processes that ended, in their order.
+	// formerEntries are the list entries of processes that ended, in their order.
 	formerEntries []Listed
 	epoch         int64
-	// specs are the jobs handed in, by id.
+	// specs are the specs of submitted jobs, by id.
 	mu    sync.Mutex
 	specs map[string]job.Spec
 	log   *slog.Logger
-	// metrics counts, if set.
+	// metrics is passed to owners; it may be nil.
 	metrics *telemetry.Metrics
-	// handover is what the last owner left.
+	// handover has the lease bounds with which the last owner released the cell, by
+	// incarnation: in how many milliseconds the leases of an unresponsive worker lapse.
 	handover map[string]int64
-	// readRate is how many bytes a second owners get from the store, if set.
+	// readRate limits how many bytes a second owners read from the store; 0 is no limit.
 	readRate int
-	// throughFunc changes the client of workers, if set.
+	// wrapAgentFunc wraps the client of workers, if set.
 	wrapAgentFunc func(worker.Agent) worker.Agent
-	// via is the entry host through which workers are reached, if any.
+	// via is the relay through which workers are reached, or nil.
 	via atomic.Pointer[string]
-	// viaOf has the entry hosts of workers with one of their own, by id.
+	// viaByWorker has the relays of workers with one of their own, by id.
 	viaByWorker map[string]string
-	// listFunc, confirmedFunc and writtenFunc are what owners know of the age of the list
-	// of workers, and of when the store confirmed their tenure and took a heartbeat, if set.
+	// listFunc, confirmedFunc and writtenFunc replace, if set, what owners are told of the
+	// age of the list of workers, of when the store confirmed their tenure and of when it
+	// accepted a heartbeat.
 	listFunc                   func() (last, since time.Time)
 	confirmedFunc, writtenFunc func() time.Time
-	// formerKnown has owners know that the one before has ceased to act.
+	// formerKnown makes owners know that the former one has ceased to act.
 	formerKnown bool
 }
 
@@ -120,7 +122,7 @@
 	return list
 }
 
-// tenureRow claims the cell for the next owner.
+// claim claims the cell for the next owner.
 func (la *lab) claim() tenure.Tenure {
 	ctx := context.Background()
 	key := "cells/c0/owner"
@@ -160,7 +162,8 @@
 	return tbl
 }
 
-// own starts an owner, and returns what ends it.
+// startOwner starts an owner, waits until it has loaded the cell, and returns it with the
+// function that stops it.
 func (la *lab) startOwner() (*Owner, context.CancelFunc) {
 	ow, loaded, cancel := la.startLoading()
 	qt.Assert(la.t, <-loaded, qt.IsNil)
@@ -168,8 +171,8 @@
 	return ow, cancel
 }
 
-// begin starts an owner, and returns what says that it has loaded the cell, or why it
-// ended, and what ends it.
+// startLoading starts an owner. It returns a channel that receives nil once the owner has
+// loaded the cell, or the error with which it ended, and the function that stops the owner.
 func (la *lab) startLoading() (*Owner, <-chan error, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	te := la.claim()
@@ -190,7 +193,8 @@
 	return ow, loaded, cancel
 }
 
-// batch is a job of steps of like tasks, each after the one before.
+// batch returns a job of steps with the given number of identical tasks, each step after
+// the one before.
 func batch(steps, tasks int) job.Spec {
 	sp := job.Spec{Payload: "work"}
 	for i := range steps {
@@ -205,7 +209,7 @@
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// submit hands a job in and returns the verdict.
+// submit submits a job and returns the verdict, Unknown if there is no answer in time.
 func (la *lab) submit(ow *Owner, n int, sp job.Spec) Verdict {
 	la.mu.Lock()
 	la.specs[jobID(n)] = sp
@@ -225,15 +229,15 @@
 	return state
 }
 
-// assertNothingTwice checks that no task ran in two places at once, none again
-// after it was done, and each after the steps before it.
+// assertRunsConsistent checks that no task ran on two workers at once, none again after it
+// was done, and each after the steps before it.
 func (la *lab) assertRunsConsistent() {
 	for _, problem := range la.runProblems() {
 		la.t.Error(problem)
 	}
 }
 
-// problems lists what of that was not so.
+// runProblems lists the violations of these rules.
 func (la *lab) runProblems() []string {
 	runs := la.fleet.Runs()
 	list := standin.RunProblems(runs)
--- a/internal/sched/mechanism_test.go
+++ b/internal/sched/mechanism_test.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// TestSwitchedOff has a job that is too late for its caller, with and without
-// what tells it from others.
+// TestDisabledMechanism has a job that cannot finish in time, with MechFeasibleFirst
+// enabled and disabled.
 func TestDisabledMechanism(t *testing.T) {
 	ow := ownerWithoutLoop(t)
 	en := addJob(ow, 1, job.Step{Tasks: 1, EstimateMS: 1000})
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -15,7 +15,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// shop is one worker with a service and fillers, whose figures a test sets.
+// pacingFixture is one worker with a service and fillers, whose reported usage a test sets.
 type pacingFixture struct {
 	t       *testing.T
 	ho      *host
@@ -31,44 +31,44 @@
 	ow := New(&Owner{Log: slog.New(slog.DiscardHandler), Agent: ag, Limits: Limits{HarmAfter: 4 * time.Second}})
 	ow.ctx = t.Context()
 	ho := &host{Listed: Listed{Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
-	sh := &pacingFixture{t: t, ho: ho}
-	sh.service = sh.put(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: "s"})
+	pf := &pacingFixture{t: t, ho: ho}
+	pf.service = pf.put(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: "s"})
 	for i := range fillers {
-		sh.fillers = append(sh.fillers, sh.put(1+i, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "f"}))
+		pf.fillers = append(pf.fillers, pf.put(1+i, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "f"}))
 	}
-	return sh
+	return pf
 }
 
-func (sh *pacingFixture) put(n int, st job.Step) *attempt {
-	en := sh.ho.ow.add(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
-	at := &attempt{number: 1, ho: sh.ho, en: en, pace: fullPace, launched: time.Now()}
-	sh.ho.put(at)
+func (pf *pacingFixture) put(n int, st job.Step) *attempt {
+	en := pf.ho.ow.add(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
+	at := &attempt{number: 1, ho: pf.ho, en: en, pace: fullPace, launched: time.Now()}
+	pf.ho.put(at)
 	return at
 }
 
-// figure has the worker report a tail of the service.
-func (sh *pacingFixture) reportTail(tailMS int64) {
+// reportTail has the worker report a tail latency of the service.
+func (pf *pacingFixture) reportTail(tailMS int64) {
 	time.Sleep(usageWindow)
-	sh.service.usage = tailMS
-	sh.ho.measure(time.Now())
+	pf.service.usage = tailMS
+	pf.ho.measure(time.Now())
 }
 
-// learnHarmless has the model learn that the fillers do not disturb.
-func (sh *pacingFixture) learnNoInterference() {
+// learnNoInterference has the model learn that the fillers do not affect the service.
+func (pf *pacingFixture) learnNoInterference() {
 	re := interfere.Replica{Track: &interfere.Track{}}
 	for i := range 200 {
 		me := interfere.Measurement{At: time.Now().Add(time.Duration(i) * time.Second), TailMS: 20, TargetMS: testTargetMS}
 		if i%2 == 0 {
 			me.Shares = interfere.Shares{"f": 0.3}
 		}
-		sh.ho.ow.model.Observe(&re, "s", me)
+		pf.ho.ow.model.Observe(&re, "s", me)
 	}
 }
 
-// paces returns the paces of the fillers.
-func (sh *pacingFixture) paces() string {
+// paces formats the paces of the fillers in per cent.
+func (pf *pacingFixture) paces() string {
 	text := ""
-	for _, at := range sh.fillers {
+	for _, at := range pf.fillers {
 		text += fmt.Sprint(at.effectivePace(), " ")
 	}
 	return text
@@ -76,53 +76,53 @@
 
 func TestFillersAreSlowedAndSpedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newPacingFixture(t, 2)
-		sh.reportTail(10)
-		qt.Assert(t, sh.paces(), qt.Equals, "100 100 ")
-		sh.reportTail(26)
-		sh.reportTail(26)
-		qt.Assert(t, sh.fillers[0].effectivePace()+sh.fillers[1].effectivePace() < 200, qt.IsTrue)
+		pf := newPacingFixture(t, 2)
+		pf.reportTail(10)
+		qt.Assert(t, pf.paces(), qt.Equals, "100 100 ")
+		pf.reportTail(26)
+		pf.reportTail(26)
+		qt.Assert(t, pf.fillers[0].effectivePace()+pf.fillers[1].effectivePace() < 200, qt.IsTrue)
 		for range 12 {
-			sh.reportTail(8)
+			pf.reportTail(8)
 		}
-		qt.Assert(t, sh.paces(), qt.Equals, "100 100 ")
+		qt.Assert(t, pf.paces(), qt.Equals, "100 100 ")
 	})
 }
 
-// TestFiguresThatWaver has the figures of a service waver about its target;
-// they are rough, and it counts as over it all the while.
+// TestTailsFluctuatingAroundTargetCountAsOver has the reported tails of a service fluctuate
+// around its target: it counts as over its target throughout, so that the filler is held.
 func TestTailsFluctuatingAroundTargetCountAsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newPacingFixture(t, 1)
-		sh.learnNoInterference()
+		pf := newPacingFixture(t, 1)
+		pf.learnNoInterference()
 		for i := range 7 {
-			sh.reportTail([]int64{26, 23}[i%2])
+			pf.reportTail([]int64{26, 23}[i%2])
 		}
-		qt.Assert(t, sh.paces(), qt.Equals, "0 ")
+		qt.Assert(t, pf.paces(), qt.Equals, "0 ")
 	})
 }
 
 func TestFillerStartsHeldBesideServiceOverTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newPacingFixture(t, 1)
+		pf := newPacingFixture(t, 1)
 		for range 6 {
-			sh.reportTail(90)
+			pf.reportTail(90)
 		}
-		late := sh.put(9, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "g"})
+		late := pf.put(9, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "g"})
 		late.launched = time.Time{}
-		sh.ho.started(late, time.Now())
+		pf.ho.started(late, time.Now())
 		qt.Assert(t, late.effectivePace(), qt.Equals, 0)
 	})
 }
 
-// TestOrdersOfOnePaceDoNotPassEachOther has the first order take long: the next
-// goes out only after it, with the pace that is wanted by then.
+// TestPaceOrdersAreNotReordered has the first order take long: the next is sent only after
+// it, with the pace that is wanted by then.
 func TestPaceOrdersAreNotReordered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newPacingFixture(t, 1)
-		at := sh.fillers[0]
+		pf := newPacingFixture(t, 1)
+		at := pf.fillers[0]
 		var got []int
-		sh.ho.ow.Agent.PaceFunc = func(_ context.Context, _ worker.Addr, pa worker.Pace) (worker.Ack, error) {
+		pf.ho.ow.Agent.PaceFunc = func(_ context.Context, _ worker.Addr, pa worker.Pace) (worker.Ack, error) {
 			if pa.Percent == 70 {
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -130,12 +130,12 @@
 			return worker.Ack{}, nil
 		}
 		for _, percent := range []int{70, 40, 0} {
-			sh.ho.pace(at, percent, time.Now(), "test")
+			pf.ho.pace(at, percent, time.Now(), "test")
 			time.Sleep(10 * time.Millisecond)
 		}
 		for range 3 {
 			time.Sleep(200 * time.Millisecond)
-			sh.ho.ow.drain()
+			pf.ho.ow.drain()
 		}
 		qt.Assert(t, got, qt.DeepEquals, []int{70, 0})
 	})
--- a/internal/sched/path_test.go
+++ b/internal/sched/path_test.go
@@ -13,19 +13,19 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// waysSeen notes the ways and fencing tokens of the looks at workers.
+// pathRecorder records the relays and fencing tokens of the polls of workers.
 type pathRecorder struct {
 	mu     sync.Mutex
 	via    []string
 	fences []int64
 }
 
-func (ws *pathRecorder) wrap(ag worker.Agent) worker.Agent {
+func (pr *pathRecorder) wrap(ag worker.Agent) worker.Agent {
 	poll := ag.LookFunc
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-		ws.mu.Lock()
-		ws.via, ws.fences = append(ws.via, ad.Via), append(ws.fences, lo.Fence)
-		ws.mu.Unlock()
+		pr.mu.Lock()
+		pr.via, pr.fences = append(pr.via, ad.Via), append(pr.fences, lo.Fence)
+		pr.mu.Unlock()
 		return poll(ctx, ad, lo)
 	}
 	return ag
@@ -34,8 +34,8 @@
 func TestEachPathHasItsOwnFencingToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		var ws pathRecorder
-		la.wrapAgentFunc = ws.wrap
+		var pr pathRecorder
+		la.wrapAgentFunc = pr.wrap
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(5 * time.Second)
@@ -44,21 +44,21 @@
 			ow.Reroute()
 			time.Sleep(5 * time.Second)
 		}
-		ws.mu.Lock()
-		defer ws.mu.Unlock()
+		pr.mu.Lock()
+		defer pr.mu.Unlock()
 		highest := map[int64]string{}
-		for i, fence := range ws.fences {
+		for i, fence := range pr.fences {
 			if via, ok := highest[fence]; ok {
-				qt.Assert(t, ws.via[i], qt.Equals, via)
+				qt.Assert(t, pr.via[i], qt.Equals, via)
 			}
-			highest[fence] = ws.via[i]
-			qt.Assert(t, i == 0 || fence >= ws.fences[i-1], qt.IsTrue)
+			highest[fence] = pr.via[i]
+			qt.Assert(t, i == 0 || fence >= pr.fences[i-1], qt.IsTrue)
 		}
-		// Directly, by the first, by the second, and directly again.
+		// Direct, through e1, through e2, and direct again.
 		qt.Assert(t, len(highest), qt.Equals, 4)
 		next := &Owner{Tenure: ow.Tenure}
 		next.Tenure.Epoch++
-		qt.Assert(t, next.newPath(Listed{}).fence > ws.fences[len(ws.fences)-1], qt.IsTrue)
+		qt.Assert(t, next.newPath(Listed{}).fence > pr.fences[len(pr.fences)-1], qt.IsTrue)
 	})
 }
 
@@ -78,7 +78,7 @@
 	})
 }
 
-// withoutWay has launches for one worker not sent.
+// withoutPath returns a client that does not send launches to one worker.
 func withoutPath(ag worker.Agent, id string) worker.Agent {
 	launch := ag.LaunchFunc
 	ag.LaunchFunc = func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
@@ -90,8 +90,8 @@
 	return ag
 }
 
-// TestWorkerThatIsListedAgain has a worker's entry go and come back after the way to
-// it has changed.
+// TestWorkerListedAgainAfterReroute has a worker be removed from the list and listed again
+// after the path to it has changed.
 func TestWorkerListedAgainAfterReroute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -15,7 +15,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// idleOwner is an owner without a loop, for decisions by themselves.
+// ownerWithoutLoop returns an owner whose loop does not run, to test its decisions
+// directly.
 func ownerWithoutLoop(t *testing.T) *Owner {
 	t.Helper()
 	ow := New(&Owner{Log: slog.New(slog.DiscardHandler), Limits: Limits{HarmAfter: 4 * time.Second}})
@@ -23,7 +24,7 @@
 	return ow
 }
 
-// emptyHost is a worker of 32 cores with nothing on it.
+// emptyHost adds a worker of 32 cores that runs nothing.
 func emptyHost(ow *Owner, name string) *host {
 	ho := &host{
 		Listed: Listed{Service: testService, Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
@@ -33,7 +34,7 @@
 	return ho
 }
 
-// serviceStep is a step of tasks that serve within a target.
+// serviceStep returns a step of services with a latency target.
 func serviceStep(tasks int, image string) job.Step {
 	return job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: image}
 }
@@ -42,9 +43,9 @@
 	return ow.add(job.New(jobID(n), job.Terms{Service: testService, MaxFailures: 1}, job.Spec{Steps: []job.Step{st}}))
 }
 
-// TestReplicasOfOneStepSideBySide has two workers with one service of the same
-// image each: a job's next task goes where its first is, although the other
-// worker is fuller.
+// TestReplicasOfOneStepShareWorker has two workers with one service of the same image each:
+// the next replica of a job goes to the worker of its first, although the other worker has
+// less capacity free.
 func TestReplicasOfOneStepShareWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
@@ -59,9 +60,9 @@
 	})
 }
 
-// TestImagesKeepApart has two workers of 64 cores, one with a service of another
-// image and one empty: the service goes to the empty one, although the other is
-// fuller, since beside another image it would leave less room to fillers.
+// TestServicesOfDifferentImagesAreSeparated has two workers of 64 cores, one with a service
+// of another image and one empty: the service goes to the empty one, although the other is
+// fuller, since two images on one worker leave less capacity to fillers.
 func TestServicesOfDifferentImagesAreSeparated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
@@ -77,7 +78,7 @@
 	})
 }
 
-// learnt returns a model that knows the drops of two images of services beside
+// modelWithDrops returns a model with known drops of headroom for two service images beside
 // the fillers f0, f1 and so on.
 func modelWithDrops(one, other []float64) interfere.Model {
 	var list []interfere.Learnt
@@ -89,8 +90,9 @@
 	return interfere.FromLearnt(list)
 }
 
-// TestImagesThatSufferAlike has a worker with a service of another image and an
-// empty one: the service joins the other if the same fillers are bad for both.
+// TestImagesWithSimilarInterferenceShareWorker has a worker with a service of another image
+// and an empty one: the service joins the other only if the same fillers are known to
+// affect both.
 func TestImagesWithSimilarInterferenceShareWorker(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -115,8 +117,8 @@
 	}
 }
 
-// TestShortTasksBeforeEndless has an endless job and short ones, the endless one
-// handed in after the first: it takes its turn by age alone.
+// TestEndlessJobTakesTurnByAgeOnly has an endless job that is submitted after the first of
+// several short ones: it gets a turn by age, but none by size.
 func TestEndlessJobTakesTurnByAgeOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
@@ -135,8 +137,8 @@
 	})
 }
 
-// TestFullerWorkerFirst has a short task for two workers of different sizes: it
-// goes where the smaller share is free, although more is.
+// TestSmallestFreeShareFirst has two workers of different sizes: a short task goes where
+// the smaller share is free, although it is more in cores.
 func TestSmallestFreeShareFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
@@ -149,8 +151,8 @@
 	})
 }
 
-// TestSmallJobsGoFirst has jobs that came in the order of their sizes, the
-// largest first: two take their turn by size for one that does by age.
+// TestTurnsBySizeAndAge has jobs submitted in the order of their sizes, the largest first:
+// two turns by size follow each turn by age.
 func TestTurnsBySizeAndAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
@@ -166,8 +168,8 @@
 	})
 }
 
-// TestJobsWithoutHopeTakeNoTurns has an old job that is too late for its caller:
-// those that can be in time take their turns among themselves.
+// TestInfeasibleJobsTakeNoTurns has an old job that can no longer finish in time: it comes
+// after those that can, which take turns among themselves.
 func TestInfeasibleJobsTakeNoTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
@@ -188,8 +190,8 @@
 	})
 }
 
-// TestOneRoundOfPlacementAWrite has jobs come in one after the other while the
-// store is slow: they are placed together when a write can go out.
+// TestOnePlacementRoundPerWrite submits jobs one after the other while the store is slow:
+// they are placed together, once a write can go out.
 func TestOnePlacementRoundPerWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 4)
@@ -209,8 +211,8 @@
 	})
 }
 
-// TestEndlessTasksFindRoom has short tasks come all the time and take each part
-// of a worker as it gets free: a large endless task starts all the same.
+// TestEndlessTaskIsNotStarvedByShortTasks submits short tasks all the time, which take each
+// part of a worker as it becomes free: a large endless task starts all the same.
 func TestEndlessTaskIsNotStarvedByShortTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -18,31 +18,33 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// mute is a relay that may take orders and answer none.
+// unresponsiveRelay is a relay that neither passes on orders nor answers while it is
+// enabled.
 type unresponsiveRelay struct {
 	name    string
 	enabled atomic.Bool
 }
 
-// wait is what an order through the relay comes to, if it is not carried out.
-func (mu *unresponsiveRelay) block(ctx context.Context, ad worker.Addr) error {
-	if ad.Via != mu.name || !mu.enabled.Load() {
+// block waits until the order times out if it goes through the relay, and then returns that
+// it was not sent; other orders it lets pass with a nil error.
+func (ur *unresponsiveRelay) block(ctx context.Context, ad worker.Addr) error {
+	if ad.Via != ur.name || !ur.enabled.Load() {
 		return nil
 	}
 	<-ctx.Done()
 	return worker.ErrNotSent
 }
 
-func (mu *unresponsiveRelay) wrap(ag worker.Agent) worker.Agent {
+func (ur *unresponsiveRelay) wrap(ag worker.Agent) worker.Agent {
 	poll, launch := ag.LookFunc, ag.LaunchFunc
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-		if err := mu.block(ctx, ad); err != nil {
+		if err := ur.block(ctx, ad); err != nil {
 			return worker.Sight{}, err
 		}
 		return poll(ctx, ad, lo)
 	}
 	ag.LaunchFunc = func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
-		if err := mu.block(ctx, ad); err != nil {
+		if err := ur.block(ctx, ad); err != nil {
 			return worker.Ack{}, err
 		}
 		return launch(ctx, ad, la)
@@ -50,32 +52,25 @@
 	return ag
 }
 
-// relayedLab is a logged lab of six workers, four of them behind a relay that can be
-// mute.
+// relayedLab returns a logged lab of six workers, four of them behind a relay that can
+// become unresponsive.
 func relayedLab(t *testing.T) (*lab, *lines, *unresponsiveRelay) {
 	t.Helper()
 	la, li := loggedLab(t, 6)
-	mu := &unresponsiveRelay{name: "e1"}
-	la.wrapAgentFunc = mu.wrap
+	ur := &unresponsiveRelay{name: "e1"}
+	la.wrapAgentFunc = ur.wrap
 	la.viaByWorker = map[string]string{"i-0": "e1", "i-1": "e1", "i-2": "e1", "i-3": "e1", "i-4": "e2", "i-5": "e2"}
-	return la, li, mu
+	return la, li, ur
 }
 
-// TestWorkersWithoutOrdersAreTold is the story of an incident that nobody could see
-// in the log.
-//
-// Users saw services that did not run, with room for them. Order of events: a new
-// owner takes the cell over; one of its relays never answers; the workers behind it
-// get no order until the day ends. Each of them has one line when its first look
-// fails, and then there is nothing: not that there are still any, how many they are,
-// or that they have a relay in common.
-//
-// Evidence: it took a list of all lines of all workers, joined with the relays that
-// former orders had gone through, to see that a third of the room was gone.
+// TestWorkersWithoutOrdersAreLogged has a relay that never answers the new owner of a cell,
+// so that the workers behind it get no orders. The log must keep reporting how many there
+// are and which relay they share: with one line per worker at its first failed poll nothing
+// told that a third of the capacity was missing for as long as the relay did not answer.
 func TestWorkersWithoutOrdersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li, mu := relayedLab(t)
-		mu.enabled.Store(true)
+		la, li, ur := relayedLab(t)
+		ur.enabled.Store(true)
 		_, end := la.startOwner()
 		defer end()
 		time.Sleep(10 * time.Second)
@@ -84,11 +79,11 @@
 	})
 }
 
-// TestWorkersFallSilent has a relay that worked fall mute while its workers have
-// attempts, and answer again.
+// TestRelayBecomesUnresponsive has a relay stop answering while its workers run attempts,
+// and answer again.
 func TestRelayBecomesUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li, mu := relayedLab(t)
+		la, li, ur := relayedLab(t)
 		la.fleet.RunFunc = endless
 		ow, end := la.startOwner()
 		defer end()
@@ -96,14 +91,14 @@
 		la.submit(ow, 1, lasting(6*16))
 		time.Sleep(time.Second)
 		la.assertRunning(6 * 16)
-		mu.enabled.Store(true)
+		ur.enabled.Store(true)
 		time.Sleep(4 * time.Second)
 		outageLines := li.with("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
 		qt.Assert(t, outageLines, qt.Not(qt.HasLen), 0)
-		// A look that was under way then was answered.
+		// A poll that was under way at that time was still answered.
 		longest := longestOf(t, outageLines[len(outageLines)-1])
 		qt.Assert(t, longest > 4*time.Second-lookWait-outageLogInterval && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
-		mu.enabled.Store(false)
+		ur.enabled.Store(false)
 		time.Sleep(4 * time.Second)
 		logged := len(li.with("workers without orders"))
 		qt.Assert(t, li.with("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
@@ -121,7 +116,7 @@
 	return longest
 }
 
-// TestOneLostLookIsNotTold has each worker miss one look.
+// TestSingleLostPollIsNotLogged has each worker miss one poll.
 func TestSingleLostPollIsNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
@@ -138,8 +133,8 @@
 	})
 }
 
-// TestLooksThatNeverEnd has the client of workers wait for ever, also once its time
-// is over: no look fails, and yet the workers get no orders.
+// TestPollsThatNeverReturnAreLogged has the client of workers block even beyond its
+// timeout: no poll fails, and yet the workers get no orders.
 func TestPollsThatNeverReturnAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 3)
@@ -166,8 +161,8 @@
 	})
 }
 
-// TestWorkersThatAreGoneAreNotTold has the list drop a worker that does not answer
-// and may still run something.
+// TestUnlistedWorkersAreNotLogged has the list drop a worker that does not answer and may
+// still run something.
 func TestUnlistedWorkersAreNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
@@ -193,7 +188,7 @@
 	var list []string
 	for _, state := range []reach{reachAnswering, reachUnresponsive, reachUnsettled} {
 		_, after, found := strings.Cut(re.Body.String(), fmt.Sprintf("%s{state=%q} ", telemetry.Workers, state))
-		qt.Assert(t, found, qt.IsTrue, qt.Commentf("no gauge of workers that are %s", state))
+		qt.Assert(t, found, qt.IsTrue, qt.Commentf("no gauge of workers in state %s", state))
 		value, _, _ := strings.Cut(after, "\n")
 		list = append(list, value)
 	}
@@ -202,20 +197,20 @@
 
 func TestWorkersGauge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, _, mu := relayedLab(t)
+		la, _, ur := relayedLab(t)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
 		ResetGauges(me)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"0", "0", "0"})
-		mu.enabled.Store(true)
+		ur.enabled.Store(true)
 		_, end := la.startOwner()
 		time.Sleep(time.Second)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"2", "0", "4"})
-		mu.enabled.Store(false)
+		ur.enabled.Store(false)
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"6", "0", "0"})
-		mu.enabled.Store(true)
+		ur.enabled.Store(true)
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"2", "4", "0"})
 		end()
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -10,15 +10,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestLinesOnRoomSayWhatHoldsIt is the story of services that waited for room while
-// users saw twice the room that they need.
-//
-// Users saw a service run nowhere for 16 s. Order of events: its task failed just as the
-// owner stopped as planned; three owners followed each other; each wrote that it waits for
-// room. The log could not tell which room the owner saw, nor what held the rest of it.
-//
-// Evidence: lines with no more than the word "room", from owners that had workers which
-// they may not use beside full ones.
+// TestLogOfMissingCapacityNamesItsCause has a task wait for capacity while one worker is
+// full and the other, which has enough, is quarantined. The log line must name both: when a
+// service had run nowhere for 16 s although there was twice the capacity that it needed,
+// the log said no more than "room", and could tell neither what capacity the owner saw nor
+// what took the rest of it.
 func TestLogOfMissingCapacityNamesItsCause(t *testing.T) {
 	waitLine := `msg="lasting tasks wait"`
 	synctest.Test(t, func(t *testing.T) {
@@ -39,8 +35,8 @@
 	})
 }
 
-// TestRoomThatIsKeptIsTold has a task wait that finds room only beside one of its own step,
-// where it may not stand, and then only where room is kept: the lines say so.
+// TestLogNamesSpreadAndEarmarkedWorkers has a task wait whose only worker already runs one
+// of its step, and then has its capacity earmarked: the log lines name these reasons.
 func TestLogNamesSpreadAndEarmarkedWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
@@ -62,8 +58,8 @@
 	})
 }
 
-// TestScarcityIsTold has 16 of 20 tasks that last find room: once a second a line says how
-// many wait, and what room there is in all.
+// TestEndlessDemandIsLogged has 16 of 20 endless tasks fit: once a second a log line tells
+// how many wait, and what capacity there is in total.
 func TestEndlessDemandIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
@@ -75,8 +71,8 @@
 	})
 }
 
-// TestRestsAreNotToldAsLackOfRoom has a task that fails whenever it starts: once it rests
-// between its starts, lines say so.
+// TestBackoffIsNotLoggedAsLackOfCapacity has a task that fails whenever it starts: the log
+// lines name the backoff between its starts as the cause, not a lack of capacity.
 func TestBackoffIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
@@ -93,8 +89,9 @@
 	})
 }
 
-// TestStartsThatWaitForOthersAreNotToldAsLackOfRoom has as many starts under way as may
-// be: tasks behind them wait for orders, also where their job found no room before.
+// TestFullLaunchWindowIsNotLoggedAsLackOfCapacity has as many launches under way as the
+// window allows: tasks behind them wait for orders, also if their job found no capacity
+// before.
 func TestFullLaunchWindowIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
--- a/internal/sched/stall_test.go
+++ b/internal/sched/stall_test.go
@@ -11,7 +11,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestAttemptsThatStandStill has each task's first attempt make no progress.
+// TestStalledAttemptsAreRetriedElsewhere has each task's first attempt make no progress.
 func TestStalledAttemptsAreRetriedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 6)
@@ -31,7 +31,7 @@
 	})
 }
 
-// TestSlowAttemptsAreLeftAlone has tasks take eight times as long as estimated.
+// TestSlowAttemptsAreNotStalled has tasks take eight times as long as estimated.
 func TestSlowAttemptsAreNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -46,11 +46,11 @@
 	})
 }
 
-// TestHeldFillersDoNotStandStill has a filler that was ordered not to work.
+// TestHeldFillersAreNotStalled has a filler that makes no progress as its pace is 0.
 func TestHeldFillersAreNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newPacingFixture(t, 1)
-		at := sh.fillers[0]
+		pf := newPacingFixture(t, 1)
+		at := pf.fillers[0]
 		for range 20 {
 			time.Sleep(time.Second)
 			at.pace = 0
@@ -60,20 +60,14 @@
 	})
 }
 
-// TestSteadyTasksAreLeftAlone is the story of a task that was stopped as it ended.
-//
-// A job whose task takes 300 s, estimated at 1 s, ran for twice as long. Order of events:
-// the task's first attempt is stopped, as whole per cents take longer than an attempt may
-// stand still; the second has got on every 3 s for 300 s and is stopped at 99. Cause: what
-// an attempt took for a per cent counted for nothing, so whether it was stopped hung on
-// which look fell between two of them.
-//
-// Evidence: one of 1,000 plays of the test below, "stopping attempt .. why=no progress for
-// 3s" at 306 s.
+// TestSteadyProgressIsNotStalled has a task of 300 s, estimated at 1 s, that takes 3 s for
+// each per cent. If the limit ignores the time per per cent, it depends on the timing of
+// polls whether such an attempt is stopped: one was stopped at 99 per cent with "no
+// progress for 3s", and the job took twice as long.
 func TestSteadyProgressIsNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sh := newPacingFixture(t, 1)
-		at := sh.fillers[0]
+		pf := newPacingFixture(t, 1)
+		at := pf.fillers[0]
 		at.pace = fullPace
 		began := time.Now()
 		for range 100 {
@@ -92,9 +86,9 @@
 	})
 }
 
-// TestVeryLongTasksAreLeftAlone has a task take 300 times as long as estimated, which has
-// no checkpoints. Users saw such jobs never end: each whole per cent took longer than an
-// attempt may stand still, so it was stopped and begun anew for ever.
+// TestTaskFarOverEstimateEnds has a task without checkpoints take 300 times as long as
+// estimated. Each whole per cent takes longer than the first limit without progress, so
+// that without a growing limit it was stopped and restarted without end.
 func TestTaskFarOverEstimateEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 3)
