--- a/internal/sched/backoff.go
+++ b/internal/sched/backoff.go
@@ -6,29 +6,31 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// Rests of tasks that last and fail. They are started again however they end, without a
-// limit, so what bounds them is the time between two starts: one that failed at once was
-// started 50 times a second.
+// Backoff of endless tasks that fail. Such tasks are restarted however they end, without a
+// limit on failures, so only the time between two starts limits them: without it a task
+// that failed at once was started 50 times a second.
 const (
-	// restFirst is the rest after the second failure in a row; it doubles with each.
+	// backoffInitial is the backoff after the second failure in a row; it doubles with each
+	// further one.
 	backoffInitial = 100 * time.Millisecond
-	// restMost bounds it: users miss a task that last ran 6 s ago.
+	// backoffMax limits the backoff: users notice a task that has not run for 6 s.
 	backoffMax = 3200 * time.Millisecond
-	// restDoublings is how often restFirst doubles to restMost.
+	// backoffDoublings is how many doublings lead from backoffInitial to backoffMax.
 	backoffDoublings = 5
 )
 
-// rests has the rests of a job's tasks that last. The zero value has none.
+// backoffs holds the backoffs of a job's endless tasks. The zero value has none.
 type backoffs struct{ tasks map[job.TaskRef]taskBackoff }
 
 type taskBackoff struct {
-	// failures are those in a row.
+	// failures counts the failures in a row.
 	failures int
-	// until is when the task may begin again.
+	// until is when the task may start again.
 	until time.Time
 }
 
-// failed notes that an attempt of a task failed.
+// recordFailure records that an attempt of a task failed; tasks that are not endless are
+// ignored.
 func (bo *backoffs) recordFailure(en *entry, ref job.TaskRef, now time.Time) {
 	if !en.jo.Spec.Steps[ref.Step].Endless {
 		return
@@ -44,10 +46,10 @@
 	bo.tasks[ref] = ta
 }
 
-// lasted forgets the failures of a task.
+// reset discards the failures of a task.
 func (bo *backoffs) reset(ref job.TaskRef) { delete(bo.tasks, ref) }
 
-// resting reports whether a task is not to begin yet.
+// active reports whether a task must not start yet.
 func (bo *backoffs) active(ref job.TaskRef, now time.Time) bool {
 	return now.Before(bo.tasks[ref].until)
 }
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -2,27 +2,33 @@
 
 import "time"
 
-// scarceEvery is the time between lines on tasks that last and find no room: what single
-// jobs write of it tells neither how many they are nor what room there is in all.
+// demandLogInterval is the time between log lines on endless tasks that wait for capacity.
+// The lines of single jobs tell neither how many such tasks there are nor the total free
+// capacity.
 const demandLogInterval = time.Second
 
-// scarcity is the room that there is for tasks that last and wait.
+// endlessDemand sums up the endless tasks that wait and the capacity that there is for
+// them.
 type endlessDemand struct {
-	// jobs and tasks wait for room; again are those tasks of them that ran before.
+	// jobs and tasks count what waits for capacity; interrupted counts the tasks among them
+	// that ran before.
 	jobs, tasks, interrupted int
-	// needMilliCores is what they need, longest for how long one has waited.
+	// needMilliCores is the processor time that the tasks need, in thousandths of a core,
+	// longestWait the longest time that a job has waited.
 	needMilliCores int64
 	longestWait    time.Duration
-	// workers get new tasks; of these free is the sum and most the most of one that is
-	// free, and passing what tasks there take that end by themselves, in thousandths of a
-	// core. Of kept workers the room is kept, and promised is promised to tasks that are to
-	// begin again.
+	// workers counts those that accept new tasks, earmarked those of them whose free
+	// capacity is set aside for an endless task. The rest is in thousandths of a core: free
+	// is the sum of what is free, mostFree the largest free part of one worker, finite what
+	// is taken by tasks that end by themselves, and reserved what is reserved for
+	// interrupted tasks.
 	workers, earmarked     int
 	reserved               int64
 	free, mostFree, finite int64
 }
 
-// tellScarcity writes a line on tasks that last and wait for room.
+// logEndlessDemand logs how many endless tasks wait for capacity, and what capacity there
+// is.
 func (ow *Owner) logEndlessDemand(now time.Time) {
 	if now.Sub(ow.scarceAt) < demandLogInterval {
 		return
@@ -37,7 +43,8 @@
 		"promised_millicores", ed.reserved, "promises_lacking", ow.promises.lacking)
 }
 
-// scarcity sums up what waits for long, and the room.
+// endlessDemand sums up the endless jobs that have waited for capacity for at least
+// firstWait, and the capacity of all workers.
 func (ow *Owner) endlessDemand(now time.Time) endlessDemand {
 	var ed endlessDemand
 	for _, en := range ow.active {
@@ -65,7 +72,7 @@
 	return ed
 }
 
-// add adds the tasks of a job that wait.
+// add adds the waiting tasks of a job.
 func (ed *endlessDemand) add(en *entry, now time.Time) {
 	ed.jobs++
 	ed.longestWait = max(ed.longestWait, now.Sub(en.waitingSince))
--- a/internal/sched/earmark.go
+++ b/internal/sched/earmark.go
@@ -2,18 +2,18 @@
 
 import "github.com/pepperhatch/pepperhatch/internal/job"
 
-// keepShare bounds the workers whose room is kept at once for tasks that never ran: one of
-// so many, and one at least.
+// earmarkShare limits how many workers are earmarked at once for tasks that never ran: one
+// in this many, but at least one.
 const earmarkShare = 16
 
-// isKept reports whether the worker's room is kept for a task that lasts.
+// isEarmarked reports whether the worker's free capacity is set aside for an endless task.
 func (ho *host) isEarmarked() bool { return ho.awaited || ho.keptIn == ho.ow.rounds }
 
-// keepRoom keeps the room of a worker for an endless task that never ran and finds none: short
-// tasks that take each part of it as it gets free would keep the task waiting for
-// as long as they come. It takes the worker that lacks least of the room and will
-// have it once the tasks there that end by themselves have ended. The next round
-// chooses anew, and as a rule the same.
+// earmark sets aside the free capacity of a worker for an endless task that never ran and
+// fits nowhere: otherwise short tasks would take each part of it as it becomes free, and
+// the task would wait for as long as they arrive. It chooses the worker that is least short
+// of the capacity and will have it once the tasks there that end by themselves have ended.
+// The next round chooses again, and usually the same worker.
 func (pl *placer) earmark(en *entry, ref job.TaskRef) {
 	st := &en.jo.Spec.Steps[ref.Step]
 	if !st.Endless || !pl.ow.uses(MechReserveCapacity) || pl.earmarks > len(pl.hosts)/earmarkShare || en.interrupted(ref) {
@@ -34,5 +34,5 @@
 	}
 	best.earmarked, best.ho.keptIn = true, pl.ow.rounds
 	pl.earmarks++
-	pl.ow.Log.Debug("room kept", "task", en.jo.TaskID(ref), "worker", best.ho.incarnation, "lacks_millicores", leastMissing)
+	pl.ow.Log.Debug("capacity earmarked", "task", en.jo.TaskID(ref), "worker", best.ho.incarnation, "lacks_millicores", leastMissing)
 }
--- a/internal/sched/interference.go
+++ b/internal/sched/interference.go
@@ -7,8 +7,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// disturbs rates how much a filler would disturb the services on a worker, and
-// by how much headroom would be short of the wanted one through it.
+// disturbance returns the sum by which a filler would lower the headroom of the services on
+// a worker, and the largest predicted excess of a service over placeBelowPart with the
+// filler there; zero or less if there is none.
 func (ca *candidate) disturbance(st *job.Step) (sum, over float64) {
 	part := share(st.Each.MilliCores, ca.ho.Holds.MilliCores)
 	for _, se := range ca.serviceSummaries() {
@@ -21,19 +22,20 @@
 	return sum, over
 }
 
-// serving is what placement needs to know of the services of one image on a
-// worker: how many there are, and the excess of the one that is worst off.
+// imageServices sums up the services of one image on a worker for placement: how many there
+// are, and the largest excess among them.
 type imageServices struct {
 	image  string
 	count  int
 	excess float64
 }
 
-// sumsKept is how long sums of services stay good while nothing changes on their
-// worker but time: their load moves by a hundredth of itself in it.
+// summaryMaxAge is how long summaries of services stay valid while nothing but time changes
+// on their worker: their load changes by a hundredth of itself within it.
 const summaryMaxAge = 100 * time.Millisecond
 
-// services sums the services on the worker up, if anything there has changed.
+// serviceSummaries returns the summaries of the services on the worker, computed again if
+// they are outdated.
 func (ca *candidate) serviceSummaries() []imageServices {
 	fi, now := &ca.ho.fill, time.Now()
 	if !fi.summariesAt.IsZero() && now.Sub(fi.summariesAt) < summaryMaxAge {
@@ -60,8 +62,8 @@
 	fi.summaries = append(fi.summaries, imageServices{image: image, count: 1, excess: excess})
 }
 
-// Weights of disturbance in the rating of a worker, against the share of its
-// processors that is idle.
+// Weights of interference in the score of a worker, relative to the idle share of its
+// processors.
 const (
 	disturbanceWeight = 0.1
 	excessWeight      = 0.7
--- a/internal/sched/move.go
+++ b/internal/sched/move.go
@@ -6,24 +6,24 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// Moves of fillers.
+// Limits on moving fillers.
 const (
-	// heldPace is the pace in per cent under which a filler counts as held.
+	// heldMaxPace is the pace in per cent up to which a filler counts as held.
 	heldMaxPace = 35
-	// heldAfter is how long it is held before it is moved to a better place.
+	// moveAfter is how long a filler is held before it is moved to a better worker.
 	moveAfter = 400 * time.Millisecond
-	// movesPerTick bounds the moves at one look, so that not all go to the
-	// same place.
+	// movesPerTick limits the moves of one pass, so that not all fillers go to the same
+	// worker.
 	movesPerTick = 8
-	// worthLosing is how far a filler without checkpoints may have come, in
-	// per cent, to be moved all the same.
+	// maxLostPercent is the progress in per cent up to which a filler without checkpoints
+	// is moved although its work is lost.
 	maxLostPercent = 15
-	// nearlyDone is how far a filler has come, in per cent, that is not moved.
+	// nearlyDonePercent is the progress in per cent from which on a filler is not moved.
 	nearlyDonePercent = 85
 )
 
-// moveHeld stops fillers that are held for the sake of services, if another
-// worker would welcome them; they go on there from their checkpoints.
+// moveHeld stops fillers that are held because of services, if another worker can run them
+// without harm; they resume there from their checkpoints.
 func (ow *Owner) moveHeld(now time.Time) {
 	if !ow.uses(MechMove) || ow.storeDown() {
 		return
@@ -41,13 +41,13 @@
 			if pl.reserveElsewhere(at) {
 				moves++
 				at.en.spent.moved++
-				ow.halt(at, "held for the sake of a service, and another worker has room")
+				ow.halt(at, "held because of a service, and another worker can run it")
 			}
 		}
 	}
 }
 
-// movable reports whether the attempt is held and loses little by a move.
+// worthMoving reports whether the attempt is held and loses little work by a move.
 func (at *attempt) worthMoving(now time.Time) bool {
 	if at.heldSince.IsZero() || now.Sub(at.heldSince) < moveAfter || !at.halted.IsZero() {
 		return false
@@ -58,8 +58,8 @@
 	return at.step().Checkpoints || at.percent <= maxLostPercent
 }
 
-// welcomes reports whether any worker but its own would welcome a filler now,
-// and keeps its room there.
+// reserveElsewhere reports whether another worker can run the filler without harm to its
+// services, and subtracts the filler from the idle time there.
 func (pl *placer) reserveElsewhere(at *attempt) bool {
 	for _, ca := range pl.hosts {
 		if ca.ho == at.ho || !ca.fits(at.en, job.TaskRef{Step: at.ref.Step, Index: at.ref.Index}, at.step()) || !ca.acceptsFiller(at.step()) {
--- a/internal/sched/nofit.go
+++ b/internal/sched/nofit.go
@@ -6,23 +6,25 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// restPerWorker is how long a search for a place for fillers that found none rests,
-// for each worker that was searched: there may be a round of placement every 15 ms,
-// and with it the part of the time that such searches take would grow with the
-// number of workers. With 1,000 workers a filler waits 50 ms longer at most.
+// noFitTTLPerWorker is how long the result of a search that found no worker for fillers is
+// cached, for each worker that was searched. There may be a placement round every 15 ms,
+// and without the cache the share of time spent on such searches would grow with the number
+// of workers. With 1,000 workers a filler waits up to 50 ms longer.
 const noFitTTLPerWorker = 50 * time.Microsecond
 
-// shape is a step for which no place was found.
+// shape is what determines whether the tasks of a step fit on a worker.
 type shape struct {
 	st      *job.Step
 	service string
-	// patient is set for fillers that wait for a good place.
+	// selective is set for fillers that wait for a worker that accepts them without harm to
+	// its services.
 	selective bool
-	// interrupted is set for tasks that were, yields for those that leave room for others.
+	// interrupted is set for tasks that were interrupted, respectsReservations for those
+	// that must not use capacity reserved for such tasks.
 	interrupted, respectsReservations bool
 }
 
-// covers reports whether no place for the shape means none for the other.
+// covers reports whether the other shape fits nowhere if this one does not.
 func (sh shape) covers(other shape) bool {
 	if sh.respectsReservations && !other.respectsReservations || other.interrupted && !sh.interrupted || sh.st.Filler != other.st.Filler || sh.service != other.service || sh.st.PerWorker > 0 || sh.st.Label != "" || !sh.st.Each.Fits(other.st.Each) {
 		return false
@@ -30,16 +32,16 @@
 	return !sh.st.Filler || (sh.st.Image == other.st.Image && sh.selective == other.selective)
 }
 
-// noPlace has the shapes for which no place was found: in this round, and for
-// fillers for a little while. The zero value is ready.
+// noFitCache holds the shapes that fit on no worker: shapes for the current round, fillers
+// until fillersExpireAt. The zero value is ready to use.
 type noFitCache struct {
 	shapes  []shape
 	fillers []shape
-	// forgetAt is when the fillers are forgotten.
+	// fillersExpireAt is when the entries for fillers are discarded.
 	fillersExpireAt time.Time
 }
 
-// begin begins a round over so many workers.
+// startRound starts a placement round over the given number of workers.
 func (nf *noFitCache) startRound(now time.Time, workers int) {
 	nf.shapes = nf.shapes[:0]
 	if now.Before(nf.fillersExpireAt) {
@@ -49,7 +51,7 @@
 	nf.fillersExpireAt = now.Add(time.Duration(workers) * noFitTTLPerWorker)
 }
 
-// add enters a shape.
+// add records a shape that fits on no worker.
 func (nf *noFitCache) add(sh shape) {
 	if sh.st.Filler {
 		nf.fillers = append(nf.fillers, sh)
@@ -58,7 +60,7 @@
 	nf.shapes = append(nf.shapes, sh)
 }
 
-// has reports whether there is no place for the shape.
+// has reports whether the shape is known to fit on no worker.
 func (nf *noFitCache) has(sh shape) bool {
 	list := nf.shapes
 	if sh.st.Filler {
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -12,32 +12,33 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// The numbers of control of fillers.
+// Thresholds and times of the control of fillers.
 const (
-	// near is the part of its target from which a service may be over it, calmFor
-	// how long it must stay under that before it counts as under its target
-	// again.
+	// nearTargetPart is the part of its target above which a service may be over it, as its
+	// reported tail is inexact. clearAfter is how long the tail must stay below that before
+	// the service counts as under its target again.
 	nearTargetPart = 0.9
 	clearAfter     = time.Second
-	// ahead is how far ahead of the figures control looks: an order takes 0.1 s
-	// to take effect, and the next look is 0.6 s away.
+	// predictAhead is how far ahead control predicts the load: an order takes 0.1 s to take
+	// effect, and the next poll comes 0.6 s later.
 	predictAhead = 600 * time.Millisecond
-	// tight is the part of its target over which a service is relieved, calm
-	// that under which fillers are sped up again, roomy that under which it must
-	// be expected for a filler to be placed there: the service's own load rises
-	// before its figures show it.
+	// slowAbovePart is the part of the target above which fillers beside a service are
+	// slowed, speedUpBelowPart the part below which they are sped up again, and
+	// placeBelowPart the part below which the tail must be predicted for a filler to be
+	// placed there. The last is the lowest, as a rise of the service's own load shows in
+	// its tail only later.
 	slowAbovePart    = 0.88
 	speedUpBelowPart = 0.8
 	placeBelowPart   = 0.72
-	// stubbornPart is the part of the time for which fillers may keep a service
-	// over its target, after which every filler beside it is held.
+	// holdAfterPart is the part of Limits.HarmAfter for which a service may be over its
+	// target; after that every filler beside it is held.
 	holdAfterPart = 0.4
-	// paceTimeout bounds one order.
+	// paceTimeout is the timeout of one pace order.
 	paceTimeout = 400 * time.Millisecond
 )
 
-// control slows fillers while a service is over its target, and speeds them up
-// again while all have room.
+// adjustPaces slows fillers while a service is over its target, and speeds them up again
+// while no service is.
 func (ho *host) adjustPaces(now time.Time) {
 	ho.trackOverTarget(now)
 	fillers := ho.pacedFillers()
@@ -63,19 +64,21 @@
 	}
 }
 
-// stubborn reports whether the service has been over its target for long.
+// overTargetTooLong reports whether the service has been over its target for so long that
+// all fillers beside it must be held.
 func (at *attempt) overTargetTooLong(now time.Time) bool {
 	most := time.Duration(holdAfterPart * float64(at.ho.ow.Limits.HarmAfter))
 	return at.ho.ow.uses(MechHold) && !at.overSince.IsZero() && now.Sub(at.overSince) > most
 }
 
-// stubborn reports whether any service has been over its target for long.
+// anyOverTargetTooLong reports whether any service on the worker has been over its target
+// for too long.
 func (ho *host) anyOverTargetTooLong(now time.Time) bool {
 	return slices.ContainsFunc(ho.services, func(at *attempt) bool { return at.overTargetTooLong(now) })
 }
 
-// timeOver notes since when each service is over its target, or close to it:
-// its figures are rough and may fall under it by chance.
+// trackOverTarget records since when each service has been over its target, or close to it:
+// the reported tail is inexact and may fall below the target by chance.
 func (ho *host) trackOverTarget(now time.Time) {
 	for _, at := range ho.services {
 		switch {
@@ -93,7 +96,7 @@
 	}
 }
 
-// movable returns the fillers whose pace can be set.
+// pacedFillers returns the launched fillers, whose pace can be set.
 func (ho *host) pacedFillers() []*attempt {
 	var list []*attempt
 	for at := range ho.attempts {
@@ -104,13 +107,14 @@
 	return list
 }
 
-// harm is by how much a filler at full speed lowers a service's headroom.
+// interference returns by how much a filler at full speed lowers a service's headroom, the
+// ratio of its target to its tail.
 func (ho *host) interference(filler, service *attempt) float64 {
 	return ho.ow.model.Drop(interfere.Pair{Service: service.step().Image, Filler: filler.step().Image}) * filler.fullShare()
 }
 
-// slow slows the fillers that disturb a service most, until the excess of its
-// tail should be gone.
+// slowFillers slows the fillers that interfere most with a service, until the predicted
+// excess of its tail is removed.
 func (ho *host) slowFillers(fillers []*attempt, service *attempt, excess float64, now time.Time) {
 	slices.SortFunc(fillers, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(ho.interference(b, service), ho.interference(a, service)), strings.Compare(taskID(a), taskID(b)))
@@ -133,25 +137,26 @@
 	}
 }
 
-// holdAll holds every filler, as slowing some did not help.
+// holdAll stops every filler, as slowing some did not suffice.
 func (ho *host) holdAll(fillers []*attempt, now time.Time) {
 	for _, at := range fillers {
 		ho.pace(at, 0, now, "service over its target for long")
 	}
 }
 
-// worthSlowing is the part of an excess that slowing fillers must be able to
-// remove; else the service's own load is the cause.
+// minRemovablePart is the part of an excess that slowing fillers must be able to remove;
+// below that the service's own load is the cause.
 const minRemovablePart = 0.6
 
-// harmless is a drop of the headroom that many fillers together may cause.
+// minPlacementDrop is the drop of headroom by one filler above which placement checks the
+// service's target. It is lower than minPacingDrop, as many fillers together may cause it.
 const minPlacementDrop = 0.02
 
-// guiltless is a drop of the headroom that does not matter.
+// minPacingDrop is the drop of headroom below which slowing a filler is not worthwhile.
 const minPacingDrop = 0.12
 
-// speedUp speeds fillers up that were slowed, the least harmful first, as far
-// as every service stays calm.
+// speedUp speeds up fillers that were slowed, those that interfere least first, as far as
+// the predicted tail of every service stays below speedUpBelowPart of its target.
 func (ho *host) speedUp(fillers []*attempt, now time.Time) {
 	spare := map[*attempt]float64{}
 	for _, at := range ho.services {
@@ -183,8 +188,8 @@
 	}
 }
 
-// easeIn slows a filler that just started to what the services beside it bear,
-// as its effect shows in their figures only half a second later.
+// setInitialPace limits the pace of a filler that has just started to what the services
+// beside it tolerate, as its effect shows in their reported tails only half a second later.
 func (ho *host) setInitialPace(at *attempt, now time.Time) {
 	if !at.step().Filler || !ho.ow.uses(MechPace) {
 		return
@@ -197,7 +202,7 @@
 		if !service.serves() {
 			continue
 		}
-		// The excess has the filler at full speed.
+		// The excess already includes the filler at full speed.
 		drop, excess := ho.interference(at, service), ho.excess(service, slowAbovePart)
 		if drop > minPacingDrop && excess > 0 {
 			least = min(least, fullPace*max(1-excess/drop, 0))
@@ -208,7 +213,7 @@
 	}
 }
 
-// pace orders a pace, if it differs from the last.
+// pace orders a pace in per cent, if it differs enough from the last.
 func (ho *host) pace(at *attempt, percent int, now time.Time, why string) {
 	percent = max(percent, 0)
 	if at.pace == percent || (percent > 0 && percent < fullPace && abs(percent-at.pace) < minPaceChange) {
@@ -227,8 +232,8 @@
 	ho.ow.orderPace(at)
 }
 
-// orderPace sends the wanted pace of an attempt, one order at a time: two on
-// their way could pass each other, and the worker keep the older one.
+// orderPace sends the wanted pace of an attempt, one order at a time: concurrent orders
+// could arrive in the wrong order, and the worker would keep the older one.
 func (ow *Owner) orderPace(at *attempt) {
 	if at.pacing {
 		return
@@ -237,8 +242,8 @@
 	go ow.sendPace(at, worker.Pace{Attempt: at.name(), Percent: at.pace})
 }
 
-// pacedTo takes in the answer to an order, and sends the next if another pace
-// is wanted by now. After an order without an answer the pace is not known.
+// handlePaceResult handles the result of an order, and sends another if the wanted pace has
+// changed since. After an order without an answer the pace is unknown.
 func (ow *Owner) handlePaceResult(at *attempt, percent int, err error) {
 	at.pacing = false
 	switch {
@@ -250,8 +255,8 @@
 	}
 }
 
-// leastChange is the least change of pace in per cent that is worth an order,
-// but for those to a stop or to full speed.
+// minPaceChange is the smallest change of pace in per cent for which an order is sent,
+// except for changes to 0 or to full speed.
 const minPaceChange = 10
 
 func abs(n int) int { return max(n, -n) }
@@ -259,12 +264,12 @@
 func (ow *Owner) sendPace(at *attempt, pa worker.Pace) {
 	ctx, cancel := context.WithTimeout(ow.ctx, paceTimeout)
 	defer cancel()
-	pat := at.ho.currentPath()
-	pa.Fence = pat.fence
-	_, err := ow.Agent.PaceFunc(ctx, pat.addr, pa)
+	pt := at.ho.currentPath()
+	pa.Fence = pt.fence
+	_, err := ow.Agent.PaceFunc(ctx, pt.addr, pa)
 	if err != nil {
 		at.ho.tellLife(err)
-		ow.Log.Info("pace not set", "task", pa.Task, "attempt", pa.Number, "worker", pat.addr.Incarnation, "err", err)
+		ow.Log.Info("pace order failed", "task", pa.Task, "attempt", pa.Number, "worker", pt.addr.Incarnation, "err", err)
 	}
 	ow.post(func() { ow.handlePaceResult(at, pa.Percent, err) })
 }
--- a/internal/sched/path.go
+++ b/internal/sched/path.go
@@ -2,22 +2,23 @@
 
 import "github.com/pepperhatch/pepperhatch/internal/worker"
 
-// waysPerEpoch is how many ways to workers an owner may use one after the other:
-// each has a fencing token of its own, and those of the next owner are higher than
-// all of them. It is some 900 changes of all ways at 1,100 workers.
+// pathsPerEpoch is how many paths to workers an owner may use in sequence: each has a
+// fencing token of its own, and the tokens of the next owner are higher than all of them.
+// It allows some 900 changes of all paths at 1,100 workers.
 const pathsPerEpoch = 1 << 20
 
-// way is a way to a worker, directly or through another entry host. It does not
-// change.
+// path is a path to a worker, directly or through a relay on another entry host. It is
+// immutable.
 type path struct {
 	addr worker.Addr
-	// fence is the fencing token of orders that go this way. Once a worker has had
-	// an order by the next way, it obeys none that still comes by this one.
+	// fence is the fencing token of orders on this path. Once a worker has received an
+	// order with the token of the next path, it rejects those that still arrive on this
+	// one.
 	fence int64
 }
 
-// firstWay returns the way to a worker that was just seen. It may have been seen
-// before, and forgotten.
+// newPath returns the path to a newly listed worker. Its token is new as well, as the
+// worker may have been known before and been dropped.
 func (ow *Owner) newPath(li Listed) *path {
 	addr := li.Addr
 	addr.Via = ow.via(li)
@@ -37,7 +38,7 @@
 	return ow.ViaFunc(li)
 }
 
-// wayNow returns the way to the worker now.
+// currentPath returns the path by which the worker is reached now.
 func (ho *host) currentPath() path {
 	if pa := ho.way.Load(); pa != nil {
 		return *pa
@@ -45,7 +46,7 @@
 	return path{addr: ho.Addr}
 }
 
-// Reroute has workers reached by the ways that are wanted now.
+// Reroute makes the owner reach every worker by the path that ViaFunc returns now.
 func (ow *Owner) Reroute() {
 	ow.post(func() {
 		for _, ho := range ow.hosts {
@@ -56,9 +57,9 @@
 	})
 }
 
-// reroute takes up the way that is wanted now, if it is another. Orders under way
-// by the former one may be carried out until the worker hears of this; as with a
-// lost answer, what became of them is settled by the worker's word.
+// reroute switches to the path that ViaFunc returns now, if it differs. Orders in flight on
+// the former path may be carried out until the worker receives one with the new token; as
+// after a lost answer, the worker's report decides what became of them.
 func (ho *host) reroute() {
 	former, via := ho.currentPath(), ho.ow.via(ho.Listed)
 	if via == former.addr.Via {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -9,11 +9,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// servingLoad is the share of their processor time that endless tasks are taken
-// to use, as their load is not reported.
+// assumedEndlessLoad is the share of their declared processor time that endless tasks are
+// assumed to use, as workers do not report their load.
 const assumedEndlessLoad = 0.5
 
-// place starts what may start and has room, jobs of higher priority first.
+// place starts the waiting tasks that fit on a worker, jobs of higher priority first.
 func (ow *Owner) place() {
 	ow.due = false
 	if len(ow.active) == 0 || ow.storeDown() {
@@ -30,7 +30,8 @@
 	}
 }
 
-// samePriority counts the jobs, of some that are sorted, that have the priority of the first.
+// countSamePriority counts the leading jobs of a sorted list that share the priority of the
+// first.
 func countSamePriority(list []*entry) int {
 	n := slices.IndexFunc(list, func(en *entry) bool { return en.jo.Terms.Priority != list[0].jo.Terms.Priority })
 	if n < 0 {
@@ -39,11 +40,11 @@
 	return n
 }
 
-// placeJobs starts what waits of jobs.
+// placeJobs places the waiting tasks of the jobs, in their order.
 func (pl *placer) placeJobs(list []*entry) {
 	for _, en := range list {
 		if pl.ow.window.full() {
-			// The next round goes on once some have landed.
+			// The next round continues once some launches have been answered.
 			pl.ow.due = true
 			en.lack = CauseOrder
 			continue
@@ -52,7 +53,8 @@
 	}
 }
 
-// newPlacer begins a round of placement.
+// newPlacer begins a round of placement with a snapshot of the workers that accept new
+// tasks.
 func (ow *Owner) newPlacer() *placer {
 	pl := &placer{ow: ow, now: time.Now()}
 	clear(ow.likeness)
@@ -75,19 +77,19 @@
 	return pl
 }
 
-// candidate is a worker in one round of placement.
+// candidate is a worker with the resources that are still free in one round of placement.
 type candidate struct {
 	ho *host
-	// index is its place among all.
+	// index is the position among the candidates, which breaks ties between scores.
 	index int
 	free  worker.Resources
-	// idle is the processor time that nothing is likely to use, in thousandths
-	// of a core.
+	// idle is the processor time that no attempt is expected to use, in thousandths of a
+	// core.
 	idle int64
-	// stubborn is set if a service there was over its target for long.
+	// overTarget is set if a service there has exceeded its latency target for too long.
 	overTarget bool
-	// kept is set if its room is kept for an endless task, taken if nothing is to begin
-	// there beside a task that is tried alone.
+	// earmarked is set if the free capacity is set aside for an endless task. isolated is
+	// set if a task is to run alone there, so that nothing else may start.
 	earmarked bool
 	isolated  bool
 }
@@ -96,7 +98,7 @@
 	return &candidate{ho: ho, free: ho.Holds.Without(ho.reserved), idle: ho.Holds.MilliCores - ho.inUse, overTarget: ho.anyOverTargetTooLong(now)}
 }
 
-// likelyUse is the processor time that a task of the step is likely to use, in
+// likelyUse returns the processor time that a task of the step is expected to use, in
 // thousandths of a core.
 func likelyUse(st *job.Step) int64 {
 	if st.Endless {
@@ -105,20 +107,21 @@
 	return st.Each.MilliCores
 }
 
-// placer is one round of placement.
+// placer holds the state of one round of placement.
 type placer struct {
 	ow    *Owner
 	now   time.Time
 	hosts []*candidate
-	// failing are the workers that are set aside for failures.
+	// failing are the workers that are quarantined for failed tasks.
 	failing []*candidate
-	// patience is how long fillers wait for a good place.
+	// fillerWait is how long fillers wait for a worker that accepts them without harm to
+	// its services.
 	fillerWait time.Duration
-	// keeps counts the workers whose room is kept.
+	// earmarks counts the workers earmarked in this round.
 	earmarks int
 }
 
-// placeJob starts the waiting tasks of a job that find room.
+// placeJob starts the waiting tasks of a job that fit on a worker.
 func (pl *placer) placeJob(en *entry) {
 	for step := range en.jo.Spec.Steps {
 		if en.jo.Ready(step) {
@@ -127,8 +130,8 @@
 	}
 }
 
-// placeStep starts the waiting tasks of a step that find room: those that were interrupted,
-// or the others.
+// placeStep starts the waiting tasks of a step that fit on a worker: only those that were
+// interrupted, or only the others.
 func (pl *placer) placeStep(en *entry, step int, interrupted bool) {
 	var ra *ranking
 	for index, ta := range en.jo.Tasks[step] {
@@ -146,7 +149,8 @@
 		}
 		if ta.Suspect() {
 			pl.placeSuspect(en, ref)
-			// It changed a worker that may not be the best one.
+			// The isolated task may have changed a worker other than the best one, so all
+			// have to be rated again.
 			ra = nil
 			continue
 		}
@@ -170,35 +174,39 @@
 	}
 }
 
-// patient reports whether the fillers of a job still wait for a good place.
+// selective reports whether the fillers of a job still wait for a worker that accepts them
+// without harm to its services.
 func (pl *placer) selective(en *entry) bool {
 	return pl.ow.uses(MechFillerWait) && pl.now.Sub(en.waitingSince) <= pl.fillerWait
 }
 
 func (ca *candidate) fits(en *entry, ref job.TaskRef, st *job.Step) bool {
-	return ca.allowed(en, ref, st) && ca.hasRoom(st, en.interrupted(ref))
+	return ca.allowed(en, ref, st) && ca.hasCapacity(st, en.interrupted(ref))
 }
 
-// hasRoom reports whether the worker has room for a task of the step. Room is not kept from
-// tasks that were interrupted: what it is kept for may never get enough of it.
-func (ca *candidate) hasRoom(st *job.Step, interrupted bool) bool {
+// hasCapacity reports whether the worker has enough free capacity for a task of the step.
+// Earmarked capacity stays open to fillers and to interrupted tasks, as the task that it is
+// earmarked for may never get enough of it.
+func (ca *candidate) hasCapacity(st *job.Step, interrupted bool) bool {
 	return st.Reserved().Fits(ca.free) && (!ca.earmarked || st.Filler || interrupted) && !ca.isolated
 }
 
-// allowed reports whether a task may run on the worker, if it had room.
+// allowed reports whether a task may run on the worker, regardless of free capacity.
 func (ca *candidate) allowed(en *entry, ref job.TaskRef, st *job.Step) bool {
 	return ca.suitable(en, st) && (st.PerWorker == 0 || en.countAt(ref.Step, ca.ho) < st.PerWorker)
 }
 
-// suitable reports whether the worker is of the kind that the step wants.
+// suitable reports whether the worker belongs to the job's service and has the label that
+// the step requires.
 func (ca *candidate) suitable(en *entry, st *job.Step) bool {
 	return ca.ho.Service == en.jo.Terms.Service && (st.Label == "" || ca.ho.hasLabel(st.Label))
 }
 
-// patience is how long a job's fillers wait for a good place; then they go
-// anywhere, to be paced there. While little is used a job must not run nothing
-// for 3 s; else a bad place costs the services there more than waiting costs
-// the job.
+// fillerWaitLimit returns how long a job's fillers wait for a worker that accepts them;
+// then they go to any worker, where their pace is limited. used is the reserved share of
+// all processors. While it is low, no job may be left without a running task for 3 s. Once
+// it is high, a filler on a bad worker costs the services there more than waiting costs the
+// job.
 func fillerWaitLimit(used float64) time.Duration {
 	if used < busyShare {
 		return fillerWaitIdle
@@ -206,8 +214,8 @@
 	return fillerWaitBusy
 }
 
-// suits reports whether a filler finds idle processors on the worker and
-// leaves the services there under their targets.
+// acceptsFiller reports whether the worker has idle processors for a filler and its
+// services would stay under their targets.
 func (ca *candidate) acceptsFiller(st *job.Step) bool {
 	if ca.overTarget || ca.idle < int64(minIdlePart*float64(st.Each.MilliCores)) {
 		return false
@@ -216,14 +224,14 @@
 	return over <= 0
 }
 
-// Patience of fillers.
+// How long fillers wait for a worker that accepts them.
 const (
-	// busyShare is the share of all processors reserved from which on waiting
-	// is the lesser evil; the users' bound is a half.
+	// busyShare is the reserved share of all processors from which on waiting costs less
+	// than placing a filler on a bad worker. Users accept that jobs wait only above a half.
 	busyShare      = 0.6
 	fillerWaitIdle = 1500 * time.Millisecond
 	fillerWaitBusy = time.Minute
-	// leastIdle is the part of its processor time that a filler must find idle.
+	// minIdlePart is the part of its processor time that a filler must find idle.
 	minIdlePart = 0.3
 )
 
@@ -254,7 +262,8 @@
 	return float64(part) / float64(whole)
 }
 
-// start begins an attempt; the order goes out once that is durable.
+// start places a new attempt on a worker; the launch order is sent once the attempt is
+// durable.
 func (pl *placer) start(en *entry, ref job.TaskRef, ca *candidate) {
 	number := en.jo.Start(ref, ca.ho.incarnation)
 	if number == 0 {
@@ -272,6 +281,6 @@
 	pl.ow.due = false
 }
 
-// fullPace is the share of its speed at which an attempt works unless told
-// otherwise, in per cent.
+// fullPace is the pace, in per cent of full speed, of an attempt for which no other was
+// ordered.
 const fullPace = 100
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -6,26 +6,29 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// ranking has the workers on which tasks of one step find room, the best first.
-// The tasks of a step are alike, and placing one changes nothing but the worker it
-// goes to; so all workers are rated once a step, and that one again.
+// ranking orders the workers that can take a task of one step, the best first. The tasks of
+// a step are identical, and placing one changes only the worker that it goes to; so all
+// workers are rated once per step, and that worker again after each placement.
 type ranking struct {
 	pl   *placer
 	en   *entry
 	step int
 	st   *job.Step
-	// patient is set if fillers still wait for a good place.
+	// selective is set if fillers still wait for a worker that accepts them.
 	selective bool
-	// interrupted is set for tasks that were, yields if the tasks leave room for those.
+	// interrupted is set if the ranking is for tasks that were interrupted,
+	// respectsReservations if the tasks must not use capacity that is reserved for such
+	// tasks.
 	interrupted, respectsReservations bool
-	// counts are the attempts of the step by worker, if their number is bounded.
+	// counts has the attempts of the step by worker; nil if their number per worker is not
+	// limited.
 	counts map[*host]int
 	heap   ratingHeap
-	// lack is what lacks if there is no worker.
+	// cause is why no worker can take a task.
 	cause Cause
 }
 
-// rank rates all workers for a step, for its tasks that were interrupted or the others.
+// rank rates all workers for a step, either for its interrupted tasks or for the others.
 func (pl *placer) rank(en *entry, step int, interrupted bool) *ranking {
 	st := &en.jo.Spec.Steps[step]
 	ra := &ranking{pl: pl, en: en, step: step, st: st, selective: st.Filler && pl.selective(en), interrupted: interrupted, cause: CauseRoom}
@@ -52,10 +55,10 @@
 	return ra
 }
 
-// fits reports whether the worker may get a task of the step now, and notes what
-// lacks if not.
+// fits reports whether the worker can take a task of the step now, and records the cause if
+// not.
 func (ra *ranking) fits(ca *candidate) bool {
-	if !ca.hasRoom(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.PerWorker) {
+	if !ca.hasCapacity(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.PerWorker) {
 		return false
 	}
 	if ra.respectsReservations && !ra.st.Reserved().Fits(ca.free.Without(ca.ho.promised)) {
@@ -68,7 +71,7 @@
 	return true
 }
 
-// best returns the best worker, or nil.
+// best returns the worker with the highest score, or nil if none can take a task.
 func (ra *ranking) best() *candidate {
 	if len(ra.heap) == 0 {
 		return nil
@@ -77,7 +80,7 @@
 	return ra.heap[0].ca
 }
 
-// changed rates the best worker anew, after a task went there.
+// update rates the best worker again after a task was placed there.
 func (ra *ranking) update(ca *candidate) {
 	if ra.counts != nil {
 		ra.counts[ca.ho]++
@@ -97,7 +100,8 @@
 	score float64
 }
 
-// rated are workers as a heap, the best first.
+// ratingHeap is a heap of workers, the highest score first and the lowest index among
+// equals.
 type ratingHeap []rating
 
 // Len implements heap.Interface.
--- a/internal/sched/reach.go
+++ b/internal/sched/reach.go
@@ -6,40 +6,40 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// reach is whether a worker gets the owner's orders.
+// reach is the state of a worker with regard to the owner's orders.
 type reach string
 
 const (
-	// reachAnswering workers do.
+	// reachAnswering: it gets orders.
 	reachAnswering reach = "answering"
-	// reachSilent ones did, and their last look failed or takes too long.
+	// reachUnresponsive: it got orders before, and its last poll failed or takes too long.
 	reachUnresponsive reach = "silent"
-	// reachUnsettled ones have not told this owner what they run.
+	// reachUnsettled: it has not yet reported to this owner what it runs.
 	reachUnsettled reach = "unsettled"
 )
 
-// Times of telling of workers that get no orders.
+// Limits on the reports of workers that get no orders.
 const (
-	// quietAfter is how long a worker is silent or unsettled before it is told of: a
-	// look after a lost answer takes lookRetry and a few milliseconds, and most
-	// workers settle within the first 20 ms of an owner.
+	// outageLogAfter is how long a worker must be unresponsive or unsettled to be logged: a
+	// poll after a lost answer takes lookRetry and a few milliseconds, and most workers
+	// settle within the first 20 ms of an owner.
 	outageLogAfter = time.Second
-	// tellReachEvery is the least time between lines.
+	// outageLogInterval is the least time between log lines.
 	outageLogInterval = time.Second
-	// overdueAfter is the time without a successful look after which a worker is
-	// silent although none has failed: looks are bounded by the longest wait, its
-	// grace and the pause before the next, and a busy owner takes them in late.
+	// pollOverdueAfter is the time without a successful poll after which a worker is
+	// unresponsive although no poll has failed: a poll lasts up to the longest wait, its
+	// grace and the pause before the next, and a busy owner handles the results late.
 	pollOverdueAfter = idleWait + lookGrace + undurableWait + time.Second
 )
 
-// outage follows workers that get no orders. The zero value has none.
+// outage tracks an outage of workers that get no orders. The zero value means none.
 type outage struct {
-	// began is when the first of them fell quiet, told when a line last told of them;
-	// both are zero if none was told of.
+	// beganAt is when the first of them stopped getting orders, loggedAt when the outage was
+	// last logged; both are zero if it was not logged.
 	beganAt, loggedAt time.Time
 }
 
-// reach returns whether the worker gets orders.
+// reach returns the state of the worker.
 func (ho *host) reach(now time.Time) reach {
 	switch {
 	case !ho.settled:
@@ -50,10 +50,10 @@
 	return reachAnswering
 }
 
-// expected reports whether the worker is to get orders at all.
+// needsOrders reports whether the worker is expected to get orders at all.
 func (ho *host) needsOrders() bool { return !ho.gone && !ho.dead }
 
-// noteReach notes since when the worker gets no orders.
+// recordReach records since when the worker gets no orders.
 func (ho *host) recordReach(re reach, now time.Time) {
 	switch {
 	case re == reachAnswering:
@@ -63,7 +63,8 @@
 	}
 }
 
-// quietFor is how long ago the worker last answered, or was first to be reached.
+// sinceLastContact returns how long ago the worker last answered or, if it never did, was
+// first found to get no orders.
 func (ho *host) sinceLastContact(now time.Time) time.Duration {
 	if ho.seen.IsZero() {
 		return now.Sub(ho.quiet)
@@ -71,8 +72,7 @@
 	return now.Sub(ho.seen)
 }
 
-// noteReach counts the workers by whether they get orders, and tells of those that
-// do not.
+// updateReach counts the workers by state, sets their gauge, and logs outages.
 func (ow *Owner) updateReach(now time.Time) {
 	counts := map[reach]int{}
 	late := 0
@@ -91,23 +91,23 @@
 	ow.logReach(counts, late, now)
 }
 
-// gauge sets the gauge of workers.
+// setWorkersGauge sets the gauge of workers by state.
 func setWorkersGauge(me *telemetry.Metrics, counts map[reach]int) {
 	for _, re := range []reach{reachAnswering, reachUnresponsive, reachUnsettled} {
 		me.Set(telemetry.Workers, int64(counts[re]), "state", string(re))
 	}
 }
 
-// GaugeNoWorkers sets the gauges of workers and of tasks to those of a host that owns no
-// cell.
+// ResetGauges sets the gauges of workers, stuck tasks and cores to zero, for a host that
+// owns no cell.
 func ResetGauges(me *telemetry.Metrics) {
 	setWorkersGauge(me, nil)
 	setStuckGauge(me, nil)
 	setCoresGauge(me, 0, 0)
 }
 
-// tellReach tells of workers that get no orders, late of which have had none for
-// long, and when all do again.
+// logReach logs workers that get no orders, and the end of such an outage. late is the
+// number of workers that have had none for more than outageLogAfter.
 func (ow *Owner) logReach(counts map[reach]int, late int, now time.Time) {
 	without := counts[reachUnresponsive] + counts[reachUnsettled]
 	switch {
@@ -120,8 +120,8 @@
 	}
 }
 
-// tellWithout tells of the workers without orders, and what most of them have in
-// common.
+// logWithoutOrders logs the workers that get no orders, with the relay and the data centre
+// that most of them share.
 func (ow *Owner) logWithoutOrders(counts map[reach]int, now time.Time) {
 	attempts, longest := 0, time.Duration(0)
 	var relays, centres groupCounts
@@ -149,26 +149,26 @@
 		"data_centre", centre, "data_centre_workers", centres.without[centre], "data_centre_all", centres.all[centre])
 }
 
-// common counts workers by what they have in common: all of them, and those without
-// orders. The zero value has none.
+// groupCounts counts workers by a common property: all of them, and those without orders.
+// The zero value has none.
 type groupCounts struct{ all, without map[string]int }
 
-func (co *groupCounts) add(what string, without bool) {
-	if co.all == nil {
-		co.all, co.without = map[string]int{}, map[string]int{}
+func (gc *groupCounts) add(property string, without bool) {
+	if gc.all == nil {
+		gc.all, gc.without = map[string]int{}, map[string]int{}
 	}
-	co.all[what]++
+	gc.all[property]++
 	if without {
-		co.without[what]++
+		gc.without[property]++
 	}
 }
 
-// most returns what most workers without orders have in common.
-func (co *groupCounts) largest() string {
+// largest returns the property that most workers without orders share.
+func (gc *groupCounts) largest() string {
 	best := ""
-	for what, n := range co.without {
-		if n > co.without[best] || n == co.without[best] && what < best {
-			best = what
+	for property, n := range gc.without {
+		if n > gc.without[best] || n == gc.without[best] && property < best {
+			best = property
 		}
 	}
 	return best
--- a/internal/sched/score.go
+++ b/internal/sched/score.go
@@ -2,10 +2,10 @@
 
 import "github.com/pepperhatch/pepperhatch/internal/job"
 
-// score rates a worker for a task; the highest wins. Fillers go where most
-// processor time is idle. All others go where least is left unreserved, so that
-// large tasks find room elsewhere, and workers without services are left to
-// fillers that would disturb any.
+// score rates a worker for a task; the highest score wins. Fillers go where the largest
+// share of processor time is idle. All others go where the least is left unreserved, so
+// that large tasks fit elsewhere and workers without services stay available to fillers
+// that interfere with every service.
 func (ca *candidate) score(en *entry, st *job.Step) float64 {
 	score := -share(ca.free.MilliCores, ca.ho.Holds.MilliCores)
 	if st.Filler {
@@ -24,11 +24,11 @@
 	return score - float64(ca.ho.failures)*perFailurePenalty
 }
 
-// kinship rates the company that an endless task would have. A filler must suit
-// every service on its worker, so it finds a place more easily if a worker's
-// services suffer alike: those of one image do, and others may be seen to. Replicas
-// of one step share their load, so side by side they leave room to fillers at the
-// same time.
+// affinity rates how well an endless task matches the services on the worker. A filler must
+// be tolerated by every service on its worker, so it finds a worker more easily if the
+// services there react alike to fillers: those of one image do, and others may have been
+// observed to. Replicas of one step share their load, so that on one worker they leave
+// capacity to fillers at the same time.
 func (ca *candidate) affinity(en *entry, image string) float64 {
 	ow, all := ca.ho.ow, len(ca.ho.services)
 	if all == 0 {
@@ -51,11 +51,11 @@
 	return sum
 }
 
-// imagePair is two images of services.
+// imagePair is a pair of service images.
 type imagePair struct{ a, b string }
 
-// alike rates how alike two images of services suffer from fillers, from -1 to 1.
-// It is worked out once a round of placement.
+// imageSimilarity rates how alike fillers affect two service images, from -1 to 1. It is
+// computed once per round of placement.
 func (ow *Owner) imageSimilarity(a, b string) float64 {
 	switch {
 	case a == b:
@@ -71,24 +71,25 @@
 	return ow.likeness[pa]
 }
 
-// balance is the share of those that are alike less that of the others.
+// balance returns the share of services that match minus the share of the others, from -1
+// to 1.
 func balance(alike, all int) float64 { return float64(2*alike-all) / float64(all) }
 
-// Weights of kinship against the share of a worker that is free. That of the image
-// goes before any share, by trials at 0.5 and 3; that of the job is as much as half
-// a worker, by trials at 0, 0.5 and 1.
+// Weights of affinity relative to the free share of a worker. That of the image outweighs
+// any free share; that of the job equals half a worker.
 const (
 	imageWeight = 3
 	jobWeight   = 0.5
 )
 
-// Penalties of workers that are far from the data, or failed.
+// Penalties of workers that are far from the data, or on which attempts failed.
 const (
-	// farPenalty is taken off the share of free room of a worker outside the
-	// rack that has the step's data.
+	// otherRackPenalty is subtracted from the score of a worker outside the rack that has
+	// the step's data.
 	otherRackPenalty = 0.5
-	// failedPenalty keeps a job's tasks off a worker that failed one of them.
+	// failedPenalty keeps a job's tasks away from a worker on which one of them failed.
 	failedPenalty = 4
-	// doubtPenalty is for each attempt that failed there since one was done.
+	// perFailurePenalty is subtracted for each attempt that has failed there since one
+	// succeeded.
 	perFailurePenalty = 1
 )
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -12,18 +12,18 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// shortage is why the tasks of a step find no room: what the worker that comes nearest
-// has, what holds the rest of it, and which workers have room but may not be used.
+// shortage explains why the tasks of a step fit on no worker: which worker comes nearest
+// and what takes its capacity, and which workers have enough capacity but may not be used.
 type shortage struct {
 	st      *job.Step
 	nearest *host
-	// lacks is what the best one lacks, as a share of what the step needs.
+	// shortfall is what the nearest worker lacks, as a share of what the step needs.
 	shortfall float64
-	// barred counts the workers with enough room that may not be used, by reason.
+	// barred counts the workers that have enough capacity but may not be used, by reason.
 	barred map[string]int
 }
 
-// findShortage looks at all workers that the step may run on.
+// findShortage compares the step's needs with all workers that it may run on.
 func (ow *Owner) findShortage(en *entry, step int, now time.Time) shortage {
 	st := &en.jo.Spec.Steps[step]
 	sh := shortage{st: st, barred: map[string]int{}}
@@ -45,16 +45,16 @@
 	return sh
 }
 
-// Reasons why a worker that gets new tasks gets none of a step.
+// Reasons why a worker that accepts new tasks accepts none of a step.
 const (
-	// barKept: its room is kept for a task that lasts.
+	// barEarmarked: its capacity is set aside for an endless task.
 	barEarmarked = "kept"
-	// barApart: it has as many tasks of the step as may stand on one worker.
+	// barSpread: it already runs as many tasks of the step as one worker may.
 	barSpread = "apart"
 )
 
-// refuses returns why the worker gets none of a step's tasks though it gets others, or
-// nothing.
+// stepBar returns why a worker that accepts new tasks accepts none of the step, or an empty
+// string if it does.
 func (ho *host) stepBar(en *entry, step int) string {
 	st := &en.jo.Spec.Steps[step]
 	switch {
@@ -66,8 +66,8 @@
 	return ""
 }
 
-// lacking returns how much of what is needed is not free, as a share of it: that of the
-// resource of which most is lacking.
+// shortfall returns which part of the need is not free, for the resource that is shortest.
+// It is zero or less if the need fits.
 func shortfall(need, free worker.Resources) float64 {
 	return max(
 		share(need.MilliCores-free.MilliCores, need.MilliCores),
@@ -76,7 +76,7 @@
 	)
 }
 
-// attrs are the fields of a log line.
+// attrs returns the shortage as attributes of a log line.
 func (sh shortage) attrs() []slog.Attr {
 	need := sh.st.Reserved()
 	list := []slog.Attr{
@@ -95,7 +95,7 @@
 	)
 }
 
-// listCounts lists names with their numbers.
+// formatCounts formats counts as "name:count", sorted by name.
 func formatCounts[K ~string](counts map[K]int) string {
 	list := make([]string, 0, len(counts))
 	for name, n := range counts {
@@ -105,7 +105,7 @@
 	return strings.Join(list, " ")
 }
 
-// stopping is the part of the worker's room that attempts take which are being stopped.
+// stopping returns the resources held by attempts that are being stopped.
 func (ho *host) stopping() worker.Resources {
 	var sum worker.Resources
 	for at := range ho.attempts {
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -7,28 +7,28 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// Attempts that stand still.
+// Limits on attempts without progress.
 const (
-	// stalledAfter is how long an attempt may show no progress, besides
-	// stalledPart of its task's estimated time: a worker reports whole per cent,
-	// and estimates are off by half.
+	// stalledAfter is how long an attempt may show no progress, in addition to stalledPart
+	// of its task's estimated time: a worker reports whole per cents, and estimates are off
+	// by half.
 	stalledAfter = time.Second
 	stalledPart  = 0.06
-	// stalledLooks is how many looks must have shown none.
+	// stalledPolls is how many polls in a row must have shown no progress.
 	stalledPolls = 2
-	// stalledDoublings is how often the time doubles, each time that a task was found to
-	// stand still: one that is 300 times as long as estimated was stopped each 3 s, for
-	// ever, and set a worker aside each time.
+	// stalledDoublings bounds how often the limit doubles, once for each time that the task
+	// was found stalled. Without the doubling a task 300 times as long as estimated was
+	// stopped every 3 s without end, and quarantined a worker each time.
 	stalledDoublings = 6
-	// stalledPerCents is how many of its own per cent's time an attempt may show none: one
-	// that took 3 s for each was stopped at its last, after 300 s, in one of 1,000 plays.
+	// stalledPercents is the limit in units of the time that the attempt has taken for each
+	// per cent so far. Without it a task that took 3 s per per cent was stopped at its last
+	// one, after 300 s, in one of 1,000 runs.
 	stalledPercents = 3
-	// asideStalled is how long a worker is set aside on which an attempt stands
-	// still.
+	// quarantineStalled is how long a worker is quarantined after an attempt stalled on it.
 	quarantineStalled = 2500 * time.Millisecond
 )
 
-// follow takes in how far an attempt has come.
+// recordProgress records the progress that a poll reported, in per cent.
 func (at *attempt) recordProgress(percent int, now time.Time) {
 	begins := at.movedAt.IsZero() || at.effectivePace() <= heldMaxPace
 	if begins {
@@ -42,7 +42,7 @@
 	at.percent = percent
 }
 
-// stalled reports whether an attempt that should get on stands still.
+// stalled reports whether an attempt has made no progress for too long.
 func (at *attempt) stalled(now time.Time) bool {
 	if at.step().Endless || !at.ho.ow.uses(MechStall) || at.still < stalledPolls || !at.halted.IsZero() {
 		return false
@@ -52,7 +52,8 @@
 	return now.Sub(at.movedAt) > max(limit, stalledPercents*at.timePerPercent())
 }
 
-// perCent is how long the attempt took for each per cent so far, or 0 if it did none.
+// timePerPercent returns how long the attempt has taken for each per cent so far, or 0 if
+// it has completed none.
 func (at *attempt) timePerPercent() time.Duration {
 	done := at.percent - at.first
 	if done <= 0 {
@@ -61,7 +62,8 @@
 	return at.movedAt.Sub(at.firstAt) / time.Duration(done)
 }
 
-// relieve stops an attempt that stands still, so that it is tried elsewhere.
+// stopStalled stops a stalled attempt, so that its task is retried elsewhere, and
+// quarantines the worker.
 func (ho *host) stopStalled(at *attempt, now time.Time) {
 	if at.en.stood == nil {
 		at.en.stood = map[job.TaskRef]int{}
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -11,34 +11,36 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// Times of telling of tasks that are stuck.
+// Limits on the reports of stuck tasks.
 const (
-	// stuckAfter is how long a task waits, or is taken to run without its worker's word,
-	// until it counts as stuck.
+	// stuckAfter is how long a task must wait, or be assumed to run without confirmation by
+	// its worker, to count as stuck.
 	stuckAfter = 5 * time.Second
-	// stuckEvery is the time between two looks for such tasks.
+	// stuckCheckInterval is the time between two searches for stuck tasks.
 	stuckCheckInterval = time.Second
-	// stuckNamed bounds the jobs that a line names.
+	// stuckJobsLogged is the largest number of jobs that a log line names.
 	stuckJobsLogged = 8
 )
 
-// obstacle is what holds back a task that is stuck.
+// obstacle is the reason why a task is stuck.
 type obstacle string
 
 const (
-	// obstacleRest: it failed several times in a row and is not to begin yet.
+	// obstacleBackoff: it failed several times in a row and must not start yet.
 	obstacleBackoff obstacle = "rest"
-	// obstacleTrial: it waits to be tried alone on a worker, or apart from others.
+	// obstacleIsolation: it is suspected of crashing workers and waits for a worker where
+	// it runs alone, or apart from other such tasks.
 	obstacleIsolation obstacle = "trial"
-	// obstacleRoom, obstaclePlace, obstacleOrder and obstacleStore are the causes of
-	// those names.
+	// obstacleCapacity, obstaclePlacement, obstacleOrder and obstacleStore correspond to
+	// the Cause of the same value.
 	obstacleCapacity  obstacle = "room"
 	obstaclePlacement obstacle = "place"
 	obstacleOrder     obstacle = "order"
 	obstacleStore     obstacle = "store"
-	// obstacleSilent: it is taken to run on a worker that does not answer.
+	// obstacleUnresponsive: it is assumed to run on a worker that does not answer.
 	obstacleUnresponsive obstacle = "silent-worker"
-	// obstacleStopping: the end of its attempt was ordered and is not listed.
+	// obstacleStopping: a stop of its attempt was ordered, but the worker has not reported
+	// its end.
 	obstacleStopping obstacle = "stopping"
 )
 
@@ -46,15 +48,16 @@
 	obstacleBackoff, obstacleIsolation, obstacleCapacity, obstaclePlacement, obstacleOrder, obstacleStore, obstacleUnresponsive, obstacleStopping,
 }
 
-// stuckJob are the stuck tasks of one job.
+// stuckJob holds the stuck tasks of one job, counted by obstacle, and the longest wait
+// among them.
 type stuckJob struct {
 	en     *entry
 	counts map[obstacle]int
 	wait   time.Duration
 }
 
-// noteStuck counts the tasks that are stuck by what holds them back, and tells of the
-// longest.
+// reportStuck sets the gauges of stuck tasks and of cores, and logs the jobs with the
+// longest waits.
 func (ow *Owner) reportStuck(now time.Time) {
 	if now.Sub(ow.stuckAt) < stuckCheckInterval {
 		return
@@ -82,7 +85,8 @@
 		"reserved_share", share(reserved, held), "barred", formatCounts(barred), "longest", formatLongest(list))
 }
 
-// gaugeStuck sets the gauge of stuck tasks, by whether they last.
+// setStuckGauge sets the gauge of stuck tasks; the key of counts is whether the job is
+// endless.
 func setStuckGauge(me *telemetry.Metrics, counts map[bool]map[obstacle]int) {
 	for _, ob := range obstacles {
 		me.Set(telemetry.StuckTasks, int64(counts[true][ob]), "kind", "lasting", "why", string(ob))
@@ -90,14 +94,16 @@
 	}
 }
 
-// gaugeCores sets the gauge of cores, of which some are held and reserved in thousandths.
+// setCoresGauge sets the gauge of cores from the held and reserved processor time, in
+// thousandths of a core.
 func setCoresGauge(me *telemetry.Metrics, held, reserved int64) {
 	me.Set(telemetry.CellCores, held/1000, "part", "held")
 	me.Set(telemetry.CellCores, reserved/1000, "part", "reserved")
 }
 
-// capacityNow sums up what workers that get tasks hold and what is reserved there, in
-// thousandths of a core, and counts the others by why they get none.
+// capacity returns the processor time of the workers that accept new tasks and the part of
+// it that is reserved, in thousandths of a core, and counts the other workers by the reason
+// why they accept none.
 func (ow *Owner) capacity(now time.Time) (held, reserved int64, barred map[string]int) {
 	barred = map[string]int{}
 	for _, ho := range ow.hosts {
@@ -111,7 +117,7 @@
 	return held, reserved, barred
 }
 
-// stuck returns the job's tasks that are stuck.
+// stuck returns the job's stuck tasks.
 func (en *entry) stuck(now time.Time) stuckJob {
 	sj := stuckJob{en: en, counts: map[obstacle]int{}}
 	if !en.endedAt.IsZero() {
@@ -131,7 +137,7 @@
 	return sj
 }
 
-// countObstacles counts the waiting tasks by what holds them back.
+// countObstacles counts the job's waiting tasks by obstacle.
 func (en *entry) countObstacles(counts map[obstacle]int, now time.Time) {
 	lack := obstacle(en.cause(en.ow.storeDown()).String())
 	for step, tasks := range en.jo.Tasks {
@@ -154,7 +160,8 @@
 	}
 }
 
-// obstacle returns why an attempt that is taken to run may not, and since when.
+// obstacle returns why an attempt that is assumed to run may not be running, and since
+// when; an empty string if nothing suggests it.
 func (at *attempt) obstacle() (obstacle, time.Time) {
 	switch {
 	case !at.ho.failing.IsZero():
@@ -167,7 +174,7 @@
 	return "", time.Time{}
 }
 
-// nameLongest names the jobs whose tasks are stuck for longest.
+// formatLongest formats the jobs with the longest waits.
 func formatLongest(list []stuckJob) string {
 	slices.SortFunc(list, func(a, b stuckJob) int {
 		return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(a.en.jo.ID, b.en.jo.ID))
--- a/internal/sched/usage.go
+++ b/internal/sched/usage.go
@@ -8,38 +8,39 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// The numbers of figures that workers report.
+// Parameters for the usage that workers report.
 const (
-	// usageWindow is the time that a worker's figures are of.
+	// usageWindow is the interval that a worker's reported usage covers.
 	usageWindow = 500 * time.Millisecond
-	// steadyAfter is how long after a change of pace a filler's figure is of
-	// the new pace alone.
+	// steadyPaceAfter is how long after a change of pace a filler's reported usage covers
+	// the new pace only.
 	steadyPaceAfter = usageWindow + 200*time.Millisecond
-	// usesLeast and usesMost bound what part of its declared processor time a
-	// filler is taken to use, usesRate is the part by which that is corrected
-	// with a figure.
+	// minUses and maxUses bound the part of its declared processor time that a filler is
+	// assumed to use, usesSmoothing is the weight of a new report in that estimate.
 	minUses       = 0.3
 	maxUses       = 1.2
 	usesSmoothing = 0.5
 )
 
-// fillers follows what fills a worker.
+// fillerStats tracks the processor time that fillers use on a worker, with what placement
+// derives from it.
 type fillerStats struct {
-	// ended are fillers that were still at work within the last window.
+	// ended are fillers that ended within the last usage window.
 	ended []endedFiller
-	// expected are the shares by the paces ordered, or nil if they are to be
-	// summed up anew, and sums those services, summed up at summedAt.
+	// expectedShares are the shares of fillers at the ordered paces; nil if they have to be
+	// computed again. summaries are the services by image, computed at summariesAt.
 	expectedShares interfere.Shares
 	summaries      []imageServices
 	summariesAt    time.Time
-	// measured is when the services were last measured.
+	// measuredAt is when the services were last measured.
 	measuredAt time.Time
 }
 
-// change has what was summed up summed up anew.
+// invalidate discards the derived values, so that they are computed again.
 func (fi *fillerStats) invalidate() { fi.expectedShares, fi.summariesAt = nil, time.Time{} }
 
-// endedFiller is a filler that ended, with the share that it used.
+// endedFiller is a filler that ended, with the share of the worker's processors that it
+// used.
 type endedFiller struct {
 	image string
 	share float64
@@ -48,12 +49,14 @@
 
 func (at *attempt) step() *job.Step { return &at.en.jo.Spec.Steps[at.ref.Step] }
 
-// serves reports whether the attempt has a target to keep.
+// serves reports whether the attempt is a service with a latency target that has reported
+// its tail.
 func (at *attempt) serves() bool {
 	return at.usage > 0 && at.step().HasTarget()
 }
 
-// speed is the pace in per cent that the attempt is taken to work at.
+// effectivePace returns the pace in per cent at which the attempt is assumed to work: full
+// speed if it is unknown.
 func (at *attempt) effectivePace() int {
 	if at.pace < 0 {
 		return fullPace
@@ -61,8 +64,7 @@
 	return at.pace
 }
 
-// fullShare is the share of the worker's processors that a filler uses at full
-// speed.
+// fullShare returns the share of the worker's processors that a filler uses at full speed.
 func (at *attempt) fullShare() float64 {
 	declared := share(at.step().Each.MilliCores, at.ho.Holds.MilliCores)
 	if at.uses == 0 {
@@ -71,12 +73,14 @@
 	return at.uses * declared
 }
 
-// expectedShare is the share that a filler uses at its pace.
+// expectedShare returns the share of the worker's processors that a filler uses at its
+// pace.
 func (at *attempt) expectedShare() float64 {
 	return at.fullShare() * float64(at.effectivePace()) / fullPace
 }
 
-// seeUsage learns what part of its declared processor time a filler uses.
+// learnUsage updates the estimate of the part of its declared processor time that a filler
+// uses.
 func (at *attempt) learnUsage(now time.Time) {
 	if !at.step().Filler || at.usage <= 0 || at.pace < fullPace || now.Sub(at.pacedAt) < steadyPaceAfter || now.Sub(at.launched) < steadyPaceAfter {
 		return
@@ -89,8 +93,8 @@
 	at.uses += usesSmoothing * (uses - at.uses)
 }
 
-// usedShares are the shares of fillers over the window that ends now, as the
-// worker reported them.
+// usedShares returns the shares of the worker's processors that fillers used in the window
+// that ends now, by image, as the worker reported them.
 func (ho *host) usedShares(now time.Time) interfere.Shares {
 	sh := interfere.Shares{}
 	for at := range ho.attempts {
@@ -110,8 +114,8 @@
 	return sh
 }
 
-// expectedShares are the shares of fillers by the paces ordered, those on their
-// way to the worker included.
+// expectedShares returns the shares of fillers at the ordered paces by image, including
+// attempts that are still being launched.
 func (ho *host) expectedShares() interfere.Shares {
 	if ho.fill.expectedShares != nil {
 		return ho.fill.expectedShares
@@ -125,7 +129,7 @@
 	return ho.fill.expectedShares
 }
 
-// noteEnded keeps the share of a filler that is taken off the worker.
+// recordEndedFiller records the share of a filler that is removed from the worker.
 func (ho *host) recordEndedFiller(at *attempt, now time.Time) {
 	ho.fill.invalidate()
 	if at.step().Filler && !at.launched.IsZero() {
@@ -133,7 +137,8 @@
 	}
 }
 
-// measure learns from the figures of a look and sets the pace of fillers.
+// measure updates the model from the usage reported by a poll, at most once per half usage
+// window, and adjusts the paces of fillers.
 func (ho *host) measure(got time.Time) {
 	fi := &ho.fill
 	if got.Sub(fi.measuredAt) < usageWindow/2 {
@@ -152,7 +157,7 @@
 	ho.adjustPaces(got)
 }
 
-// lookAhead is how far ahead of the figures control looks.
+// predictionHorizon returns how far ahead control predicts the load.
 func (ow *Owner) predictionHorizon() time.Duration {
 	if !ow.uses(MechTrend) {
 		return 0
@@ -160,8 +165,8 @@
 	return predictAhead
 }
 
-// excess is by how much a service's headroom is expected to be short of that at
-// the wanted part of its target, with the fillers as ordered.
+// excess returns by how much a service's headroom is predicted to fall short of the
+// headroom at the given part of its target, with the fillers at their ordered paces.
 func (ho *host) excess(at *attempt, part float64) float64 {
 	left := at.replica.Alone(time.Now().Add(ho.ow.predictionHorizon())) - ho.ow.model.Load(at.step().Image, ho.expectedShares())
 	return 1/part - left
