--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -31,8 +31,8 @@
 	// obstacleIsolation: it is suspected of crashing workers and waits for a worker where
 	// it runs alone, or apart from other such tasks.
 	obstacleIsolation obstacle = "trial"
-	// obstacleCapacity, obstaclePlacement, obstacleOrder and obstacleStore correspond to
-	// the Cause of the same value.
+	// obstacleCapacity, obstaclePlacement, obstacleOrder and obstacleStore are the texts of
+	// the corresponding values of Cause.
 	obstacleCapacity  obstacle = "room"
 	obstaclePlacement obstacle = "place"
 	obstacleOrder     obstacle = "order"
