--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -71,7 +71,8 @@
 	return true
 }
 
-// best returns the worker with the highest score, or nil if none can take a task.
+// best returns the worker with the highest score, or nil if none can take a task. If there
+// is one, the task waits only for its launch order, so the cause becomes CauseOrder.
 func (ra *ranking) best() *candidate {
 	if len(ra.heap) == 0 {
 		return nil
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -139,7 +139,7 @@
 
 // countObstacles counts the job's waiting tasks by obstacle.
 func (en *entry) countObstacles(counts map[obstacle]int, now time.Time) {
-	lack := obstacle(en.cause(en.ow.storeDown()).String())
+	cause := obstacle(en.cause(en.ow.storeDown()).String())
 	for step, tasks := range en.jo.Tasks {
 		if !en.jo.Ready(step) {
 			continue
@@ -154,7 +154,7 @@
 			case tasks[index].Suspect():
 				counts[obstacleIsolation]++
 			default:
-				counts[lack]++
+				counts[cause]++
 			}
 		}
 	}
