--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -163,7 +163,7 @@
 			for _, over := range ca.overfilled() {
 				rt.Errorf("started over the capacity of its worker: %s", over)
 			}
-			for _, problem := range ca.problems() {
+			for _, problem := range ca.runProblems() {
 				rt.Error(problem)
 			}
 		})
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -10,17 +10,13 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestLinesOnRoomSayWhatHoldsIt is the story of services that waited for room while
-// users saw twice the room that they need.
-//
-// Users saw a service run nowhere for 16 s. Order of events: its task failed just as the
-// owner stopped as planned; three owners followed each other; each wrote that it waits for
-// room. The log could not tell which room the owner saw, nor what held the rest of it.
-//
-// Evidence: lines with no more than the word "room", from owners that had workers which
-// they may not use beside full ones.
+// TestLogOfMissingCapacityNamesItsCause has a task wait for capacity while one worker is
+// full and the other, which has enough, is quarantined. The log line must name both: when a
+// service had run nowhere for 16 s although there was twice the capacity that it needed,
+// the log said no more than "room", and could tell neither what capacity the owner saw nor
+// what took the rest of it.
 func TestLogOfMissingCapacityNamesItsCause(t *testing.T) {
-	waits := `msg="lasting tasks wait"`
+	waitLine := `msg="lasting tasks wait"`
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		ow := la.withLasting(2*16 - 1)
@@ -33,50 +29,50 @@
 		sp.Steps[0].Each = worker.Resources{MilliCores: 1000, MemMB: 1000}
 		la.submit(ow, 2, sp)
 		time.Sleep(1500 * time.Millisecond)
-		told := li.with(waits, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
+		logged := li.with(waitLine, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
 			"best="+full.Addr.Incarnation.String(), "free_millicores=0", "free_mem_mb=64000", "passing_millicores=0", "stopping_millicores=0", "attempts=16")
-		qt.Assert(t, told, qt.HasLen, 1)
+		qt.Assert(t, logged, qt.HasLen, 1)
 	})
 }
 
-// TestRoomThatIsKeptIsTold has a task wait that finds room only beside one of its own step,
-// where it may not stand, and then only where room is kept: the lines say so.
+// TestLogNamesSpreadAndEarmarkedWorkers has a task wait whose only worker already runs one
+// of its step, and then has its capacity earmarked: the log lines name these reasons.
 func TestLogNamesSpreadAndEarmarkedWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(15)
-		apart := lasting(2)
-		apart.Steps[0].Each = worker.Resources{MilliCores: 500, MemMB: 500}
-		apart.Steps[0].MaxPerWorker = 1
-		la.submit(ow, 2, apart)
+		spread := lasting(2)
+		spread.Steps[0].Each = worker.Resources{MilliCores: 500, MemMB: 500}
+		spread.Steps[0].MaxPerWorker = 1
+		la.submit(ow, 2, spread)
 		time.Sleep(1500 * time.Millisecond)
-		waits := `msg="lasting tasks wait"`
-		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
+		waitLine := `msg="lasting tasks wait"`
+		qt.Assert(t, li.with(waitLine, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
 		ow.post(func() {
 			ow.onlyLife("i-0").keptIn = ow.rounds
 			ow.entries[jobID(2)].timeBreakdown.tell = 0
 			ow.account(time.Now())
 		})
 		synctest.Wait()
-		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
+		qt.Assert(t, li.with(waitLine, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
 	})
 }
 
-// TestScarcityIsTold has 16 of 20 tasks that last find room: once a second a line says how
-// many wait, and what room there is in all.
+// TestEndlessDemandIsLogged has 16 of 20 endless tasks fit: once a second a log line tells
+// how many wait, and what capacity there is in total.
 func TestEndlessDemandIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(16)
 		la.submit(ow, 2, lasting(4))
 		time.Sleep(3500 * time.Millisecond)
-		told := li.with(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
-		qt.Assert(t, told, qt.HasLen, 3)
+		logged := li.with(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
+		qt.Assert(t, logged, qt.HasLen, 3)
 	})
 }
 
-// TestRestsAreNotToldAsLackOfRoom has a task that fails whenever it starts: once it rests
-// between its starts, lines say so.
+// TestBackoffIsNotLoggedAsLackOfCapacity has a task that fails whenever it starts: the log
+// lines name the backoff between its starts as the cause, not a lack of capacity.
 func TestBackoffIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
@@ -86,15 +82,16 @@
 		time.Sleep(time.Second)
 		la.submit(ow, 1, lasting(1))
 		time.Sleep(20 * time.Second)
-		waits := `msg="lasting tasks wait"`
-		qt.Assert(t, len(li.with(waits, "for=rest")) > 0, qt.IsTrue)
-		qt.Assert(t, li.with(waits, "for=room"), qt.HasLen, 0)
-		qt.Assert(t, li.with(waits, "for=order"), qt.HasLen, 0)
+		waitLine := `msg="lasting tasks wait"`
+		qt.Assert(t, len(li.with(waitLine, "for=rest")) > 0, qt.IsTrue)
+		qt.Assert(t, li.with(waitLine, "for=room"), qt.HasLen, 0)
+		qt.Assert(t, li.with(waitLine, "for=order"), qt.HasLen, 0)
 	})
 }
 
-// TestStartsThatWaitForOthersAreNotToldAsLackOfRoom has as many starts under way as may
-// be: tasks behind them wait for orders, also where their job found no room before.
+// TestFullLaunchWindowIsNotLoggedAsLackOfCapacity has as many launches under way as the
+// window allows: tasks behind them wait for orders, also if their job found no capacity
+// before.
 func TestFullLaunchWindowIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
@@ -103,7 +100,7 @@
 		time.Sleep(500 * time.Millisecond)
 		ow.post(func() { ow.window.inFlight = ow.window.limit(); ow.place() })
 		time.Sleep(time.Second)
-		waits := `msg="lasting tasks wait"`
-		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=order"), qt.HasLen, 1)
+		waitLine := `msg="lasting tasks wait"`
+		qt.Assert(t, li.with(waitLine, "job="+jobID(2), "for=order"), qt.HasLen, 1)
 	})
 }
--- a/internal/sched/successiveowners_test.go
+++ b/internal/sched/successiveowners_test.go
@@ -282,7 +282,7 @@
 						lose.fn(cr, first, fw)
 					}
 					time.Sleep(25 * time.Second)
-					cr.assertNothingTwice()
+					cr.assertRunsConsistent()
 					cr.assertRunning(4)
 				})
 			}
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -46,7 +46,7 @@
 				time.Sleep(20 * time.Second)
 				qt.Check(t, cr.state(ow, 1), qt.Equals, job.Running)
 				cr.assertRunning(12)
-				cr.assertNothingTwice()
+				cr.assertRunsConsistent()
 			})
 		})
 	}
@@ -151,7 +151,7 @@
 			if state := cr.state(ow, 1); state != job.Running {
 				rt.Errorf("the job is %s", state)
 			}
-			for _, problem := range cr.problems() {
+			for _, problem := range cr.runProblems() {
 				rt.Error(problem)
 			}
 		})
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -96,7 +96,7 @@
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
 		qt.Check(t, la.runningAt("i-0")+la.runningAt("i-1")+la.runningAt("i-2")+la.runningAt("i-3") >= 24, qt.IsTrue)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -130,7 +130,7 @@
 				qt.Check(t, ru.Worker, qt.Not(qt.Equals), lost.Addr.Incarnation)
 			}
 		}
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -186,7 +186,7 @@
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(10 * time.Second)
 		qt.Check(t, la.ends(), qt.DeepEquals, map[string]int{"done": 8})
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
@@ -318,7 +318,7 @@
 			for _, ru := range la.fleet.Runs() {
 				qt.Check(t, ru.Worker.ID == "i-0" && !ru.From.Before(removedAt), qt.IsFalse, qt.Commentf("%s, %v after", ru.Task, ru.From.Sub(removedAt)))
 			}
-			la.assertNothingTwice()
+			la.assertRunsConsistent()
 		})
 	}
 }
