--- a/internal/dev/jobs.go
+++ b/internal/dev/jobs.go
@@ -99,12 +99,12 @@
 }
 
 // listed are the workers as the owner is told of them.
-func (ya *yard) listed() []sched.Listed {
+func (ya *yard) listed() []sched.WorkerEntry {
 	ya.mu.Lock()
 	defer ya.mu.Unlock()
-	var list []sched.Listed
+	var list []sched.WorkerEntry
 	for i, fw := range ya.crew {
-		list = append(list, sched.Listed{Addr: fw.Addr, Service: service, Rack: fmt.Sprintf("r%d", i/workersRack+1), Holds: fw.Holds})
+		list = append(list, sched.WorkerEntry{Addr: fw.Addr, Service: service, Rack: fmt.Sprintf("r%d", i/workersRack+1), Capacity: fw.Holds})
 	}
 	return list
 }
--- a/internal/door/narrow_test.go
+++ b/internal/door/narrow_test.go
@@ -91,7 +91,7 @@
 type plain struct {
 	table    standin.Table
 	fleet    standin.Fleet
-	listed   []sched.Listed
+	listed   []sched.WorkerEntry
 	stations []*station
 	log      *slog.Logger
 
@@ -248,7 +248,7 @@
 			Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000},
 		}
 		pl.fleet.Add(fw)
-		pl.listed = append(pl.listed, sched.Listed{Addr: fw.Addr, Service: "routedesk", Rack: "r1", Labels: []string{"a", "r1"}, Holds: fw.Holds})
+		pl.listed = append(pl.listed, sched.WorkerEntry{Addr: fw.Addr, Service: "routedesk", Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Holds})
 	}
 	for i := range hosts {
 		st := &station{to: pl, name: fmt.Sprint("e", i), out: newPipe(rate), in: newPipe(rate)}
--- a/internal/jobhost/cell.go
+++ b/internal/jobhost/cell.go
@@ -31,7 +31,7 @@
 	workers := &watch.Watch{Table: ho.table, Name: platform.WorkerTable, Under: platform.WorkerPrefix, Log: ho.log}
 	ow := sched.New(&sched.Owner{
 		Cell: cellName, Tenure: te, Table: ho.table, Agent: po.Agent(), Without: ho.Without, Metrics: ho.metrics, Log: ho.log,
-		ViaFunc:     func(li sched.Listed) string { return po.Via(li.Incarnation.String(), li.DataCentre) },
+		ViaFunc:     func(li sched.WorkerEntry) string { return po.Via(li.Incarnation.String(), li.DataCentre) },
 		DroppedFunc: func(in worker.Incarnation) { po.Drop(in.String()) },
 		ListFunc:    workers.Contact,
 		Limits:      sched.Limits{MaxLease: millis(se.MaxLeaseMS), StopTime: millis(se.StopMS), HarmAfter: millis(se.HarmMS), KeepEnded: seconds(se.KeepEndedS)},
@@ -89,7 +89,7 @@
 }
 
 func (ho *Host) onWorkers(ow *sched.Owner, po *relay.Pool, rows []store.FeedRow, whole bool) {
-	var listed []sched.Listed
+	var listed []sched.WorkerEntry
 	var names, gone []string
 	for _, row := range rows {
 		if row.Gone {
@@ -100,7 +100,7 @@
 		if err != nil {
 			// Its row is there all the same: it has not left.
 			ho.log.Error("worker's row cannot be read", "err", err)
-			listed = append(listed, sched.Listed{Addr: worker.Addr{Incarnation: worker.Incarnation{ID: platform.WorkerID(row.Key)}}, Unread: true})
+			listed = append(listed, sched.WorkerEntry{Addr: worker.Addr{Incarnation: worker.Incarnation{ID: platform.WorkerID(row.Key)}}, Undecodable: true})
 			continue
 		}
 		listed = append(listed, li)
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -143,7 +143,7 @@
 }
 
 // workers enters the workers and returns the list of them.
-func (pl *play) workers() []sched.Listed {
+func (pl *play) workers() []sched.WorkerEntry {
 	mi := &pl.day.mix
 	for i := range mi.Workers {
 		holds := worker.Resources{MilliCores: mi.MilliCores, MemMB: mi.MemMB}
@@ -155,7 +155,7 @@
 		pl.fleet.Add(fw)
 		pl.crew, pl.racks = append(pl.crew, fw), append(pl.racks, fmt.Sprintf("r%d", i/8))
 	}
-	list := make([]sched.Listed, len(pl.crew))
+	list := make([]sched.WorkerEntry, len(pl.crew))
 	for i := range list {
 		list[i] = pl.entry(i)
 	}
@@ -163,9 +163,9 @@
 }
 
 // entry is a worker as it is listed.
-func (pl *play) entry(i int) sched.Listed {
+func (pl *play) entry(i int) sched.WorkerEntry {
 	fw, rack := pl.crew[i], pl.racks[i]
-	return sched.Listed{Addr: fw.Addr, Service: service, Rack: rack, Labels: []string{"a", rack}, Holds: fw.Holds}
+	return sched.WorkerEntry{Addr: fw.Addr, Service: service, Rack: rack, Labels: []string{"a", rack}, Capacity: fw.Holds}
 }
 
 // restarts has workers restart until ctx ends.
@@ -194,7 +194,7 @@
 		defer pl.mu.Unlock()
 		if pl.crew[i] == fw {
 			pl.crew[i] = pl.fleet.Restart(fw, fw.Addr.HostPort, 0)
-			ow.SetWorkers([]sched.Listed{pl.entry(i)}, nil, false)
+			ow.SetWorkers([]sched.WorkerEntry{pl.entry(i)}, nil, false)
 		}
 	})
 }
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -70,7 +70,7 @@
 	list := ca.listed()
 	for i := range list {
 		said := ca.said[list[i].Incarnation]
-		list[i].Holds = said[len(said)-1].holds
+		list[i].Capacity = said[len(said)-1].holds
 	}
 	ca.ow.SetWorkers(list, nil, true)
 }
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -200,7 +200,7 @@
 				leaving := la.listed()[i]
 				leaving.Draining, leaving.Remaining = true, time.Minute
 				if drains {
-					ow.SetWorkers([]Listed{leaving}, nil, false)
+					ow.SetWorkers([]WorkerEntry{leaving}, nil, false)
 				} else {
 					ow.SetWorkers(nil, []string{leaving.Incarnation.ID}, false)
 				}
@@ -211,7 +211,7 @@
 					time.Sleep(1100 * time.Millisecond)
 				}
 				_, now := la.nextLife(i)
-				ow.SetWorkers([]Listed{now}, nil, false)
+				ow.SetWorkers([]WorkerEntry{now}, nil, false)
 				time.Sleep(time.Second)
 			}
 			time.Sleep(6 * time.Second)
@@ -273,7 +273,7 @@
 		time.Sleep(4 * time.Second)
 		silent.Store(nil)
 		_, now := la.nextLife(i)
-		ow.SetWorkers([]Listed{now}, nil, false)
+		ow.SetWorkers([]WorkerEntry{now}, nil, false)
 		time.Sleep(6 * time.Second)
 		qt.Check(t, li.with("end=lost"), qt.HasLen, 1)
 		qt.Check(t, li.with("end=crashed"), qt.HasLen, 0)
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -43,7 +43,7 @@
 	end   context.CancelFunc
 	lives int
 	// entries has the list of workers: those of dead ones stay for a while.
-	entries map[worker.Incarnation]Listed
+	entries map[worker.Incarnation]WorkerEntry
 	// killed counts the workers that tasks crashed.
 	killed int
 	// down are workers that are not back yet.
@@ -52,7 +52,7 @@
 
 func newCrashes(t *testing.T, la *lab) *crashes {
 	t.Helper()
-	cr := &crashes{lab: la, stays: entryStays, back: backAfter, entries: map[worker.Incarnation]Listed{}, down: map[*standin.FleetWorker]bool{}}
+	cr := &crashes{lab: la, stays: entryStays, back: backAfter, entries: map[worker.Incarnation]WorkerEntry{}, down: map[*standin.FleetWorker]bool{}}
 	for _, li := range la.listed() {
 		cr.entries[li.Incarnation] = li
 	}
@@ -90,7 +90,7 @@
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	cr.ow, cr.end = ow, end
-	var list []Listed
+	var list []WorkerEntry
 	for _, li := range cr.entries {
 		list = append(list, li)
 	}
@@ -99,7 +99,7 @@
 }
 
 // list changes the list of workers and tells the owner.
-func (cr *crashes) list(li Listed, gone bool) {
+func (cr *crashes) list(li WorkerEntry, gone bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if gone {
@@ -108,7 +108,7 @@
 		return
 	}
 	cr.entries[li.Incarnation] = li
-	cr.ow.SetWorkers([]Listed{li}, nil, false)
+	cr.ow.SetWorkers([]WorkerEntry{li}, nil, false)
 }
 
 // crash ends a worker by nobody's doing.
@@ -131,7 +131,7 @@
 }
 
 // rise has another process listen at a worker's address.
-func (cr *crashes) rise(fw *standin.FleetWorker, was Listed) {
+func (cr *crashes) rise(fw *standin.FleetWorker, was WorkerEntry) {
 	cr.mu.Lock()
 	cr.lives++
 	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", cr.lives)}}, Holds: fw.Holds}
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -13,7 +13,7 @@
 // just listed, or under its id. Which of them lives only an answer can tell: the entry of one
 // that crashed stays for three heartbeats, and may be written once more after that of the
 // next.
-func (ow *Owner) askOthers(li Listed) {
+func (ow *Owner) askOthers(li WorkerEntry) {
 	for _, other := range ow.others(li.Addr) {
 		ow.Log.Info("another process is listed at a worker's address or under its id", "worker", other.incarnation, "addr", li.HostPort, "other", li.Incarnation,
 			"heard", other.quietFor(time.Now()))
--- a/internal/sched/disturb.go
+++ b/internal/sched/disturb.go
@@ -10,7 +10,7 @@
 // disturbs rates how much a filler would disturb the services on a worker, and
 // by how much headroom would be short of the wanted one through it.
 func (ca *candidate) disturbs(st *job.Step) (sum, over float64) {
-	part := share(st.Each.MilliCores, ca.ho.Holds.MilliCores)
+	part := share(st.Each.MilliCores, ca.ho.Capacity.MilliCores)
 	for _, se := range ca.services() {
 		drop := ca.ho.ow.model.Drop(interfere.Pair{Service: se.image, Filler: st.Image}) * part
 		sum += drop * float64(se.count)
--- a/internal/sched/expect.go
+++ b/internal/sched/expect.go
@@ -64,7 +64,7 @@
 	for _, ho := range ow.sortedHosts() {
 		ho.promised, ho.awaited = worker.Resources{}, false
 		if ho.well(now) {
-			rooms = append(rooms, promisedRoom{ca: newCandidate(ho, now), left: ho.Holds.Without(ho.reserved).With(ho.passing)})
+			rooms = append(rooms, promisedRoom{ca: newCandidate(ho, now), left: ho.Capacity.Without(ho.reserved).With(ho.passing)})
 		}
 	}
 	slices.SortFunc(list, func(a, b expectation) int {
@@ -120,7 +120,7 @@
 	}
 	if roomiest != nil {
 		roomiest.spent = true
-		roomiest.ca.ho.promised = roomiest.ca.ho.Holds
+		roomiest.ca.ho.promised = roomiest.ca.ho.Capacity
 	}
 	return nil
 }
--- a/internal/sched/figures.go
+++ b/internal/sched/figures.go
@@ -64,7 +64,7 @@
 // fullShare is the share of the worker's processors that a filler uses at full
 // speed.
 func (at *attempt) fullShare() float64 {
-	declared := share(at.step().Each.MilliCores, at.ho.Holds.MilliCores)
+	declared := share(at.step().Each.MilliCores, at.ho.Capacity.MilliCores)
 	if at.uses == 0 {
 		return declared
 	}
@@ -99,7 +99,7 @@
 		}
 		at.seeUsage(now)
 		if at.usage > 0 {
-			sh[at.step().Image] += share(at.usage, ho.Holds.MilliCores)
+			sh[at.step().Image] += share(at.usage, ho.Capacity.MilliCores)
 		}
 	}
 	for _, ef := range ho.fill.ended {
--- a/internal/sched/formerlife_test.go
+++ b/internal/sched/formerlife_test.go
@@ -16,7 +16,7 @@
 
 // nextLife ends a worker's process and has another listen at its address. It returns the
 // entries of both.
-func (la *lab) nextLife(i int) (was, now Listed) {
+func (la *lab) nextLife(i int) (was, now WorkerEntry) {
 	was = la.listed()[i]
 	fw := la.crew[i]
 	la.fleet.Kill(fw)
@@ -47,14 +47,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := lastingLab(t, 3, 12)
 		was, now := la.nextLife(0)
-		ow.SetWorkers([]Listed{now}, nil, false)
+		ow.SetWorkers([]WorkerEntry{now}, nil, false)
 		time.Sleep(time.Second)
 		la.submit(ow, 2, lasting(12))
 		time.Sleep(time.Second)
 		la.assertRunning(24)
 		for range 3 {
 			ow.SetWorkers(nil, []string{was.Incarnation.ID}, false)
-			ow.SetWorkers([]Listed{was}, nil, false)
+			ow.SetWorkers([]WorkerEntry{was}, nil, false)
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
@@ -75,7 +75,7 @@
 			la.submit(ow, 1, lasting(12))
 			time.Sleep(time.Second)
 			_, now := la.nextLife(0)
-			ow.SetWorkers([]Listed{now}, nil, false)
+			ow.SetWorkers([]WorkerEntry{now}, nil, false)
 			time.Sleep(time.Second)
 			la.submit(ow, 2, lasting(12))
 			time.Sleep(time.Second)
@@ -119,7 +119,7 @@
 		hung.Store(true)
 		_, now := la.nextLife(0)
 		time.Sleep(time.Second)
-		ow.SetWorkers([]Listed{now}, nil, false)
+		ow.SetWorkers([]WorkerEntry{now}, nil, false)
 		time.Sleep(300 * time.Millisecond)
 		la.assertRunning(12)
 	})
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -12,14 +12,14 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Listed is a worker as the platform's list has it.
-type Listed struct {
+// WorkerEntry is a worker as the platform's list has it.
+type WorkerEntry struct {
 	// Addr is where it listens, and which life it is.
 	worker.Addr
 
-	// Unread is set if the list has it and nothing else is known: a worker that was
+	// Undecodable is set if the list has it and nothing else is known: a worker that was
 	// known stays as it was, and no other is entered.
-	Unread bool
+	Undecodable bool
 	// Service is what it belongs to, DataCentre where it is.
 	Service    string
 	DataCentre string
@@ -27,8 +27,8 @@
 	Labels []string
 	// Rack is where its machine stands.
 	Rack string
-	// Holds is what it has.
-	Holds worker.Resources
+	// Capacity is what it has.
+	Capacity worker.Resources
 	// Draining workers get nothing new, and leave after Remaining at the
 	// earliest.
 	Draining  bool
@@ -37,7 +37,7 @@
 
 // host is a worker of the cell.
 type host struct {
-	Listed
+	WorkerEntry
 
 	ow *Owner
 	// way is how it is reached now. Orders on their way read it from any
@@ -120,13 +120,13 @@
 
 // SetWorkers takes in rows of the platform's list of workers. If whole is set
 // they are all there are.
-func (ow *Owner) SetWorkers(listed []Listed, gone []string, whole bool) {
+func (ow *Owner) SetWorkers(listed []WorkerEntry, gone []string, whole bool) {
 	ow.post(func() { ow.setWorkers(listed, gone, whole) })
 }
 
-func (ow *Owner) setWorkers(listed []Listed, gone []string, whole bool) {
+func (ow *Owner) setWorkers(listed []WorkerEntry, gone []string, whole bool) {
 	for _, li := range listed {
-		if li.Unread {
+		if li.Undecodable {
 			ow.keepWorker(li.Incarnation.ID)
 			continue
 		}
@@ -157,7 +157,7 @@
 }
 
 // seeWorker enters or updates a worker.
-func (ow *Owner) seeWorker(li Listed) {
+func (ow *Owner) seeWorker(li WorkerEntry) {
 	ho := ow.listedHost(li)
 	if ho == nil {
 		ow.askOthers(li)
@@ -172,23 +172,23 @@
 }
 
 // update takes in what the worker's entry says now.
-func (ho *host) update(li Listed) {
+func (ho *host) update(li WorkerEntry) {
 	if ho.Draining != li.Draining || ho.gone {
 		ho.ow.Log.Info("worker changed", "worker", ho.incarnation, "draining", li.Draining, "listed", true)
 	}
 	if li.Draining && !ho.Draining {
 		ho.leaves = time.Now().Add(li.Remaining)
 	}
-	ho.Listed, ho.gone, ho.emptied = li, false, false
+	ho.WorkerEntry, ho.gone, ho.emptied = li, false, false
 }
 
 // enter enters a worker that was not known.
-func (ow *Owner) enter(li Listed) *host {
+func (ow *Owner) enter(li WorkerEntry) *host {
 	ow.Log.Info("worker seen", "worker", li.Incarnation, "addr", li.HostPort, "service", li.Service, "rack", li.Rack,
-		"millicores", li.Holds.MilliCores, "mem_mb", li.Holds.MemMB, "draining", li.Draining)
+		"millicores", li.Capacity.MilliCores, "mem_mb", li.Capacity.MemMB, "draining", li.Draining)
 	ctx, stop := context.WithCancel(ow.ctx)
 	ho := &host{
-		Listed: li, ow: ow, incarnation: li.Incarnation, stop: stop, release: make(chan struct{}, 1), rerouted: make(chan struct{}, 1),
+		WorkerEntry: li, ow: ow, incarnation: li.Incarnation, stop: stop, release: make(chan struct{}, 1), rerouted: make(chan struct{}, 1),
 		entered: time.Now(), attempts: map[*attempt]bool{}, failedJobs: map[string]bool{},
 	}
 	ho.leaves = time.Now().Add(li.Remaining)
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -30,7 +30,7 @@
 	fleet standin.Fleet
 	crew  []*standin.FleetWorker
 	// former are the entries of processes that ended, in their order.
-	former []Listed
+	former []WorkerEntry
 	epoch  int64
 	// specs are the jobs handed in, by id.
 	mu    sync.Mutex
@@ -86,7 +86,7 @@
 	return la.fleet.Agent()
 }
 
-func (la *lab) viaNow(li Listed) string {
+func (la *lab) viaNow(li WorkerEntry) string {
 	if via, ok := la.viaOf[li.Incarnation.ID]; ok {
 		return via
 	}
@@ -112,10 +112,10 @@
 	la.crew = append(la.crew, fw)
 }
 
-func (la *lab) listed() []Listed {
-	var list []Listed
+func (la *lab) listed() []WorkerEntry {
+	var list []WorkerEntry
 	for _, fw := range la.crew {
-		list = append(list, Listed{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Holds: fw.Holds})
+		list = append(list, WorkerEntry{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Holds})
 	}
 	return list
 }
--- a/internal/sched/nextlife.go
+++ b/internal/sched/nextlife.go
@@ -22,7 +22,7 @@
 
 // listedHost returns the worker that an entry is of, or nil. An entry that does not tell
 // when the process started is of the one life that is known.
-func (ow *Owner) listedHost(li Listed) *host {
+func (ow *Owner) listedHost(li WorkerEntry) *host {
 	if ho := ow.hosts[li.Incarnation]; ho != nil || li.Incarnation.Born != 0 {
 		return ho
 	}
@@ -97,12 +97,12 @@
 // enterNext enters a life that answered before its entry was seen. That entry tells what it
 // holds, so until then it gets nothing new.
 func (ho *host) enterNext(answered worker.Incarnation) *host {
-	li := ho.Listed
+	li := ho.WorkerEntry
 	li.Incarnation = answered
 	next := ho.ow.enter(li)
-	next.Listed.Incarnation = ho.Listed.Incarnation
+	next.WorkerEntry.Incarnation = ho.WorkerEntry.Incarnation
 	next.gone, next.goneAt = ho.gone, ho.goneAt
-	if ho.Listed.Incarnation.Born != 0 && !ho.gone {
+	if ho.WorkerEntry.Incarnation.Born != 0 && !ho.gone {
 		next.gone, next.goneAt = true, time.Now()
 	}
 	return next
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -60,7 +60,7 @@
 	// ViaFunc names the entry host through which a worker is to be reached, empty
 	// for directly, and DroppedFunc tells that a worker is not reached any more.
 	// Both may be nil.
-	ViaFunc     func(Listed) string
+	ViaFunc     func(WorkerEntry) string
 	DroppedFunc func(worker.Incarnation)
 	// ListFunc returns when the list of workers was last known to be true, and since
 	// when it has been read without an error. If nil it always is.
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -30,7 +30,7 @@
 	ag := worker.Agent{PaceFunc: func(context.Context, worker.Addr, worker.Pace) (worker.Ack, error) { return worker.Ack{}, nil }}
 	ow := New(&Owner{Log: slog.New(slog.DiscardHandler), Agent: ag, Limits: Limits{HarmAfter: 4 * time.Second}})
 	ow.ctx = t.Context()
-	ho := &host{Listed: Listed{Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
+	ho := &host{WorkerEntry: WorkerEntry{Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
 	sh := &shop{t: t, ho: ho}
 	sh.service = sh.put(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: "s"})
 	for i := range fillers {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -69,7 +69,7 @@
 		ca.index, ca.kept = len(pl.hosts), ho.awaited
 		pl.hosts = append(pl.hosts, ca)
 		reserved += ho.reserved.MilliCores
-		holds += ho.Holds.MilliCores
+		holds += ho.Capacity.MilliCores
 	}
 	pl.patience = patience(share(reserved, holds))
 	return pl
@@ -93,7 +93,7 @@
 }
 
 func newCandidate(ho *host, now time.Time) *candidate {
-	return &candidate{ho: ho, free: ho.Holds.Without(ho.reserved), idle: ho.Holds.MilliCores - ho.inUse, stubborn: ho.stubborn(now)}
+	return &candidate{ho: ho, free: ho.Capacity.Without(ho.reserved), idle: ho.Capacity.MilliCores - ho.inUse, stubborn: ho.stubborn(now)}
 }
 
 // likelyUse is the processor time that a task of the step is likely to use, in
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -26,7 +26,7 @@
 // emptyHost is a worker of 32 cores with nothing on it.
 func emptyHost(ow *Owner, name string) *host {
 	ho := &host{
-		Listed: Listed{Service: testService, Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
+		WorkerEntry: WorkerEntry{Service: testService, Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
 		ow:     ow, incarnation: worker.Incarnation{ID: name}, settled: true, attempts: map[*attempt]bool{},
 	}
 	ow.hosts[ho.incarnation] = ho
@@ -67,7 +67,7 @@
 		ow := idleOwner(t)
 		mixed, empty := emptyHost(ow, "mixed"), emptyHost(ow, "empty")
 		for _, ho := range []*host{mixed, empty} {
-			ho.Holds = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
+			ho.Capacity = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
 		}
 		stranger := addJob(ow, 1, serviceStep(1, "other"))
 		mixed.put(&attempt{ho: mixed, en: stranger, number: 1})
@@ -142,7 +142,7 @@
 		ow := idleOwner(t)
 		emptyHost(ow, "empty")
 		fuller := emptyHost(ow, "fuller")
-		fuller.Holds = worker.Resources{MilliCores: 96_000, MemMB: 384_000}
+		fuller.Capacity = worker.Resources{MilliCores: 96_000, MemMB: 384_000}
 		fuller.reserved = worker.Resources{MilliCores: 56_000}
 		ca := ow.newPlacer().rank(addJob(ow, 1, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3000}}), 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "fuller")
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -146,14 +146,14 @@
 		was := dr.again(rapid.Bool().Draw(dr.rt, "elsewhere"))
 		dr.ow.SetWorkers(dr.listed(), nil, true)
 		time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 100, 1000}).Draw(dr.rt, "until")) * time.Millisecond)
-		dr.ow.SetWorkers([]Listed{was}, nil, false)
+		dr.ow.SetWorkers([]WorkerEntry{was}, nil, false)
 	}
 }
 
 // again has a worker's process start again under its id after a pause, at its address or
 // at another, and returns the entry of the one before. The clock that tells when it
 // started may have been set back.
-func (dr *drama) again(elsewhere bool) Listed {
+func (dr *drama) again(elsewhere bool) WorkerEntry {
 	i := rapid.IntRange(0, len(dr.crew)-1).Draw(dr.rt, "worker")
 	was, fw := dr.listed()[i], dr.crew[i]
 	dr.fleet.Kill(fw)
--- a/internal/sched/rate.go
+++ b/internal/sched/rate.go
@@ -7,10 +7,10 @@
 // large tasks find room elsewhere, and workers without services are left to
 // fillers that would disturb any.
 func (ca *candidate) score(en *entry, st *job.Step) float64 {
-	score := -share(ca.free.MilliCores, ca.ho.Holds.MilliCores)
+	score := -share(ca.free.MilliCores, ca.ho.Capacity.MilliCores)
 	if st.Filler {
 		sum, over := ca.disturbs(st)
-		score = share(ca.idle, ca.ho.Holds.MilliCores) - disturbWeight*sum - overWeight*over
+		score = share(ca.idle, ca.ho.Capacity.MilliCores) - disturbWeight*sum - overWeight*over
 	}
 	if st.Endless && st.Image != "" {
 		score += ca.kinship(en, st.Image)
--- a/internal/sched/scarce.go
+++ b/internal/sched/scarce.go
@@ -52,7 +52,7 @@
 		if ho.bar(now) != "" {
 			continue
 		}
-		free := max(ho.Holds.MilliCores-ho.reserved.MilliCores, 0)
+		free := max(ho.Capacity.MilliCores-ho.reserved.MilliCores, 0)
 		sc.workers++
 		sc.free += free
 		sc.most = max(sc.most, free)
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -86,7 +86,7 @@
 	if sh.best == nil {
 		return append(list, slog.String("best", "none"))
 	}
-	free := sh.best.Holds.Without(sh.best.reserved)
+	free := sh.best.Capacity.Without(sh.best.reserved)
 	return append(list,
 		slog.String("best", sh.best.incarnation.String()),
 		slog.Int64("free_millicores", free.MilliCores), slog.Int64("free_mem_mb", free.MemMB),
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -105,7 +105,7 @@
 			barred[why]++
 			continue
 		}
-		held += ho.Holds.MilliCores
+		held += ho.Capacity.MilliCores
 		reserved += ho.reserved.MilliCores
 	}
 	return held, reserved, barred
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -96,7 +96,7 @@
 		ow.SetWorkers(nil, nil, true)
 		for _, li := range la.listed() {
 			time.Sleep(500 * time.Millisecond)
-			ow.SetWorkers([]Listed{li}, nil, false)
+			ow.SetWorkers([]WorkerEntry{li}, nil, false)
 		}
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
@@ -121,7 +121,7 @@
 		time.Sleep(2 * time.Second)
 		for _, li := range la.listed() {
 			if li.Incarnation != gone.Addr.Incarnation {
-				ow.SetWorkers([]Listed{li}, nil, false)
+				ow.SetWorkers([]WorkerEntry{li}, nil, false)
 			}
 		}
 		time.Sleep(6 * time.Second)
--- a/internal/sched/way.go
+++ b/internal/sched/way.go
@@ -18,7 +18,7 @@
 
 // firstWay returns the way to a worker that was just seen. It may have been seen
 // before, and forgotten.
-func (ow *Owner) firstWay(li Listed) *way {
+func (ow *Owner) firstWay(li WorkerEntry) *way {
 	addr := li.Addr
 	addr.Via = ow.via(li)
 	return &way{addr: addr, fence: ow.nextFence()}
@@ -30,7 +30,7 @@
 	return ow.Tenure.Epoch*waysPerEpoch + ow.ways
 }
 
-func (ow *Owner) via(li Listed) string {
+func (ow *Owner) via(li WorkerEntry) string {
 	if ow.ViaFunc == nil {
 		return ""
 	}
@@ -60,7 +60,7 @@
 // by the former one may be carried out until the worker hears of this; as with a
 // lost answer, what became of them is settled by the worker's word.
 func (ho *host) reroute() {
-	was, via := ho.wayNow(), ho.ow.via(ho.Listed)
+	was, via := ho.wayNow(), ho.ow.via(ho.WorkerEntry)
 	if via == was.addr.Via {
 		return
 	}
--- a/internal/sched/way_test.go
+++ b/internal/sched/way_test.go
@@ -58,7 +58,7 @@
 		qt.Assert(t, len(highest), qt.Equals, 4)
 		next := &Owner{Tenure: ow.Tenure}
 		next.Tenure.Epoch++
-		qt.Assert(t, next.firstWay(Listed{}).fence > ws.fences[len(ws.fences)-1], qt.IsTrue)
+		qt.Assert(t, next.firstWay(WorkerEntry{}).fence > ws.fences[len(ws.fences)-1], qt.IsTrue)
 	})
 }
 
