--- a/internal/sched/aside.go
+++ b/internal/sched/aside.go
@@ -8,10 +8,10 @@
 
 // judge keeps how a worker does, and sets it aside if it fails the tasks of
 // several jobs in a row.
-func (ho *host) judge(en *entry, how string) {
+func (ho *workerState) judge(en *entry, how string) {
 	switch how {
 	case "done":
-		ho.failures, ho.asides = 0, 0
+		ho.failures, ho.failureQuarantines = 0, 0
 		clear(ho.failedJobs)
 	case "failed":
 		ho.failures++
@@ -20,20 +20,20 @@
 	if ho.failures < asideFailures || len(ho.failedJobs) < asideJobs || !ho.ow.maySpare(ho) {
 		return
 	}
-	d := asideFirst << min(ho.asides, asideDoublings)
-	ho.failingUntil = time.Now().Add(d)
+	d := asideFirst << min(ho.failureQuarantines, asideDoublings)
+	ho.failureQuarantineUntil = time.Now().Add(d)
 	ho.tellAside(d, "fails tasks of several jobs")
-	ho.asides++
+	ho.failureQuarantines++
 	ho.failures = asideFailures - 1
 }
 
 // maySpare reports whether one more worker of a service may be set aside for failures.
 // Where more than a part of them fail the tasks of several jobs, it is the tasks that
 // fail.
-func (ow *Owner) maySpare(ho *host) bool {
+func (ow *Owner) maySpare(ho *workerState) bool {
 	now, all, spared := time.Now(), 0, 0
 	for _, other := range ow.hosts {
-		if other.Service != ho.Service || other.dead || other.gone {
+		if other.Service != ho.Service || other.dead || other.unlisted {
 			continue
 		}
 		all++
@@ -45,7 +45,7 @@
 }
 
 // fails reports whether the worker is set aside as it fails tasks.
-func (ho *host) fails(now time.Time) bool { return !now.After(ho.failingUntil) }
+func (ho *workerState) fails(now time.Time) bool { return !now.After(ho.failureQuarantineUntil) }
 
 // Setting workers aside.
 const (
@@ -68,16 +68,16 @@
 )
 
 // setAside keeps new work from the worker for a while.
-func (ho *host) setAside(d time.Duration, why string) {
+func (ho *workerState) setAside(d time.Duration, why string) {
 	until := time.Now().Add(d)
-	if until.Before(ho.asideUntil) {
+	if until.Before(ho.quarantinedUntil) {
 		return
 	}
-	ho.asideUntil = until
+	ho.quarantinedUntil = until
 	ho.tellAside(d, why)
 }
 
-func (ho *host) tellAside(d time.Duration, why string) {
+func (ho *workerState) tellAside(d time.Duration, why string) {
 	ho.ow.Log.Warn("worker set aside", "worker", ho.incarnation, "for", d, "failures", ho.failures, "why", why)
 }
 
--- a/internal/sched/aside_test.go
+++ b/internal/sched/aside_test.go
@@ -46,7 +46,7 @@
 		}
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(time.Second)
-		qt.Assert(t, li.with(`msg="attempt placed"`, jobID(1)), qt.HasLen, 1)
+		qt.Assert(t, li.matching(`msg="attempt placed"`, jobID(1)), qt.HasLen, 1)
 	})
 }
 
@@ -66,7 +66,7 @@
 		ow := la.withLasting(2*16 - 1)
 		ow.post(func() {
 			for _, ho := range ow.hosts {
-				ho.failures, ho.asides = asideFailures, asideDoublings
+				ho.failures, ho.failureQuarantines = asideFailures, asideDoublings
 				ho.failedJobs["other"] = true
 			}
 			for _, ho := range ow.hosts {
@@ -75,7 +75,7 @@
 				}
 			}
 		})
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(lastResortAfter / 2)
 		la.assertRunning(2*16 - 1)
 		time.Sleep(lastResortAfter)
@@ -98,9 +98,9 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		told := li.with(`msg="worker set aside"`)
+		told := li.matching(`msg="worker set aside"`)
 		qt.Assert(t, len(told) > 0, qt.IsTrue)
-		qt.Assert(t, li.with(`msg="worker set aside"`, "worker="+sick.String()), qt.HasLen, len(told))
-		qt.Assert(t, li.with(`msg="job time"`, "state=succeeded"), qt.HasLen, 20)
+		qt.Assert(t, li.matching(`msg="worker set aside"`, "worker="+sick.String()), qt.HasLen, len(told))
+		qt.Assert(t, li.matching(`msg="job time"`, "state=succeeded"), qt.HasLen, 20)
 	})
 }
--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -11,7 +11,7 @@
 type attempt struct {
 	ref    job.TaskRef
 	number int
-	ho     *host
+	ho     *workerState
 	// en is its job.
 	en *entry
 	// underWay is set from its placement to the answer to its order.
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -115,9 +115,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			ca := newCapacities(t, 1)
 			defer func() { ca.end() }()
-			ca.fleet.RunFunc = endless
+			ca.fleet.RunFunc = runUntilStopped
 			time.Sleep(time.Second)
-			ca.submit(ca.ow, 1, lasting(12))
+			ca.submit(ca.ow, 1, longRunning(12))
 			time.Sleep(time.Second)
 			ca.say(ca.crew[0], 16)
 			time.Sleep(time.Second)
@@ -125,7 +125,7 @@
 				ca.own()
 				time.Sleep(time.Second)
 			}
-			ca.submit(ca.ow, 2, lasting(4))
+			ca.submit(ca.ow, 2, longRunning(4))
 			time.Sleep(5 * time.Second)
 			ca.assertRunning(12)
 			ca.say(ca.crew[0], 32)
--- a/internal/sched/claims_test.go
+++ b/internal/sched/claims_test.go
@@ -34,12 +34,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		cr := &crowd{lab: newLab(t, 2), maxLease: 10 * time.Second}
 		defer cr.stop()
-		cr.fleet.RunFunc = endless
+		cr.fleet.RunFunc = runUntilStopped
 		first := cr.join("a", 0.8)
 		time.Sleep(time.Second)
 		cr.join("b", 0.8)
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(first.ow.Load(), 1, lasting(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cr.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(10 * time.Second)
 		cr.assertRunning(4)
 		first.set(func(co *contender) { co.dark = true })
@@ -59,22 +59,22 @@
 		owner, wo, next := drift.Draw(rt, "owner's clock"), drift.Draw(rt, "worker's clock"), drift.Draw(rt, "next owner's clock")
 		most := time.Duration(rapid.IntRange(1000, 20_000).Draw(rt, "longest lease ms")) * time.Millisecond
 		// In true time since the store last confirmed the owner.
-		told := time.Duration(rapid.Int64Range(0, int64(float64(quickest(tenure.ExtendFor))/owner)).Draw(rt, "told"))
+		told := time.Duration(rapid.Int64Range(0, int64(float64(minDriftDuration(tenure.ExtendFor))/owner)).Draw(rt, "told"))
 		read := told - time.Duration(rapid.Int64Range(0, int64(readingMost)).Draw(rt, "reading's age"))
 		claimed := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(rt, "claimed"))
 
 		by := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
 		began := time.Now()
-		ho := &host{clockMS: 1_000_000, clockAt: began}
-		earliest := ho.clockNow(began.Add(by(owner, told-read)))
-		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseFor(by(owner, told), most)
+		ho := &workerState{clockMS: 1_000_000, clockAt: began}
+		earliest := ho.earliestClock(began.Add(by(owner, told-read)))
+		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseDuration(by(owner, told), most)
 		ended := read + time.Duration(float64(left)/wo)
 
 		ow := &Owner{Limits: Limits{MaxLease: most}, opened: began}
 		ow.Tenure.Former.Bounded = true
 		ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
-		acts := claimed + time.Duration(float64(ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
-		if bound := claimed + time.Duration(float64(slowest(tenure.LeasesFor)+lapseMargin)/next); acts > bound {
+		acts := claimed + time.Duration(float64(ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
+		if bound := claimed + time.Duration(float64(maxDriftDuration(tenure.LeasesFor)+lapseMargin)/next); acts > bound {
 			rt.Errorf("the next owner acts at %v, later than %v", acts, bound)
 		}
 		if ended > acts {
@@ -85,7 +85,7 @@
 
 // readingMost is how old a worker's clock may be as an owner reckons with it: a look's wait
 // and its grace, and for how long leases are extended after one that failed.
-const readingMost = lookWait + lookGrace + extendSilent
+const readingMost = pollWait + pollGrace + extendUnresponsive
 
 // TestOwnersOfEarlierVersionsAreWaitedFor checks that the shorter wait is for owners that
 // keep to it, as are all before them.
@@ -93,7 +93,7 @@
 	began := time.Now()
 	ow := &Owner{Limits: Limits{MaxLease: 10 * time.Second}, opened: began}
 	ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
-	qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, tenure.ExtendFor+slowest(10*time.Second)+lapseMargin)
+	qt.Check(t, ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, tenure.ExtendFor+maxDriftDuration(10*time.Second)+lapseMargin)
 	ow.Tenure.Former.Bounded = true
-	qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, slowest(tenure.LeasesFor)+lapseMargin)
+	qt.Check(t, ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, maxDriftDuration(tenure.LeasesFor)+lapseMargin)
 }
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -21,9 +21,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// startsMost is how often a task that crashes its workers may be started, as the users
+// maxStarts is how often a task that crashes its workers may be started, as the users
 // state it: two times more after three workers have crashed under it.
-const startsMost = 5
+const maxStarts = 5
 
 // firstTask is the name of the first task of job 1.
 func firstTask() string {
@@ -46,8 +46,8 @@
 	for _, owners := range []string{"one owner", "an owner for each crash"} {
 		t.Run(owners, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cr, ow := startCrashes(t, newLab(t, 6), 1)
-				cr.submit(ow, 2, lasting(12))
+				cr, ow := startCrashLab(t, newLab(t, 6), 1)
+				cr.submit(ow, 2, longRunning(12))
 				time.Sleep(time.Second)
 				cr.submit(ow, 1, batch(1, 2))
 				for range 6 {
@@ -58,7 +58,7 @@
 					// As long as it takes to give up what stood on a worker that was never seen.
 					time.Sleep(16 * time.Second)
 				}
-				qt.Check(t, cr.starts(firstTask()) <= startsMost, qt.IsTrue, qt.Commentf("%d starts", cr.starts(firstTask())))
+				qt.Check(t, cr.starts(firstTask()) <= maxStarts, qt.IsTrue, qt.Commentf("%d starts", cr.starts(firstTask())))
 				qt.Check(t, cr.state(ow, 1), qt.Equals, job.Failed)
 				cr.assertRunning(12)
 			})
@@ -66,17 +66,17 @@
 	}
 }
 
-// TestCrashedWorkersComeBackElsewhere has the workers of a task that crashes them come back
+// TestCrashedWorkersRestartAtOtherAddresses has the workers of a task that crashes them come back
 // at other addresses, so that only their leases tell of their end.
-func TestCrashedWorkersComeBackElsewhere(t *testing.T) {
+func TestCrashedWorkersRestartAtOtherAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr := newCrashes(t, newLab(t, 6))
-		cr.elsewhere = true
-		cr.crashing(1)
+		cr := newCrashLab(t, newLab(t, 6))
+		cr.newAddress = true
+		cr.setCrashingJobs(1)
 		ow := cr.own()
 		defer func() { cr.end() }()
 		time.Sleep(time.Second)
-		cr.submit(ow, 2, lasting(12))
+		cr.submit(ow, 2, longRunning(12))
 		time.Sleep(time.Second)
 		cr.submit(ow, 1, batch(1, 2))
 		time.Sleep(80 * time.Second)
@@ -86,12 +86,12 @@
 	})
 }
 
-// TestLastingTaskThatCrashesItsWorkers has one of six tasks that last crash its workers:
+// TestLongRunningTaskThatCrashesItsWorkers has one of six tasks that last crash its workers:
 // its job ends, as it would be started for ever else.
-func TestLastingTaskThatCrashesItsWorkers(t *testing.T) {
+func TestLongRunningTaskThatCrashesItsWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr, ow := startCrashes(t, newLab(t, 6), 1)
-		cr.submit(ow, 1, lasting(6))
+		cr, ow := startCrashLab(t, newLab(t, 6), 1)
+		cr.submit(ow, 1, longRunning(6))
 		time.Sleep(30 * time.Second)
 		qt.Check(t, cr.starts(firstTask()), qt.Equals, 3)
 		qt.Check(t, cr.state(ow, 1), qt.Equals, job.Failed)
@@ -99,12 +99,12 @@
 	})
 }
 
-// TestThirdTryIsAlone checks that nothing begins beside a task that is given up at the
+// TestThirdAttemptIsIsolated checks that nothing begins beside a task that is given up at the
 // next crash, and that all that stood there had got over its start.
-func TestThirdTryIsAlone(t *testing.T) {
+func TestThirdAttemptIsIsolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr := newCrashes(t, newLab(t, 2))
-		cr.crashing(1)
+		cr := newCrashLab(t, newLab(t, 2))
+		cr.setCrashingJobs(1)
 		short := cr.fleet.RunFunc
 		cr.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 			if at.Task == firstTask() {
@@ -131,7 +131,7 @@
 			tries++
 			for _, ru := range cr.fleet.Runs() {
 				beside := ru.Worker == third.Worker && ru.Task != third.Task && ru.Until.After(third.From)
-				qt.Check(t, beside && third.From.Sub(ru.From) < provenAfter, qt.IsFalse, qt.Commentf("%s began %v before", ru.Task, third.From.Sub(ru.From)))
+				qt.Check(t, beside && third.From.Sub(ru.From) < startupDuration, qt.IsFalse, qt.Commentf("%s began %v before", ru.Task, third.From.Sub(ru.From)))
 			}
 		}
 		qt.Check(t, tries, qt.Equals, 1)
@@ -161,13 +161,13 @@
 	return ag
 }
 
-// TestSuspectsOfOneJobAreNotKeptWaiting has six tasks that last lose their workers twice,
+// TestSuspectsOfOneJobRestartInTime has six tasks that last lose their workers twice,
 // by nobody's doing, each time just after they began: they are tried alone, and all are
 // back within the time that users bear for one that lasts.
-func TestSuspectsOfOneJobAreNotKeptWaiting(t *testing.T) {
+func TestSuspectsOfOneJobRestartInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr, ow := startCrashes(t, newLab(t, 12))
-		cr.submit(ow, 1, lasting(6))
+		cr, ow := startCrashLab(t, newLab(t, 12))
+		cr.submit(ow, 1, longRunning(6))
 		for range 2 {
 			time.Sleep(100 * time.Millisecond)
 			for _, fw := range cr.workers() {
@@ -175,7 +175,7 @@
 					cr.crash(fw)
 				}
 			}
-			time.Sleep(backAfter)
+			time.Sleep(crashRestartAfter)
 		}
 		time.Sleep(3 * time.Second)
 		cr.assertRunning(6)
@@ -183,9 +183,9 @@
 	})
 }
 
-// TestWorkersThatLeaveAreNobodysDoing has workers end four times just after a task began
+// TestPlannedWorkerExitBlamesNoTask has workers end four times just after a task began
 // there, which said that they drain, or whose entry went while they still answered.
-func TestWorkersThatLeaveAreNobodysDoing(t *testing.T) {
+func TestPlannedWorkerExitBlamesNoTask(t *testing.T) {
 	for _, drains := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			la, li := loggedLab(t, 6)
@@ -210,22 +210,22 @@
 					// A look has come back since.
 					time.Sleep(1100 * time.Millisecond)
 				}
-				_, now := la.nextLife(i)
+				_, now := la.replaceProcess(i)
 				ow.SetWorkers([]WorkerEntry{now}, nil, false)
 				time.Sleep(time.Second)
 			}
 			time.Sleep(6 * time.Second)
 			qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-			qt.Check(t, li.with("end=lapsed"), qt.HasLen, 4)
-			qt.Check(t, len(li.with("end=crashed"))+len(li.with("end=lost")), qt.Equals, 0)
+			qt.Check(t, li.matching("end=lapsed"), qt.HasLen, 4)
+			qt.Check(t, len(li.matching("end=crashed"))+len(li.matching("end=lost")), qt.Equals, 0)
 			la.assertNothingTwice()
 		})
 	}
 }
 
-// TestRefusedByTheNextProcess has an order reach the process that came after a crash: its
+// TestOrderRefusedByNextProcessBlamesNoTask has an order reach the process that came after a crash: its
 // attempt had no part in that.
-func TestRefusedByTheNextProcess(t *testing.T) {
+func TestOrderRefusedByNextProcessBlamesNoTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow, end := la.own()
@@ -234,19 +234,19 @@
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 100})
 		go la.submit(ow, 1, batch(1, 1))
 		time.Sleep(99 * time.Millisecond)
-		la.nextLife(0)
+		la.replaceProcess(0)
 		time.Sleep(time.Second)
 		ow.SetWorkers(la.listed(), nil, true)
 		time.Sleep(3 * time.Second)
-		qt.Check(t, li.with("end=never-ran", "refused by another process"), qt.HasLen, 1)
-		qt.Check(t, len(li.with("end=crashed"))+len(li.with("end=lost")), qt.Equals, 0)
+		qt.Check(t, li.matching("end=never-ran", "refused by another process"), qt.HasLen, 1)
+		qt.Check(t, len(li.matching("end=crashed"))+len(li.matching("end=lost")), qt.Equals, 0)
 		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 	})
 }
 
-// TestSilenceIsNoProof has a worker that has just begun a task fall silent, and another
+// TestUnresponsiveWorkerIsNoProofOfACrash has a worker that has just begun a task fall silent, and another
 // process listen at its address 3 s later: when it ended nobody knows.
-func TestSilenceIsNoProof(t *testing.T) {
+func TestUnresponsiveWorkerIsNoProofOfACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
@@ -272,31 +272,31 @@
 		silent.Store(&la.crew[i].Addr.Incarnation)
 		time.Sleep(4 * time.Second)
 		silent.Store(nil)
-		_, now := la.nextLife(i)
+		_, now := la.replaceProcess(i)
 		ow.SetWorkers([]WorkerEntry{now}, nil, false)
 		time.Sleep(6 * time.Second)
-		qt.Check(t, li.with("end=lost"), qt.HasLen, 1)
-		qt.Check(t, li.with("end=crashed"), qt.HasLen, 0)
+		qt.Check(t, li.matching("end=lost"), qt.HasLen, 1)
+		qt.Check(t, li.matching("end=crashed"), qt.HasLen, 0)
 		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 	})
 }
 
-// TestGivingUpIsTold has the way from a job's id to the reason in the log, and the
+// TestTaskGivenUpIsLogged has the way from a job's id to the reason in the log, and the
 // counters.
-func TestGivingUpIsTold(t *testing.T) {
+func TestTaskGivenUpIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 6)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
-		cr, ow := startCrashes(t, la, 1)
+		cr, ow := startCrashLab(t, la, 1)
 		cr.submit(ow, 1, batch(1, 1))
 		time.Sleep(20 * time.Second)
 		id := "job=" + jobID(1)
-		qt.Check(t, li.with(`msg="attempt ended"`, id, "end=crashed"), qt.HasLen, 3)
-		qt.Check(t, li.with(`msg="trying a task under which workers ended"`, id, "crashes=1", "how=apart"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="trying a task under which workers ended"`, id, "crashes=2", "how=alone"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="task given up"`, id, "why=crashes", "attempt=3", "crashes=3"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="attempt ended"`, id, "end=crashed"), qt.HasLen, 3)
+		qt.Check(t, li.matching(`msg="trying a task under which workers ended"`, id, "crashes=1", "how=apart"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="trying a task under which workers ended"`, id, "crashes=2", "how=alone"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="task given up"`, id, "why=crashes", "attempt=3", "crashes=3"), qt.HasLen, 1)
 		re := httptest.NewRecorder()
 		page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		for _, line := range []string{
@@ -308,10 +308,10 @@
 	})
 }
 
-// TestFailureOfASilentWorkersAttempt has a worker fall silent until its leases have lapsed,
+// TestFailureOfAnUnresponsiveWorkersAttempt has a worker fall silent until its leases have lapsed,
 // and then list the attempt that was given up as failed. The task does not begin once more
 // than its queue allows.
-func TestFailureOfASilentWorkersAttempt(t *testing.T) {
+func TestFailureOfAnUnresponsiveWorkersAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 2500 * time.Millisecond, "failed" }
--- a/internal/sched/crashcost_test.go
+++ b/internal/sched/crashcost_test.go
@@ -23,17 +23,17 @@
 	failedAfter time.Duration
 }
 
-// costOf plays a minute of twelve workers with 24 tasks that last and a short job each
+// measureCrashCost plays a minute of twelve workers with 24 tasks that last and a short job each
 // 300 ms, into which jobs come of which so many tasks crash their workers.
-func costOf(t *testing.T, jobs, tasks int) crashCost {
+func measureCrashCost(t *testing.T, jobs, tasks int) crashCost {
 	t.Helper()
-	cr := newCrashes(t, newLab(t, 12))
+	cr := newCrashLab(t, newLab(t, 12))
 	isCrash := func(n int) bool { return n >= 1000 && n < 1000+jobs }
-	cr.crashingTasks(func(id string, ref job.TaskRef) bool { return isCrash(jobNumber(id)) && ref.Index < tasks })
+	cr.setCrashingTasks(func(id string, ref job.TaskRef) bool { return isCrash(jobNumber(id)) && ref.Index < tasks })
 	ow := cr.own()
 	defer func() { cr.end() }()
 	time.Sleep(time.Second)
-	cr.submit(ow, 1, lasting(24))
+	cr.submit(ow, 1, longRunning(24))
 	time.Sleep(2 * time.Second)
 	began := time.Now()
 	var cc crashCost
@@ -49,7 +49,7 @@
 	}
 	time.Sleep(10 * time.Second)
 	cr.mu.Lock()
-	cc.workers = cr.killed
+	cc.workers = cr.crashed
 	cr.mu.Unlock()
 	for _, ru := range cr.fleet.Runs() {
 		if id, _, _ := job.ParseTaskID(ru.Task); !isCrash(jobNumber(id)) && ru.How == "killed" {
@@ -64,7 +64,7 @@
 	return cc
 }
 
-func (cr *crashes) allFailed(ow *Owner, jobs int) bool {
+func (cr *crashLab) allFailed(ow *Owner, jobs int) bool {
 	for n := range jobs {
 		if cr.state(ow, 1000+n) != job.Failed {
 			return false
@@ -79,7 +79,7 @@
 func TestCostOfCrashingTasks(t *testing.T) {
 	for _, tc := range []struct{ jobs, tasks, workersMost int }{{1, 1, 3}, {4, 1, 12}, {1, 8, 12}} {
 		synctest.Test(t, func(t *testing.T) {
-			cc := costOf(t, tc.jobs, tc.tasks)
+			cc := measureCrashCost(t, tc.jobs, tc.tasks)
 			t.Logf("%d jobs, %d tasks each that crash: %d workers, %d attempts of others lost, all failed after %v", tc.jobs, tc.tasks, cc.workers, cc.lost, cc.failedAfter)
 			qt.Check(t, cc.workers <= tc.workersMost, qt.IsTrue, qt.Commentf("%d workers", cc.workers))
 			qt.Check(t, cc.failedAfter > 0, qt.IsTrue)
@@ -87,22 +87,22 @@
 	}
 }
 
-// TestCrashesAmongOthers plays random crashes of workers, by tasks and by nobody's doing,
+// TestRandomCrashes plays random crashes of workers, by tasks and by nobody's doing,
 // and changes of the owner, and checks that no task begins more often than users bear, that
 // no job is given up under whose tasks fewer than two workers ended, and that all others
 // are done in the end.
-func TestCrashesAmongOthers(t *testing.T) {
+func TestRandomCrashes(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: crashScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
-			cr := newCrashes(t, newLab(t, 6))
+			cr := newCrashLab(t, newLab(t, 6))
 			crashing := []int{}
 			for n := 1; n <= 20; n++ {
 				if rapid.IntRange(0, 9).Draw(rt, "crashes") == 0 {
 					crashing = append(crashing, n)
 				}
 			}
-			cr.stays = rapid.SampledFrom([]time.Duration{0, entryStays, 5 * time.Second}).Draw(rt, "entry stays")
-			cr.crashing(crashing...)
+			cr.entryTTL = rapid.SampledFrom([]time.Duration{0, crashedEntryTTL, 5 * time.Second}).Draw(rt, "entry stays")
+			cr.setCrashingJobs(crashing...)
 			ow := cr.own()
 			defer func() { cr.end() }()
 			time.Sleep(time.Second)
@@ -125,7 +125,7 @@
 				time.Sleep(time.Duration(rapid.IntRange(1, 1000).Draw(rt, "ms")) * time.Millisecond)
 			}
 			time.Sleep(80 * time.Second)
-			cr.checkAmongOthers(rt, ow, jobs, owners, crashing)
+			cr.checkRandomCrashes(rt, ow, jobs, owners, crashing)
 		})
 	})
 }
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -17,60 +17,60 @@
 
 // Times of workers that crash, as the users' do.
 const (
-	// entryStays is how long the entry of a crashed worker stays: three heartbeats.
-	entryStays = 2100 * time.Millisecond
-	// backAfter is when another process listens and is listed.
-	backAfter = 3200 * time.Millisecond
-	// crashWork is how long a task lasts that crashes its worker.
-	crashWork = 10 * time.Millisecond
+	// crashedEntryTTL is how long the entry of a crashed worker stays: three heartbeats.
+	crashedEntryTTL = 2100 * time.Millisecond
+	// crashRestartAfter is when another process listens and is listed.
+	crashRestartAfter = 3200 * time.Millisecond
+	// crashDelay is how long a task lasts that crashes its worker.
+	crashDelay = 10 * time.Millisecond
 )
 
-// crashes is a lab whose workers come back some seconds after a crash, with another
+// crashLab is a lab whose workers come back some seconds after a crash, with another
 // incarnation at the same address.
-type crashes struct {
+type crashLab struct {
 	*lab
 
-	// elsewhere has workers come back at other addresses.
-	elsewhere bool
-	// forGood has workers not come back.
-	forGood bool
-	// stays and back replace entryStays and backAfter, if set.
-	stays, back time.Duration
+	// newAddress has workers come back at other addresses.
+	newAddress bool
+	// noRestart has workers not come back.
+	noRestart bool
+	// entryTTL and back replace entryStays and backAfter, if set.
+	entryTTL, restartAfter time.Duration
 
 	mu sync.Mutex
 	ow *Owner
 	// end ends the owner.
-	end   context.CancelFunc
-	lives int
+	end      context.CancelFunc
+	restarts int
 	// entries has the list of workers: those of dead ones stay for a while.
 	entries map[worker.Incarnation]WorkerEntry
-	// killed counts the workers that tasks crashed.
-	killed int
+	// crashed counts the workers that tasks crashed.
+	crashed int
 	// down are workers that are not back yet.
 	down map[*standin.FleetWorker]bool
 }
 
-func newCrashes(t *testing.T, la *lab) *crashes {
+func newCrashLab(t *testing.T, la *lab) *crashLab {
 	t.Helper()
-	cr := &crashes{lab: la, stays: entryStays, back: backAfter, entries: map[worker.Incarnation]WorkerEntry{}, down: map[*standin.FleetWorker]bool{}}
+	cr := &crashLab{lab: la, entryTTL: crashedEntryTTL, restartAfter: crashRestartAfter, entries: map[worker.Incarnation]WorkerEntry{}, down: map[*standin.FleetWorker]bool{}}
 	for _, li := range la.listed() {
 		cr.entries[li.Incarnation] = li
 	}
 	la.fleet.CrashedFunc = func(fw *standin.FleetWorker) {
 		cr.mu.Lock()
-		cr.killed++
+		cr.crashed++
 		cr.mu.Unlock()
-		cr.revive(fw)
+		cr.scheduleRestart(fw)
 	}
 	return cr
 }
 
-// startCrashes returns a lab whose workers are crashed by the first tasks of some jobs, and
+// startCrashLab returns a lab whose workers are crashed by the first tasks of some jobs, and
 // its owner, a second old.
-func startCrashes(t *testing.T, la *lab, jobs ...int) (*crashes, *Owner) {
+func startCrashLab(t *testing.T, la *lab, jobs ...int) (*crashLab, *Owner) {
 	t.Helper()
-	cr := newCrashes(t, la)
-	cr.crashing(jobs...)
+	cr := newCrashLab(t, la)
+	cr.setCrashingJobs(jobs...)
 	ow := cr.own()
 	t.Cleanup(func() { cr.end() })
 	time.Sleep(time.Second)
@@ -78,7 +78,7 @@
 }
 
 // own starts an owner; the one before ends.
-func (cr *crashes) own() *Owner {
+func (cr *crashLab) own() *Owner {
 	cr.t.Helper()
 	if cr.end != nil {
 		cr.end()
@@ -98,8 +98,8 @@
 	return ow
 }
 
-// list changes the list of workers and tells the owner.
-func (cr *crashes) list(li WorkerEntry, gone bool) {
+// setEntry changes the list of workers and tells the owner.
+func (cr *crashLab) setEntry(li WorkerEntry, gone bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if gone {
@@ -112,31 +112,31 @@
 }
 
 // crash ends a worker by nobody's doing.
-func (cr *crashes) crash(fw *standin.FleetWorker) {
+func (cr *crashLab) crash(fw *standin.FleetWorker) {
 	cr.fleet.Kill(fw)
-	cr.revive(fw)
+	cr.scheduleRestart(fw)
 }
 
-// revive has a worker that has just crashed lose its entry and come back.
-func (cr *crashes) revive(fw *standin.FleetWorker) {
+// scheduleRestart has a worker that has just crashed lose its entry and come back.
+func (cr *crashLab) scheduleRestart(fw *standin.FleetWorker) {
 	cr.mu.Lock()
 	cr.down[fw] = true
 	was := cr.entries[fw.Addr.Incarnation]
 	cr.mu.Unlock()
-	time.AfterFunc(cr.stays, func() { cr.list(was, true) })
-	if cr.forGood {
+	time.AfterFunc(cr.entryTTL, func() { cr.setEntry(was, true) })
+	if cr.noRestart {
 		return
 	}
-	time.AfterFunc(cr.back, func() { cr.rise(fw, was) })
+	time.AfterFunc(cr.restartAfter, func() { cr.restartProcess(fw, was) })
 }
 
-// rise has another process listen at a worker's address.
-func (cr *crashes) rise(fw *standin.FleetWorker, was WorkerEntry) {
+// restartProcess has another process listen at a worker's address.
+func (cr *crashLab) restartProcess(fw *standin.FleetWorker, was WorkerEntry) {
 	cr.mu.Lock()
-	cr.lives++
-	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", cr.lives)}}, Holds: fw.Holds}
-	if cr.elsewhere {
-		next.Addr.HostPort = fmt.Sprintf("10.1.0.%d:80", cr.lives)
+	cr.restarts++
+	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", cr.restarts)}}, Holds: fw.Holds}
+	if cr.newAddress {
+		next.Addr.HostPort = fmt.Sprintf("10.1.0.%d:80", cr.restarts)
 	}
 	cr.fleet.Add(next)
 	for i := range cr.crew {
@@ -146,13 +146,13 @@
 	}
 	cr.mu.Unlock()
 	was.Addr = next.Addr
-	cr.list(was, false)
+	cr.setEntry(was, false)
 }
 
-// crashing has the first task of some jobs crash each worker that starts it; tasks of other
+// setCrashingJobs has the first task of some jobs crash each worker that starts it; tasks of other
 // jobs take a while, or last.
-func (cr *crashes) crashing(jobs ...int) {
-	cr.crashingTasks(func(id string, ref job.TaskRef) bool {
+func (cr *crashLab) setCrashingJobs(jobs ...int) {
+	cr.setCrashingTasks(func(id string, ref job.TaskRef) bool {
 		for _, n := range jobs {
 			if id == jobID(n) && ref.Index == 0 {
 				return true
@@ -162,13 +162,13 @@
 	})
 }
 
-// crashingTasks has the tasks crash that crash says.
-func (cr *crashes) crashingTasks(crash func(id string, ref job.TaskRef) bool) {
+// setCrashingTasks has the tasks crash that crash says.
+func (cr *crashLab) setCrashingTasks(crash func(id string, ref job.TaskRef) bool) {
 	cr.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 		id, ref, _ := job.ParseTaskID(at.Task)
 		switch {
 		case crash(id, ref):
-			return crashWork, standin.Crashes
+			return crashDelay, standin.Crashes
 		case cr.spec(id).Steps[ref.Step].Endless:
 			return -1, ""
 		}
@@ -177,7 +177,7 @@
 }
 
 // starts counts the runs of a task.
-func (cr *crashes) starts(task string) int {
+func (cr *crashLab) starts(task string) int {
 	n := 0
 	for _, ru := range cr.fleet.Runs() {
 		if ru.Task == task {
@@ -188,14 +188,14 @@
 }
 
 // workers returns the workers as they are now; others may be about to come back.
-func (cr *crashes) workers() []*standin.FleetWorker {
+func (cr *crashLab) workers() []*standin.FleetWorker {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return slices.Clone(cr.crew)
 }
 
 // crashAny crashes one of the workers that are up.
-func (cr *crashes) crashAny(rt *rapid.T) {
+func (cr *crashLab) crashAny(rt *rapid.T) {
 	cr.mu.Lock()
 	fw := cr.crew[rapid.IntRange(0, len(cr.crew)-1).Draw(rt, "worker")]
 	up := !cr.down[fw]
@@ -205,8 +205,8 @@
 	}
 }
 
-// checkAmongOthers checks starts and states of jobs once all workers are back.
-func (cr *crashes) checkAmongOthers(rt *rapid.T, ow *Owner, jobs, owners int, crashing []int) {
+// checkRandomCrashes checks starts and states of jobs once all workers are back.
+func (cr *crashLab) checkRandomCrashes(rt *rapid.T, ow *Owner, jobs, owners int, crashing []int) {
 	ends := map[string]int{}
 	crashed := map[int]int{}
 	for _, ru := range cr.fleet.Runs() {
@@ -220,7 +220,7 @@
 		state := cr.state(ow, n)
 		switch {
 		case slices.Contains(crashing, n):
-			if state != job.Failed || crashed[n] > startsMost || (owners == 1 && crashed[n] > 3) {
+			if state != job.Failed || crashed[n] > maxStarts || (owners == 1 && crashed[n] > 3) {
 				rt.Errorf("job %d crashed %d workers with one task under %d owners and is %s", n, crashed[n], owners, state)
 			}
 		case state == job.Failed && crashed[n] >= 2:
--- a/internal/sched/death_test.go
+++ b/internal/sched/death_test.go
@@ -14,9 +14,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestDeathIsTold has a worker's process end under two tasks and another begin at its
+// TestWorkerDeathIsLogged has a worker's process end under two tasks and another begin at its
 // address: the lines say what is needed to tell who may have ended it.
-func TestDeathIsTold(t *testing.T) {
+func TestWorkerDeathIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(2)
@@ -31,17 +31,17 @@
 		la.crew[0] = now
 		ow.SetWorkers(la.listed(), nil, false)
 		time.Sleep(time.Second)
-		dead := li.with(`msg="worker is dead"`, "worker="+was.Addr.Incarnation.String()+" ")
+		dead := li.matching(`msg="worker is dead"`, "worker="+was.Addr.Incarnation.String()+" ")
 		qt.Assert(t, dead, qt.HasLen, 1)
 		for _, field := range []string{"attempts=2", "by=", "unanswered=0", "listed=false", "gone_for=1s", "draining=false", "heard=", "failing_for="} {
 			qt.Check(t, dead[0], qt.Contains, field)
 		}
-		qt.Check(t, li.with(`msg="attempt ended"`, "worker="+was.Addr.Incarnation.String()+" ", "acked=true", "ran_at_least="), qt.HasLen, 2)
-		qt.Check(t, li.with(`msg="attempt ended"`, "worker="+was.Addr.Incarnation.String()+" ", "ran_at_least=0s"), qt.HasLen, 0)
+		qt.Check(t, li.matching(`msg="attempt ended"`, "worker="+was.Addr.Incarnation.String()+" ", "acked=true", "ran_at_least="), qt.HasLen, 2)
+		qt.Check(t, li.matching(`msg="attempt ended"`, "worker="+was.Addr.Incarnation.String()+" ", "ran_at_least=0s"), qt.HasLen, 0)
 	})
 }
 
-// TestOrderThatFoundNobodyIsNoCrash is the story of a job that failed though nothing was
+// TestUndeliveredOrderIsNoCrash is the story of a job that failed though nothing was
 // wrong with it.
 //
 // Users saw a job fail of which one task had ended one worker. Order of events: a task is
@@ -53,11 +53,11 @@
 //
 // Evidence: "launch not done .. connection refused" and, two owners and 2.6 s later,
 // "attempt ended .. end=crashed .. acked=false"; random scripts with PEPPERHATCH_SEED=7006.
-func TestOrderThatFoundNobodyIsNoCrash(t *testing.T) {
+func TestUndeliveredOrderIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
-		cr := newCrashes(t, la)
-		cr.crashing()
+		cr := newCrashLab(t, la)
+		cr.setCrashingJobs()
 		var once sync.Once
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
 			launch := ag.LaunchFunc
@@ -76,10 +76,10 @@
 		time.Sleep(time.Second)
 		cr.submit(ow, 1, batch(1, 4))
 		time.Sleep(50 * time.Millisecond)
-		qt.Assert(t, len(li.with(`msg="launch not done"`, jobID(1))) >= 4, qt.IsTrue)
+		qt.Assert(t, len(li.matching(`msg="launch not done"`, jobID(1))) >= 4, qt.IsTrue)
 		ow = cr.own()
 		time.Sleep(20 * time.Second)
-		qt.Check(t, li.with("end=crashed", jobID(1)), qt.HasLen, 0)
+		qt.Check(t, li.matching("end=crashed", jobID(1)), qt.HasLen, 0)
 		qt.Check(t, cr.state(ow, 1), qt.Equals, job.Succeeded)
 	})
 }
--- a/internal/sched/disturb.go
+++ b/internal/sched/disturb.go
@@ -35,7 +35,7 @@
 
 // services sums the services on the worker up, if anything there has changed.
 func (ca *candidate) services() []serving {
-	fi, now := &ca.ho.fill, time.Now()
+	fi, now := &ca.ho.fillers, time.Now()
 	if !fi.summedAt.IsZero() && now.Sub(fi.summedAt) < sumsKept {
 		return fi.sums
 	}
--- a/internal/sched/drain.go
+++ b/internal/sched/drain.go
@@ -28,7 +28,7 @@
 		return
 	}
 	ev := evacuation{ow: ow, now: now, full: map[*job.Step]bool{}}
-	for _, ho := range ow.sortedHosts() {
+	for _, ho := range ow.sortedWorkers() {
 		if ho.whyEmpty(now) != "" {
 			ev.leaving = append(ev.leaving, ho)
 		}
@@ -45,9 +45,9 @@
 )
 
 // whyEmpty says why a worker is to be emptied, or is empty.
-func (ho *host) whyEmpty(now time.Time) string {
+func (ho *workerState) whyEmpty(now time.Time) string {
 	switch {
-	case ho.dead || !ho.failing.IsZero():
+	case ho.dead || !ho.failingSince.IsZero():
 		return ""
 	case ho.Draining:
 		// It said so itself, and its entry may go before it does.
@@ -64,7 +64,7 @@
 	ow  *Owner
 	now time.Time
 	// leaving are the workers.
-	leaving []*host
+	leaving []*workerState
 	pl      *placer
 	moves   int
 	// full has the steps for a task of which no worker has room.
@@ -74,12 +74,12 @@
 // empty empties a worker. What has not ended shortly before one leaves that told when is
 // stopped, so that it is certain that it ended and where it is to be resumed: it would
 // die there all the same, and be known to only once its lease has lapsed.
-func (ev *evacuation) empty(ho *host) {
+func (ev *evacuation) empty(ho *workerState) {
 	cause := ho.whyEmpty(ev.now)
 	if cause == whyUnlisted {
 		ho.tellEmptied(ev.now)
 	}
-	last := cause == whyDrains && ev.now.After(ho.leaves.Add(-ev.ow.Limits.StopTime-leaveReserve))
+	last := cause == whyDrains && ev.now.After(ho.leavesAt.Add(-ev.ow.Limits.StopTime-leaveReserve))
 	for at := range ho.attempts {
 		switch {
 		case last:
@@ -156,7 +156,7 @@
 func (pl *placer) hasRoom(at *attempt) bool { return pl.keep(at.en, at.ref, at.ho) }
 
 // keep keeps room for a task on any worker but one, and reports whether there is any.
-func (pl *placer) keep(en *entry, ref job.TaskRef, but *host) bool {
+func (pl *placer) keep(en *entry, ref job.TaskRef, but *workerState) bool {
 	st := &en.jo.Spec.Steps[ref.Step]
 	for _, ca := range pl.hosts {
 		if ca.ho == but || !ca.fits(en, ref, st) {
--- a/internal/sched/entry.go
+++ b/internal/sched/entry.go
@@ -68,7 +68,7 @@
 	// lack is what the last round of placement lacked for a task that waits.
 	lack Cause
 	// spent is what its time went to.
-	spent spent
+	spent timeBreakdown
 }
 
 // track returns the track of a step's load.
@@ -152,10 +152,10 @@
 		return false
 	}
 	var incarnation worker.Incarnation
-	var seen sightings
+	var seen observation
 	if at := en.attempts[ref]; at != nil && at.number == number {
-		incarnation, seen = at.ho.incarnation, at.sightings()
-		at.ho.drop(at)
+		incarnation, seen = at.ho.incarnation, at.observed()
+		at.ho.removeAttempt(at)
 		delete(en.attempts, ref)
 	}
 	if end == job.EndFailed {
@@ -169,7 +169,7 @@
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", string(end))
 	ow.Log.Info("attempt ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "end", end, "why", why, "state", en.jo.State(),
 		"acked", seen.acked, "ran_at_least", seen.ran, "crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses)
-	ow.tellGivenUp(en, ref, end)
+	ow.logGivenUp(en, ref, end)
 	ow.finish(en)
 	ow.touch(en)
 	return true
@@ -197,7 +197,7 @@
 	if at := en.attempts[ref]; at != nil && en.jo.Exhausted(ref) && !at.ordered && !at.inherited {
 		ow.end(en, ref, at.number, job.EndNever, "", "an attempt before it had failed")
 	} else {
-		ow.tellGivenUp(en, ref, job.EndFailed)
+		ow.logGivenUp(en, ref, job.EndFailed)
 	}
 	ow.finish(en)
 	ow.touch(en)
@@ -229,7 +229,7 @@
 	}
 	if en.endedAt.IsZero() {
 		en.endedAt = time.Now()
-		ow.tellTime(en, en.endedAt)
+		ow.logJobTime(en, en.endedAt)
 	}
 	for _, at := range en.attempts {
 		en.effects = append(en.effects, func() { ow.halt(at, "job "+string(en.jo.State())) })
--- a/internal/sched/expect_test.go
+++ b/internal/sched/expect_test.go
@@ -10,7 +10,7 @@
 
 // TestNewTasksLeaveRoomToInterruptedOnes: while the leases of lost workers ran, lasting tasks
 // that never ran took the room that was left.
-func TestNewTasksLeaveRoomToInterruptedOnes(t *testing.T) {
+func TestNewTasksLeaveCapacityToInterruptedOnes(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 4)
@@ -26,9 +26,9 @@
 			time.Sleep(time.Second)
 			ow.SetWorkers(nil, []string{lost.Addr.Incarnation.ID}, false)
 			time.Sleep(2 * time.Second)
-			la.submit(ow, 2, lasting(30))
+			la.submit(ow, 2, longRunning(30))
 			time.Sleep(15 * time.Second)
-			qt.Check(t, []int{la.runningOf(1), la.runningOf(2)}, qt.DeepEquals, []int{40, 8})
+			qt.Check(t, []int{la.runningOfJob(1), la.runningOfJob(2)}, qt.DeepEquals, []int{40, 8})
 		})
 	}
 }
@@ -50,7 +50,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 1)
-				la.fleet.RunFunc = endless
+				la.fleet.RunFunc = runUntilStopped
 				ow, end := la.own()
 				defer end()
 				time.Sleep(time.Second)
@@ -58,20 +58,20 @@
 				if len(tc.others) > 1 {
 					large, small = small, large
 				}
-				la.submit(ow, large, lastingOf(1, 24))
-				la.submit(ow, small, lastingOf(2, 4))
+				la.submit(ow, large, longRunningOf(1, 24))
+				la.submit(ow, small, longRunningOf(2, 4))
 				time.Sleep(time.Second)
 				lost := la.crew[0]
 				for i, cores := range tc.others {
 					la.addWorker(2 + i)
 					ow.SetWorkers(la.listed(), nil, true)
-					la.submit(ow, 3+i, lastingOf(1, cores))
+					la.submit(ow, 3+i, longRunningOf(1, cores))
 					time.Sleep(time.Second)
 				}
 				la.fleet.Kill(lost)
 				ow.SetWorkers(nil, []string{lost.Addr.Incarnation.ID}, false)
 				time.Sleep(15 * time.Second)
-				qt.Check(t, []int{la.runningOf(small), la.runningOf(large)}, qt.DeepEquals, tc.want)
+				qt.Check(t, []int{la.runningOfJob(small), la.runningOfJob(large)}, qt.DeepEquals, tc.want)
 			})
 		})
 	}
@@ -79,27 +79,27 @@
 
 // TestRoomIsNotKeptFromInterruptedTasks: room that was kept for a large task, and never came
 // to enough for it, was kept from smaller ones that had been interrupted too.
-func TestRoomIsNotKeptFromInterruptedTasks(t *testing.T) {
+func TestCapacityIsNotWithheldFromInterruptedTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lastingOf(1, 24))
-		la.submit(ow, 2, lastingOf(2, 4))
+		la.submit(ow, 1, longRunningOf(1, 24))
+		la.submit(ow, 2, longRunningOf(2, 4))
 		time.Sleep(time.Second)
 		lost := la.crew[0]
 		la.addWorker(2)
 		ow.SetWorkers(la.listed(), nil, true)
-		la.submit(ow, 3, lastingOf(1, 6))
+		la.submit(ow, 3, longRunningOf(1, 6))
 		// It is to end by itself and does not.
 		la.submit(ow, 4, batch(1, 2))
 		time.Sleep(time.Second)
-		qt.Assert(t, []int{la.runningOf(1), la.runningOf(2), la.runningOf(3), la.runningOf(4)}, qt.DeepEquals, []int{1, 2, 1, 2})
+		qt.Assert(t, []int{la.runningOfJob(1), la.runningOfJob(2), la.runningOfJob(3), la.runningOfJob(4)}, qt.DeepEquals, []int{1, 2, 1, 2})
 		la.fleet.Kill(lost)
 		ow.SetWorkers(nil, []string{lost.Addr.Incarnation.ID}, false)
 		time.Sleep(9 * time.Second)
-		qt.Check(t, []int{la.runningOf(1), la.runningOf(2)}, qt.DeepEquals, []int{0, 2})
+		qt.Check(t, []int{la.runningOfJob(1), la.runningOfJob(2)}, qt.DeepEquals, []int{0, 2})
 	})
 }
--- a/internal/sched/figures.go
+++ b/internal/sched/figures.go
@@ -91,7 +91,7 @@
 
 // usedShares are the shares of fillers over the window that ends now, as the
 // worker reported them.
-func (ho *host) usedShares(now time.Time) interfere.Shares {
+func (ho *workerState) usedShares(now time.Time) interfere.Shares {
 	sh := interfere.Shares{}
 	for at := range ho.attempts {
 		if !at.step().Filler || at.launched.IsZero() {
@@ -102,7 +102,7 @@
 			sh[at.step().Image] += share(at.usage, ho.Capacity.MilliCores)
 		}
 	}
-	for _, ef := range ho.fill.ended {
+	for _, ef := range ho.fillers.ended {
 		if within := usageWindow - now.Sub(ef.at); within > 0 {
 			sh[ef.image] += ef.share * within.Seconds() / usageWindow.Seconds()
 		}
@@ -112,30 +112,30 @@
 
 // expectedShares are the shares of fillers by the paces ordered, those on their
 // way to the worker included.
-func (ho *host) expectedShares() interfere.Shares {
-	if ho.fill.expected != nil {
-		return ho.fill.expected
+func (ho *workerState) expectedShares() interfere.Shares {
+	if ho.fillers.expected != nil {
+		return ho.fillers.expected
 	}
-	ho.fill.expected = interfere.Shares{}
+	ho.fillers.expected = interfere.Shares{}
 	for at := range ho.attempts {
 		if at.step().Filler {
-			ho.fill.expected[at.step().Image] += at.expectedShare()
+			ho.fillers.expected[at.step().Image] += at.expectedShare()
 		}
 	}
-	return ho.fill.expected
+	return ho.fillers.expected
 }
 
 // noteEnded keeps the share of a filler that is taken off the worker.
-func (ho *host) noteEnded(at *attempt, now time.Time) {
-	ho.fill.change()
+func (ho *workerState) noteEnded(at *attempt, now time.Time) {
+	ho.fillers.change()
 	if at.step().Filler && !at.launched.IsZero() {
-		ho.fill.ended = append(ho.fill.ended, endedFiller{image: at.step().Image, share: at.expectedShare(), at: now})
+		ho.fillers.ended = append(ho.fillers.ended, endedFiller{image: at.step().Image, share: at.expectedShare(), at: now})
 	}
 }
 
 // measure learns from the figures of a look and sets the pace of fillers.
-func (ho *host) measure(got time.Time) {
-	fi := &ho.fill
+func (ho *workerState) measure(got time.Time) {
+	fi := &ho.fillers
 	if got.Sub(fi.measured) < usageWindow/2 {
 		return
 	}
@@ -162,7 +162,7 @@
 
 // excess is by how much a service's headroom is expected to be short of that at
 // the wanted part of its target, with the fillers as ordered.
-func (ho *host) excess(at *attempt, part float64) float64 {
+func (ho *workerState) excess(at *attempt, part float64) float64 {
 	left := at.replica.Alone(time.Now().Add(ho.ow.lookAhead())) - ho.ow.model.Load(at.step().Image, ho.expectedShares())
 	return 1/part - left
 }
--- a/internal/sched/formerlife_test.go
+++ b/internal/sched/formerlife_test.go
@@ -14,9 +14,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// nextLife ends a worker's process and has another listen at its address. It returns the
+// replaceProcess ends a worker's process and has another listen at its address. It returns the
 // entries of both.
-func (la *lab) nextLife(i int) (was, now WorkerEntry) {
+func (la *lab) replaceProcess(i int) (was, now WorkerEntry) {
 	was = la.listed()[i]
 	fw := la.crew[i]
 	la.fleet.Kill(fw)
@@ -27,7 +27,7 @@
 	return was, la.listed()[i]
 }
 
-// TestFormerLifeIsListed is the story of a worker that lives and is taken for dead.
+// TestFormerProcessIsListedAgain is the story of a worker that lives and is taken for dead.
 //
 // Users saw 19 to 298 tasks run twice at once after workers had crashed behind a cut, or
 // racks of them just before the owner changed. Order of events: a worker crashes; another
@@ -36,20 +36,20 @@
 // lives is dead by that, and all that it runs starts elsewhere. Cause: what is listed
 // later was taken to have begun later. Evidence: "worker is dead" with another process
 // listed at its address, for a worker that a second later settles with what it ran.
-func TestFormerLifeIsListed(t *testing.T) {
-	t.Run("again", formerLifeAgain)
-	t.Run("to the next owner", bothLives)
+func TestFormerProcessIsListedAgain(t *testing.T) {
+	t.Run("again", formerEntryReappears)
+	t.Run("to the next owner", bothProcessesListed)
 }
 
-// formerLifeAgain has the entry of a dead worker go and come back while the next process
+// formerEntryReappears has the entry of a dead worker go and come back while the next process
 // at its address works.
-func formerLifeAgain(t *testing.T) {
+func formerEntryReappears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := lastingLab(t, 3, 12)
-		was, now := la.nextLife(0)
+		was, now := la.replaceProcess(0)
 		ow.SetWorkers([]WorkerEntry{now}, nil, false)
 		time.Sleep(time.Second)
-		la.submit(ow, 2, lasting(12))
+		la.submit(ow, 2, longRunning(12))
 		time.Sleep(time.Second)
 		la.assertRunning(24)
 		for range 3 {
@@ -62,24 +62,24 @@
 	})
 }
 
-// bothLives has an owner begin while the list has both the worker that
+// bothProcessesListed has an owner begin while the list has both the worker that
 // crashed and the one that lives at its address, in either order: nothing runs twice, and
 // what the dead one ran starts at once.
-func bothLives(t *testing.T) {
+func bothProcessesListed(t *testing.T) {
 	for _, formerLast := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
-			la.fleet.RunFunc = endless
+			la.fleet.RunFunc = runUntilStopped
 			ow, end := la.own()
 			time.Sleep(time.Second)
-			la.submit(ow, 1, lasting(12))
+			la.submit(ow, 1, longRunning(12))
 			time.Sleep(time.Second)
-			_, now := la.nextLife(0)
+			_, now := la.replaceProcess(0)
 			ow.SetWorkers([]WorkerEntry{now}, nil, false)
 			time.Sleep(time.Second)
-			la.submit(ow, 2, lasting(12))
+			la.submit(ow, 2, longRunning(12))
 			time.Sleep(time.Second)
-			la.nextLife(1)
+			la.replaceProcess(1)
 			end()
 			ow, loaded, end := la.begin()
 			defer end()
@@ -97,10 +97,10 @@
 	}
 }
 
-// TestNextProcessAnswersWhileLooksHang has looks at a worker hang for good, as on a connection
+// TestNextProcessAnswersWhilePollsHang has looks at a worker hang for good, as on a connection
 // that went silent, while another process answers at its address: what ran there starts
 // elsewhere at once, not once its leases have lapsed.
-func TestNextProcessAnswersWhileLooksHang(t *testing.T) {
+func TestNextProcessAnswersWhilePollsHang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		var hung atomic.Bool
@@ -117,7 +117,7 @@
 		}
 		ow := la.withLasting(12)
 		hung.Store(true)
-		_, now := la.nextLife(0)
+		_, now := la.replaceProcess(0)
 		time.Sleep(time.Second)
 		ow.SetWorkers([]WorkerEntry{now}, nil, false)
 		time.Sleep(300 * time.Millisecond)
--- a/internal/sched/gone_test.go
+++ b/internal/sched/gone_test.go
@@ -12,24 +12,24 @@
 	"github.com/pepperhatch/pepperhatch/internal/tenure"
 )
 
-// freeWithin is how long after a claim at the latest tasks of lost workers run elsewhere.
-const freeWithin = 9 * time.Second
+// restartDeadline is how long after a claim at the latest tasks of lost workers run elsewhere.
+const restartDeadline = 9 * time.Second
 
-// sixHosts has a lasting job of four tasks run on three workers under six hosts, of which
+// withSixHosts has a lasting job of four tasks run on three workers under six hosts, of which
 // the first owns the cell.
-func sixHosts(t *testing.T, maxLease time.Duration, play func(cr *crowd, owner *contender)) {
+func withSixHosts(t *testing.T, maxLease time.Duration, play func(cr *crowd, owner *contender)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		cr := &crowd{lab: newLab(t, 3), maxLease: maxLease}
 		defer cr.stop()
-		cr.fleet.RunFunc = endless
+		cr.fleet.RunFunc = runUntilStopped
 		owner := cr.join("a", 0.8)
 		time.Sleep(time.Second)
 		for _, name := range []string{"b", "c", "d", "e", "f"} {
 			cr.join(name, 0.8)
 		}
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(owner.ow.Load(), 1, lasting(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cr.submit(owner.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(15 * time.Second)
 		cr.assertRunning(4)
 		play(cr, owner)
@@ -38,11 +38,11 @@
 
 // TestWorkersGoneWithAnOwnerThatIsGoneForGood: tasks of lost workers waited for 14.6 s from
 // the claim where the former owner could not be asked.
-func TestWorkersGoneWithAnOwnerThatIsGoneForGood(t *testing.T) {
+func TestWorkersLostWithTheirOwner(t *testing.T) {
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
 			t.Run(fmt.Sprintf("leases of %v, hosts lost besides: %q", maxLease, lost), func(t *testing.T) {
-				sixHosts(t, maxLease, func(cr *crowd, owner *contender) {
+				withSixHosts(t, maxLease, func(cr *crowd, owner *contender) {
 					owner.set(func(co *contender) { co.dark = true })
 					for _, name := range lost {
 						other := cr.last(string(name))
@@ -50,7 +50,7 @@
 						other.die()
 					}
 					cr.loseWith(owner)
-					time.Sleep(tenure.UnreachableAfter + time.Second + freeWithin)
+					time.Sleep(tenure.UnreachableAfter + time.Second + restartDeadline)
 					cr.assertRunning(4)
 				})
 			})
@@ -58,8 +58,8 @@
 	}
 }
 
-// refuse has the store refuse all hosts for a while.
-func (cr *crowd) refuse(d time.Duration) {
+// refuseStore has the store refuse all hosts for a while.
+func (cr *crowd) refuseStore(d time.Duration) {
 	for _, co := range cr.hosts {
 		co.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	}
@@ -73,15 +73,15 @@
 
 // TestLeasesOutliveALongOutage: what ran ended while the store was away for 14 s, though the
 // hosts and workers were well.
-func TestLeasesOutliveALongOutage(t *testing.T) {
+func TestLeasesOutliveALongStoreOutage(t *testing.T) {
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
 			t.Run(fmt.Sprintf("leases of %v, hosts lost before: %q", maxLease, lost), func(t *testing.T) {
-				sixHosts(t, maxLease, func(cr *crowd, _ *contender) {
+				withSixHosts(t, maxLease, func(cr *crowd, _ *contender) {
 					for _, name := range lost {
 						cr.last(string(name)).die()
 					}
-					cr.refuse(14 * time.Second)
+					cr.refuseStore(14 * time.Second)
 					time.Sleep(10 * time.Second)
 					qt.Assert(t, cr.ends(), qt.HasLen, 0)
 					cr.assertRunning(4)
@@ -93,8 +93,8 @@
 
 // TestLeasesOfAnOwnerThatStoodStill: a task was taken to run for a whole lease after an owner
 // that stood still had last told one, though none outlives what confirmed it.
-func TestLeasesOfAnOwnerThatStoodStill(t *testing.T) {
-	sixHosts(t, 10*time.Second, func(cr *crowd, owner *contender) {
+func TestLeasesOfAFrozenOwner(t *testing.T) {
+	withSixHosts(t, 10*time.Second, func(cr *crowd, owner *contender) {
 		lost := cr.busy()
 		owner.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		owner.set(func(co *contender) {
--- a/internal/sched/handover.go
+++ b/internal/sched/handover.go
@@ -32,7 +32,7 @@
 
 // noteAnswer takes a worker that answers off what the next owner is told: its
 // leases are about to be extended.
-func (ow *Owner) noteAnswer(ho *host) {
+func (ow *Owner) noteAnswer(ho *workerState) {
 	ow.handing.Lock()
 	defer ow.handing.Unlock()
 	delete(ow.silent, ho.incarnation.String())
@@ -42,12 +42,12 @@
 func (ow *Owner) noteSilent(now time.Time) {
 	silent := map[string]int64{}
 	for incarnation, ho := range ow.hosts {
-		if len(ho.attempts) > 0 && (!ho.settled || !ho.failing.IsZero()) {
+		if len(ho.attempts) > 0 && (!ho.settled || !ho.failingSince.IsZero()) {
 			silent[incarnation.String()] = ho.lapseIn(now)
 		}
 	}
 	for incarnation := range ow.orphans {
-		silent[incarnation.String()] = max(ow.orphansUntil(incarnation).Sub(now).Milliseconds(), 0)
+		silent[incarnation.String()] = max(ow.formerLeasesUntil(incarnation).Sub(now).Milliseconds(), 0)
 	}
 	ow.handing.Lock()
 	defer ow.handing.Unlock()
@@ -57,13 +57,13 @@
 // lapseIn returns the milliseconds until the worker's leases have lapsed by the
 // slowest clock, if they are not extended any more. Looks on their way may have
 // extended them once more since the last note: that is allowed for.
-func (ho *host) lapseIn(now time.Time) int64 {
+func (ho *workerState) lapseIn(now time.Time) int64 {
 	if !ho.settled {
 		return max(ho.unsettledUntil().Sub(now).Milliseconds(), 0)
 	}
-	earliest := ho.clockNow(now)
+	earliest := ho.earliestClock(now)
 	left := float64(ho.leaseUntilMS-earliest) / (1 - clockDrift)
-	if now.Sub(ho.failing) < extendSilent+lookGrace {
+	if now.Sub(ho.failingSince) < extendUnresponsive+pollGrace {
 		left = float64(ho.ow.Limits.MaxLease.Milliseconds()) / (1 - clockDrift)
 	}
 	return max(int64(left)+lapseMargin.Milliseconds(), 0)
--- a/internal/sched/host.go
+++ b/internal/sched/host.go
@@ -35,32 +35,32 @@
 	Remaining time.Duration
 }
 
-// host is a worker of the cell.
-type host struct {
+// workerState is a worker of the cell.
+type workerState struct {
 	WorkerEntry
 
 	ow *Owner
-	// way is how it is reached now. Orders on their way read it from any
+	// path is how it is reached now. Orders on their way read it from any
 	// goroutine.
-	way         atomic.Pointer[way]
+	path        atomic.Pointer[way]
 	incarnation worker.Incarnation
-	// entered is when it was first seen. lives are other lives of the worker whose
+	// firstSeen is when it was first seen. lives are other lives of the worker whose
 	// attempts it may run, of rows of former owners, and movedUntil is when leases of
 	// attempts lapse at the latest that were ordered from a life before it.
-	entered    time.Time
-	lives      []worker.Incarnation
-	movedUntil time.Time
-	// leaves is when a draining worker may leave, at the earliest.
-	leaves time.Time
-	// gone is set once the list no longer has it, goneAt is when that was seen; emptied
+	firstSeen          time.Time
+	formerIncarnations []worker.Incarnation
+	inheritedUntil     time.Time
+	// leavesAt is when a draining worker may leave, at the earliest.
+	leavesAt time.Time
+	// unlisted is set once the list no longer has it, goneAt is when that was seen; emptied
 	// is set once it was told that it is emptied for that.
-	gone    bool
-	goneAt  time.Time
-	emptied bool
+	unlisted         bool
+	unlistedAt       time.Time
+	evacuationLogged bool
 	// dead is set once its process is known to have ended.
 	dead bool
-	// stop ends its loop of looks.
-	stop context.CancelFunc
+	// stopPolling ends its loop of looks.
+	stopPolling context.CancelFunc
 	// settled is set once it obeys this owner's fencing token, or settleFence if that is
 	// higher, and what it ran before is known.
 	settled     bool
@@ -70,52 +70,52 @@
 	clockMS      int64
 	clockAt      time.Time
 	leaseUntilMS int64
-	// seen is when a look last succeeded, failing since when looks fail.
-	seen    time.Time
-	failing time.Time
-	// silent is set if looks fail since one that had no answer in time, and not since the
+	// lastPoll is when a look last succeeded, failing since when looks fail.
+	lastPoll     time.Time
+	failingSince time.Time
+	// unresponsive is set if looks fail since one that had no answer in time, and not since the
 	// connection broke off.
-	silent bool
-	// quiet is since when it is silent or unsettled, or zero.
-	quiet time.Time
-	// handled is the last end taken in, acked the last one that is durable.
-	handled, acked int64
-	// endsListed is set if the last look that succeeded listed any, withheld if the last
+	unresponsive bool
+	// noContactSince is since when it is silent or unsettled, or zero.
+	noContactSince time.Time
+	// endsHandled is the last end taken in, acked the last one that is durable.
+	endsHandled, endsAcked int64
+	// lastPollHadEnds is set if the last look that succeeded listed any, withheld if the last
 	// look could have acknowledged some and did not.
-	endsListed, withheld bool
-	// undurable counts ends that are not durable yet.
-	undurable int
-	// release lets the next look go ahead, rerouted that after one that failed.
-	release  chan struct{}
-	rerouted chan struct{}
+	lastPollHadEnds, ackWithheld bool
+	// undurableEnds counts ends that are not durable yet.
+	undurableEnds int
+	// pollWake lets the next look go ahead, rerouted that after one that failed.
+	pollWake    chan struct{}
+	pathChanged chan struct{}
 	// attempts are those that run here, or may.
 	attempts map[*attempt]bool
 	// services are those of them that serve within a target.
 	services []*attempt
 	// reserved is what they take of its room, inUse the processor time that they
 	// are likely to use, in thousandths of a core.
-	reserved worker.Resources
-	inUse    int64
-	// passing is the part of reserved that tasks take that end by themselves.
-	passing worker.Resources
-	// promised is what of its room is promised to lasting tasks that are to begin again.
-	promised worker.Resources
-	// awaited is set if some of them wait for it now.
-	awaited bool
-	// keptIn is the last round of placement in which its room was kept.
-	keptIn int
+	reserved    worker.Resources
+	expectedUse int64
+	// finiteReserved is the part of reserved that tasks take that end by themselves.
+	finiteReserved worker.Resources
+	// restartReserved is what of its room is promised to lasting tasks that are to begin again.
+	restartReserved worker.Resources
+	// restartReady is set if some of them wait for it now.
+	restartReady bool
+	// reservedInRound is the last round of placement in which its room was kept.
+	reservedInRound int
 	// trial is the task that is tried alone here, or is to be.
 	trial *trial
-	// asideUntil is until when it gets nothing new. failures counts attempts
+	// quarantinedUntil is until when it gets nothing new. failures counts attempts
 	// that failed here since one was done, of failedJobs; failingUntil is until when it
 	// is set aside for them, asides how often it was.
-	asideUntil   time.Time
-	failingUntil time.Time
-	asides       int
-	failures     int
-	failedJobs   map[string]bool
-	// fill follows the fillers.
-	fill fillers
+	quarantinedUntil       time.Time
+	failureQuarantineUntil time.Time
+	failureQuarantines     int
+	failures               int
+	failedJobs             map[string]bool
+	// fillers follows the fillers.
+	fillers fillers
 }
 
 // SetWorkers takes in rows of the platform's list of workers. If whole is set
@@ -127,131 +127,131 @@
 func (ow *Owner) setWorkers(listed []WorkerEntry, gone []string, whole bool) {
 	for _, li := range listed {
 		if li.Undecodable {
-			ow.keepWorker(li.Incarnation.ID)
+			ow.retainWorker(li.Incarnation.ID)
 			continue
 		}
-		ow.seeWorker(li)
+		ow.updateWorker(li)
 	}
 	for _, id := range gone {
-		ow.loseWorker(id)
+		ow.unlistWorker(id)
 	}
 	if whole {
 		named := map[string]bool{}
 		for _, li := range listed {
 			named[li.Incarnation.ID] = true
 		}
-		for _, ho := range ow.sortedHosts() {
+		for _, ho := range ow.sortedWorkers() {
 			if !named[ho.incarnation.ID] {
-				ho.lose()
+				ho.markUnlisted()
 			}
 		}
 	}
 	ow.due = true
 }
 
-// keepWorker takes a worker as listed of which no more is known.
-func (ow *Owner) keepWorker(id string) {
-	if ho := ow.onlyLife(id); ho != nil {
-		ho.gone, ho.emptied = false, false
+// retainWorker takes a worker as listed of which no more is known.
+func (ow *Owner) retainWorker(id string) {
+	if ho := ow.soleIncarnation(id); ho != nil {
+		ho.unlisted, ho.evacuationLogged = false, false
 	}
 }
 
-// seeWorker enters or updates a worker.
-func (ow *Owner) seeWorker(li WorkerEntry) {
-	ho := ow.listedHost(li)
+// updateWorker enters or updates a worker.
+func (ow *Owner) updateWorker(li WorkerEntry) {
+	ho := ow.workerOfEntry(li)
 	if ho == nil {
-		ow.askOthers(li)
-		ho = ow.enter(li)
-		ho.replaceOthers()
+		ow.pollOthers(li)
+		ho = ow.addWorker(li)
+		ho.unlistOthers()
 		return
 	}
 	ho.update(li)
 	if !ho.dead {
-		ho.replaceOthers()
+		ho.unlistOthers()
 	}
 }
 
 // update takes in what the worker's entry says now.
-func (ho *host) update(li WorkerEntry) {
-	if ho.Draining != li.Draining || ho.gone {
+func (ho *workerState) update(li WorkerEntry) {
+	if ho.Draining != li.Draining || ho.unlisted {
 		ho.ow.Log.Info("worker changed", "worker", ho.incarnation, "draining", li.Draining, "listed", true)
 	}
 	if li.Draining && !ho.Draining {
-		ho.leaves = time.Now().Add(li.Remaining)
+		ho.leavesAt = time.Now().Add(li.Remaining)
 	}
-	ho.WorkerEntry, ho.gone, ho.emptied = li, false, false
+	ho.WorkerEntry, ho.unlisted, ho.evacuationLogged = li, false, false
 }
 
-// enter enters a worker that was not known.
-func (ow *Owner) enter(li WorkerEntry) *host {
+// addWorker enters a worker that was not known.
+func (ow *Owner) addWorker(li WorkerEntry) *workerState {
 	ow.Log.Info("worker seen", "worker", li.Incarnation, "addr", li.HostPort, "service", li.Service, "rack", li.Rack,
 		"millicores", li.Capacity.MilliCores, "mem_mb", li.Capacity.MemMB, "draining", li.Draining)
 	ctx, stop := context.WithCancel(ow.ctx)
-	ho := &host{
-		WorkerEntry: li, ow: ow, incarnation: li.Incarnation, stop: stop, release: make(chan struct{}, 1), rerouted: make(chan struct{}, 1),
-		entered: time.Now(), attempts: map[*attempt]bool{}, failedJobs: map[string]bool{},
+	ho := &workerState{
+		WorkerEntry: li, ow: ow, incarnation: li.Incarnation, stopPolling: stop, pollWake: make(chan struct{}, 1), pathChanged: make(chan struct{}, 1),
+		firstSeen: time.Now(), attempts: map[*attempt]bool{}, failedJobs: map[string]bool{},
 	}
-	ho.leaves = time.Now().Add(li.Remaining)
-	ho.way.Store(ow.firstWay(li))
+	ho.leavesAt = time.Now().Add(li.Remaining)
+	ho.path.Store(ow.firstWay(li))
 	ow.hosts[li.Incarnation] = ho
 	ow.sorted = nil
 	ow.byAddr[li.HostPort] = append(ow.byAddr[li.HostPort], ho)
 	ow.byID[li.Incarnation.ID] = append(ow.byID[li.Incarnation.ID], ho)
 	ow.adopt(ho)
-	go ho.looks(ctx)
+	go ho.pollLoop(ctx)
 	return ho
 }
 
-// loseWorker notes that the list no longer has a worker.
-func (ow *Owner) loseWorker(id string) {
+// unlistWorker notes that the list no longer has a worker.
+func (ow *Owner) unlistWorker(id string) {
 	for _, ho := range slices.Clone(ow.byID[id]) {
-		ho.lose()
+		ho.markUnlisted()
 	}
 }
 
-// lose notes that the list no longer has the worker. It stays as long as it may run
+// markUnlisted notes that the list no longer has the worker. It stays as long as it may run
 // something.
-func (ho *host) lose() {
-	if ho.gone {
+func (ho *workerState) markUnlisted() {
+	if ho.unlisted {
 		return
 	}
 	ow, now := ho.ow, time.Now()
-	ho.gone, ho.goneAt = true, now
+	ho.unlisted, ho.unlistedAt = true, now
 	ow.Log.Info("worker no longer listed", "worker", ho.incarnation, "attempts", len(ho.attempts), "draining", ho.Draining,
 		"list_age", ow.listAge(now), "store_trouble", ow.storeTrouble(now))
-	ow.dropIdle(ho)
+	ow.removeIfIdle(ho)
 }
 
-// dropIdle forgets a worker that is gone and runs nothing. One that is dead stays known
+// removeIfIdle forgets a worker that is gone and runs nothing. One that is dead stays known
 // while it is listed, so that it is not met again.
-func (ow *Owner) dropIdle(ho *host) {
-	if !ho.gone || len(ho.attempts) > 0 {
+func (ow *Owner) removeIfIdle(ho *workerState) {
+	if !ho.unlisted || len(ho.attempts) > 0 {
 		return
 	}
-	ho.forget()
+	ho.deregister()
 }
 
-// forget takes the worker for one that was never seen.
-func (ho *host) forget() {
+// deregister takes the worker for one that was never seen.
+func (ho *workerState) deregister() {
 	ow := ho.ow
-	ho.leave()
+	ho.disconnect()
 	delete(ow.hosts, ho.incarnation)
-	remove(ow.byID, ho.incarnation.ID, ho)
+	removeFromIndex(ow.byID, ho.incarnation.ID, ho)
 	ow.sorted = nil
 }
 
-// remove takes a worker off a list, and the list off its map once it is empty.
-func remove(lists map[string][]*host, key string, ho *host) {
-	lists[key] = slices.DeleteFunc(lists[key], func(other *host) bool { return other == ho })
+// removeFromIndex takes a worker off a list, and the list off its map once it is empty.
+func removeFromIndex(lists map[string][]*workerState, key string, ho *workerState) {
+	lists[key] = slices.DeleteFunc(lists[key], func(other *workerState) bool { return other == ho })
 	if len(lists[key]) == 0 {
 		delete(lists, key)
 	}
 }
 
-// leave ends the looks at the worker and frees the way to it.
-func (ho *host) leave() {
+// disconnect ends the looks at the worker and frees the way to it.
+func (ho *workerState) disconnect() {
 	ow := ho.ow
-	ho.stop()
+	ho.stopPolling()
 	if ow.DroppedFunc != nil {
 		ow.DroppedFunc(ho.incarnation)
 		// Its way was chosen by what its entry told.
@@ -259,11 +259,11 @@
 			ow.DroppedFunc(ho.Incarnation)
 		}
 	}
-	remove(ow.byAddr, ho.HostPort, ho)
+	removeFromIndex(ow.byAddr, ho.HostPort, ho)
 }
 
-// drop takes an attempt off the worker.
-func (ho *host) drop(at *attempt) {
+// removeAttempt takes an attempt off the worker.
+func (ho *workerState) removeAttempt(at *attempt) {
 	if !ho.attempts[at] {
 		return
 	}
@@ -273,19 +273,19 @@
 	ho.noteEnded(at, time.Now())
 	ho.services = slices.DeleteFunc(ho.services, func(other *attempt) bool { return other == at })
 	ho.reserved = ho.reserved.Without(at.step().Reserved())
-	ho.inUse -= likelyUse(at.step())
+	ho.expectedUse -= likelyUse(at.step())
 	if !at.step().Endless {
-		ho.passing = ho.passing.Without(at.step().Reserved())
+		ho.finiteReserved = ho.finiteReserved.Without(at.step().Reserved())
 	}
 }
 
-// put enters an attempt.
-func (ho *host) put(at *attempt) {
+// addAttempt enters an attempt.
+func (ho *workerState) addAttempt(at *attempt) {
 	ho.attempts[at] = true
 	ho.reserved = ho.reserved.With(at.step().Reserved())
-	ho.inUse += likelyUse(at.step())
+	ho.expectedUse += likelyUse(at.step())
 	if !at.step().Endless {
-		ho.passing = ho.passing.With(at.step().Reserved())
+		ho.finiteReserved = ho.finiteReserved.With(at.step().Reserved())
 	}
 	if at.step().HasTarget() {
 		ho.services = append(ho.services, at)
@@ -294,49 +294,49 @@
 	if at.task().Alone() {
 		ho.trial = &trial{en: at.en, ref: at.ref, at: at}
 	}
-	ho.fill.change()
+	ho.fillers.change()
 	at.en.attempts[at.ref] = at
 }
 
-// well reports whether the worker may be given something new, but for a task that is tried
+// available reports whether the worker may be given something new, but for a task that is tried
 // alone there.
-func (ho *host) well(now time.Time) bool {
-	why := ho.bar(now)
-	return why == "" || why == barTrial
+func (ho *workerState) available(now time.Time) bool {
+	why := ho.unavailableReason(now)
+	return why == "" || why == unavailableTrial
 }
 
 // barTrial is why a worker gets nothing new while a task is tried alone there, barFailing
 // why it gets nothing but what finds room nowhere else.
 const (
-	barTrial   = "trial"
-	barFailing = "failing"
+	unavailableTrial   = "trial"
+	unavailableFailing = "failing"
 )
 
-// bar returns why the worker may not be given anything new, or nothing if it may.
-func (ho *host) bar(now time.Time) string {
+// unavailableReason returns why the worker may not be given anything new, or nothing if it may.
+func (ho *workerState) unavailableReason(now time.Time) string {
 	switch {
 	case ho.dead:
 		return "dead"
-	case ho.gone:
+	case ho.unlisted:
 		return "unlisted"
 	case ho.Draining:
 		return "draining"
 	case !ho.settled:
 		return "unsettled"
-	case !ho.failing.IsZero() || ho.isNoted():
+	case !ho.failingSince.IsZero() || ho.isNoted():
 		return "unanswered"
-	case !now.After(ho.asideUntil):
+	case !now.After(ho.quarantinedUntil):
 		return "aside"
 	case ho.fails(now):
-		return barFailing
+		return unavailableFailing
 	case ho.trial != nil:
-		return barTrial
+		return unavailableTrial
 	}
 	return ""
 }
 
-// clockNow is the worker's clock now, at the earliest.
-func (ho *host) clockNow(now time.Time) int64 {
+// earliestClock is the worker's clock now, at the earliest.
+func (ho *workerState) earliestClock(now time.Time) int64 {
 	if ho.clockAt.IsZero() {
 		return 0
 	}
@@ -344,112 +344,112 @@
 	return ho.clockMS + int64(passed*(1-clockDrift))
 }
 
-// leaseNow returns the end of leases to tell the worker now, or 0 if its clock
+// nextLeaseEnd returns the end of leases to tell the worker now, or 0 if its clock
 // is not known, the tenure was not confirmed for too long, or the next owner may read that
 // it gets none.
-func (ho *host) leaseNow(now time.Time) int64 {
+func (ho *workerState) nextLeaseEnd(now time.Time) int64 {
 	te := &ho.ow.Tenure
 	age := now.Sub(te.LastBacked())
-	if ho.isNoted() || ho.clockAt.IsZero() || age > quickest(tenure.ExtendFor) || (te.Extending != nil && !te.Extending()) {
+	if ho.isNoted() || ho.clockAt.IsZero() || age > minDriftDuration(tenure.ExtendFor) || (te.Extending != nil && !te.Extending()) {
 		return 0
 	}
-	earliest := ho.clockNow(now)
-	until := earliest + leaseFor(age, ho.ow.Limits.MaxLease).Milliseconds()
+	earliest := ho.earliestClock(now)
+	until := earliest + leaseDuration(age, ho.ow.Limits.MaxLease).Milliseconds()
 	ho.leaseUntilMS = max(ho.leaseUntilMS, until)
 	return until
 }
 
-// leaseFor is how long a lease may be that is told so long after the tenure was last
+// leaseDuration is how long a lease may be that is told so long after the tenure was last
 // confirmed. No lease outlives what its owner may claim: else the next one has to wait for
 // a whole lease after the last moment at which the former could have told one.
-func leaseFor(age, most time.Duration) time.Duration {
+func leaseDuration(age, most time.Duration) time.Duration {
 	return max(min(most, tenure.LeasesFor-age), 0)
 }
 
-// settle notes that the worker obeys this owner, and that a former one may have extended
+// markSettled notes that the worker obeys this owner, and that a former one may have extended
 // its leases until just now: also if this one never does.
-func (ho *host) settle() {
+func (ho *workerState) markSettled() {
 	ho.settled = true
 	ho.leaseUntilMS = max(ho.leaseUntilMS, ho.clockMS+ho.ow.Limits.MaxLease.Milliseconds())
 }
 
-// read notes what the worker's clock read.
-func (ho *host) read(clockMS int64, at time.Time) {
+// recordClock notes what the worker's clock read.
+func (ho *workerState) recordClock(clockMS int64, at time.Time) {
 	if clockMS == 0 {
 		return
 	}
-	if earliest := ho.clockNow(at); clockMS >= earliest {
+	if earliest := ho.earliestClock(at); clockMS >= earliest {
 		ho.clockMS, ho.clockAt = clockMS, at
 	}
-	if back := time.Duration(ho.clockMS-clockMS) * time.Millisecond; back > clockBackMost {
+	if back := time.Duration(ho.clockMS-clockMS) * time.Millisecond; back > maxClockRegression {
 		ho.ow.Log.Warn("worker's clock went back", "worker", ho.incarnation, "by", back, "clock_ms", clockMS, "attempts", len(ho.attempts))
 	}
 }
 
-// clockBackMost is how far the reading of a worker's clock may be behind the last one, as
+// maxClockRegression is how far the reading of a worker's clock may be behind the last one, as
 // answers on different connections pass each other.
-const clockBackMost = 3 * time.Second
+const maxClockRegression = 3 * time.Second
 
 // tick looks at what time alone changes.
-func (ho *host) tick(now time.Time) {
+func (ho *workerState) tick(now time.Time) {
 	ho.tickTrial(now)
 	if len(ho.attempts) == 0 {
-		ho.ow.dropIdle(ho)
+		ho.ow.removeIfIdle(ho)
 		return
 	}
-	if ho.failing.IsZero() || now.Sub(ho.seen) < silentAfter {
+	if ho.failingSince.IsZero() || now.Sub(ho.lastPoll) < unresponsiveAfter {
 		return
 	}
-	if ho.lapsed(now) {
-		ho.endSilent(now)
+	if ho.leasesLapsed(now) {
+		ho.endLapsed(now)
 	}
 }
 
-// lapsed reports whether every lease that the worker can have been given has
+// leasesLapsed reports whether every lease that the worker can have been given has
 // ended by the slowest clock.
-func (ho *host) lapsed(now time.Time) bool {
+func (ho *workerState) leasesLapsed(now time.Time) bool {
 	if !ho.settled {
 		return now.After(ho.unsettledUntil())
 	}
-	earliest := ho.clockNow(now)
+	earliest := ho.earliestClock(now)
 	return earliest > ho.leaseUntilMS+lapseMargin.Milliseconds()
 }
 
-// orphansOver reports whether attempts ordered by a former owner have ended on
+// formerLeasesLapsed reports whether attempts ordered by a former owner have ended on
 // a worker that cannot be reached.
-func (ow *Owner) orphansOver(incarnation worker.Incarnation, now time.Time) bool {
-	return now.After(ow.orphansUntil(incarnation))
+func (ow *Owner) formerLeasesLapsed(incarnation worker.Incarnation, now time.Time) bool {
+	return now.After(ow.formerLeasesUntil(incarnation))
 }
 
-// orphansUntil returns when such attempts have ended at the latest: when the
+// formerLeasesUntil returns when such attempts have ended at the latest: when the
 // former owner said so as it released the cell, also if that is later than by its own
 // leases, or once leases have lapsed since the last moment at which it can have
 // extended them, and those that former owners can claim at all.
-func (ow *Owner) orphansUntil(incarnation worker.Incarnation) time.Time {
+func (ow *Owner) formerLeasesUntil(incarnation worker.Incarnation) time.Time {
 	if ms, ok := ow.Tenure.Former.SilentMS[incarnation.String()]; ok {
 		return ow.opened.Add(time.Duration(ms)*time.Millisecond + lapseMargin)
 	}
-	extended, most := ow.formerBounds()
+	extended, most := ow.formerLeaseBounds()
 	if ended := ow.Tenure.FormerEnded(); !ended.IsZero() && ended.Before(extended) {
 		extended = ended
 	}
-	until := extended.Add(slowest(ow.Limits.MaxLease))
+	until := extended.Add(maxDriftDuration(ow.Limits.MaxLease))
 	if ow.Tenure.Former.Bounded && most.Before(until) {
 		until = most
 	}
 	return until.Add(lapseMargin)
 }
 
-// formerBounds returns until when former owners can have extended leases at the latest, and
+// formerLeaseBounds returns until when former owners can have extended leases at the latest, and
 // until when their leases run that keep to what confirmed their owners.
-func (ow *Owner) formerBounds() (extended, lapsed time.Time) {
+func (ow *Owner) formerLeaseBounds() (extended, lapsed time.Time) {
 	te, unconfirmed := &ow.Tenure, ow.opened
 	if te.FormerUnconfirmed != nil {
 		unconfirmed = te.FormerUnconfirmed()
 	}
-	extended, lapsed = unconfirmed.Add(tenure.ExtendFor), unconfirmed.Add(slowest(tenure.LeasesFor))
+	extended, lapsed = unconfirmed.Add(tenure.ExtendFor), unconfirmed.Add(maxDriftDuration(tenure.LeasesFor))
 	if unconfirmed.IsZero() {
-		most := ow.opened.Add(slowest(tenure.VouchedFor))
+		most := ow.opened.Add(maxDriftDuration(tenure.VouchedFor))
 		extended, lapsed = most, most
 	}
 	if te.FormerLapse != nil {
@@ -460,28 +460,28 @@
 	return extended, lapsed
 }
 
-// quickest is how long a time may be by a slow clock so that it is over once it has passed by
+// minDriftDuration is how long a time may be by a slow clock so that it is over once it has passed by
 // a fast one.
-func quickest(d time.Duration) time.Duration {
+func minDriftDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - clockDrift) / (1 + clockDrift))
 }
 
-// slowest is how long it takes at most until a time has passed by a slow clock, as measured
+// maxDriftDuration is how long it takes at most until a time has passed by a slow clock, as measured
 // by a fast one.
-func slowest(d time.Duration) time.Duration {
+func maxDriftDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + clockDrift) / (1 - clockDrift))
 }
 
-// sortedHosts returns the workers in an order that does not change.
-func (ow *Owner) sortedHosts() []*host {
+// sortedWorkers returns the workers in an order that does not change.
+func (ow *Owner) sortedWorkers() []*workerState {
 	if ow.sorted != nil {
 		return ow.sorted
 	}
-	list := make([]*host, 0, len(ow.hosts))
+	list := make([]*workerState, 0, len(ow.hosts))
 	for _, ho := range ow.hosts {
 		list = append(list, ho)
 	}
-	slices.SortFunc(list, func(a, b *host) int {
+	slices.SortFunc(list, func(a, b *workerState) int {
 		return cmp.Or(strings.Compare(a.incarnation.ID, b.incarnation.ID), cmp.Compare(a.incarnation.Born, b.incarnation.Born))
 	})
 	ow.sorted = list
--- a/internal/sched/interrupted_test.go
+++ b/internal/sched/interrupted_test.go
@@ -12,15 +12,15 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// lastingOf is a job of tasks that last, each with so many cores.
-func lastingOf(tasks int, cores int64) job.Spec {
-	sp := lasting(tasks)
+// longRunningOf is a job of tasks that last, each with so many cores.
+func longRunningOf(tasks int, cores int64) job.Spec {
+	sp := longRunning(tasks)
 	sp.Steps[0].Each = worker.Resources{MilliCores: cores * 1000, MemMB: 1000}
 	return sp
 }
 
-// runningOf counts the runs of a job that go on.
-func (la *lab) runningOf(n int) int {
+// runningOfJob counts the runs of a job that go on.
+func (la *lab) runningOfJob(n int) int {
 	count := 0
 	for _, ru := range la.fleet.Runs() {
 		if id, _, _ := job.ParseTaskID(ru.Task); id == jobID(n) && ru.Until.IsZero() {
@@ -45,20 +45,20 @@
 // 127 others waiting beside them.
 func TestInterruptedTasksGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr, ow := startCrashes(t, newLab(t, 4))
-		cr.forGood = true
-		cr.submit(ow, 5, lastingOf(4, 16))
-		cr.submit(ow, 7, lastingOf(2, 32))
+		cr, ow := startCrashLab(t, newLab(t, 4))
+		cr.noRestart = true
+		cr.submit(ow, 5, longRunningOf(4, 16))
+		cr.submit(ow, 7, longRunningOf(2, 32))
 		time.Sleep(time.Second)
-		cr.submit(ow, 1, lastingOf(4, 32))
+		cr.submit(ow, 1, longRunningOf(4, 32))
 		time.Sleep(20 * time.Second)
-		qt.Assert(t, []int{cr.runningOf(5), cr.runningOf(7), cr.runningOf(1)}, qt.DeepEquals, []int{4, 2, 0})
+		qt.Assert(t, []int{cr.runningOfJob(5), cr.runningOfJob(7), cr.runningOfJob(1)}, qt.DeepEquals, []int{4, 2, 0})
 		// The busiest worker has two tasks of the first job.
 		ow = cr.loseOwnerAnd(1)
 		time.Sleep(20 * time.Second)
 		_, err := ow.Cancel(context.Background(), jobID(7))
 		qt.Assert(t, err, qt.IsNil)
 		time.Sleep(3 * time.Second)
-		qt.Check(t, []int{cr.runningOf(5), cr.runningOf(7), cr.runningOf(1)}, qt.DeepEquals, []int{4, 0, 1})
+		qt.Check(t, []int{cr.runningOfJob(5), cr.runningOfJob(7), cr.runningOfJob(1)}, qt.DeepEquals, []int{4, 0, 1})
 	})
 }
--- a/internal/sched/keep.go
+++ b/internal/sched/keep.go
@@ -7,7 +7,7 @@
 const keepShare = 16
 
 // isKept reports whether the worker's room is kept for a task that lasts.
-func (ho *host) isKept() bool { return ho.awaited || ho.keptIn == ho.ow.rounds }
+func (ho *workerState) isKept() bool { return ho.restartReady || ho.reservedInRound == ho.ow.rounds }
 
 // keepRoom keeps the room of a worker for an endless task that never ran and finds none: short
 // tasks that take each part of it as it gets free would keep the task waiting for
@@ -22,7 +22,7 @@
 	var best *candidate
 	var least int64
 	for _, ca := range pl.hosts {
-		if ca.kept || !ca.allowed(en, ref, st) || !st.Reserved().Fits(ca.free.With(ca.ho.passing)) {
+		if ca.kept || !ca.allowed(en, ref, st) || !st.Reserved().Fits(ca.free.With(ca.ho.finiteReserved)) {
 			continue
 		}
 		if lacks := st.Each.MilliCores - ca.free.MilliCores; best == nil || lacks < least {
@@ -32,7 +32,7 @@
 	if best == nil {
 		return
 	}
-	best.kept, best.ho.keptIn = true, pl.ow.rounds
+	best.kept, best.ho.reservedInRound = true, pl.ow.rounds
 	pl.keeps++
 	pl.ow.Log.Debug("room kept", "task", en.jo.TaskID(ref), "worker", best.ho.incarnation, "lacks_millicores", least)
 }
--- a/internal/sched/lapse_test.go
+++ b/internal/sched/lapse_test.go
@@ -21,19 +21,19 @@
 // while. The next one knew how long, and gave the cell up with a note of it; the third
 // took the shorter wait for an owner that has ceased to act, that of the second one, and
 // could have started tasks elsewhere that still ran.
-func TestWaitOfAFormerOwnerIsKept(t *testing.T) {
+func TestLongerWaitOfAFormerOwnerIsRetained(t *testing.T) {
 	now := time.Now()
 	for _, listed := range []time.Duration{time.Second, 12 * time.Second} {
 		ow := &Owner{Limits: Limits{MaxLease: 6 * time.Second}, opened: now}
 		ow.Tenure.Former = tenure.OwnerRow{SilentMS: map[string]int64{"i-0": listed.Milliseconds()}}
 		ow.Tenure.FormerEnded = func() time.Time { return now }
-		qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "i-0"}).Sub(now), qt.Equals, listed+lapseMargin)
+		qt.Check(t, ow.formerLeasesUntil(worker.Incarnation{ID: "i-0"}).Sub(now), qt.Equals, listed+lapseMargin)
 	}
 }
 
 // TestWaitsGivenRunOn: what an owner was told of leases that run goes on running while it
 // reads the cell, and is handed on as long as it has not looked for itself.
-func TestWaitsGivenRunOn(t *testing.T) {
+func TestHandedOverWaitsElapse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
@@ -49,23 +49,23 @@
 	})
 }
 
-// looksSeen notes looks, and has those fail whose relay is not of use.
-type looksSeen struct {
+// pollRecorder notes looks, and has those fail whose relay is not of use.
+type pollRecorder struct {
 	mu sync.Mutex
-	// down is the relay that is not of use.
-	down string
-	// done has when looks came to a worker, and extended when the first came that
+	// downRelay is the relay that is not of use.
+	downRelay string
+	// polled has when looks came to a worker, and extended when the first came that
 	// extends its leases.
-	done     []time.Time
-	extended time.Time
+	polled         []time.Time
+	firstExtension time.Time
 }
 
 var errNoRelay = errors.New("no such relay")
 
-func (ls *looksSeen) through(ag worker.Agent) worker.Agent {
+func (ls *pollRecorder) wrap(ag worker.Agent) worker.Agent {
 	look := ag.LookFunc
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-		if err := ls.note(ad, lo); err != nil {
+		if err := ls.record(ad, lo); err != nil {
 			return worker.Sight{}, err
 		}
 		return look(ctx, ad, lo)
@@ -73,24 +73,24 @@
 	return ag
 }
 
-func (ls *looksSeen) note(ad worker.Addr, lo worker.Look) error {
+func (ls *pollRecorder) record(ad worker.Addr, lo worker.Look) error {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	if ad.Via != "" && ad.Via == ls.down {
+	if ad.Via != "" && ad.Via == ls.downRelay {
 		return fmt.Errorf("%w: %w", worker.ErrNotSent, errNoRelay)
 	}
-	ls.done = append(ls.done, time.Now())
-	if ls.extended.IsZero() && lo.LeaseUntilMS > 0 {
-		ls.extended = time.Now()
+	ls.polled = append(ls.polled, time.Now())
+	if ls.firstExtension.IsZero() && lo.LeaseUntilMS > 0 {
+		ls.firstExtension = time.Now()
 	}
 	return nil
 }
 
 // firstAfter is the first look that came after a moment.
-func (ls *looksSeen) firstAfter(when time.Time) time.Time {
+func (ls *pollRecorder) firstAfter(when time.Time) time.Time {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	for _, at := range ls.done {
+	for _, at := range ls.polled {
 		if !at.Before(when) {
 			return at
 		}
@@ -100,17 +100,17 @@
 
 // TestLooksFollowANewWay: a worker whose relay is lost is looked at once it has another
 // way, not after the usual pause: its leases run meanwhile.
-func TestLooksFollowANewWay(t *testing.T) {
+func TestPollFollowsANewPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		ls := looksSeen{down: "r0"}
-		la.throughFunc = ls.through
-		via := ls.down
+		ls := pollRecorder{downRelay: "r0"}
+		la.throughFunc = ls.wrap
+		via := ls.downRelay
 		la.via.Store(&via)
 		ow, end := la.own()
 		defer end()
 		// In the midst of a pause.
-		time.Sleep(3*time.Second + lookRetry/2)
+		time.Sleep(3*time.Second + pollRetry/2)
 		other := "r1"
 		la.via.Store(&other)
 		moved := time.Now()
@@ -123,7 +123,7 @@
 // TestFirstExtension: a new owner can extend no lease before a first look has told it the
 // worker's clock. The second look waited until the ends that the first had listed were
 // written, while all the worker's leases ran.
-func TestFirstExtension(t *testing.T) {
+func TestFirstLeaseExtensionIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		ow, end := la.own()
@@ -133,14 +133,14 @@
 		end()
 		// The tasks end with nobody to take note of it.
 		time.Sleep(2 * time.Second)
-		var ls looksSeen
-		la.throughFunc = ls.through
+		var ls pollRecorder
+		la.throughFunc = ls.wrap
 		opened := time.Now()
 		ow, end = la.own()
 		defer end()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		qt.Assert(t, ls.extended.Sub(opened), qt.Equals, ls.firstAfter(opened).Sub(opened))
+		qt.Assert(t, ls.firstExtension.Sub(opened), qt.Equals, ls.firstAfter(opened).Sub(opened))
 	})
 }
--- a/internal/sched/late_test.go
+++ b/internal/sched/late_test.go
@@ -117,12 +117,12 @@
 	for _, replaced := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 1)
-			la.fleet.RunFunc = endless
+			la.fleet.RunFunc = runUntilStopped
 			ow, end := la.own()
 			defer func() { end() }()
 			time.Sleep(time.Second)
 			la.fleet.SetLate(la.crew[0], 3*time.Second)
-			la.submit(ow, 1, lasting(1))
+			la.submit(ow, 1, longRunning(1))
 			time.Sleep(500 * time.Millisecond)
 			ve, err := ow.Cancel(t.Context(), jobID(1))
 			qt.Assert(t, err, qt.IsNil)
@@ -134,7 +134,7 @@
 			time.Sleep(2700 * time.Millisecond)
 			// Orders to stop it that were sent before were late too.
 			la.fleet.SetLate(la.crew[0], 0)
-			time.Sleep(idleWait + lookGrace + ow.Limits.StopTime)
+			time.Sleep(idlePollWait + pollGrace + ow.Limits.StopTime)
 			// A worker that has heard of the next owner obeys no order of the former.
 			started := 1
 			if replaced {
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -18,37 +18,37 @@
 	launchTimeout = 400 * time.Millisecond
 	// haltTimeout is the same for a halt, which may take the time to stop.
 	haltTimeout = 500 * time.Millisecond
-	// settleRetry is the pause between attempts to find out what became of an
+	// resolveRetry is the pause between attempts to find out what became of an
 	// order.
-	settleRetry = 200 * time.Millisecond
+	resolveRetry = 200 * time.Millisecond
 )
 
 // launch sends the order of an attempt that is durable.
 func (ow *Owner) launch(at *attempt) {
 	if at.en.attempts[at.ref] != at || at.en.jo.State().Final() {
-		ow.unlaunched(at, "job ended before the order was sent")
+		ow.abandonLaunch(at, "job ended before the order was sent")
 		return
 	}
 	// Its start took a write, and the worker may have left the list meanwhile.
-	if at.ho.gone || at.ho.Draining {
-		ow.unlaunched(at, "its worker drains or left the list before the order was sent")
+	if at.ho.unlisted || at.ho.Draining {
+		ow.abandonLaunch(at, "its worker drains or left the list before the order was sent")
 		return
 	}
 	if at.ho.isNoted() {
-		ow.unlaunched(at, "its worker does not answer and gets no lease")
+		ow.abandonLaunch(at, "its worker does not answer and gets no lease")
 		return
 	}
 	at.ordered = true
 	ta := at.en.jo.Task(at.ref)
 	la := worker.Launch{
 		Attempt: at.name(), Payload: at.en.jo.Spec.Payload, Checkpoint: ta.Checkpoint,
-		LeaseUntilMS: at.ho.leaseNow(time.Now()),
+		LeaseUntilMS: at.ho.nextLeaseEnd(time.Now()),
 	}
 	go ow.sendLaunch(at, la)
 }
 
-// unlaunched ends an attempt whose order was never sent.
-func (ow *Owner) unlaunched(at *attempt, why string) {
+// abandonLaunch ends an attempt whose order was never sent.
+func (ow *Owner) abandonLaunch(at *attempt, why string) {
 	if at.en.attempts[at.ref] == at {
 		ow.end(at.en, at.ref, at.number, job.EndNever, "", why)
 	}
@@ -66,28 +66,28 @@
 	ack, err := ow.Agent.LaunchFunc(ctx, wa.addr, la)
 	cancel()
 	got := time.Now()
-	ow.post(func() { ow.launched(at, ack, sent, got, err) })
+	ow.post(func() { ow.handleLaunchAnswer(at, ack, sent, got, err) })
 }
 
-// launched takes in the answer to a launch.
-func (ow *Owner) launched(at *attempt, ack worker.Ack, sent, got time.Time, err error) {
+// handleLaunchAnswer takes in the answer to a launch.
+func (ow *Owner) handleLaunchAnswer(at *attempt, ack worker.Ack, sent, got time.Time, err error) {
 	ow.Metrics.Add(telemetry.Launches, 1, "outcome", launchOutcome(err))
 	ow.land(at)
 	if ow.window.answered(got.Sub(sent), got) {
 		ow.Log.Info("fewer starts at once, as answers are slow", "cell", ow.Cell, "most", ow.window.limit(), "under_way", ow.window.underWay, "took", got.Sub(sent))
 	}
-	at.ho.read(ack.ClockMS, got)
+	at.ho.recordClock(ack.ClockMS, got)
 	if at.en.attempts[at.ref] != at {
 		return
 	}
 	if err == nil || errors.Is(err, worker.ErrOldAttempt) {
-		at.ho.started(at, got)
+		at.ho.markStarted(at, got)
 		ow.Log.Info("attempt launched", "task", taskID(at), "attempt", at.number, "worker", at.ho.incarnation, "took", got.Sub(sent))
 		return
 	}
 	ow.Log.Info("launch not done", "task", taskID(at), "attempt", at.number, "worker", at.ho.incarnation, "err", err)
 	if le := (*worker.LifeError)(nil); errors.As(err, &le) {
-		at.ho.answeredBy(le.Answered)
+		at.ho.handleOtherIncarnation(le.Answered)
 		if at.ho.dead {
 			return
 		}
@@ -95,12 +95,12 @@
 	if errors.Is(err, worker.ErrOtherLife) {
 		// It was refused by the next process, so it had no part in the end of this one.
 		ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by another process")
-		at.ho.die("another process answers at its address", worker.Incarnation{})
+		at.ho.markDead("another process answers at its address", worker.Incarnation{})
 		return
 	}
-	if !at.ho.notLaunched(err) {
+	if !at.ho.handleRefusal(err) {
 		at.settling = true
-		go ow.settle(at.ho, at.name(), func(there bool) { ow.settledLaunch(at, there) })
+		go ow.resolveOrder(at.ho, at.name(), func(there bool) { ow.handleLaunchResolved(at, there) })
 		return
 	}
 	ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by the worker")
@@ -108,16 +108,16 @@
 
 func taskID(at *attempt) string { return at.en.jo.TaskID(at.ref) }
 
-// notLaunched draws the conclusions of a refusal and reports whether the
+// handleRefusal draws the conclusions of a refusal and reports whether the
 // attempt certainly will not run.
-func (ho *host) notLaunched(err error) bool {
+func (ho *workerState) handleRefusal(err error) bool {
 	switch {
 	case errors.Is(err, worker.ErrNoRoom):
-		ho.setAside(asideNoRoom, "has less room than known")
+		ho.setAside(capacityQuarantine, "has less room than known")
 	case errors.Is(err, worker.ErrUnfit), errors.Is(err, worker.ErrMalformed):
 		ho.setAside(asideUnfit, "refuses orders")
 	case errors.Is(err, worker.ErrLateLease):
-		ho.setAside(asideNoRoom, "its clock is not known well")
+		ho.setAside(capacityQuarantine, "its clock is not known well")
 	case errors.Is(err, worker.ErrFenced):
 		ho.setAside(asideUnfit, "obeys a later owner")
 	case errors.Is(err, worker.ErrNoListener):
@@ -131,9 +131,9 @@
 	return true
 }
 
-// asideNoRoom is the time aside of a worker that had less room than known: the
+// capacityQuarantine is the time aside of a worker that had less room than known: the
 // next look tells more.
-const asideNoRoom = 150 * time.Millisecond
+const capacityQuarantine = 150 * time.Millisecond
 
 func launchOutcome(err error) string {
 	for _, known := range []struct {
@@ -154,51 +154,51 @@
 	return "done"
 }
 
-// settledLaunch takes in what became of a launch without an answer.
-func (ow *Owner) settledLaunch(at *attempt, there bool) {
+// handleLaunchResolved takes in what became of a launch without an answer.
+func (ow *Owner) handleLaunchResolved(at *attempt, there bool) {
 	if at.en.attempts[at.ref] != at {
 		return
 	}
 	at.settling = false
 	if there {
-		at.ho.started(at, time.Now())
+		at.ho.markStarted(at, time.Now())
 		return
 	}
 	ow.end(at.en, at.ref, at.number, job.EndNever, "", "its launch had no answer and it was kept from starting")
 }
 
-// settle finds out whether an attempt got to a worker whose answer was lost,
+// resolveOrder finds out whether an attempt got to a worker whose answer was lost,
 // and else keeps it from ever starting there. It goes on until the worker says
 // so, or is given up.
-func (ow *Owner) settle(ho *host, wa worker.Attempt, done func(there bool)) {
+func (ow *Owner) resolveOrder(ho *workerState, wa worker.Attempt, done func(there bool)) {
 	for {
-		there, err := ow.listedAt(ho, wa)
+		there, err := ow.listsAttempt(ho, wa)
 		if err == nil && there {
 			ow.post(func() { done(true) })
 			return
 		}
 		if err == nil && ow.sendHalt(ho, wa) {
-			there, err = ow.listedAt(ho, wa)
+			there, err = ow.listsAttempt(ho, wa)
 			if err == nil {
 				ow.post(func() { done(there) })
 				return
 			}
 		}
-		given, aerr := ask(ow.ctx, ow, func(answer func(bool)) { answer(ho.dead || ho.find(wa) == nil) })
-		if given || aerr != nil || !clock.Sleep(ow.ctx, settleRetry) {
+		given, aerr := ask(ow.ctx, ow, func(answer func(bool)) { answer(ho.dead || ho.findAttempt(wa) == nil) })
+		if given || aerr != nil || !clock.Sleep(ow.ctx, resolveRetry) {
 			return
 		}
 	}
 }
 
-// listedAt asks the worker whether it lists an attempt as running or ended.
-func (ow *Owner) listedAt(ho *host, wa worker.Attempt) (bool, error) {
-	ctx, cancel := context.WithTimeout(ow.ctx, lookGrace)
+// listsAttempt asks the worker whether it lists an attempt as running or ended.
+func (ow *Owner) listsAttempt(ho *workerState, wa worker.Attempt) (bool, error) {
+	ctx, cancel := context.WithTimeout(ow.ctx, pollGrace)
 	defer cancel()
 	way := ho.wayNow()
 	si, err := ow.Agent.LookFunc(ctx, way.addr, worker.Look{Fence: way.fence})
 	if err != nil {
-		ho.tellLife(err)
+		ho.reportIncarnation(err)
 		return false, err
 	}
 	for _, ra := range si.Running {
@@ -226,13 +226,13 @@
 }
 
 // sendHalt sends the order and reports whether the worker took it.
-func (ow *Owner) sendHalt(ho *host, wa worker.Attempt) bool {
+func (ow *Owner) sendHalt(ho *workerState, wa worker.Attempt) bool {
 	ctx, cancel := context.WithTimeout(ow.ctx, haltTimeout)
 	defer cancel()
 	way := ho.wayNow()
 	_, err := ow.Agent.HaltFunc(ctx, way.addr, worker.Halt{Attempt: wa, Fence: way.fence})
 	if err != nil {
-		ho.tellLife(err)
+		ho.reportIncarnation(err)
 		ow.Log.Info("halt not done", "task", wa.Task, "attempt", wa.Number, "worker", way.addr.Incarnation, "err", err)
 	}
 	return err == nil
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -82,7 +82,7 @@
 
 // adopt gives a worker that was just seen the attempts that former owners
 // ordered there.
-func (ow *Owner) adopt(ho *host) {
+func (ow *Owner) adopt(ho *workerState) {
 	found := false
 	for incarnation := range ow.orphans {
 		if incarnation.ID != ho.incarnation.ID {
@@ -91,7 +91,7 @@
 		found = true
 		delete(ow.orphans, incarnation)
 		if incarnation.OtherLife(ho.incarnation) {
-			ho.lives = append(ho.lives, incarnation)
+			ho.formerIncarnations = append(ho.formerIncarnations, incarnation)
 		}
 	}
 	if !found {
@@ -103,7 +103,7 @@
 }
 
 // adopted enters a job's attempts on the worker and returns those elsewhere.
-func (en *entry) adopted(ho *host) []job.TaskRef {
+func (en *entry) adopted(ho *workerState) []job.TaskRef {
 	rest := en.orphans[:0]
 	for _, ref := range en.orphans {
 		ta := en.jo.Task(ref)
@@ -111,11 +111,11 @@
 			rest = append(rest, ref)
 			continue
 		}
-		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, worked: workedBy(ta.Proof), pace: unknownPace}
+		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, worked: minRunTime(ta.Proof), pace: unknownPace}
 		if ta.Worker.OtherLife(ho.incarnation) {
-			at.worked, at.ends = 0, unseenVerdict(ta.Proof, ho.ow.listSound(time.Now()))
+			at.worked, at.ends = 0, unseenEnd(ta.Proof, ho.ow.listSound(time.Now()))
 		}
-		ho.put(at)
+		ho.addAttempt(at)
 	}
 	return rest
 }
@@ -127,7 +127,7 @@
 // leases have lapsed.
 func (ow *Owner) tickOrphans(now time.Time) {
 	for incarnation := range ow.orphans {
-		if ow.orphansOver(incarnation, now) {
+		if ow.formerLeasesLapsed(incarnation, now) {
 			delete(ow.orphans, incarnation)
 			ow.endOrphans(incarnation, now)
 		}
@@ -149,11 +149,11 @@
 				rest = append(rest, ref)
 				continue
 			}
-			end := unseenVerdict(ta.Proof, sound)
+			end := unseenEnd(ta.Proof, sound)
 			le.add(&en.jo.Spec.Steps[ref.Step], end)
 			ow.end(en, ref, ta.Attempt, end, "", unseenWhy)
 		}
 		en.orphans = rest
 	}
-	ow.tellLost(incarnation, le, unseenWhy, now.Sub(ow.opened))
+	ow.logLost(incarnation, le, unseenWhy, now.Sub(ow.opened))
 }
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -24,7 +24,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 1)
-				la.fleet.RunFunc = endless
+				la.fleet.RunFunc = runUntilStopped
 				ow, end := la.own()
 				time.Sleep(time.Second)
 				const jobs = 400
--- a/internal/sched/looks.go
+++ b/internal/sched/looks.go
@@ -12,26 +12,26 @@
 
 // Times of looks.
 const (
-	// lookWait is how long a worker with work may wait for an end before it
+	// pollWait is how long a worker with work may wait for an end before it
 	// answers; without work it waits idleWait, and beside services with
 	// targets, whose figures are of half a second, serveWait.
-	lookWait  = time.Second
-	serveWait = 600 * time.Millisecond
-	idleWait  = 2 * time.Second
-	// lookGrace is how much longer an answer may take before the connection
+	pollWait      = time.Second
+	mixedPollWait = 600 * time.Millisecond
+	idlePollWait  = 2 * time.Second
+	// pollGrace is how much longer an answer may take before the connection
 	// counts as dead.
-	lookGrace = 600 * time.Millisecond
-	// lookRetry is the pause after a look that failed.
-	lookRetry = 250 * time.Millisecond
-	// undurableWait is how long a look waits for ends to become durable before
+	pollGrace = 600 * time.Millisecond
+	// pollRetry is the pause after a look that failed.
+	pollRetry = 250 * time.Millisecond
+	// maxDurableWait is how long a look waits for ends to become durable before
 	// it extends leases all the same.
-	undurableWait = 500 * time.Millisecond
-	// silentAfter is the time without a successful look after which a worker
+	maxDurableWait = 500 * time.Millisecond
+	// unresponsiveAfter is the time without a successful look after which a worker
 	// gets nothing new.
-	silentAfter = 2500 * time.Millisecond
-	// extendSilent is how long the leases of a worker that does not answer are
+	unresponsiveAfter = 2500 * time.Millisecond
+	// extendUnresponsive is how long the leases of a worker that does not answer are
 	// extended: each order on its way may be obeyed, so they would never lapse.
-	extendSilent = time.Second
+	extendUnresponsive = time.Second
 	// ackWithin is how long after an answer ends are acknowledged: a process that took
 	// the place of the one that answered would take their numbers for its own.
 	ackWithin = 300 * time.Millisecond
@@ -39,16 +39,16 @@
 	maxEnds = 500
 )
 
-// looks looks at the worker again and again until ctx ends.
-func (ho *host) looks(ctx context.Context) {
+// pollLoop looks at the worker again and again until ctx ends.
+func (ho *workerState) pollLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		lo, err := ask(ctx, ho.ow, func(answer func(worker.Look)) { answer(ho.nextLook()) })
+		lo, err := ask(ctx, ho.ow, func(answer func(worker.Look)) { answer(ho.nextPoll()) })
 		if err != nil {
 			return
 		}
 		sent := time.Now()
-		lctx, cancel := context.WithTimeout(ctx, lo.Wait+lookGrace)
-		forget(ho.rerouted)
+		lctx, cancel := context.WithTimeout(ctx, lo.Wait+pollGrace)
+		clearWake(ho.pathChanged)
 		wa := ho.wayNow()
 		lo.Fence = wa.fence
 		si, err := ho.ow.Agent.LookFunc(lctx, wa.addr, lo)
@@ -57,19 +57,19 @@
 			return
 		}
 		got := time.Now()
-		if !ho.ow.post(func() { ho.looked(sent, got, wa.fence, si, err) }) {
+		if !ho.ow.post(func() { ho.handlePoll(sent, got, wa.fence, si, err) }) {
 			return
 		}
-		ho.pause(ctx, err)
+		ho.waitForNextPoll(ctx, err)
 	}
 }
 
-// pause waits until the next look is due: until the ends just seen are
+// waitForNextPoll waits until the next look is due: until the ends just seen are
 // durable, or until there is another way after one that failed, but not for long.
-func (ho *host) pause(ctx context.Context, err error) {
-	due, most := ho.release, undurableWait
+func (ho *workerState) waitForNextPoll(ctx context.Context, err error) {
+	due, most := ho.pollWake, maxDurableWait
 	if err != nil {
-		due, most = ho.rerouted, lookRetry
+		due, most = ho.pathChanged, pollRetry
 	}
 	ti := time.NewTimer(most)
 	defer ti.Stop()
@@ -80,56 +80,56 @@
 	}
 }
 
-// nudge wakes who waits for a channel, now or next.
-func nudge(ch chan<- struct{}) {
+// wake wakes who waits for a channel, now or next.
+func wake(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// forget takes a nudge back.
-func forget(ch <-chan struct{}) {
+// clearWake takes a nudge back.
+func clearWake(ch <-chan struct{}) {
 	select {
 	case <-ch:
 	default:
 	}
 }
 
-// nextLook is what to ask now. Ends are acknowledged only right after a look listed some, as
+// nextPoll is what to ask now. Ends are acknowledged only right after a look listed some, as
 // the process that answers may be another by now.
-func (ho *host) nextLook() worker.Look {
+func (ho *workerState) nextPoll() worker.Look {
 	now := time.Now()
 	lo := worker.Look{}
-	ho.withheld = ho.endsListed && !ho.mayAcknowledge(now)
-	if ho.endsListed && !ho.withheld {
-		lo.Seen = ho.acked
+	ho.ackWithheld = ho.lastPollHadEnds && !ho.mayAcknowledge(now)
+	if ho.lastPollHadEnds && !ho.ackWithheld {
+		lo.Seen = ho.endsAcked
 	}
-	if ho.failing.IsZero() || now.Sub(ho.failing) < extendSilent {
-		lo.LeaseUntilMS = ho.leaseNow(now)
+	if ho.failingSince.IsZero() || now.Sub(ho.failingSince) < extendUnresponsive {
+		lo.LeaseUntilMS = ho.nextLeaseEnd(now)
 	}
 	switch {
-	case ho.isNoted() && ho.failing.IsZero():
+	case ho.isNoted() && ho.failingSince.IsZero():
 		lo.Wait = notedWait
-	case !ho.settled || ho.withheld || ho.clockAt.IsZero() || ho.undurable > 0 || !ho.failing.IsZero():
-	case ho.mixed():
-		lo.Wait = serveWait
+	case !ho.settled || ho.ackWithheld || ho.clockAt.IsZero() || ho.undurableEnds > 0 || !ho.failingSince.IsZero():
+	case ho.hasFillersBesideServices():
+		lo.Wait = mixedPollWait
 	case len(ho.attempts) > 0:
-		lo.Wait = lookWait
+		lo.Wait = pollWait
 	default:
-		lo.Wait = idleWait
+		lo.Wait = idlePollWait
 	}
 	return lo
 }
 
 // mayAcknowledge reports whether the next look may acknowledge ends: soon after an answer, or
 // if the look before was for that, so that a busy owner does not put it off for ever.
-func (ho *host) mayAcknowledge(now time.Time) bool {
-	return ho.failing.IsZero() && (ho.withheld || now.Sub(ho.seen) <= ackWithin)
+func (ho *workerState) mayAcknowledge(now time.Time) bool {
+	return ho.failingSince.IsZero() && (ho.ackWithheld || now.Sub(ho.lastPoll) <= ackWithin)
 }
 
-// mixed reports whether fillers run beside services with targets.
-func (ho *host) mixed() bool {
+// hasFillersBesideServices reports whether fillers run beside services with targets.
+func (ho *workerState) hasFillersBesideServices() bool {
 	filled, served := false, false
 	for at := range ho.attempts {
 		filled = filled || at.step().Filler
@@ -138,88 +138,88 @@
 	return filled && served
 }
 
-// looked takes in what a look saw that was sent with a fencing token.
-func (ho *host) looked(sent, got time.Time, fence int64, si worker.Sight, err error) {
+// handlePoll takes in what a look saw that was sent with a fencing token.
+func (ho *workerState) handlePoll(sent, got time.Time, fence int64, si worker.Sight, err error) {
 	if ho.dead {
 		return
 	}
 	if err != nil {
-		ho.lookFailed(err)
+		ho.handlePollError(err)
 		return
 	}
-	if !ho.failing.IsZero() {
-		ho.ow.Log.Info("worker answers again", "worker", ho.incarnation, "after", got.Sub(ho.failing))
-		ho.failing, ho.silent = time.Time{}, false
+	if !ho.failingSince.IsZero() {
+		ho.ow.Log.Info("worker answers again", "worker", ho.incarnation, "after", got.Sub(ho.failingSince))
+		ho.failingSince, ho.unresponsive = time.Time{}, false
 	}
 	ho.ow.noteAnswer(ho)
 	if ho.isNoted() {
 		ho.ow.noteLeases(got)
 	}
-	ho.outlive(sent)
-	ho.seen = got
-	ho.read(si.ClockMS, got)
-	ho.endsListed = len(si.Ended) > 0
-	ended := ho.takeEnds(si)
-	ho.takeRunning(si, got)
+	ho.supersedeOthers(sent)
+	ho.lastPoll = got
+	ho.recordClock(si.ClockMS, got)
+	ho.lastPollHadEnds = len(si.Ended) > 0
+	ended := ho.handleEnds(si)
+	ho.handleRunning(si, got)
 	if len(si.Ended) < maxEnds {
 		settles := !ho.settled && fence >= ho.settleFence
-		ho.takeMissing(si, sent, ended, settles)
+		ho.endMissing(si, sent, ended, settles)
 		if settles {
-			ho.settle()
+			ho.markSettled()
 			ho.ow.Log.Info("worker settled", "worker", ho.incarnation, "running", len(si.Running), "ended", len(si.Ended))
 			// Only now can its leases be extended, which a write may not hold up: a
 			// takeover has used most of what is left of them.
-			nudge(ho.release)
+			wake(ho.pollWake)
 		}
 	}
 	ho.measure(got)
 	ho.acknowledge()
 }
 
-func (ho *host) lookFailed(err error) {
+func (ho *workerState) handlePollError(err error) {
 	ho.ow.Metrics.Add(telemetry.Looks, 1, "outcome", "failed")
 	le := (*worker.LifeError)(nil)
 	switch {
 	case errors.As(err, &le):
-		ho.answeredBy(le.Answered)
+		ho.handleOtherIncarnation(le.Answered)
 	case errors.Is(err, worker.ErrOtherLife):
-		ho.die("another process answers at its address", worker.Incarnation{})
+		ho.markDead("another process answers at its address", worker.Incarnation{})
 	case errors.Is(err, worker.ErrFenced):
 		ho.ow.Log.Warn("worker obeys a higher fencing token", "worker", ho.incarnation, "epoch", ho.ow.Tenure.Epoch, "fence", ho.wayNow().fence)
-		ho.failing = time.Now()
+		ho.failingSince = time.Now()
 		// It may be of this owner, from a way that was given up; those of the next are
 		// higher than all that follow.
 		ho.raiseFence()
-	case ho.failing.IsZero():
-		ho.failing, ho.silent = time.Now(), !errors.Is(err, worker.ErrBrokeOff)
+	case ho.failingSince.IsZero():
+		ho.failingSince, ho.unresponsive = time.Now(), !errors.Is(err, worker.ErrBrokeOff)
 		ho.ow.Log.Warn("worker does not answer", "worker", ho.incarnation, "attempts", len(ho.attempts), "err", err)
 	}
 }
 
-// takeEnds takes in ends that are new, and returns all that are listed.
-func (ho *host) takeEnds(si worker.Sight) map[worker.Attempt]bool {
+// handleEnds takes in ends that are new, and returns all that are listed.
+func (ho *workerState) handleEnds(si worker.Sight) map[worker.Attempt]bool {
 	ended := map[worker.Attempt]bool{}
 	for _, ea := range si.Ended {
 		ended[ea.Attempt] = true
-		if ea.EndNumber <= ho.handled {
-			ho.tellSkipped(ea)
+		if ea.EndNumber <= ho.endsHandled {
+			ho.logSkippedEnd(ea)
 			continue
 		}
-		ho.handled = ea.EndNumber
-		ho.takeEnd(ea)
+		ho.endsHandled = ea.EndNumber
+		ho.handleEnd(ea)
 	}
 	return ended
 }
 
-// tellSkipped tells of an end that counts as known though its attempt counts as running.
-func (ho *host) tellSkipped(ea worker.EndedAttempt) {
-	if ho.find(ea.Attempt) != nil {
+// logSkippedEnd tells of an end that counts as known though its attempt counts as running.
+func (ho *workerState) logSkippedEnd(ea worker.EndedAttempt) {
+	if ho.findAttempt(ea.Attempt) != nil {
 		ho.ow.Log.Warn("end skipped as known", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.How,
-			"number", ea.EndNumber, "handled", ho.handled, "acked", ho.acked)
+			"number", ea.EndNumber, "handled", ho.endsHandled, "acked", ho.endsAcked)
 	}
 }
 
-func (ho *host) takeEnd(ea worker.EndedAttempt) {
+func (ho *workerState) handleEnd(ea worker.EndedAttempt) {
 	id, ref, ok := job.ParseTaskID(ea.Task)
 	en := ho.ow.entries[id]
 	if !ok || en == nil {
@@ -227,29 +227,29 @@
 		return
 	}
 	ho.judge(en, ea.How)
-	end := endOf(ea.How)
+	end := parseEnd(ea.How)
 	if !ho.ow.end(en, ref, ea.Number, end, ea.Checkpoint, "listed by the worker") {
 		ho.ow.endLate(en, ref, ea.Number, end, ho.incarnation)
 	}
-	ho.awaitWrite(en)
+	ho.awaitDurableEnd(en)
 }
 
-// awaitWrite keeps the ends just listed from being acknowledged until the job is
+// awaitDurableEnd keeps the ends just listed from being acknowledged until the job is
 // written as it is now. Also an end that is no news may rest on what is not
 // written yet: that its attempt was given up. The next owner would read of an
 // attempt that runs, and find it neither running nor ended.
-func (ho *host) awaitWrite(en *entry) {
+func (ho *workerState) awaitDurableEnd(en *entry) {
 	if !en.dirty && !en.writing {
 		return
 	}
-	ho.undurable++
-	en.effects = append(en.effects, ho.durable)
+	ho.undurableEnds++
+	en.effects = append(en.effects, ho.endBecameDurable)
 	ho.ow.touch(en)
 }
 
-// endOf translates a worker's word for how an attempt ended. What is neither
+// parseEnd translates a worker's word for how an attempt ended. What is neither
 // done nor failed can be tried again at no one's expense.
-func endOf(how string) job.End {
+func parseEnd(how string) job.End {
 	switch how {
 	case "done":
 		return job.EndDone
@@ -261,33 +261,33 @@
 	return job.EndLapsed
 }
 
-// durable notes that an end became durable.
-func (ho *host) durable() {
-	ho.undurable--
+// endBecameDurable notes that an end became durable.
+func (ho *workerState) endBecameDurable() {
+	ho.undurableEnds--
 	ho.acknowledge()
 }
 
 // acknowledge lets the next look go ahead once all ends are durable.
-func (ho *host) acknowledge() {
-	if ho.undurable > 0 {
+func (ho *workerState) acknowledge() {
+	if ho.undurableEnds > 0 {
 		return
 	}
-	ho.acked = ho.handled
-	nudge(ho.release)
+	ho.endsAcked = ho.endsHandled
+	wake(ho.pollWake)
 }
 
-// takeRunning takes in what runs. What should not is stopped.
-func (ho *host) takeRunning(si worker.Sight, got time.Time) {
+// handleRunning takes in what runs. What should not is stopped.
+func (ho *workerState) handleRunning(si worker.Sight, got time.Time) {
 	for _, ra := range si.Running {
-		at := ho.find(ra.Attempt)
+		at := ho.findAttempt(ra.Attempt)
 		if at == nil {
-			ho.stray(ra)
+			ho.stopUnknownAttempt(ra)
 			continue
 		}
 		if at.ends != "" {
-			ho.runsHere(at)
+			ho.confirmRunning(at)
 		}
-		ho.started(at, got)
+		ho.markStarted(at, got)
 		at.sight(got)
 		at.usage = ra.Usage
 		at.follow(ra.Percent, got)
@@ -306,14 +306,14 @@
 	}
 }
 
-// stray stops an attempt that the cell's rows do not have.
-func (ho *host) stray(ra worker.RunningAttempt) {
+// stopUnknownAttempt stops an attempt that the cell's rows do not have.
+func (ho *workerState) stopUnknownAttempt(ra worker.RunningAttempt) {
 	ho.ow.Log.Warn("stopping an attempt that is not ours", "task", ra.Task, "attempt", ra.Number, "worker", ho.incarnation)
 	go ho.ow.sendHalt(ho, ra.Attempt)
 }
 
-// started notes that an attempt is known to be at the worker.
-func (ho *host) started(at *attempt, now time.Time) {
+// markStarted notes that an attempt is known to be at the worker.
+func (ho *workerState) markStarted(at *attempt, now time.Time) {
 	if !at.launched.IsZero() {
 		return
 	}
@@ -321,8 +321,8 @@
 	ho.easeIn(at, now)
 }
 
-// find returns the attempt that the worker names, if it runs here.
-func (ho *host) find(wa worker.Attempt) *attempt {
+// findAttempt returns the attempt that the worker names, if it runs here.
+func (ho *workerState) findAttempt(wa worker.Attempt) *attempt {
 	id, ref, ok := job.ParseTaskID(wa.Task)
 	en := ho.ow.entries[id]
 	if !ok || en == nil {
@@ -335,10 +335,10 @@
 	return at
 }
 
-// takeMissing notes the end of attempts that a look should have listed and did
+// endMissing notes the end of attempts that a look should have listed and did
 // not: those that were acknowledged before it was sent and, if it settles the worker, all
 // that was ordered by former owners or from lives before.
-func (ho *host) takeMissing(si worker.Sight, sent time.Time, ended map[worker.Attempt]bool, settles bool) {
+func (ho *workerState) endMissing(si worker.Sight, sent time.Time, ended map[worker.Attempt]bool, settles bool) {
 	running := map[worker.Attempt]bool{}
 	for _, ra := range si.Running {
 		running[ra.Attempt] = true
--- a/internal/sched/move.go
+++ b/internal/sched/move.go
@@ -30,7 +30,7 @@
 	}
 	var pl *placer
 	moves := 0
-	for _, ho := range ow.sortedHosts() {
+	for _, ho := range ow.sortedWorkers() {
 		for at := range ho.attempts {
 			if moves == movesPerTick || !at.movable(now) {
 				continue
--- a/internal/sched/noted.go
+++ b/internal/sched/noted.go
@@ -21,7 +21,7 @@
 	SilentTable = "silent"
 	// noteAfter is how long a worker must not have answered: until the last look that
 	// may extend its leases has its answer.
-	noteAfter = extendSilent + lookGrace
+	noteAfter = extendUnresponsive + pollGrace
 	// noteEvery is the time between two writes that only add workers.
 	noteEvery = 300 * time.Millisecond
 	// notedMost bounds the workers named, so that the row stays under the store's
@@ -81,15 +81,15 @@
 }
 
 // isNoted reports whether the worker may be told no lease, as the row names it.
-func (ho *host) isNoted() bool {
+func (ho *workerState) isNoted() bool {
 	named := ho.ow.noted.named
 	return len(named) > 0 && named[ho.incarnation.String()]
 }
 
 // silentFor reports whether the worker has not answered for so long that it gets no lease
 // any more.
-func (ho *host) silentFor(now time.Time) bool {
-	return !ho.dead && ho.settled && len(ho.attempts) > 0 && !ho.failing.IsZero() && now.Sub(ho.failing) >= noteAfter
+func (ho *workerState) silentFor(now time.Time) bool {
+	return !ho.dead && ho.settled && len(ho.attempts) > 0 && !ho.failingSince.IsZero() && now.Sub(ho.failingSince) >= noteAfter
 }
 
 // noteLeases has the row name the workers that do not answer, and no others.
@@ -99,7 +99,7 @@
 		return
 	}
 	silent := map[string]int64{}
-	for _, ho := range ow.sortedHosts() {
+	for _, ho := range ow.sortedWorkers() {
 		if ho.silentFor(now) && len(silent) < notedMost {
 			silent[ho.incarnation.String()] = ho.lapseIn(now)
 		}
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -86,16 +86,16 @@
 	entries map[string]*entry
 	active  []*entry
 	seq     int64
-	hosts   map[worker.Incarnation]*host
+	hosts   map[worker.Incarnation]*workerState
 	// ways counts the ways to workers there ever were.
 	ways int64
 	// sorted has them in an order that does not change, or is nil.
-	sorted []*host
+	sorted []*workerState
 	// byAddr has the workers whose processes are not known to have ended, by where they
 	// listen: one of them does.
-	byAddr map[string][]*host
+	byAddr map[string][]*workerState
 	// byID has the workers by their ids: several are lives of one worker.
-	byID map[string][]*host
+	byID map[string][]*workerState
 	// due is set while something may be placed that could not before, rounds
 	// counts the rounds of placement.
 	due    bool
@@ -124,7 +124,7 @@
 	// scarceAt is when a line last told of tasks that last and find no room.
 	scarceAt time.Time
 	// promises are what is kept for lasting tasks that are to begin again.
-	promises promises
+	promises restartReservations
 	// stuckAt is when it was last looked for tasks that are stuck.
 	stuckAt time.Time
 	// roll follows how far the list of workers can be believed.
@@ -152,9 +152,9 @@
 	ow.events = make(chan func(), eventsMost)
 	ow.ended = make(chan struct{})
 	ow.entries = map[string]*entry{}
-	ow.hosts = map[worker.Incarnation]*host{}
-	ow.byAddr = map[string][]*host{}
-	ow.byID = map[string][]*host{}
+	ow.hosts = map[worker.Incarnation]*workerState{}
+	ow.byAddr = map[string][]*workerState{}
+	ow.byID = map[string][]*workerState{}
 	ow.orphans = map[worker.Incarnation]int{}
 	ow.likeness = map[imagePair]float64{}
 	return ow
@@ -232,8 +232,8 @@
 	ow.noteLeases(now)
 	ow.noteReach(now)
 	ow.writeProofs(now)
-	ow.account(now)
-	ow.promiseRoom(now)
+	ow.accountTime(now)
+	ow.reserveForRestarts(now)
 	ow.tellScarcity(now)
 	ow.noteStuck(now)
 	ow.sortActive(now)
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -38,7 +38,7 @@
 
 // control slows fillers while a service is over its target, and speeds them up
 // again while all have room.
-func (ho *host) control(now time.Time) {
+func (ho *workerState) control(now time.Time) {
 	ho.timeOver(now)
 	fills := ho.movable()
 	if len(fills) == 0 {
@@ -70,13 +70,13 @@
 }
 
 // stubborn reports whether any service has been over its target for long.
-func (ho *host) stubborn(now time.Time) bool {
+func (ho *workerState) stubborn(now time.Time) bool {
 	return slices.ContainsFunc(ho.services, func(at *attempt) bool { return at.stubborn(now) })
 }
 
 // timeOver notes since when each service is over its target, or close to it:
 // its figures are rough and may fall under it by chance.
-func (ho *host) timeOver(now time.Time) {
+func (ho *workerState) timeOver(now time.Time) {
 	for _, at := range ho.services {
 		switch {
 		case !at.serves():
@@ -94,7 +94,7 @@
 }
 
 // movable returns the fillers whose pace can be set.
-func (ho *host) movable() []*attempt {
+func (ho *workerState) movable() []*attempt {
 	var fills []*attempt
 	for at := range ho.attempts {
 		if at.step().Filler && !at.launched.IsZero() {
@@ -105,13 +105,13 @@
 }
 
 // harm is by how much a filler at full speed lowers a service's headroom.
-func (ho *host) harm(filler, service *attempt) float64 {
+func (ho *workerState) harm(filler, service *attempt) float64 {
 	return ho.ow.model.Drop(interfere.Pair{Service: service.step().Image, Filler: filler.step().Image}) * filler.fullShare()
 }
 
 // slow slows the fillers that disturb a service most, until the excess of its
 // tail should be gone.
-func (ho *host) slow(fills []*attempt, service *attempt, excess float64, now time.Time) {
+func (ho *workerState) slow(fills []*attempt, service *attempt, excess float64, now time.Time) {
 	slices.SortFunc(fills, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(ho.harm(b, service), ho.harm(a, service)), strings.Compare(taskID(a), taskID(b)))
 	})
@@ -134,7 +134,7 @@
 }
 
 // holdAll holds every filler, as slowing some did not help.
-func (ho *host) holdAll(fills []*attempt, now time.Time) {
+func (ho *workerState) holdAll(fills []*attempt, now time.Time) {
 	for _, at := range fills {
 		ho.pace(at, 0, now, "service over its target for long")
 	}
@@ -152,7 +152,7 @@
 
 // speedUp speeds fillers up that were slowed, the least harmful first, as far
 // as every service stays calm.
-func (ho *host) speedUp(fills []*attempt, now time.Time) {
+func (ho *workerState) speedUp(fills []*attempt, now time.Time) {
 	room := map[*attempt]float64{}
 	for _, at := range ho.services {
 		if at.serves() {
@@ -185,7 +185,7 @@
 
 // easeIn slows a filler that just started to what the services beside it bear,
 // as its effect shows in their figures only half a second later.
-func (ho *host) easeIn(at *attempt, now time.Time) {
+func (ho *workerState) easeIn(at *attempt, now time.Time) {
 	if !at.step().Filler || !ho.ow.uses(MechPace) {
 		return
 	}
@@ -209,7 +209,7 @@
 }
 
 // pace orders a pace, if it differs from the last.
-func (ho *host) pace(at *attempt, percent int, now time.Time, why string) {
+func (ho *workerState) pace(at *attempt, percent int, now time.Time, why string) {
 	percent = max(percent, 0)
 	if at.pace == percent || (percent > 0 && percent < fullPace && abs(percent-at.pace) < leastChange) {
 		return
@@ -223,7 +223,7 @@
 		at.heldSince = now
 	}
 	at.pacedAt = now
-	ho.fill.change()
+	ho.fillers.change()
 	ho.ow.orderPace(at)
 }
 
@@ -263,7 +263,7 @@
 	pa.Fence = wa.fence
 	_, err := ow.Agent.PaceFunc(ctx, wa.addr, pa)
 	if err != nil {
-		at.ho.tellLife(err)
+		at.ho.reportIncarnation(err)
 		ow.Log.Info("pace not set", "task", pa.Task, "attempt", pa.Number, "worker", wa.addr.Incarnation, "err", err)
 	}
 	ow.post(func() { ow.pacedTo(at, pa.Percent, err) })
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -18,7 +18,7 @@
 // shop is one worker with a service and fillers, whose figures a test sets.
 type shop struct {
 	t       *testing.T
-	ho      *host
+	ho      *workerState
 	service *attempt
 	fillers []*attempt
 }
@@ -30,7 +30,7 @@
 	ag := worker.Agent{PaceFunc: func(context.Context, worker.Addr, worker.Pace) (worker.Ack, error) { return worker.Ack{}, nil }}
 	ow := New(&Owner{Log: slog.New(slog.DiscardHandler), Agent: ag, Limits: Limits{HarmAfter: 4 * time.Second}})
 	ow.ctx = t.Context()
-	ho := &host{WorkerEntry: WorkerEntry{Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
+	ho := &workerState{WorkerEntry: WorkerEntry{Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
 	sh := &shop{t: t, ho: ho}
 	sh.service = sh.put(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: "s"})
 	for i := range fillers {
@@ -42,7 +42,7 @@
 func (sh *shop) put(n int, st job.Step) *attempt {
 	en := sh.ho.ow.add(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
 	at := &attempt{number: 1, ho: sh.ho, en: en, pace: fullPace, launched: time.Now()}
-	sh.ho.put(at)
+	sh.ho.addAttempt(at)
 	return at
 }
 
@@ -110,7 +110,7 @@
 		}
 		late := sh.put(9, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "g"})
 		late.launched = time.Time{}
-		sh.ho.started(late, time.Now())
+		sh.ho.markStarted(late, time.Now())
 		qt.Assert(t, late.speed(), qt.Equals, 0)
 	})
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -58,15 +58,15 @@
 	clear(ow.likeness)
 	ow.noPlace.begin(pl.now, len(ow.hosts))
 	var reserved, holds int64
-	for _, ho := range ow.sortedHosts() {
-		if why := ho.bar(pl.now); why != "" {
-			if why == barFailing && ho.trial == nil {
+	for _, ho := range ow.sortedWorkers() {
+		if why := ho.unavailableReason(pl.now); why != "" {
+			if why == unavailableFailing && ho.trial == nil {
 				pl.failing = append(pl.failing, newCandidate(ho, pl.now))
 			}
 			continue
 		}
 		ca := newCandidate(ho, pl.now)
-		ca.index, ca.kept = len(pl.hosts), ho.awaited
+		ca.index, ca.kept = len(pl.hosts), ho.restartReady
 		pl.hosts = append(pl.hosts, ca)
 		reserved += ho.reserved.MilliCores
 		holds += ho.Capacity.MilliCores
@@ -77,7 +77,7 @@
 
 // candidate is a worker in one round of placement.
 type candidate struct {
-	ho *host
+	ho *workerState
 	// index is its place among all.
 	index int
 	free  worker.Resources
@@ -92,8 +92,8 @@
 	taken bool
 }
 
-func newCandidate(ho *host, now time.Time) *candidate {
-	return &candidate{ho: ho, free: ho.Capacity.Without(ho.reserved), idle: ho.Capacity.MilliCores - ho.inUse, stubborn: ho.stubborn(now)}
+func newCandidate(ho *workerState, now time.Time) *candidate {
+	return &candidate{ho: ho, free: ho.Capacity.Without(ho.reserved), idle: ho.Capacity.MilliCores - ho.expectedUse, stubborn: ho.stubborn(now)}
 }
 
 // likelyUse is the processor time that a task of the step is likely to use, in
@@ -137,7 +137,7 @@
 			continue
 		}
 		if en.rests.resting(ref, pl.now) {
-			en.lack = CauseRest
+			en.lack = CauseBackoff
 			continue
 		}
 		if pl.ow.window.full() {
@@ -227,7 +227,7 @@
 	leastIdle = 0.3
 )
 
-func (ho *host) hasLabel(label string) bool {
+func (ho *workerState) hasLabel(label string) bool {
 	for _, la := range ho.Labels {
 		if la == label {
 			return true
@@ -237,7 +237,7 @@
 }
 
 // countAt counts the attempts of a step on a worker.
-func (en *entry) countAt(step int, ho *host) int {
+func (en *entry) countAt(step int, ho *workerState) int {
 	n := 0
 	for ref, at := range en.attempts {
 		if ref.Step == step && at.ho == ho {
@@ -261,7 +261,7 @@
 		return
 	}
 	at := &attempt{ref: ref, number: number, ho: ca.ho, en: en, pace: fullPace}
-	ca.ho.put(at)
+	ca.ho.addAttempt(at)
 	pl.ow.depart(at)
 	st := &en.jo.Spec.Steps[ref.Step]
 	ca.free = ca.free.Without(st.Reserved())
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -24,10 +24,10 @@
 }
 
 // emptyHost is a worker of 32 cores with nothing on it.
-func emptyHost(ow *Owner, name string) *host {
-	ho := &host{
+func emptyHost(ow *Owner, name string) *workerState {
+	ho := &workerState{
 		WorkerEntry: WorkerEntry{Service: testService, Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
-		ow:     ow, incarnation: worker.Incarnation{ID: name}, settled: true, attempts: map[*attempt]bool{},
+		ow:          ow, incarnation: worker.Incarnation{ID: name}, settled: true, attempts: map[*attempt]bool{},
 	}
 	ow.hosts[ho.incarnation] = ho
 	return ho
@@ -50,8 +50,8 @@
 		ow := idleOwner(t)
 		own, other := emptyHost(ow, "own"), emptyHost(ow, "other")
 		en, stranger := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
-		own.put(&attempt{ho: own, en: en, number: 1})
-		other.put(&attempt{ho: other, en: stranger, number: 1})
+		own.addAttempt(&attempt{ho: own, en: en, number: 1})
+		other.addAttempt(&attempt{ho: other, en: stranger, number: 1})
 		other.reserved = other.reserved.With(worker.Resources{MilliCores: 8000})
 		pl := ow.newPlacer()
 		ca := pl.rank(en, 0, false).best()
@@ -66,11 +66,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ow := idleOwner(t)
 		mixed, empty := emptyHost(ow, "mixed"), emptyHost(ow, "empty")
-		for _, ho := range []*host{mixed, empty} {
+		for _, ho := range []*workerState{mixed, empty} {
 			ho.Capacity = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
 		}
 		stranger := addJob(ow, 1, serviceStep(1, "other"))
-		mixed.put(&attempt{ho: mixed, en: stranger, number: 1})
+		mixed.addAttempt(&attempt{ho: mixed, en: stranger, number: 1})
 		mixed.reserved = mixed.reserved.With(worker.Resources{MilliCores: 48_000})
 		ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "s")), 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "empty")
@@ -107,7 +107,7 @@
 				ow.model = tc.model
 				emptyHost(ow, "empty")
 				other := emptyHost(ow, "other")
-				other.put(&attempt{ho: other, en: addJob(ow, 1, serviceStep(1, "other")), number: 1})
+				other.addAttempt(&attempt{ho: other, en: addJob(ow, 1, serviceStep(1, "other")), number: 1})
 				ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "one")), 0, false).best()
 				qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, tc.want)
 			})
@@ -224,7 +224,7 @@
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		large := lasting(1)
+		large := longRunning(1)
 		large.Steps[0].Each = worker.Resources{MilliCores: 20_000, MemMB: 20_000}
 		n := 0
 		stream := func(seconds int) {
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -14,12 +14,12 @@
 // sight notes that a look listed the attempt as running.
 func (at *attempt) sight(now time.Time) {
 	at.sighted = now
-	ran := at.sightings().ran
+	ran := at.observed().ran
 	switch {
-	case ran >= lastsAfter && at.en.jo.Lasted(at.ref, at.number):
+	case ran >= crashBlameLimit && at.en.jo.Lasted(at.ref, at.number):
 		at.en.rests.lasted(at.ref)
 		at.en.dueProof(now)
-	case ran >= provenAfter && at.en.jo.Began(at.ref, at.number) && at.exposed():
+	case ran >= startupDuration && at.en.jo.Began(at.ref, at.number) && at.exposed():
 		at.en.dueProof(now)
 	}
 }
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -53,7 +53,7 @@
 		id, ref, _ := job.ParseTaskID(at.Task)
 		switch {
 		case ref == (job.TaskRef{}) && crashesWorkers(jobNumber(id)):
-			return crashWork, standin.Crashes
+			return crashDelay, standin.Crashes
 		case dr.spec(id).Steps[0].Endless:
 			return -1, ""
 		case at.Number == 1 && at.Task[15]%4 == 0:
@@ -160,7 +160,7 @@
 	away := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(dr.rt, "away")) * time.Millisecond
 	if dr.fleet.Remembers {
 		// A look that follows an answer within that time may reach the next process.
-		away = max(away, ackWithin+lookGrace)
+		away = max(away, ackWithin+pollGrace)
 	}
 	time.Sleep(away)
 	hostPort := fw.Addr.HostPort
@@ -189,7 +189,7 @@
 func (dr *drama) handIn(n int) {
 	sp := batch(1+n%3, 1+n%5)
 	if n%7 == 0 {
-		sp = lasting(2)
+		sp = longRunning(2)
 	}
 	switch dr.submit(dr.ow, n, sp).Outcome {
 	case Accepted:
@@ -346,7 +346,7 @@
 		}
 	}
 	for task, n := range counts {
-		if n > startsMost {
+		if n > maxStarts {
 			dr.rt.Errorf("task %s crashed %d workers", task, n)
 		}
 	}
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -19,7 +19,7 @@
 	// interrupted is set for tasks that were, yields if the tasks leave room for those.
 	interrupted, yields bool
 	// counts are the attempts of the step by worker, if their number is bounded.
-	counts map[*host]int
+	counts map[*workerState]int
 	heap   rated
 	// lack is what lacks if there is no worker.
 	lack Cause
@@ -29,7 +29,7 @@
 func (pl *placer) rank(en *entry, step int, interrupted bool) *ranking {
 	st := &en.jo.Spec.Steps[step]
 	ra := &ranking{pl: pl, en: en, step: step, st: st, patient: st.Filler && pl.patient(en), interrupted: interrupted, lack: CauseRoom}
-	ra.yields = st.Endless && !interrupted && pl.ow.promises.binds(en)
+	ra.yields = st.Endless && !interrupted && pl.ow.promises.appliesTo(en)
 	sh := shape{st: st, service: en.jo.Terms.Service, patient: ra.patient, interrupted: interrupted, yields: ra.yields}
 	if pl.ow.noPlace.has(sh) {
 		if st.Filler {
@@ -58,7 +58,7 @@
 	if !ca.hasRoom(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.PerWorker) {
 		return false
 	}
-	if ra.yields && !ra.st.Reserved().Fits(ca.free.Without(ca.ho.promised)) {
+	if ra.yields && !ra.st.Reserved().Fits(ca.free.Without(ca.ho.restartReserved)) {
 		return false
 	}
 	if ra.patient && !ca.suits(ra.st) {
@@ -125,8 +125,8 @@
 }
 
 // countBy counts the attempts of a step by worker.
-func (en *entry) countBy(step int) map[*host]int {
-	counts := map[*host]int{}
+func (en *entry) countBy(step int) map[*workerState]int {
+	counts := map[*workerState]int{}
 	for ref, at := range en.attempts {
 		if ref.Step == step {
 			counts[at.ho]++
--- a/internal/sched/reach.go
+++ b/internal/sched/reach.go
@@ -29,7 +29,7 @@
 	// overdueAfter is the time without a successful look after which a worker is
 	// silent although none has failed: looks are bounded by the longest wait, its
 	// grace and the pause before the next, and a busy owner takes them in late.
-	overdueAfter = idleWait + lookGrace + undurableWait + time.Second
+	overdueAfter = idlePollWait + pollGrace + maxDurableWait + time.Second
 )
 
 // outage follows workers that get no orders. The zero value has none.
@@ -40,35 +40,35 @@
 }
 
 // reach returns whether the worker gets orders.
-func (ho *host) reach(now time.Time) reach {
+func (ho *workerState) reach(now time.Time) reach {
 	switch {
 	case !ho.settled:
 		return reachUnsettled
-	case !ho.failing.IsZero() || now.Sub(ho.seen) > overdueAfter:
+	case !ho.failingSince.IsZero() || now.Sub(ho.lastPoll) > overdueAfter:
 		return reachSilent
 	}
 	return reachAnswering
 }
 
 // expected reports whether the worker is to get orders at all.
-func (ho *host) expected() bool { return !ho.gone && !ho.dead }
+func (ho *workerState) expected() bool { return !ho.unlisted && !ho.dead }
 
 // noteReach notes since when the worker gets no orders.
-func (ho *host) noteReach(re reach, now time.Time) {
+func (ho *workerState) noteReach(re reach, now time.Time) {
 	switch {
 	case re == reachAnswering:
-		ho.quiet = time.Time{}
-	case ho.quiet.IsZero():
-		ho.quiet = now
+		ho.noContactSince = time.Time{}
+	case ho.noContactSince.IsZero():
+		ho.noContactSince = now
 	}
 }
 
 // quietFor is how long ago the worker last answered, or was first to be reached.
-func (ho *host) quietFor(now time.Time) time.Duration {
-	if ho.seen.IsZero() {
-		return now.Sub(ho.quiet)
+func (ho *workerState) quietFor(now time.Time) time.Duration {
+	if ho.lastPoll.IsZero() {
+		return now.Sub(ho.noContactSince)
 	}
-	return now.Sub(ho.seen)
+	return now.Sub(ho.lastPoll)
 }
 
 // noteReach counts the workers by whether they get orders, and tells of those that
@@ -83,7 +83,7 @@
 		re := ho.reach(now)
 		ho.noteReach(re, now)
 		counts[re]++
-		if !ho.quiet.IsZero() && now.Sub(ho.quiet) > quietAfter {
+		if !ho.noContactSince.IsZero() && now.Sub(ho.noContactSince) > quietAfter {
 			late++
 		}
 	}
@@ -129,7 +129,7 @@
 		if !ho.expected() {
 			continue
 		}
-		without := !ho.quiet.IsZero()
+		without := !ho.noContactSince.IsZero()
 		vias.add(ho.wayNow().addr.Via, without)
 		centres.add(ho.DataCentre, without)
 		if !without {
@@ -137,8 +137,8 @@
 		}
 		attempts += len(ho.attempts)
 		longest = max(longest, ho.quietFor(now))
-		if ow.outage.began.IsZero() || ho.quiet.Before(ow.outage.began) {
-			ow.outage.began = ho.quiet
+		if ow.outage.began.IsZero() || ho.noContactSince.Before(ow.outage.began) {
+			ow.outage.began = ho.noContactSince
 		}
 	}
 	via, centre := vias.most(), centres.most()
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -52,7 +52,7 @@
 
 // relayedLab is a logged lab of six workers, four of them behind a relay that can be
 // mute.
-func relayedLab(t *testing.T) (*lab, *lines, *mute) {
+func relayedLab(t *testing.T) (*lab, *logLines, *mute) {
 	t.Helper()
 	la, li := loggedLab(t, 6)
 	mu := &mute{name: "e1"}
@@ -79,7 +79,7 @@
 		_, end := la.own()
 		defer end()
 		time.Sleep(10 * time.Second)
-		told := li.with("level=WARN", `msg="workers without orders"`, "workers=4", "of=6", "via=e1", "via_workers=4", "via_all=4")
+		told := li.matching("level=WARN", `msg="workers without orders"`, "workers=4", "of=6", "via=e1", "via_workers=4", "via_all=4")
 		qt.Assert(t, len(told) >= 8 && len(told) <= 10, qt.IsTrue, qt.Commentf("%d lines", len(told)))
 	})
 }
@@ -89,27 +89,27 @@
 func TestWorkersFallSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li, mu := relayedLab(t)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(6*16))
+		la.submit(ow, 1, longRunning(6*16))
 		time.Sleep(time.Second)
 		la.assertRunning(6 * 16)
 		mu.on.Store(true)
 		time.Sleep(4 * time.Second)
-		whole := li.with("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
+		whole := li.matching("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
 		qt.Assert(t, whole, qt.Not(qt.HasLen), 0)
 		// A look that was under way then was answered.
 		longest := longestOf(t, whole[len(whole)-1])
-		qt.Assert(t, longest > 4*time.Second-lookWait-tellReachEvery && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
+		qt.Assert(t, longest > 4*time.Second-pollWait-tellReachEvery && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
 		mu.on.Store(false)
 		time.Sleep(4 * time.Second)
-		told := len(li.with("workers without orders"))
-		qt.Assert(t, li.with("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
+		told := len(li.matching("workers without orders"))
+		qt.Assert(t, li.matching("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
 		time.Sleep(10 * time.Second)
-		qt.Assert(t, li.with("workers without orders"), qt.HasLen, told)
-		qt.Assert(t, li.with("all workers get orders again"), qt.HasLen, 1)
+		qt.Assert(t, li.matching("workers without orders"), qt.HasLen, told)
+		qt.Assert(t, li.matching("all workers get orders again"), qt.HasLen, 1)
 	})
 }
 
@@ -132,9 +132,9 @@
 			fw.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
 		}
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, li.with("worker does not answer"), qt.HasLen, 4)
-		qt.Assert(t, li.with("workers without orders"), qt.HasLen, 0)
-		qt.Assert(t, li.with("all workers get orders again"), qt.HasLen, 0)
+		qt.Assert(t, li.matching("worker does not answer"), qt.HasLen, 4)
+		qt.Assert(t, li.matching("workers without orders"), qt.HasLen, 0)
+		qt.Assert(t, li.matching("all workers get orders again"), qt.HasLen, 0)
 	})
 }
 
@@ -161,8 +161,8 @@
 		time.Sleep(time.Second)
 		stuck.Store(true)
 		time.Sleep(10 * time.Second)
-		qt.Assert(t, li.with("worker does not answer"), qt.HasLen, 0)
-		qt.Assert(t, li.with("workers without orders", "workers=3 of=3 silent=3 "), qt.Not(qt.HasLen), 0)
+		qt.Assert(t, li.matching("worker does not answer"), qt.HasLen, 0)
+		qt.Assert(t, li.matching("workers without orders", "workers=3 of=3 silent=3 "), qt.Not(qt.HasLen), 0)
 	})
 }
 
@@ -171,17 +171,17 @@
 func TestWorkersThatAreGoneAreNotTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(2*16))
+		la.submit(ow, 1, longRunning(2*16))
 		time.Sleep(time.Second)
 		la.crew[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, li.with("worker does not answer", "worker=i-0"), qt.HasLen, 1)
-		qt.Assert(t, li.with("workers without orders"), qt.HasLen, 0)
+		qt.Assert(t, li.matching("worker does not answer", "worker=i-0"), qt.HasLen, 1)
+		qt.Assert(t, li.matching("workers without orders"), qt.HasLen, 0)
 	})
 }
 
--- a/internal/sched/rest_test.go
+++ b/internal/sched/rest_test.go
@@ -26,7 +26,7 @@
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(1))
+		la.submit(ow, 1, longRunning(1))
 		time.Sleep(20 * time.Second)
 		t.Logf("%d runs in 20 s", len(la.fleet.Runs()))
 		qt.Check(t, len(la.fleet.Runs()) <= 15, qt.IsTrue, qt.Commentf("%d runs", len(la.fleet.Runs())))
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestLastingTasksOfRestartedWorkersRunAgain guards against leases that are counted by the clock of a worker's former process.
-func TestLastingTasksOfRestartedWorkersRunAgain(t *testing.T) {
+// TestLongRunningTasksOfRestartedWorkersRunAgain guards against leases that are counted by the clock of a worker's former process.
+func TestLongRunningTasksOfRestartedWorkersRunAgain(t *testing.T) {
 	for _, where := range []string{"10.0.0.0:80", "10.9.0.0:80"} {
 		t.Run(where, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -92,15 +92,15 @@
 			ow.SetWorkers(la.listed()[:1], nil, false)
 			time.Sleep(time.Second)
 		}
-		la.submit(ow, 2, lasting(30))
+		la.submit(ow, 2, longRunning(30))
 		time.Sleep(time.Second)
 		la.assertRunning(42)
 		qt.Check(t, la.runningAt("i-0") > 0, qt.IsTrue)
 	})
 }
 
-// TestEntryOfAFormerLifeDoesNotFenceTheNext has the entry of a former process be met again and replaced before that is looked at.
-func TestEntryOfAFormerLifeDoesNotFenceTheNext(t *testing.T) {
+// TestEntryOfAFormerIncarnationDoesNotFenceTheNext has the entry of a former process be met again and replaced before that is looked at.
+func TestEntryOfAFormerIncarnationDoesNotFenceTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
@@ -117,7 +117,7 @@
 		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
 		ow.SetWorkers(la.listed(), nil, true)
 		time.Sleep(time.Second)
-		la.submit(ow, 2, lasting(18))
+		la.submit(ow, 2, longRunning(18))
 		time.Sleep(time.Second)
 		la.assertRunning(30)
 		ow.SetWorkers(was, nil, false)
@@ -130,11 +130,11 @@
 	})
 }
 
-// TestEntriesThatDoNotTellTheStart has workers restart of which only their answers tell.
-func TestEntriesThatDoNotTellTheStart(t *testing.T) {
+// TestEntriesWithoutStartTime has workers restart of which only their answers tell.
+func TestEntriesWithoutStartTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		defer end()
 		untold := func() {
@@ -145,17 +145,17 @@
 			ow.SetWorkers(list, nil, true)
 		}
 		untold()
-		la.submit(ow, 1, lasting(12))
+		la.submit(ow, 1, longRunning(12))
 		time.Sleep(time.Second)
 		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
 		time.Sleep(time.Second)
 		untold()
-		la.submit(ow, 2, lasting(30))
+		la.submit(ow, 2, longRunning(30))
 		time.Sleep(time.Second)
 		la.assertRunning(42)
 		ow.post(func() {
-			ho := ow.onlyLife("i-0")
-			ho.answeredBy(ho.incarnation)
+			ho := ow.soleIncarnation("i-0")
+			ho.handleOtherIncarnation(ho.incarnation)
 		})
 		time.Sleep(10 * time.Second)
 		la.assertRunning(42)
@@ -163,8 +163,8 @@
 	})
 }
 
-// slowFirstLooks has looks take so long to reach processes that restarted.
-func slowFirstLooks(d time.Duration) func(worker.Agent) worker.Agent {
+// slowFirstPolls has looks take so long to reach processes that restarted.
+func slowFirstPolls(d time.Duration) func(worker.Agent) worker.Agent {
 	began := time.Now().UnixMilli()
 	return func(ag worker.Agent) worker.Agent {
 		look := ag.LookFunc
@@ -178,14 +178,14 @@
 	}
 }
 
-// TestOrderForAFormerLifeRunsOnce has the order to start a task carried out by the next process with the worker's id.
-func TestOrderForAFormerLifeRunsOnce(t *testing.T) {
+// TestOrderForAFormerIncarnationRunsOnce has the order to start a task carried out by the next process with the worker's id.
+func TestOrderForAFormerIncarnationRunsOnce(t *testing.T) {
 	for _, untold := range []bool{false, true} {
 		for late := 50 * time.Millisecond; late < time.Second; late += 50 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 3)
 				la.fleet.Untold = untold
-				la.throughFunc = slowFirstLooks(200 * time.Millisecond)
+				la.throughFunc = slowFirstPolls(200 * time.Millisecond)
 				la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
 				ow, end := la.own()
 				defer end()
@@ -209,12 +209,12 @@
 	}
 }
 
-// TestFormerOwnersOrderForAFormerLife has an owner's order, sent before it was replaced, reach a worker's next process at any moment.
-func TestFormerOwnersOrderForAFormerLife(t *testing.T) {
+// TestFormerOwnersOrderForAFormerIncarnation has an owner's order, sent before it was replaced, reach a worker's next process at any moment.
+func TestFormerOwnersOrderForAFormerIncarnation(t *testing.T) {
 	for late := 50 * time.Millisecond; late < 3*time.Second; late += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
-			la.throughFunc = slowFirstLooks(200 * time.Millisecond)
+			la.throughFunc = slowFirstPolls(200 * time.Millisecond)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
 			ow, end := la.own()
 			time.Sleep(time.Second)
@@ -238,8 +238,8 @@
 	}
 }
 
-// TestEndsOfTheNextLifeAreNotAcknowledgedUnseen has a process that restarted end tasks before it is first looked at.
-func TestEndsOfTheNextLifeAreNotAcknowledgedUnseen(t *testing.T) {
+// TestEndsOfTheNextIncarnationAreNotAcknowledgedUnseen has a process that restarted end tasks before it is first looked at.
+func TestEndsOfTheNextIncarnationAreNotAcknowledgedUnseen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 48
 		la := newLab(t, 1)
--- a/internal/sched/scarce.go
+++ b/internal/sched/scarce.go
@@ -34,14 +34,14 @@
 	ow.scarceAt = now
 	ow.Log.Info("room for lasting tasks", "jobs", sc.jobs, "tasks", sc.tasks, "again", sc.again, "need_millicores", sc.needMilliCores, "longest", sc.longest,
 		"workers", sc.workers, "kept", sc.kept, "free_millicores", sc.free, "most_millicores", sc.most, "passing_millicores", sc.passing,
-		"promised_millicores", sc.promised, "promises_lacking", ow.promises.lacking)
+		"promised_millicores", sc.promised, "promises_lacking", ow.promises.unmet)
 }
 
 // scarcity sums up what waits for long, and the room.
 func (ow *Owner) scarcity(now time.Time) scarcity {
 	var sc scarcity
 	for _, en := range ow.active {
-		if en.jo.Endless() && en.lack == CauseRoom && now.Sub(en.waitingSince) >= firstWait {
+		if en.jo.Endless() && en.lack == CauseRoom && now.Sub(en.waitingSince) >= firstWaitLog {
 			sc.add(en, now)
 		}
 	}
@@ -49,15 +49,15 @@
 		return sc
 	}
 	for _, ho := range ow.hosts {
-		if ho.bar(now) != "" {
+		if ho.unavailableReason(now) != "" {
 			continue
 		}
 		free := max(ho.Capacity.MilliCores-ho.reserved.MilliCores, 0)
 		sc.workers++
 		sc.free += free
 		sc.most = max(sc.most, free)
-		sc.passing += ho.passing.MilliCores
-		sc.promised += ho.promised.MilliCores
+		sc.passing += ho.finiteReserved.MilliCores
+		sc.promised += ho.restartReserved.MilliCores
 		if ho.isKept() {
 			sc.kept++
 		}
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -16,7 +16,7 @@
 // has, what holds the rest of it, and which workers have room but may not be used.
 type shortage struct {
 	st   *job.Step
-	best *host
+	best *workerState
 	// lacks is what the best one lacks, as a share of what the step needs.
 	lacks float64
 	// barred counts the workers with enough room that may not be used, by reason.
@@ -27,12 +27,12 @@
 func (ow *Owner) findShortage(en *entry, step int, now time.Time) shortage {
 	st := &en.jo.Spec.Steps[step]
 	sh := shortage{st: st, barred: map[string]int{}}
-	for _, ho := range ow.sortedHosts() {
+	for _, ho := range ow.sortedWorkers() {
 		ca := newCandidate(ho, now)
 		if !ca.suitable(en, st) {
 			continue
 		}
-		if why := cmp.Or(ho.bar(now), ho.refuses(en, step)); why != "" {
+		if why := cmp.Or(ho.unavailableReason(now), ho.refuses(en, step)); why != "" {
 			if st.Reserved().Fits(ca.free) {
 				sh.barred[why]++
 			}
@@ -55,7 +55,7 @@
 
 // refuses returns why the worker gets none of a step's tasks though it gets others, or
 // nothing.
-func (ho *host) refuses(en *entry, step int) string {
+func (ho *workerState) refuses(en *entry, step int) string {
 	st := &en.jo.Spec.Steps[step]
 	switch {
 	case ho.isKept() && !st.Filler && en.waitingAgain(step) == 0:
@@ -90,7 +90,7 @@
 	return append(list,
 		slog.String("best", sh.best.incarnation.String()),
 		slog.Int64("free_millicores", free.MilliCores), slog.Int64("free_mem_mb", free.MemMB),
-		slog.Int64("passing_millicores", sh.best.passing.MilliCores), slog.Int64("passing_mem_mb", sh.best.passing.MemMB),
+		slog.Int64("passing_millicores", sh.best.finiteReserved.MilliCores), slog.Int64("passing_mem_mb", sh.best.finiteReserved.MemMB),
 		slog.Int64("stopping_millicores", sh.best.stopping().MilliCores), slog.Int("attempts", len(sh.best.attempts)),
 	)
 }
@@ -106,7 +106,7 @@
 }
 
 // stopping is the part of the worker's room that attempts take which are being stopped.
-func (ho *host) stopping() worker.Resources {
+func (ho *workerState) stopping() worker.Resources {
 	var sum worker.Resources
 	for at := range ho.attempts {
 		if !at.halted.IsZero() {
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -29,11 +29,11 @@
 			full, other = other, full
 		}
 		ow.post(func() { ow.hosts[other.Addr.Incarnation].setAside(time.Minute, "for a test") })
-		sp := lasting(1)
+		sp := longRunning(1)
 		sp.Steps[0].Each = worker.Resources{MilliCores: 1000, MemMB: 1000}
 		la.submit(ow, 2, sp)
 		time.Sleep(1500 * time.Millisecond)
-		told := li.with(waits, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
+		told := li.matching(waits, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
 			"best="+full.Addr.Incarnation.String(), "free_millicores=0", "free_mem_mb=64000", "passing_millicores=0", "stopping_millicores=0", "attempts=16")
 		qt.Assert(t, told, qt.HasLen, 1)
 	})
@@ -45,20 +45,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(15)
-		apart := lasting(2)
+		apart := longRunning(2)
 		apart.Steps[0].Each = worker.Resources{MilliCores: 500, MemMB: 500}
 		apart.Steps[0].PerWorker = 1
 		la.submit(ow, 2, apart)
 		time.Sleep(1500 * time.Millisecond)
 		waits := `msg="lasting tasks wait"`
-		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
+		qt.Assert(t, li.matching(waits, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
 		ow.post(func() {
-			ow.onlyLife("i-0").keptIn = ow.rounds
-			ow.entries[jobID(2)].spent.tell = 0
-			ow.account(time.Now())
+			ow.soleIncarnation("i-0").reservedInRound = ow.rounds
+			ow.entries[jobID(2)].spent.nextWaitLog = 0
+			ow.accountTime(time.Now())
 		})
 		synctest.Wait()
-		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
+		qt.Assert(t, li.matching(waits, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
 	})
 }
 
@@ -68,9 +68,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(16)
-		la.submit(ow, 2, lasting(4))
+		la.submit(ow, 2, longRunning(4))
 		time.Sleep(3500 * time.Millisecond)
-		told := li.with(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
+		told := li.matching(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
 		qt.Assert(t, told, qt.HasLen, 3)
 	})
 }
@@ -84,12 +84,12 @@
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(1))
+		la.submit(ow, 1, longRunning(1))
 		time.Sleep(20 * time.Second)
 		waits := `msg="lasting tasks wait"`
-		qt.Assert(t, len(li.with(waits, "for=rest")) > 0, qt.IsTrue)
-		qt.Assert(t, li.with(waits, "for=room"), qt.HasLen, 0)
-		qt.Assert(t, li.with(waits, "for=order"), qt.HasLen, 0)
+		qt.Assert(t, len(li.matching(waits, "for=rest")) > 0, qt.IsTrue)
+		qt.Assert(t, li.matching(waits, "for=room"), qt.HasLen, 0)
+		qt.Assert(t, li.matching(waits, "for=order"), qt.HasLen, 0)
 	})
 }
 
@@ -99,11 +99,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(16)
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(500 * time.Millisecond)
 		ow.post(func() { ow.window.underWay = ow.window.limit(); ow.place() })
 		time.Sleep(time.Second)
 		waits := `msg="lasting tasks wait"`
-		qt.Assert(t, li.with(waits, "job="+jobID(2), "for=order"), qt.HasLen, 1)
+		qt.Assert(t, li.matching(waits, "job="+jobID(2), "for=order"), qt.HasLen, 1)
 	})
 }
--- a/internal/sched/spent.go
+++ b/internal/sched/spent.go
@@ -33,7 +33,7 @@
 
 	// CauseRest: a task that lasts and failed several times in a row is not to begin yet.
 	// The time of such jobs is not added up, so it has no place among the others.
-	CauseRest = causes
+	CauseBackoff = causes
 )
 
 // causeNames are the names of causes in logs and metrics.
@@ -41,7 +41,7 @@
 
 // String returns the cause's name.
 func (ca Cause) String() string {
-	if ca == CauseRest {
+	if ca == CauseBackoff {
 		return "rest"
 	}
 	return causeNames[ca]
@@ -53,50 +53,50 @@
 
 // Waits that are told.
 const (
-	// firstWait is how long a job waits before a line tells of it; the next one
+	// firstWaitLog is how long a job waits before a line tells of it; the next one
 	// follows after twice as long, so that a job has few lines however long it
 	// waits.
-	firstWait = time.Second
+	firstWaitLog = time.Second
 )
 
-// spent is what the time of a job went to.
-type spent struct {
+// timeBreakdown is what the time of a job went to.
+type timeBreakdown struct {
 	byCause [causes]time.Duration
-	// since is the moment up to which time is accounted for.
-	since time.Time
-	// tell is the wait after which a line tells of it.
-	tell time.Duration
+	// accountedUntil is the moment up to which time is accounted for.
+	accountedUntil time.Time
+	// nextWaitLog is the wait after which a line tells of it.
+	nextWaitLog time.Duration
 	// failed and moved count its attempts that failed, and that were stopped to
 	// go on elsewhere.
 	failed, moved int
 }
 
-// account adds the time since the last look to what jobs that are not over spend
+// accountTime adds the time since the last look to what jobs that are not over spend
 // it on, and tells of those that wait. The time of jobs that last is not added up.
-func (ow *Owner) account(now time.Time) {
+func (ow *Owner) accountTime(now time.Time) {
 	down := ow.storeDown()
 	for _, en := range ow.entries {
 		if !en.endedAt.IsZero() {
 			continue
 		}
 		if !en.jo.Endless() {
-			en.spend(en.cause(down), now)
+			en.addTime(en.currentCause(down), now)
 		}
-		ow.tellWait(en, now)
+		ow.logWait(en, now)
 	}
 }
 
-// spend books the time since the last look under a cause.
-func (en *entry) spend(ca Cause, now time.Time) {
-	if en.spent.since.IsZero() {
-		en.spent.since = en.acceptedAt
+// addTime books the time since the last look under a cause.
+func (en *entry) addTime(ca Cause, now time.Time) {
+	if en.spent.accountedUntil.IsZero() {
+		en.spent.accountedUntil = en.acceptedAt
 	}
-	en.spent.byCause[ca] += max(now.Sub(en.spent.since), 0)
-	en.spent.since = now
+	en.spent.byCause[ca] += max(now.Sub(en.spent.accountedUntil), 0)
+	en.spent.accountedUntil = now
 }
 
-// cause is what the job's time goes to now.
-func (en *entry) cause(storeDown bool) Cause {
+// currentCause is what the job's time goes to now.
+func (en *entry) currentCause(storeDown bool) Cause {
 	switch {
 	case storeDown && (en.waiting > 0 || en.progVer == 0):
 		return CauseStore
@@ -120,7 +120,7 @@
 }
 
 // attrs are the fields of log lines on a job's time, in milliseconds.
-func (sp *spent) attrs() []slog.Attr {
+func (sp *timeBreakdown) attrs() []slog.Attr {
 	list := make([]slog.Attr, 0, causes+2)
 	for ca, d := range sp.byCause {
 		list = append(list, slog.Int64(causeNames[ca]+"_ms", d.Milliseconds()))
@@ -128,18 +128,18 @@
 	return append(list, slog.Int("failed", sp.failed), slog.Int("moved", sp.moved))
 }
 
-// tellWait writes a line on a job whose tasks have waited for long.
-func (ow *Owner) tellWait(en *entry, now time.Time) {
+// logWait writes a line on a job whose tasks have waited for long.
+func (ow *Owner) logWait(en *entry, now time.Time) {
 	wait := now.Sub(en.waitingSince)
-	if en.waiting == 0 || wait < firstWait {
-		en.spent.tell = firstWait
+	if en.waiting == 0 || wait < firstWaitLog {
+		en.spent.nextWaitLog = firstWaitLog
 		return
 	}
-	if wait < en.spent.tell {
+	if wait < en.spent.nextWaitLog {
 		return
 	}
-	en.spent.tell = 2 * wait
-	lack := en.cause(ow.storeDown())
+	en.spent.nextWaitLog = 2 * wait
+	lack := en.currentCause(ow.storeDown())
 	attrs := []slog.Attr{slog.String("for", lack.String()), slog.Duration("wait", wait), slog.Int("tasks", en.waiting)}
 	if en.jo.Endless() {
 		attrs = append(attrs, slog.Int("again", en.waitingAgain(en.waitingStep())))
@@ -148,7 +148,7 @@
 		attrs = append(attrs, ow.findShortage(en, step, now).attrs()...)
 	}
 	if !en.jo.Endless() {
-		ow.logTime("job waits", en, now, attrs...)
+		ow.logTimeBreakdown("job waits", en, now, attrs...)
 		return
 	}
 	named := []slog.Attr{slog.String("job", en.jo.ID), slog.String("queue", en.jo.Terms.Queue)}
@@ -165,23 +165,23 @@
 	return -1
 }
 
-// tellTime writes a line on what the time of a job that is over went to, and
+// logJobTime writes a line on what the time of a job that is over went to, and
 // counts it.
-func (ow *Owner) tellTime(en *entry, now time.Time) {
+func (ow *Owner) logJobTime(en *entry, now time.Time) {
 	if en.jo.Endless() {
 		return
 	}
-	en.spend(en.cause(ow.storeDown()), now)
+	en.addTime(en.currentCause(ow.storeDown()), now)
 	for ca, d := range en.spent.byCause {
 		if d > 0 {
 			ow.Metrics.Add(telemetry.JobTime, d.Milliseconds(), "cause", causeNames[ca])
 		}
 	}
-	ow.logTime("job time", en, now)
+	ow.logTimeBreakdown("job time", en, now)
 }
 
-// logTime writes a line with what the time of a job went to.
-func (ow *Owner) logTime(msg string, en *entry, now time.Time, more ...slog.Attr) {
+// logTimeBreakdown writes a line with what the time of a job went to.
+func (ow *Owner) logTimeBreakdown(msg string, en *entry, now time.Time, more ...slog.Attr) {
 	attrs := append([]slog.Attr{
 		slog.String("job", en.jo.ID), slog.String("queue", en.jo.Terms.Queue), slog.String("state", string(en.jo.State())),
 		slog.Int64("age_ms", now.Sub(en.acceptedAt).Milliseconds()), slog.Int64("aim_ms", en.aimMS),
--- a/internal/sched/spent_test.go
+++ b/internal/sched/spent_test.go
@@ -14,20 +14,20 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// lines keeps log lines.
-type lines struct {
+// logLines keeps log lines.
+type logLines struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (li *lines) Write(line []byte) (int, error) {
+func (li *logLines) Write(line []byte) (int, error) {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	return li.buf.Write(line)
 }
 
-// with returns the lines that have all of the words.
-func (li *lines) with(words ...string) []string {
+// matching returns the lines that have all of the words.
+func (li *logLines) matching(words ...string) []string {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	var list []string
@@ -44,16 +44,16 @@
 }
 
 // loggedLab is a lab whose log is kept.
-func loggedLab(t *testing.T, workers int) (*lab, *lines) {
+func loggedLab(t *testing.T, workers int) (*lab, *logLines) {
 	t.Helper()
-	la, li := newLab(t, workers), &lines{}
+	la, li := newLab(t, workers), &logLines{}
 	la.log = slog.New(slog.NewTextHandler(li, nil))
 	return la, li
 }
 
-// TestTimeOfJobsAddsUp has more tasks than there is room for: what the line at
+// TestJobTimeAddsUp has more tasks than there is room for: what the line at
 // the job's end says of its causes adds up to its age, and part of it is room.
-func TestTimeOfJobsAddsUp(t *testing.T) {
+func TestJobTimeAddsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow, end := la.own()
@@ -61,9 +61,9 @@
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 40))
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, li.with(`msg="job time"`, "job="+jobID(1), "state=succeeded"), qt.HasLen, 1)
+		qt.Assert(t, li.matching(`msg="job time"`, "job="+jobID(1), "state=succeeded"), qt.HasLen, 1)
 		synctest.Wait()
-		en, err := ask(t.Context(), ow, func(answer func(spent)) { answer(ow.entries[jobID(1)].spent) })
+		en, err := ask(t.Context(), ow, func(answer func(timeBreakdown)) { answer(ow.entries[jobID(1)].spent) })
 		qt.Assert(t, err, qt.IsNil)
 		var sum time.Duration
 		for _, d := range en.byCause {
@@ -79,9 +79,9 @@
 	})
 }
 
-// TestLongWaitsAreTold has a job for which no worker ever has room: its lines
+// TestLongWaitsAreLogged has a job for which no worker ever has room: its lines
 // come at growing distances and name the cause.
-func TestLongWaitsAreTold(t *testing.T) {
+func TestLongWaitsAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow, end := la.own()
@@ -91,12 +91,12 @@
 		sp.Steps[0].Each = worker.Resources{MilliCores: 99_000}
 		la.submit(ow, 1, sp)
 		time.Sleep(20 * time.Second)
-		told := li.with(`msg="job waits"`, "for=room")
+		told := li.matching(`msg="job waits"`, "for=room")
 		qt.Assert(t, len(told) >= 3 && len(told) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(told)))
 	})
 }
 
-// TestLastingTasksThatWaitAreTold is the story of services for whose silence the log
+// TestWaitingLongRunningTasksAreLogged is the story of services for whose silence the log
 // had no reason.
 //
 // Users saw services that do not run. Order of events: workers fall silent; leases
@@ -106,19 +106,19 @@
 //
 // Evidence: the lab's log of these events had 64 such ends, and no line with the job's
 // id after them.
-func TestLastingTasksThatWaitAreTold(t *testing.T) {
+func TestWaitingLongRunningTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li, mu := relayedLab(t)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(6*16))
+		la.submit(ow, 1, longRunning(6*16))
 		time.Sleep(time.Second)
 		mu.on.Store(true)
 		time.Sleep(30 * time.Second)
-		qt.Assert(t, li.with("end=lapsed", "job="+jobID(1)), qt.HasLen, 4*16)
-		told := li.with(`msg="lasting tasks wait"`, "job="+jobID(1), "for=room", "tasks=64")
+		qt.Assert(t, li.matching("end=lapsed", "job="+jobID(1)), qt.HasLen, 4*16)
+		told := li.matching(`msg="lasting tasks wait"`, "job="+jobID(1), "for=room", "tasks=64")
 		qt.Assert(t, len(told) >= 3 && len(told) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(told)))
 		mu.on.Store(false)
 		time.Sleep(10 * time.Second)
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -62,7 +62,7 @@
 }
 
 // relieve stops an attempt that stands still, so that it is tried elsewhere.
-func (ho *host) relieve(at *attempt, now time.Time) {
+func (ho *workerState) relieve(at *attempt, now time.Time) {
 	if at.en.stood == nil {
 		at.en.stood = map[job.TaskRef]int{}
 	}
--- a/internal/sched/stall_test.go
+++ b/internal/sched/stall_test.go
@@ -104,7 +104,7 @@
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(320 * time.Second)
-		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded, qt.Commentf("%s", li.with(jobID(1))))
+		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded, qt.Commentf("%s", li.matching(jobID(1))))
 		qt.Check(t, len(la.fleet.Runs()) <= 4, qt.IsTrue, qt.Commentf("%d runs", len(la.fleet.Runs())))
 	})
 }
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -14,7 +14,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestStopsKeepTheRoomTheyCount is the story of a step that stops for a place that is
+// TestStopsReserveTheCapacityTheyCount is the story of a step that stops for a place that is
 // taken.
 //
 // Users see services that do not run although their workers are well. Order of events: a
@@ -22,7 +22,7 @@
 // stop, as checkpoints do. Cause: each look counted the room anew, as if the task stopped
 // at the look before were not to go there, and stopped another for it. Evidence: nine
 // stops for one place, and eight lasting tasks that wait for room.
-func TestStopsKeepTheRoomTheyCount(t *testing.T) {
+func TestStopsReserveTheCapacityTheyCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
@@ -75,10 +75,10 @@
 	})
 }
 
-// TestRoomIsKeptForWhatWaits has a task that was stopped wait for its placement, as
+// TestCapacityIsReservedForStoppedTasks has a task that was stopped wait for its placement, as
 // writes of other jobs are under way and the store is slow: its room is not counted for
 // another one.
-func TestRoomIsKeptForWhatWaits(t *testing.T) {
+func TestCapacityIsReservedForStoppedTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		ow := la.withLasting(31)
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -101,7 +101,7 @@
 func (ow *Owner) capacityNow(now time.Time) (held, reserved int64, barred map[string]int) {
 	barred = map[string]int{}
 	for _, ho := range ow.hosts {
-		if why := ho.bar(now); why != "" {
+		if why := ho.unavailableReason(now); why != "" {
 			barred[why]++
 			continue
 		}
@@ -133,7 +133,7 @@
 
 // countObstacles counts the waiting tasks by what holds them back.
 func (en *entry) countObstacles(counts map[obstacle]int, now time.Time) {
-	lack := obstacle(en.cause(en.ow.storeDown()).String())
+	lack := obstacle(en.currentCause(en.ow.storeDown()).String())
 	for step, tasks := range en.jo.Tasks {
 		if !en.jo.Ready(step) {
 			continue
@@ -157,10 +157,10 @@
 // obstacle returns why an attempt that is taken to run may not, and since when.
 func (at *attempt) obstacle() (obstacle, time.Time) {
 	switch {
-	case !at.ho.failing.IsZero():
-		return obstacleSilent, at.ho.failing
+	case !at.ho.failingSince.IsZero():
+		return obstacleSilent, at.ho.failingSince
 	case !at.ho.settled:
-		return obstacleSilent, at.ho.entered
+		return obstacleSilent, at.ho.firstSeen
 	case !at.halted.IsZero():
 		return obstacleStopping, at.halted
 	}
--- a/internal/sched/stuck_test.go
+++ b/internal/sched/stuck_test.go
@@ -19,7 +19,7 @@
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
@@ -29,15 +29,15 @@
 			page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 			qt.Check(t, re.Body.String(), qt.Contains, fmt.Sprintf("%s{kind=%q,why=%q} %d\n", telemetry.StuckTasks, kind, why, n))
 		}
-		la.submit(ow, 1, lasting(40))
+		la.submit(ow, 1, longRunning(40))
 		time.Sleep(4 * time.Second)
 		stuck("lasting", obstacleRoom, 0)
-		qt.Check(t, li.with(`msg="tasks are stuck"`), qt.HasLen, 0)
+		qt.Check(t, li.matching(`msg="tasks are stuck"`), qt.HasLen, 0)
 		time.Sleep(3 * time.Second)
 		waiting := 40 - len(la.fleet.Runs())
 		qt.Assert(t, waiting > 0, qt.IsTrue)
 		stuck("lasting", obstacleRoom, waiting)
-		qt.Check(t, len(li.with(`msg="tasks are stuck"`, fmt.Sprintf("lasting=room:%d", waiting), "reserved_share=", "longest=")) > 0, qt.IsTrue)
+		qt.Check(t, len(li.matching(`msg="tasks are stuck"`, fmt.Sprintf("lasting=room:%d", waiting), "reserved_share=", "longest=")) > 0, qt.IsTrue)
 		end()
 		time.Sleep(time.Second)
 		stuck("lasting", obstacleRoom, 0)
@@ -47,14 +47,14 @@
 func TestObstacleOfAttempts(t *testing.T) {
 	long := time.Now().Add(-time.Minute)
 	for _, tc := range []struct {
-		ho     *host
+		ho     *workerState
 		halted time.Time
 		want   obstacle
 	}{
-		{&host{settled: true}, time.Time{}, ""},
-		{&host{settled: true}, long, obstacleStopping},
-		{&host{settled: true, failing: long}, long, obstacleSilent},
-		{&host{entered: long}, time.Time{}, obstacleSilent},
+		{&workerState{settled: true}, time.Time{}, ""},
+		{&workerState{settled: true}, long, obstacleStopping},
+		{&workerState{settled: true, failingSince: long}, long, obstacleSilent},
+		{&workerState{firstSeen: long}, time.Time{}, obstacleSilent},
 	} {
 		at := &attempt{ho: tc.ho, halted: tc.halted}
 		ob, since := at.obstacle()
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -17,15 +17,15 @@
 
 // Times of trials.
 const (
-	// trialWait is how long a trial may wait for the others on its worker to get over
+	// maxTrialWait is how long a trial may wait for the others on its worker to get over
 	// their start, of which none begins any more.
-	trialWait = 2 * provenAfter
-	// trialGap is the time between the choices of workers for the trials of a job: a
+	maxTrialWait = 2 * startupDuration
+	// trialInterval is the time between the choices of workers for the trials of a job: a
 	// process that ends breaks off its connections within some 10 ms.
-	trialGap = 300 * time.Millisecond
-	// trialDoubt is how long the next trial of a job waits while the worker of another one
+	trialInterval = 300 * time.Millisecond
+	// trialCrashWait is how long the next trial of a job waits while the worker of another one
 	// does not answer: one that crashed is back after some 3.2 s.
-	trialDoubt = 4 * time.Second
+	trialCrashWait = 4 * time.Second
 )
 
 // trial is a task that is tried alone on a worker, or is to be once others there have got
@@ -40,17 +40,17 @@
 
 func (at *attempt) task() *job.Task { return at.en.jo.Task(at.ref) }
 
-// fresh reports whether the attempt may still be at its start: its worker's looks would
+// starting reports whether the attempt may still be at its start: its worker's looks would
 // have broken off since, had that crashed.
-func (at *attempt) fresh(now time.Time) bool {
-	if !at.ho.failing.IsZero() {
+func (at *attempt) starting(now time.Time) bool {
+	if !at.ho.failingSince.IsZero() {
 		return true
 	}
-	return at.worked < provenAfter && (at.launched.IsZero() || now.Sub(at.launched) < provenAfter)
+	return at.worked < startupDuration && (at.launched.IsZero() || now.Sub(at.launched) < startupDuration)
 }
 
 // endTrial lets others begin beside an attempt that was tried alone.
-func (ho *host) endTrial(at *attempt) {
+func (ho *workerState) endTrial(at *attempt) {
 	if ho.trial != nil && ho.trial.at == at {
 		ho.trial = nil
 		ho.ow.due = true
@@ -58,26 +58,26 @@
 }
 
 // tickTrial frees a worker whose trial got over its start, or will not begin.
-func (ho *host) tickTrial(now time.Time) {
+func (ho *workerState) tickTrial(now time.Time) {
 	tr := ho.trial
 	switch {
 	case tr == nil:
 		return
-	case tr.at != nil && tr.at.fresh(now), tr.at == nil && tr.waits(ho, now):
+	case tr.at != nil && tr.at.starting(now), tr.at == nil && tr.pending(ho, now):
 		return
 	}
 	ho.trial = nil
 	ho.ow.due = true
 }
 
-// waits reports whether a trial that has not begun will.
-func (tr *trial) waits(ho *host, now time.Time) bool {
+// pending reports whether a trial that has not begun will.
+func (tr *trial) pending(ho *workerState, now time.Time) bool {
 	waiting := tr.en.jo.Task(tr.ref).State == job.Waiting && tr.en.jo.Ready(tr.ref.Step)
-	return waiting && ho.well(now) && now.Sub(tr.since) < 2*trialWait
+	return waiting && ho.available(now) && now.Sub(tr.since) < 2*maxTrialWait
 }
 
-// trialOf returns the worker that was chosen to try a task on, or nil.
-func (ow *Owner) trialOf(en *entry, ref job.TaskRef) *host {
+// trialWorker returns the worker that was chosen to try a task on, or nil.
+func (ow *Owner) trialWorker(en *entry, ref job.TaskRef) *workerState {
 	for _, ho := range ow.hosts {
 		if ho.trial != nil && ho.trial.en == en && ho.trial.ref == ref {
 			return ho
@@ -86,12 +86,12 @@
 	return nil
 }
 
-// inDoubt reports whether a worker on which a task of the job was tried alone does not
+// trialUnresolved reports whether a worker on which a task of the job was tried alone does not
 // answer. Of several that crash their workers the first ends the job, if the others wait
 // for what becomes of it.
-func (en *entry) inDoubt(now time.Time) bool {
+func (en *entry) trialUnresolved(now time.Time) bool {
 	for _, at := range en.attempts {
-		if at.task().Alone() && !at.ho.failing.IsZero() && now.Sub(at.ho.failing) < trialDoubt {
+		if at.task().Alone() && !at.ho.failingSince.IsZero() && now.Sub(at.ho.failingSince) < trialCrashWait {
 			return true
 		}
 	}
@@ -102,46 +102,46 @@
 // ends another.
 func (pl *placer) placeSuspect(en *entry, ref job.TaskRef) {
 	if en.jo.Task(ref).Alone() {
-		pl.placeAlone(en, ref)
+		pl.placeIsolated(en, ref)
 		return
 	}
-	if ca := pl.loneliest(en, ref); ca != nil {
-		pl.try(en, ref, ca, "apart")
+	if ca := pl.leastOccupied(en, ref); ca != nil {
+		pl.startSuspect(en, ref, ca, "apart")
 		return
 	}
 	en.lack = CauseRoom
 	pl.keepRoom(en, ref)
 }
 
-// placeAlone starts a task alone, once the turn of its job has come and its worker is ready
+// placeIsolated starts a task alone, once the turn of its job has come and its worker is ready
 // for it.
-func (pl *placer) placeAlone(en *entry, ref job.TaskRef) {
+func (pl *placer) placeIsolated(en *entry, ref job.TaskRef) {
 	en.lack = CausePlace
-	if en.inDoubt(pl.now) {
+	if en.trialUnresolved(pl.now) {
 		return
 	}
-	ho := pl.ow.trialOf(en, ref)
+	ho := pl.ow.trialWorker(en, ref)
 	if ho == nil {
-		ho = pl.chooseTrial(en, ref)
+		ho = pl.chooseTrialWorker(en, ref)
 	}
-	if ho == nil || !ho.well(pl.now) {
+	if ho == nil || !ho.available(pl.now) {
 		return
 	}
 	ca := newCandidate(ho, pl.now)
 	if !ca.fits(en, ref, &en.jo.Spec.Steps[ref.Step]) {
 		return
 	}
-	if ho.crowdedness(pl.now).fresh == 0 || pl.now.Sub(ho.trial.since) > trialWait {
-		pl.try(en, ref, ca, "alone")
+	if ho.occupancy(pl.now).starting == 0 || pl.now.Sub(ho.trial.since) > maxTrialWait {
+		pl.startSuspect(en, ref, ca, "alone")
 	}
 }
 
-// chooseTrial chooses a worker to try a task on, or returns nil.
-func (pl *placer) chooseTrial(en *entry, ref job.TaskRef) *host {
-	if pl.now.Sub(en.triedAt) < trialGap {
+// chooseTrialWorker chooses a worker to try a task on, or returns nil.
+func (pl *placer) chooseTrialWorker(en *entry, ref job.TaskRef) *workerState {
+	if pl.now.Sub(en.triedAt) < trialInterval {
 		return nil
 	}
-	ca := pl.loneliest(en, ref)
+	ca := pl.leastOccupied(en, ref)
 	if ca == nil {
 		en.lack = CauseRoom
 		pl.keepRoom(en, ref)
@@ -152,52 +152,52 @@
 	return ca.ho
 }
 
-// try starts a task under which workers ended.
-func (pl *placer) try(en *entry, ref job.TaskRef, ca *candidate, how string) {
-	cr := ca.ho.crowdedness(pl.now)
+// startSuspect starts a task under which workers ended.
+func (pl *placer) startSuspect(en *entry, ref job.TaskRef, ca *candidate, how string) {
+	cr := ca.ho.occupancy(pl.now)
 	pl.ow.Metrics.Add(telemetry.SuspectStarts, 1, "how", how)
 	pl.ow.Log.Info("trying a task under which workers ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "worker", ca.ho.incarnation,
-		"crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses, "how", how, "beside", cr.attempts, "fresh", cr.fresh)
+		"crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses, "how", how, "beside", cr.attempts, "fresh", cr.starting)
 	pl.start(en, ref, ca)
 	en.lack = CauseOrder
 }
 
-// loneliest returns the worker with room for the task on which fewest attempts are fresh,
+// leastOccupied returns the worker with room for the task on which fewest attempts are fresh,
 // then fewest serve within a target, then fewest stand, or nil.
-func (pl *placer) loneliest(en *entry, ref job.TaskRef) *candidate {
+func (pl *placer) leastOccupied(en *entry, ref job.TaskRef) *candidate {
 	st := &en.jo.Spec.Steps[ref.Step]
 	var best *candidate
-	var least crowdedness
+	var least occupancy
 	for _, ca := range pl.hosts {
 		if !ca.fits(en, ref, st) {
 			continue
 		}
-		if cr := ca.ho.crowdedness(pl.now); best == nil || cr.compare(least) < 0 {
+		if cr := ca.ho.occupancy(pl.now); best == nil || cr.compare(least) < 0 {
 			best, least = ca, cr
 		}
 	}
 	return best
 }
 
-// crowdedness is what a worker's end would cost.
-type crowdedness struct{ fresh, services, attempts int }
+// occupancy is what a worker's end would cost.
+type occupancy struct{ starting, services, attempts int }
 
-func (ho *host) crowdedness(now time.Time) crowdedness {
-	cr := crowdedness{services: len(ho.services), attempts: len(ho.attempts)}
+func (ho *workerState) occupancy(now time.Time) occupancy {
+	cr := occupancy{services: len(ho.services), attempts: len(ho.attempts)}
 	for at := range ho.attempts {
-		if at.fresh(now) {
-			cr.fresh++
+		if at.starting(now) {
+			cr.starting++
 		}
 	}
 	return cr
 }
 
-func (cr crowdedness) compare(other crowdedness) int {
-	return cmp.Or(cmp.Compare(cr.fresh, other.fresh), cmp.Compare(cr.services, other.services), cmp.Compare(cr.attempts, other.attempts))
+func (cr occupancy) compare(other occupancy) int {
+	return cmp.Or(cmp.Compare(cr.starting, other.starting), cmp.Compare(cr.services, other.services), cmp.Compare(cr.attempts, other.attempts))
 }
 
-// tellGivenUp tells of a task that is not tried again, and why.
-func (ow *Owner) tellGivenUp(en *entry, ref job.TaskRef, end job.End) {
+// logGivenUp tells of a task that is not tried again, and why.
+func (ow *Owner) logGivenUp(en *entry, ref job.TaskRef, end job.End) {
 	ta := en.jo.Task(ref)
 	if ta.State != job.Failing {
 		return
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -42,9 +42,9 @@
 	}{{"workers that are back", false}, {"workers that are gone for good", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cr, ow := startCrashes(t, newLab(t, 5*workersPerLoss))
-				cr.forGood = tc.forGood
-				cr.submit(ow, 1, lasting(12))
+				cr, ow := startCrashLab(t, newLab(t, 5*workersPerLoss))
+				cr.noRestart = tc.forGood
+				cr.submit(ow, 1, longRunning(12))
 				for range 4 {
 					time.Sleep(20 * time.Second)
 					cr.assertRunning(12)
@@ -61,7 +61,7 @@
 
 // loseOwnerAnd ends the owner, crashes the busiest workers just after that, and returns the
 // next owner.
-func (cr *crashes) loseOwnerAnd(workers int) *Owner {
+func (cr *crashLab) loseOwnerAnd(workers int) *Owner {
 	cr.end()
 	time.Sleep(200 * time.Millisecond)
 	for range workers {
@@ -77,13 +77,13 @@
 func TestLostWorkersAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
-		cr, ow := startCrashes(t, la)
-		cr.forGood = true
-		cr.submit(ow, 1, lasting(12))
+		cr, ow := startCrashLab(t, la)
+		cr.noRestart = true
+		cr.submit(ow, 1, longRunning(12))
 		time.Sleep(20 * time.Second)
 		cr.loseOwnerAnd(1)
 		time.Sleep(20 * time.Second)
-		told := li.with(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
+		told := li.matching(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
 		qt.Assert(t, told, qt.HasLen, 1)
 	})
 }
@@ -111,7 +111,7 @@
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(40))
+		la.submit(ow, 1, longRunning(40))
 		la.submit(ow, 2, batch(1, 1))
 		time.Sleep(100 * time.Millisecond)
 		started := la.row(ow, 1).Rev
@@ -136,14 +136,14 @@
 func TestHealthyTasksOverTakeovers(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: takeoverScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
-			cr := newCrashes(t, newLab(t, 12))
-			cr.crashing()
-			cr.elsewhere = rapid.Bool().Draw(rt, "elsewhere")
-			cr.stays = rapid.SampledFrom([]time.Duration{0, entryStays, 5 * time.Second}).Draw(rt, "entry stays")
+			cr := newCrashLab(t, newLab(t, 12))
+			cr.setCrashingJobs()
+			cr.newAddress = rapid.Bool().Draw(rt, "elsewhere")
+			cr.entryTTL = rapid.SampledFrom([]time.Duration{0, crashedEntryTTL, 5 * time.Second}).Draw(rt, "entry stays")
 			ow := cr.own()
 			defer func() { cr.end() }()
 			time.Sleep(time.Second)
-			cr.submit(ow, 1, lasting(8))
+			cr.submit(ow, 1, longRunning(8))
 			for range rapid.IntRange(3, 9).Draw(rt, "losses") {
 				// Until what was lost runs again, and its proof is written.
 				time.Sleep(22 * time.Second)
--- a/internal/sched/third_test.go
+++ b/internal/sched/third_test.go
@@ -19,12 +19,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		cr := &crowd{lab: newLab(t, 2)}
 		defer cr.stop()
-		cr.fleet.RunFunc = endless
+		cr.fleet.RunFunc = runUntilStopped
 		first := cr.join("a", 0.8)
 		time.Sleep(time.Second)
 		second, third := cr.join("b", 0.8), cr.join("c", 0.5)
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(first.ow.Load(), 1, lasting(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cr.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(time.Second)
 		cr.assertRunning(4)
 		test(cr, first, second, third)
@@ -179,7 +179,7 @@
 		second.gate.Set(down)
 		time.Sleep(tenure.ExtendFor)
 		second.set(func(co *contender) { co.once = map[worker.Incarnation]bool{fw.Addr.Incarnation: true} })
-		time.Sleep(lookRetry + silentAfter)
+		time.Sleep(pollRetry + unresponsiveAfter)
 		second.gate.Set(standin.Fault{})
 		time.Sleep(10 * time.Second)
 		cr.assertRunning(4)
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -99,16 +99,16 @@
 
 // goneForGood reports whether the worker, which has no entry, is not to be waited for:
 // neither an outage of the store nor its last seconds are why.
-func (ho *host) goneForGood(now time.Time) bool {
-	return ho.gone && now.Sub(ho.goneAt) > entryBack && ho.ow.listSound(now)
+func (ho *workerState) goneForGood(now time.Time) bool {
+	return ho.unlisted && now.Sub(ho.unlistedAt) > entryBack && ho.ow.listSound(now)
 }
 
 // tellEmptied tells once that a worker without an entry is emptied.
-func (ho *host) tellEmptied(now time.Time) {
-	if ho.emptied {
+func (ho *workerState) tellEmptied(now time.Time) {
+	if ho.evacuationLogged {
 		return
 	}
-	ho.emptied = true
+	ho.evacuationLogged = true
 	ho.ow.Log.Warn("emptying a worker without an entry", "worker", ho.incarnation, "attempts", len(ho.attempts), "draining", ho.Draining,
-		"gone_for", now.Sub(ho.goneAt), "list_age", ho.ow.listAge(now), "store_well_for", now.Sub(ho.ow.roll.trouble))
+		"gone_for", now.Sub(ho.unlistedAt), "list_age", ho.ow.listAge(now), "store_well_for", now.Sub(ho.ow.roll.trouble))
 }
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -49,11 +49,11 @@
 // withLasting starts an owner with so many lasting tasks at work.
 func (la *lab) withLasting(tasks int) *Owner {
 	la.t.Helper()
-	la.fleet.RunFunc = endless
+	la.fleet.RunFunc = runUntilStopped
 	ow, end := la.own()
 	la.t.Cleanup(end)
 	time.Sleep(time.Second)
-	la.submit(ow, 1, lasting(tasks))
+	la.submit(ow, 1, longRunning(tasks))
 	time.Sleep(time.Second)
 	la.assertRunning(tasks)
 	return ow
@@ -90,7 +90,7 @@
 		la, ow := lastingLab(t, 4, 24)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		// A write under way tells the owner of the outage.
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(8 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
@@ -113,7 +113,7 @@
 		la, ow := lastingLab(t, 4, 24)
 		gone, _ := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(8 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
 		back := time.Now()
@@ -146,7 +146,7 @@
 		la, ow := lastingLab(t, 3, 12)
 		was := la.crew[0]
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(time.Second)
 		la.fleet.Kill(was)
 		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
@@ -167,7 +167,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := lastingLab(t, 3, 6)
 		ow.SetWorkers(nil, nil, true)
-		la.submit(ow, 2, lasting(6))
+		la.submit(ow, 2, longRunning(6))
 		time.Sleep(20 * time.Second)
 		la.assertRunning(6)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
@@ -207,9 +207,9 @@
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(10 * time.Second)
 		worker := "worker=" + leaving.Addr.Incarnation.String()
-		qt.Check(t, li.with(`msg="worker no longer listed"`, worker, "list_age=0s", "store_trouble=false"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="emptying a worker without an entry"`, worker, fmt.Sprintf("attempts=%d ", n), "list_age=0s"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="stopping attempt"`, worker, "has no entry"), qt.HasLen, n)
+		qt.Check(t, li.matching(`msg="worker no longer listed"`, worker, "list_age=0s", "store_trouble=false"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="emptying a worker without an entry"`, worker, fmt.Sprintf("attempts=%d ", n), "list_age=0s"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="stopping attempt"`, worker, "has no entry"), qt.HasLen, n)
 		re := httptest.NewRecorder()
 		page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		qt.Check(t, re.Body.String(), qt.Contains, fmt.Sprintf("pepperhatch_attempts_emptied_total{why=%q} %d\n", "unlisted", n))
@@ -226,7 +226,7 @@
 		ow.SetWorkers(la.listed()[3:], nil, true)
 		time.Sleep(doubtFor - time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
-		qt.Check(t, li.with("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
+		qt.Check(t, li.matching("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.runningAt("i-3"), qt.Equals, 16)
 		la.assertRunning(24)
@@ -357,7 +357,7 @@
 		la, ow := lastingLab(t, 3, 12)
 		worker, n := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		go la.submit(ow, 2, lasting(1))
+		go la.submit(ow, 2, longRunning(1))
 		time.Sleep(time.Second)
 		ow.SetWorkers(nil, []string{worker.Addr.Incarnation.ID}, false)
 		time.Sleep(6 * time.Second)
@@ -398,10 +398,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
 			la.formerKnown = known
-			la.fleet.RunFunc = endless
+			la.fleet.RunFunc = runUntilStopped
 			ow, end := la.own()
 			time.Sleep(time.Second)
-			la.submit(ow, 1, lasting(12))
+			la.submit(ow, 1, longRunning(12))
 			time.Sleep(time.Second)
 			end()
 			crew := la.crew
--- a/internal/sched/way.go
+++ b/internal/sched/way.go
@@ -38,8 +38,8 @@
 }
 
 // wayNow returns the way to the worker now.
-func (ho *host) wayNow() way {
-	if wa := ho.way.Load(); wa != nil {
+func (ho *workerState) wayNow() way {
+	if wa := ho.path.Load(); wa != nil {
 		return *wa
 	}
 	return way{addr: ho.Addr}
@@ -59,14 +59,14 @@
 // reroute takes up the way that is wanted now, if it is another. Orders under way
 // by the former one may be carried out until the worker hears of this; as with a
 // lost answer, what became of them is settled by the worker's word.
-func (ho *host) reroute() {
+func (ho *workerState) reroute() {
 	was, via := ho.wayNow(), ho.ow.via(ho.WorkerEntry)
 	if via == was.addr.Via {
 		return
 	}
 	now := &way{addr: was.addr, fence: ho.ow.nextFence()}
 	now.addr.Via = via
-	ho.way.Store(now)
-	nudge(ho.rerouted)
+	ho.path.Store(now)
+	wake(ho.pathChanged)
 	ho.ow.Log.Info("worker reached another way", "worker", ho.incarnation, "via", via, "was", was.addr.Via, "fence", now.fence)
 }
--- a/internal/sched/workers_test.go
+++ b/internal/sched/workers_test.go
@@ -13,11 +13,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// endless makes every task run until it is stopped.
-func endless(worker.Attempt) (time.Duration, string) { return -1, "" }
+// runUntilStopped makes every task run until it is stopped.
+func runUntilStopped(worker.Attempt) (time.Duration, string) { return -1, "" }
 
-// lasting is a job of endless tasks.
-func lasting(tasks int) job.Spec {
+// longRunning is a job of endless tasks.
+func longRunning(tasks int) job.Spec {
 	sp := batch(1, tasks)
 	sp.Steps[0].Endless = true
 	return sp
@@ -54,14 +54,14 @@
 	la.assertNothingTwice()
 }
 
-func TestWorkerGoneForGood(t *testing.T) {
+func TestWorkerLostForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		qt.Assert(t, la.submit(ow, 1, lasting(6)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, la.submit(ow, 1, longRunning(6)).Outcome, qt.Equals, Accepted)
 		time.Sleep(time.Second)
 		la.assertRunning(6)
 		busiest := la.crew[0]
@@ -77,14 +77,14 @@
 	})
 }
 
-func TestWorkerSilentForAWhile(t *testing.T) {
+func TestWorkerUnresponsiveForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(4))
+		la.submit(ow, 1, longRunning(4))
 		time.Sleep(time.Second)
 		for _, fw := range la.crew {
 			fw.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
@@ -168,7 +168,7 @@
 	})
 }
 
-func TestStoreAway(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 2 * time.Second, "done" }
@@ -195,7 +195,7 @@
 	})
 }
 
-func TestAnswersOfTheStoreLost(t *testing.T) {
+func TestStoreAnswersLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		ow, end := la.own()
@@ -232,10 +232,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
 			la.formerKnown = known
-			la.fleet.RunFunc = endless
+			la.fleet.RunFunc = runUntilStopped
 			ow, end := la.own()
 			time.Sleep(time.Second)
-			la.submit(ow, 1, lasting(6))
+			la.submit(ow, 1, longRunning(6))
 			time.Sleep(time.Second)
 			for _, fw := range la.crew {
 				la.fleet.Kill(fw)
@@ -255,10 +255,10 @@
 	}
 }
 
-// TestWorkerLeaves has a worker leave after a notice. What lasts goes on
+// TestWorkerDrains has a worker leave after a notice. What lasts goes on
 // elsewhere before, what ends soon may end there, and the rest is stopped in
 // time to be resumed.
-func TestWorkerLeaves(t *testing.T) {
+func TestWorkerDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
@@ -274,7 +274,7 @@
 		ow, end := la.own()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(4))
+		la.submit(ow, 1, longRunning(4))
 		la.submit(ow, 2, batch(1, 4))
 		la.submit(ow, 3, batch(1, 4))
 		time.Sleep(time.Second)
@@ -304,15 +304,15 @@
 	})
 }
 
-// TestOwnersChangeWhileAWorkerIsGone has a worker vanish and its owner stop,
+// TestOwnersChangeWhileAWorkerIsLost has a worker vanish and its owner stop,
 // and the next one too: what is known of its leases goes along.
-func TestOwnersChangeWhileAWorkerIsGone(t *testing.T) {
+func TestOwnersChangeWhileAWorkerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(4))
+		la.submit(ow, 1, longRunning(4))
 		time.Sleep(time.Second)
 		for _, fw := range la.crew {
 			if la.running()[fw.Addr.Incarnation] > 0 {
