--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -11,7 +11,7 @@
 type attempt struct {
 	ref    job.TaskRef
 	number int
-	ho     *host
+	ho     *workerState
 	// en is its job.
 	en *entry
 	// inFlight is set from its placement until its start order is answered.
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -70,7 +70,7 @@
 	list := ca.listed()
 	for i := range list {
 		said := ca.reported[list[i].Incarnation]
-		list[i].Holds = said[len(said)-1].holds
+		list[i].Capacity = said[len(said)-1].holds
 	}
 	ca.ow.SetWorkers(list, nil, true)
 }
@@ -116,9 +116,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			ca := newCapacityLab(t, 1)
 			defer func() { ca.end() }()
-			ca.fleet.RunFunc = endless
+			ca.fleet.RunFunc = runUntilStopped
 			time.Sleep(time.Second)
-			ca.submit(ca.ow, 1, lasting(12))
+			ca.submit(ca.ow, 1, longRunning(12))
 			time.Sleep(time.Second)
 			ca.report(ca.fleetWorkers[0], 16)
 			time.Sleep(time.Second)
@@ -126,7 +126,7 @@
 				ca.own()
 				time.Sleep(time.Second)
 			}
-			ca.submit(ca.ow, 2, lasting(4))
+			ca.submit(ca.ow, 2, longRunning(4))
 			time.Sleep(5 * time.Second)
 			ca.assertRunning(12)
 			ca.report(ca.fleetWorkers[0], 32)
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -40,7 +40,7 @@
 	ow.scarcityLoggedAt = now
 	ow.Log.Info("room for lasting tasks", "jobs", ed.jobs, "tasks", ed.tasks, "again", ed.interrupted, "need_millicores", ed.needMilliCores, "longest", ed.longestWait,
 		"workers", ed.workers, "kept", ed.earmarked, "free_millicores", ed.free, "most_millicores", ed.mostFree, "passing_millicores", ed.finite,
-		"promised_millicores", ed.reserved, "promises_lacking", ow.reservations.lacking)
+		"promised_millicores", ed.reserved, "promises_lacking", ow.reservations.unmet)
 }
 
 // endlessDemand sums up the endless jobs that have waited for capacity for at least
@@ -48,7 +48,7 @@
 func (ow *Owner) endlessDemand(now time.Time) endlessDemand {
 	var ed endlessDemand
 	for _, en := range ow.active {
-		if en.jo.Endless() && en.waitCause == CauseRoom && now.Sub(en.waitingSince) >= firstWait {
+		if en.jo.Endless() && en.waitCause == CauseRoom && now.Sub(en.waitingSince) >= firstWaitLog {
 			ed.add(en, now)
 		}
 	}
@@ -56,15 +56,15 @@
 		return ed
 	}
 	for _, ho := range ow.hosts {
-		if ho.bar(now) != "" {
+		if ho.unavailableReason(now) != "" {
 			continue
 		}
-		free := max(ho.Holds.MilliCores-ho.reserved.MilliCores, 0)
+		free := max(ho.Capacity.MilliCores-ho.reserved.MilliCores, 0)
 		ed.workers++
 		ed.free += free
 		ed.mostFree = max(ed.mostFree, free)
-		ed.finite += ho.passing.MilliCores
-		ed.reserved += ho.promised.MilliCores
+		ed.finite += ho.finiteReserved.MilliCores
+		ed.reserved += ho.restartReserved.MilliCores
 		if ho.isEarmarked() {
 			ed.earmarked++
 		}
--- a/internal/sched/disturbance.go
+++ b/internal/sched/disturbance.go
@@ -11,7 +11,7 @@
 // a worker, and the largest predicted excess of a service over placeBelowPart with the
 // filler there; zero or less if there is none.
 func (ca *candidate) disturbance(st *job.Step) (sum, over float64) {
-	part := share(st.Each.MilliCores, ca.ho.Holds.MilliCores)
+	part := share(st.Each.MilliCores, ca.ho.Capacity.MilliCores)
 	for _, se := range ca.serviceSummaries() {
 		drop := ca.ho.ow.model.Drop(interfere.Pair{Service: se.image, Filler: st.Image}) * part
 		sum += drop * float64(se.count)
@@ -37,7 +37,7 @@
 // serviceSummaries returns the summaries of the services on the worker, computed again if
 // they are outdated.
 func (ca *candidate) serviceSummaries() []imageServices {
-	fi, now := &ca.ho.fill, time.Now()
+	fi, now := &ca.ho.fillers, time.Now()
 	if !fi.summariesAt.IsZero() && now.Sub(fi.summariesAt) < summaryMaxAge {
 		return fi.summaries
 	}
--- a/internal/sched/earmark.go
+++ b/internal/sched/earmark.go
@@ -7,7 +7,7 @@
 const earmarkShare = 16
 
 // isEarmarked reports whether the worker's free capacity is set aside for an endless task.
-func (ho *host) isEarmarked() bool { return ho.awaited || ho.keptIn == ho.ow.rounds }
+func (ho *workerState) isEarmarked() bool { return ho.restartReady || ho.reservedInRound == ho.ow.rounds }
 
 // earmark sets aside the free capacity of a worker for an endless task that never ran and
 // fits nowhere: otherwise short tasks would take each part of it as it becomes free, and
@@ -22,7 +22,7 @@
 	var best *candidate
 	var leastMissing int64
 	for _, ca := range pl.hosts {
-		if ca.earmarked || !ca.allowed(en, ref, st) || !st.Reserved().Fits(ca.free.Add(ca.ho.passing)) {
+		if ca.earmarked || !ca.allowed(en, ref, st) || !st.Reserved().Fits(ca.free.Add(ca.ho.finiteReserved)) {
 			continue
 		}
 		if missing := st.Each.MilliCores - ca.free.MilliCores; best == nil || missing < leastMissing {
@@ -32,7 +32,7 @@
 	if best == nil {
 		return
 	}
-	best.earmarked, best.ho.keptIn = true, pl.ow.rounds
+	best.earmarked, best.ho.reservedInRound = true, pl.ow.rounds
 	pl.earmarks++
 	pl.ow.Log.Debug("capacity earmarked", "task", en.jo.TaskID(ref), "worker", best.ho.incarnation, "lacks_millicores", leastMissing)
 }
--- a/internal/sched/entry.go
+++ b/internal/sched/entry.go
@@ -67,7 +67,7 @@
 	// waitCause is why the last round of placement left a task waiting.
 	waitCause Cause
 	// timeBreakdown accounts for the job's elapsed time by cause.
-	timeBreakdown spent
+	timeBreakdown timeBreakdown
 }
 
 // track returns the load history of a step, which it creates if needed.
@@ -151,10 +151,10 @@
 		return false
 	}
 	var incarnation worker.Incarnation
-	var seen sightings
+	var seen observation
 	if at := en.attempts[ref]; at != nil && at.number == number {
-		incarnation, seen = at.ho.incarnation, at.sightings()
-		at.ho.drop(at)
+		incarnation, seen = at.ho.incarnation, at.observed()
+		at.ho.removeAttempt(at)
 		delete(en.attempts, ref)
 	}
 	if end == job.EndFailed {
@@ -168,7 +168,7 @@
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", string(end))
 	ow.Log.Info("attempt ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "end", end, "why", reason, "state", en.jo.State(),
 		"acked", seen.acked, "ran_at_least", seen.ran, "crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses)
-	ow.tellGivenUp(en, ref, end)
+	ow.logGivenUp(en, ref, end)
 	ow.stopFinished(en)
 	ow.markDirty(en)
 	return true
@@ -197,7 +197,7 @@
 	if at := en.attempts[ref]; at != nil && en.jo.Exhausted(ref) && !at.orderSent && !at.inherited {
 		ow.recordEnd(en, ref, at.number, job.EndNeverRan, "", "an earlier attempt had failed")
 	} else {
-		ow.tellGivenUp(en, ref, job.EndFailed)
+		ow.logGivenUp(en, ref, job.EndFailed)
 	}
 	ow.stopFinished(en)
 	ow.markDirty(en)
@@ -228,7 +228,7 @@
 	}
 	if en.endedAt.IsZero() {
 		en.endedAt = time.Now()
-		ow.tellTime(en, en.endedAt)
+		ow.logJobTime(en, en.endedAt)
 	}
 	for _, at := range en.attempts {
 		en.onWritten = append(en.onWritten, func() { ow.halt(at, "job "+string(en.jo.State())) })
--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -28,7 +28,7 @@
 		return
 	}
 	ev := evacuation{ow: ow, now: now, noCapacity: map[*job.Step]bool{}}
-	for _, ho := range ow.sortedHosts() {
+	for _, ho := range ow.sortedWorkers() {
 		if ho.evacuationReason(now) != "" {
 			ev.leaving = append(ev.leaving, ho)
 		}
@@ -45,9 +45,9 @@
 )
 
 // evacuationReason returns why a worker is to be evacuated, or "" if it is not.
-func (ho *host) evacuationReason(now time.Time) string {
+func (ho *workerState) evacuationReason(now time.Time) string {
 	switch {
-	case ho.dead || !ho.failing.IsZero():
+	case ho.dead || !ho.failingSince.IsZero():
 		return ""
 	case ho.Draining:
 		// The worker reported this itself; its entry may disappear before it leaves.
@@ -64,7 +64,7 @@
 	ow  *Owner
 	now time.Time
 	// leaving are the workers to be evacuated.
-	leaving     []*host
+	leaving     []*workerState
 	placerCache *placer
 	moves       int
 	// noCapacity has the steps whose tasks fit on no worker.
@@ -74,12 +74,12 @@
 // evacuateHost evacuates a worker. Shortly before a draining worker leaves, all its remaining
 // attempts are stopped, so that their end and their last checkpoint are known. Otherwise they
 // would end there anyway, and that would be known only after their leases have expired.
-func (ev *evacuation) evacuateHost(ho *host) {
+func (ev *evacuation) evacuateHost(ho *workerState) {
 	cause := ho.evacuationReason(ev.now)
 	if cause == reasonUnlisted {
 		ho.logEvacuation(ev.now)
 	}
-	stopAll := cause == reasonDraining && ev.now.After(ho.leaves.Add(-ev.ow.Limits.StopTime-leaveMargin))
+	stopAll := cause == reasonDraining && ev.now.After(ho.leavesAt.Add(-ev.ow.Limits.StopTime-leaveMargin))
 	for at := range ho.attempts {
 		switch {
 		case stopAll:
@@ -159,7 +159,7 @@
 
 // reserve reserves capacity for a task on any worker except one, and reports whether there
 // was any.
-func (pl *placer) reserve(en *entry, ref job.TaskRef, except *host) bool {
+func (pl *placer) reserve(en *entry, ref job.TaskRef, except *workerState) bool {
 	st := &en.jo.Spec.Steps[ref.Step]
 	for _, ca := range pl.hosts {
 		if ca.ho == except || !ca.fits(en, ref, st) {
--- a/internal/sched/handover.go
+++ b/internal/sched/handover.go
@@ -33,7 +33,7 @@
 
 // clearUnresponsive removes a worker that answers from what the next owner receives, because
 // its leases are about to be extended.
-func (ow *Owner) clearUnresponsive(ho *host) {
+func (ow *Owner) clearUnresponsive(ho *workerState) {
 	ow.handoverMu.Lock()
 	defer ow.handoverMu.Unlock()
 	delete(ow.handoverLeaseMS, ho.incarnation.String())
@@ -43,12 +43,12 @@
 func (ow *Owner) recordUnresponsive(now time.Time) {
 	leases := map[string]int64{}
 	for incarnation, ho := range ow.hosts {
-		if len(ho.attempts) > 0 && (!ho.settled || !ho.failing.IsZero()) {
+		if len(ho.attempts) > 0 && (!ho.settled || !ho.failingSince.IsZero()) {
 			leases[incarnation.String()] = ho.leaseRemainingMS(now)
 		}
 	}
 	for incarnation := range ow.unowned {
-		leases[incarnation.String()] = max(ow.orphansUntil(incarnation).Sub(now).Milliseconds(), 0)
+		leases[incarnation.String()] = max(ow.formerLeasesUntil(incarnation).Sub(now).Milliseconds(), 0)
 	}
 	ow.handoverMu.Lock()
 	defer ow.handoverMu.Unlock()
@@ -58,13 +58,13 @@
 // leaseRemainingMS returns the milliseconds until the worker's leases have expired by the
 // slowest clock if they are no longer extended. Polls in flight may have extended them once
 // more since the last recorded value; the result allows for that.
-func (ho *host) leaseRemainingMS(now time.Time) int64 {
+func (ho *workerState) leaseRemainingMS(now time.Time) int64 {
 	if !ho.settled {
 		return max(ho.unsettledUntil().Sub(now).Milliseconds(), 0)
 	}
-	earliest := ho.clockNow(now)
+	earliest := ho.earliestClock(now)
 	left := float64(ho.leaseUntilMS-earliest) / (1 - clockDrift)
-	if now.Sub(ho.failing) < extendSilent+lookGrace {
+	if now.Sub(ho.failingSince) < extendUnresponsive+pollGrace {
 		left = float64(ho.ow.Limits.MaxLease.Milliseconds()) / (1 - clockDrift)
 	}
 	return max(int64(left)+lapseMargin.Milliseconds(), 0)
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -30,7 +30,7 @@
 	fleet        standin.Fleet
 	fleetWorkers []*standin.FleetWorker
 	// formerEntries are the list entries of processes that ended, in their order.
-	formerEntries []Listed
+	formerEntries []WorkerEntry
 	epoch         int64
 	// specs are the specs of submitted jobs, by id.
 	mu    sync.Mutex
@@ -88,7 +88,7 @@
 	return la.fleet.Agent()
 }
 
-func (la *lab) currentVia(li Listed) string {
+func (la *lab) currentVia(li WorkerEntry) string {
 	if via, ok := la.viaByWorker[li.Incarnation.ID]; ok {
 		return via
 	}
@@ -114,10 +114,10 @@
 	la.fleetWorkers = append(la.fleetWorkers, fw)
 }
 
-func (la *lab) listed() []Listed {
-	var list []Listed
+func (la *lab) listed() []WorkerEntry {
+	var list []WorkerEntry
 	for _, fw := range la.fleetWorkers {
-		list = append(list, Listed{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Holds: fw.Holds})
+		list = append(list, WorkerEntry{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Holds})
 	}
 	return list
 }
--- a/internal/sched/lateend_test.go
+++ b/internal/sched/lateend_test.go
@@ -123,12 +123,12 @@
 	for _, replaced := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 1)
-			la.fleet.RunFunc = endless
+			la.fleet.RunFunc = runUntilStopped
 			ow, end := la.startOwner()
 			defer func() { end() }()
 			time.Sleep(time.Second)
 			la.fleet.SetLate(la.fleetWorkers[0], 3*time.Second)
-			la.submit(ow, 1, lasting(1))
+			la.submit(ow, 1, longRunning(1))
 			time.Sleep(500 * time.Millisecond)
 			ve, err := ow.Cancel(t.Context(), jobID(1))
 			qt.Assert(t, err, qt.IsNil)
@@ -140,7 +140,7 @@
 			time.Sleep(2700 * time.Millisecond)
 			// Stop orders sent before were delayed too.
 			la.fleet.SetLate(la.fleetWorkers[0], 0)
-			time.Sleep(idleWait + lookGrace + ow.Limits.StopTime)
+			time.Sleep(idlePollWait + pollGrace + ow.Limits.StopTime)
 			// A worker that obeys the next owner's fencing token refuses orders of the former
 			// owner.
 			started := 1
--- a/internal/sched/leasebound_test.go
+++ b/internal/sched/leasebound_test.go
@@ -27,12 +27,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		cr := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
 		defer cr.stop()
-		cr.fleet.RunFunc = endless
+		cr.fleet.RunFunc = runUntilStopped
 		first := cr.join("a", 0.8)
 		time.Sleep(time.Second)
 		cr.join("b", 0.8)
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(first.ow.Load(), 1, lasting(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cr.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(10 * time.Second)
 		cr.assertRunning(4)
 		first.set(func(co *clusterHost) { co.partitioned = true })
@@ -52,22 +52,22 @@
 		owner, wo, next := drift.Draw(rt, "owner's clock"), drift.Draw(rt, "worker's clock"), drift.Draw(rt, "next owner's clock")
 		maxLease := time.Duration(rapid.IntRange(1000, 20_000).Draw(rt, "max lease ms")) * time.Millisecond
 		// In true time since the store last confirmed the owner.
-		granted := time.Duration(rapid.Int64Range(0, int64(float64(quickest(tenure.ExtendFor))/owner)).Draw(rt, "granted"))
+		granted := time.Duration(rapid.Int64Range(0, int64(float64(minDriftDuration(tenure.ExtendFor))/owner)).Draw(rt, "granted"))
 		read := granted - time.Duration(rapid.Int64Range(0, int64(maxClockReadingAge)).Draw(rt, "reading's age"))
 		claimed := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(rt, "claimed"))
 
 		by := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
 		began := time.Now()
-		ho := &host{clockMS: 1_000_000, clockAt: began}
-		earliest := ho.clockNow(began.Add(by(owner, granted-read)))
-		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseFor(by(owner, granted), maxLease)
+		ho := &workerState{clockMS: 1_000_000, clockAt: began}
+		earliest := ho.earliestClock(began.Add(by(owner, granted-read)))
+		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseDuration(by(owner, granted), maxLease)
 		ended := read + time.Duration(float64(left)/wo)
 
 		ow := &Owner{Limits: Limits{MaxLease: maxLease}, startedAt: began}
 		ow.Tenure.Former.Bounded = true
 		ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
-		acts := claimed + time.Duration(float64(ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
-		if bound := claimed + time.Duration(float64(slowest(tenure.LeaseLimit)+lapseMargin)/next); acts > bound {
+		acts := claimed + time.Duration(float64(ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
+		if bound := claimed + time.Duration(float64(maxDriftDuration(tenure.LeaseLimit)+lapseMargin)/next); acts > bound {
 			rt.Errorf("the next owner acts at %v, later than %v", acts, bound)
 		}
 		if ended > acts {
@@ -79,7 +79,7 @@
 // maxClockReadingAge is the maximum age of the reading of a worker's clock from which an
 // owner extends leases: the wait and the grace of a poll, and the time for which leases are
 // extended after a failed poll.
-const maxClockReadingAge = lookWait + lookGrace + extendSilent
+const maxClockReadingAge = pollWait + pollGrace + extendUnresponsive
 
 // TestFullLeaseAwaitedForOwnersOfEarlierVersions checks that the shorter wait is used only if
 // the former owner and all owners before it bound their leases.
@@ -87,7 +87,7 @@
 	began := time.Now()
 	ow := &Owner{Limits: Limits{MaxLease: 10 * time.Second}, startedAt: began}
 	ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
-	qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, tenure.ExtendFor+slowest(10*time.Second)+lapseMargin)
+	qt.Check(t, ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, tenure.ExtendFor+maxDriftDuration(10*time.Second)+lapseMargin)
 	ow.Tenure.Former.Bounded = true
-	qt.Check(t, ow.orphansUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, slowest(tenure.LeaseLimit)+lapseMargin)
+	qt.Check(t, ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, maxDriftDuration(tenure.LeaseLimit)+lapseMargin)
 }
--- a/internal/sched/leaseexpiry.go
+++ b/internal/sched/leaseexpiry.go
@@ -22,7 +22,7 @@
 	LeaseExpiryTable = "silent"
 	// recordLeaseAfter is how long a worker must have been unresponsive: by then the last
 	// poll that may extend its leases has returned.
-	recordLeaseAfter = extendSilent + lookGrace
+	recordLeaseAfter = extendUnresponsive + pollGrace
 	// recordLeaseInterval is the minimum time between two writes that only add workers.
 	recordLeaseInterval = 300 * time.Millisecond
 	// maxRecordedWorkers keeps the row below the store's limit of 64 KiB, at about 30 bytes a
@@ -83,15 +83,15 @@
 
 // leaseRecorded reports whether the row names the worker, so that its leases must not be
 // extended.
-func (ho *host) leaseRecorded() bool {
+func (ho *workerState) leaseRecorded() bool {
 	named := ho.ow.leaseRecord.recorded
 	return len(named) > 0 && named[ho.incarnation.String()]
 }
 
-// unresponsive reports whether the worker has not answered for so long that its leases are no
+// unresponsiveAt reports whether the worker has not answered for so long that its leases are no
 // longer extended.
-func (ho *host) unresponsive(now time.Time) bool {
-	return !ho.dead && ho.settled && len(ho.attempts) > 0 && !ho.failing.IsZero() && now.Sub(ho.failing) >= recordLeaseAfter
+func (ho *workerState) unresponsiveAt(now time.Time) bool {
+	return !ho.dead && ho.settled && len(ho.attempts) > 0 && !ho.failingSince.IsZero() && now.Sub(ho.failingSince) >= recordLeaseAfter
 }
 
 // recordLeases writes the row if the set of unresponsive workers has changed.
@@ -101,8 +101,8 @@
 		return
 	}
 	leases := map[string]int64{}
-	for _, ho := range ow.sortedHosts() {
-		if ho.unresponsive(now) && len(leases) < maxRecordedWorkers {
+	for _, ho := range ow.sortedWorkers() {
+		if ho.unresponsiveAt(now) && len(leases) < maxRecordedWorkers {
 			leases[ho.incarnation.String()] = ho.leaseRemainingMS(now)
 		}
 	}
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -81,7 +81,7 @@
 }
 
 // adopt assigns to a newly seen worker the attempts that former owners ordered there.
-func (ow *Owner) adopt(ho *host) {
+func (ow *Owner) adopt(ho *workerState) {
 	found := false
 	for incarnation := range ow.unowned {
 		if incarnation.ID != ho.incarnation.ID {
@@ -90,7 +90,7 @@
 		found = true
 		delete(ow.unowned, incarnation)
 		if incarnation.IsOtherIncarnation(ho.incarnation) {
-			ho.lives = append(ho.lives, incarnation)
+			ho.formerIncarnations = append(ho.formerIncarnations, incarnation)
 		}
 	}
 	if !found {
@@ -102,7 +102,7 @@
 }
 
 // adoptOn assigns a job's attempts to the worker and returns those of other workers.
-func (en *entry) adoptOn(ho *host) []job.TaskRef {
+func (en *entry) adoptOn(ho *workerState) []job.TaskRef {
 	remaining := en.unowned[:0]
 	for _, ref := range en.unowned {
 		ta := en.jo.Task(ref)
@@ -110,11 +110,11 @@
 			remaining = append(remaining, ref)
 			continue
 		}
-		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, inheritedRunTime: workedBy(ta.Phase), pace: unknownPace}
+		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, inheritedRunTime: minRunTime(ta.Phase), pace: unknownPace}
 		if ta.Worker.IsOtherIncarnation(ho.incarnation) {
-			at.inheritedRunTime, at.endIfNotRun = 0, unseenVerdict(ta.Phase, ho.ow.listReliable(time.Now()))
+			at.inheritedRunTime, at.endIfNotRun = 0, unseenEnd(ta.Phase, ho.ow.listReliable(time.Now()))
 		}
-		ho.put(at)
+		ho.addAttempt(at)
 	}
 	return remaining
 }
@@ -126,7 +126,7 @@
 // have expired.
 func (ow *Owner) endExpiredUnowned(now time.Time) {
 	for incarnation := range ow.unowned {
-		if ow.orphansOver(incarnation, now) {
+		if ow.formerLeasesLapsed(incarnation, now) {
 			delete(ow.unowned, incarnation)
 			ow.endUnowned(incarnation, now)
 		}
@@ -148,11 +148,11 @@
 				remaining = append(remaining, ref)
 				continue
 			}
-			end := unseenVerdict(ta.Phase, reliable)
+			end := unseenEnd(ta.Phase, reliable)
 			le.add(&en.jo.Spec.Steps[ref.Step], end)
 			ow.recordEnd(en, ref, ta.Attempt, end, "", unseenReason)
 		}
 		en.unowned = remaining
 	}
-	ow.tellLost(incarnation, le, unseenReason, now.Sub(ow.startedAt))
+	ow.logLost(incarnation, le, unseenReason, now.Sub(ow.startedAt))
 }
--- a/internal/sched/load_test.go
+++ b/internal/sched/load_test.go
@@ -19,7 +19,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 1)
-				la.fleet.RunFunc = endless
+				la.fleet.RunFunc = runUntilStopped
 				ow, end := la.startOwner()
 				time.Sleep(time.Second)
 				const jobs = 400
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -62,7 +62,7 @@
 	// ViaFunc returns the entry host that relays requests to a worker, or "" if the worker is
 	// reached directly. DroppedFunc is called when a worker is no longer polled. Both may be
 	// nil.
-	ViaFunc     func(Listed) string
+	ViaFunc     func(WorkerEntry) string
 	DroppedFunc func(worker.Incarnation)
 	// ListFunc returns when the list of workers was last known to be current, and since when
 	// it has been read without an error. If nil, the list is always current.
@@ -91,17 +91,17 @@
 	entries map[string]*entry
 	active  []*entry
 	seq     int64
-	hosts   map[worker.Incarnation]*host
+	hosts   map[worker.Incarnation]*workerState
 	// paths counts the paths to workers created so far.
 	paths int64
 	// sorted caches the workers in a stable order; nil if out of date.
-	sorted []*host
+	sorted []*workerState
 	// byAddr has the workers whose processes are not known to have ended, by listen address.
 	// Only one process listens on an address at a time.
-	byAddr map[string][]*host
+	byAddr map[string][]*workerState
 	// byID has the workers by id. Several entries under one id are incarnations of one
 	// worker.
-	byID map[string][]*host
+	byID map[string][]*workerState
 	// placementDue is set if something may have become placeable since the last round of
 	// placement; rounds counts the rounds.
 	placementDue bool
@@ -133,7 +133,7 @@
 	// scarcityLoggedAt is when waiting long-running tasks without capacity were last logged.
 	scarcityLoggedAt time.Time
 	// reservations holds the capacity reserved for long-running tasks that are to restart.
-	reservations promises
+	reservations restartReservations
 	// stuckCheckedAt is when stuck tasks were last searched for.
 	stuckCheckedAt time.Time
 	// listTrust tracks whether the list of workers can be relied on.
@@ -161,9 +161,9 @@
 	ow.events = make(chan func(), maxEvents)
 	ow.ended = make(chan struct{})
 	ow.entries = map[string]*entry{}
-	ow.hosts = map[worker.Incarnation]*host{}
-	ow.byAddr = map[string][]*host{}
-	ow.byID = map[string][]*host{}
+	ow.hosts = map[worker.Incarnation]*workerState{}
+	ow.byAddr = map[string][]*workerState{}
+	ow.byID = map[string][]*workerState{}
 	ow.unowned = map[worker.Incarnation]int{}
 	ow.similarity = map[imagePair]float64{}
 	return ow
@@ -243,8 +243,8 @@
 	ow.recordLeases(now)
 	ow.updateReach(now)
 	ow.writeDueProofs(now)
-	ow.account(now)
-	ow.promiseRoom(now)
+	ow.accountTime(now)
+	ow.reserveForRestarts(now)
 	ow.logEndlessDemand(now)
 	ow.reportStuck(now)
 	ow.sortActive(now)
--- a/internal/sched/gone_test.go
+++ b/internal/sched/ownerloss_test.go
@@ -12,24 +12,24 @@
 	"github.com/pepperhatch/pepperhatch/internal/tenure"
 )
 
-// freeWithin is how long after a claim at the latest tasks of lost workers run elsewhere.
-const freeWithin = 9 * time.Second
+// lostRestartDeadline is how long after a claim at the latest tasks of lost workers run elsewhere.
+const lostRestartDeadline = 9 * time.Second
 
-// sixHosts has a lasting job of four tasks run on three workers under six hosts, of which
+// withSixHosts has a lasting job of four tasks run on three workers under six hosts, of which
 // the first owns the cell.
-func sixHosts(t *testing.T, maxLease time.Duration, play func(cr *cluster, owner *clusterHost)) {
+func withSixHosts(t *testing.T, maxLease time.Duration, play func(cr *cluster, owner *clusterHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		cr := &cluster{lab: newLab(t, 3), maxLease: maxLease}
 		defer cr.stop()
-		cr.fleet.RunFunc = endless
+		cr.fleet.RunFunc = runUntilStopped
 		owner := cr.join("a", 0.8)
 		time.Sleep(time.Second)
 		for _, name := range []string{"b", "c", "d", "e", "f"} {
 			cr.join(name, 0.8)
 		}
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(owner.ow.Load(), 1, lasting(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cr.submit(owner.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(15 * time.Second)
 		cr.assertRunning(4)
 		play(cr, owner)
@@ -38,11 +38,11 @@
 
 // TestWorkersGoneWithAnOwnerThatIsGoneForGood: tasks of lost workers waited for 14.6 s from
 // the claim where the former owner could not be asked.
-func TestWorkersGoneWithAnOwnerThatIsGoneForGood(t *testing.T) {
+func TestWorkersLostWithTheirOwner(t *testing.T) {
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
 			t.Run(fmt.Sprintf("leases of %v, hosts lost besides: %q", maxLease, lost), func(t *testing.T) {
-				sixHosts(t, maxLease, func(cr *cluster, owner *clusterHost) {
+				withSixHosts(t, maxLease, func(cr *cluster, owner *clusterHost) {
 					owner.set(func(co *clusterHost) { co.partitioned = true })
 					for _, name := range lost {
 						other := cr.latest(string(name))
@@ -50,7 +50,7 @@
 						other.kill()
 					}
 					cr.killWorkerAndOwner(owner)
-					time.Sleep(tenure.UnreachableTimeout + time.Second + freeWithin)
+					time.Sleep(tenure.UnreachableTimeout + time.Second + lostRestartDeadline)
 					cr.assertRunning(4)
 				})
 			})
@@ -58,8 +58,8 @@
 	}
 }
 
-// refuse has the store refuse all hosts for a while.
-func (cr *cluster) refuse(d time.Duration) {
+// refuseStore has the store refuse all hosts for a while.
+func (cr *cluster) refuseStore(d time.Duration) {
 	for _, co := range cr.hosts {
 		co.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	}
@@ -73,15 +73,15 @@
 
 // TestLeasesOutliveALongOutage: what ran ended while the store was away for 14 s, though the
 // hosts and workers were well.
-func TestLeasesOutliveALongOutage(t *testing.T) {
+func TestLeasesOutliveALongStoreOutage(t *testing.T) {
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
 			t.Run(fmt.Sprintf("leases of %v, hosts lost before: %q", maxLease, lost), func(t *testing.T) {
-				sixHosts(t, maxLease, func(cr *cluster, _ *clusterHost) {
+				withSixHosts(t, maxLease, func(cr *cluster, _ *clusterHost) {
 					for _, name := range lost {
 						cr.latest(string(name)).kill()
 					}
-					cr.refuse(14 * time.Second)
+					cr.refuseStore(14 * time.Second)
 					time.Sleep(10 * time.Second)
 					qt.Assert(t, cr.ends(), qt.HasLen, 0)
 					cr.assertRunning(4)
@@ -93,8 +93,8 @@
 
 // TestLeasesOfAnOwnerThatStoodStill: a task was taken to run for a whole lease after an owner
 // that stood still had last told one, though none outlives what confirmed it.
-func TestLeasesOfAnOwnerThatStoodStill(t *testing.T) {
-	sixHosts(t, 10*time.Second, func(cr *cluster, owner *clusterHost) {
+func TestLeasesOfAFrozenOwner(t *testing.T) {
+	withSixHosts(t, 10*time.Second, func(cr *cluster, owner *clusterHost) {
 		lost := cr.busyWorker()
 		owner.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		owner.set(func(co *clusterHost) {
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -39,7 +39,7 @@
 
 // adjustPaces slows fillers while a service is over its target, and speeds them up again
 // while no service is.
-func (ho *host) adjustPaces(now time.Time) {
+func (ho *workerState) adjustPaces(now time.Time) {
 	ho.trackOverTarget(now)
 	fillers := ho.pacedFillers()
 	if len(fillers) == 0 {
@@ -73,13 +73,13 @@
 
 // anyOverTargetTooLong reports whether any service on the worker has been over its target
 // for too long.
-func (ho *host) anyOverTargetTooLong(now time.Time) bool {
+func (ho *workerState) anyOverTargetTooLong(now time.Time) bool {
 	return slices.ContainsFunc(ho.services, func(at *attempt) bool { return at.overTargetTooLong(now) })
 }
 
 // trackOverTarget records since when each service has been over its target, or close to it:
 // the reported tail is inexact and may fall below the target by chance.
-func (ho *host) trackOverTarget(now time.Time) {
+func (ho *workerState) trackOverTarget(now time.Time) {
 	for _, at := range ho.services {
 		switch {
 		case !at.serves():
@@ -97,7 +97,7 @@
 }
 
 // pacedFillers returns the launched fillers, whose pace can be set.
-func (ho *host) pacedFillers() []*attempt {
+func (ho *workerState) pacedFillers() []*attempt {
 	var list []*attempt
 	for at := range ho.attempts {
 		if at.step().Filler && !at.launchedAt.IsZero() {
@@ -109,13 +109,13 @@
 
 // interference returns by how much a filler at full speed lowers a service's headroom, the
 // ratio of its target to its tail.
-func (ho *host) interference(filler, service *attempt) float64 {
+func (ho *workerState) interference(filler, service *attempt) float64 {
 	return ho.ow.model.Drop(interfere.Pair{Service: service.step().Image, Filler: filler.step().Image}) * filler.fullShare()
 }
 
 // slowFillers slows the fillers that interfere most with a service, until the predicted
 // excess of its tail is removed.
-func (ho *host) slowFillers(fillers []*attempt, service *attempt, excess float64, now time.Time) {
+func (ho *workerState) slowFillers(fillers []*attempt, service *attempt, excess float64, now time.Time) {
 	slices.SortFunc(fillers, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(ho.interference(b, service), ho.interference(a, service)), strings.Compare(taskID(a), taskID(b)))
 	})
@@ -138,7 +138,7 @@
 }
 
 // holdAll stops every filler, as slowing some did not suffice.
-func (ho *host) holdAll(fillers []*attempt, now time.Time) {
+func (ho *workerState) holdAll(fillers []*attempt, now time.Time) {
 	for _, at := range fillers {
 		ho.pace(at, 0, now, "service over its target for long")
 	}
@@ -157,7 +157,7 @@
 
 // speedUp speeds up fillers that were slowed, those that interfere least first, as far as
 // the predicted tail of every service stays below speedUpBelowPart of its target.
-func (ho *host) speedUp(fillers []*attempt, now time.Time) {
+func (ho *workerState) speedUp(fillers []*attempt, now time.Time) {
 	spare := map[*attempt]float64{}
 	for _, at := range ho.services {
 		if at.serves() {
@@ -190,7 +190,7 @@
 
 // setInitialPace limits the pace of a filler that has just started to what the services
 // beside it tolerate, as its effect shows in their reported tails only half a second later.
-func (ho *host) setInitialPace(at *attempt, now time.Time) {
+func (ho *workerState) setInitialPace(at *attempt, now time.Time) {
 	if !at.step().Filler || !ho.ow.uses(MechPace) {
 		return
 	}
@@ -214,7 +214,7 @@
 }
 
 // pace orders a pace in per cent, if it differs enough from the last.
-func (ho *host) pace(at *attempt, percent int, now time.Time, why string) {
+func (ho *workerState) pace(at *attempt, percent int, now time.Time, why string) {
 	percent = max(percent, 0)
 	if at.pace == percent || (percent > 0 && percent < fullPace && abs(percent-at.pace) < minPaceChange) {
 		return
@@ -228,7 +228,7 @@
 		at.throttledSince = now
 	}
 	at.pacedAt = now
-	ho.fill.invalidate()
+	ho.fillers.invalidate()
 	ho.ow.orderPace(at)
 }
 
@@ -268,7 +268,7 @@
 	pa.Fence = pt.fence
 	_, err := ow.Agent.PaceFunc(ctx, pt.addr, pa)
 	if err != nil {
-		at.ho.tellLife(err)
+		at.ho.reportIncarnation(err)
 		ow.Log.Info("pace order failed", "task", pa.Task, "attempt", pa.Number, "worker", pt.addr.Incarnation, "err", err)
 	}
 	ow.post(func() { ow.handlePaceResult(at, pa.Percent, err) })
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -18,7 +18,7 @@
 // pacingFixture is one worker with a service and fillers, whose reported usage a test sets.
 type pacingFixture struct {
 	t       *testing.T
-	ho      *host
+	ho      *workerState
 	service *attempt
 	fillers []*attempt
 }
@@ -30,7 +30,7 @@
 	ag := worker.Agent{PaceFunc: func(context.Context, worker.Addr, worker.Pace) (worker.Ack, error) { return worker.Ack{}, nil }}
 	ow := New(&Owner{Log: slog.New(slog.DiscardHandler), Agent: ag, Limits: Limits{HarmAfter: 4 * time.Second}})
 	ow.ctx = t.Context()
-	ho := &host{Listed: Listed{Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
+	ho := &workerState{WorkerEntry: WorkerEntry{Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
 	pf := &pacingFixture{t: t, ho: ho}
 	pf.service = pf.put(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: "s"})
 	for i := range fillers {
@@ -42,7 +42,7 @@
 func (pf *pacingFixture) put(n int, st job.Step) *attempt {
 	en := pf.ho.ow.addJob(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
 	at := &attempt{number: 1, ho: pf.ho, en: en, pace: fullPace, launchedAt: time.Now()}
-	pf.ho.put(at)
+	pf.ho.addAttempt(at)
 	return at
 }
 
@@ -110,7 +110,7 @@
 		}
 		late := pf.put(9, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "g"})
 		late.launchedAt = time.Time{}
-		pf.ho.started(late, time.Now())
+		pf.ho.markStarted(late, time.Now())
 		qt.Assert(t, late.effectivePace(), qt.Equals, 0)
 	})
 }
--- a/internal/sched/path.go
+++ b/internal/sched/path.go
@@ -19,7 +19,7 @@
 
 // newPath returns the path to a newly listed worker. Its token is new as well, as the
 // worker may have been known before and been dropped.
-func (ow *Owner) newPath(li Listed) *path {
+func (ow *Owner) newPath(li WorkerEntry) *path {
 	addr := li.Addr
 	addr.Via = ow.via(li)
 	return &path{addr: addr, fence: ow.nextFence()}
@@ -31,7 +31,7 @@
 	return ow.Tenure.Epoch*pathsPerEpoch + ow.paths
 }
 
-func (ow *Owner) via(li Listed) string {
+func (ow *Owner) via(li WorkerEntry) string {
 	if ow.ViaFunc == nil {
 		return ""
 	}
@@ -39,8 +39,8 @@
 }
 
 // currentPath returns the path by which the worker is reached now.
-func (ho *host) currentPath() path {
-	if pa := ho.way.Load(); pa != nil {
+func (ho *workerState) currentPath() path {
+	if pa := ho.path.Load(); pa != nil {
 		return *pa
 	}
 	return path{addr: ho.Addr}
@@ -60,14 +60,14 @@
 // reroute switches to the path that ViaFunc returns now, if it differs. Orders in flight on
 // the former path may be carried out until the worker receives one with the new token; as
 // after a lost answer, the worker's report decides what became of them.
-func (ho *host) reroute() {
-	former, via := ho.currentPath(), ho.ow.via(ho.Listed)
+func (ho *workerState) reroute() {
+	former, via := ho.currentPath(), ho.ow.via(ho.WorkerEntry)
 	if via == former.addr.Via {
 		return
 	}
 	next := &path{addr: former.addr, fence: ho.ow.nextFence()}
 	next.addr.Via = via
-	ho.way.Store(next)
-	nudge(ho.rerouted)
+	ho.path.Store(next)
+	wake(ho.pathChanged)
 	ho.ow.Log.Info("worker reached another way", "worker", ho.incarnation, "via", via, "was", former.addr.Via, "fence", next.fence)
 }
--- a/internal/sched/path_test.go
+++ b/internal/sched/path_test.go
@@ -58,7 +58,7 @@
 		qt.Assert(t, len(highest), qt.Equals, 4)
 		next := &Owner{Tenure: ow.Tenure}
 		next.Tenure.Epoch++
-		qt.Assert(t, next.newPath(Listed{}).fence > pr.fences[len(pr.fences)-1], qt.IsTrue)
+		qt.Assert(t, next.newPath(WorkerEntry{}).fence > pr.fences[len(pr.fences)-1], qt.IsTrue)
 	})
 }
 
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -60,18 +60,18 @@
 	clear(ow.similarity)
 	ow.noPlace.startRound(pl.now, len(ow.hosts))
 	var reserved, holds int64
-	for _, ho := range ow.sortedHosts() {
-		if why := ho.bar(pl.now); why != "" {
-			if why == barFailing && ho.trial == nil {
+	for _, ho := range ow.sortedWorkers() {
+		if why := ho.unavailableReason(pl.now); why != "" {
+			if why == unavailableFailing && ho.trial == nil {
 				pl.failing = append(pl.failing, newCandidate(ho, pl.now))
 			}
 			continue
 		}
 		ca := newCandidate(ho, pl.now)
-		ca.index, ca.earmarked = len(pl.hosts), ho.awaited
+		ca.index, ca.earmarked = len(pl.hosts), ho.restartReady
 		pl.hosts = append(pl.hosts, ca)
 		reserved += ho.reserved.MilliCores
-		holds += ho.Holds.MilliCores
+		holds += ho.Capacity.MilliCores
 	}
 	pl.fillerWait = fillerWaitLimit(share(reserved, holds))
 	return pl
@@ -79,7 +79,7 @@
 
 // candidate is a worker with the resources that are still free in one round of placement.
 type candidate struct {
-	ho *host
+	ho *workerState
 	// index is the position among the candidates, which breaks ties between scores.
 	index int
 	free  worker.Resources
@@ -94,8 +94,8 @@
 	isolated  bool
 }
 
-func newCandidate(ho *host, now time.Time) *candidate {
-	return &candidate{ho: ho, free: ho.Holds.Sub(ho.reserved), idle: ho.Holds.MilliCores - ho.inUse, overTarget: ho.anyOverTargetTooLong(now)}
+func newCandidate(ho *workerState, now time.Time) *candidate {
+	return &candidate{ho: ho, free: ho.Capacity.Sub(ho.reserved), idle: ho.Capacity.MilliCores - ho.expectedUse, overTarget: ho.anyOverTargetTooLong(now)}
 }
 
 // likelyUse returns the processor time that a task of the step is expected to use, in
@@ -140,7 +140,7 @@
 			continue
 		}
 		if en.backoffs.active(ref, pl.now) {
-			en.waitCause = CauseRest
+			en.waitCause = CauseBackoff
 			continue
 		}
 		if pl.ow.window.full() {
@@ -235,7 +235,7 @@
 	minIdlePart = 0.3
 )
 
-func (ho *host) hasLabel(label string) bool {
+func (ho *workerState) hasLabel(label string) bool {
 	for _, la := range ho.Labels {
 		if la == label {
 			return true
@@ -245,7 +245,7 @@
 }
 
 // countAt counts the attempts of a step on a worker.
-func (en *entry) countAt(step int, ho *host) int {
+func (en *entry) countAt(step int, ho *workerState) int {
 	n := 0
 	for ref, at := range en.attempts {
 		if ref.Step == step && at.ho == ho {
@@ -270,7 +270,7 @@
 		return
 	}
 	at := &attempt{ref: ref, number: number, ho: ca.ho, en: en, pace: fullPace}
-	ca.ho.put(at)
+	ca.ho.addAttempt(at)
 	pl.ow.beginStart(at)
 	st := &en.jo.Spec.Steps[ref.Step]
 	ca.free = ca.free.Sub(st.Reserved())
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -25,10 +25,10 @@
 }
 
 // emptyHost adds a worker of 32 cores that runs nothing.
-func emptyHost(ow *Owner, name string) *host {
-	ho := &host{
-		Listed: Listed{Service: testService, Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
-		ow:     ow, incarnation: worker.Incarnation{ID: name}, settled: true, attempts: map[*attempt]bool{},
+func emptyHost(ow *Owner, name string) *workerState {
+	ho := &workerState{
+		WorkerEntry: WorkerEntry{Service: testService, Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
+		ow:          ow, incarnation: worker.Incarnation{ID: name}, settled: true, attempts: map[*attempt]bool{},
 	}
 	ow.hosts[ho.incarnation] = ho
 	return ho
@@ -51,8 +51,8 @@
 		ow := ownerWithoutLoop(t)
 		own, other := emptyHost(ow, "own"), emptyHost(ow, "other")
 		en, otherJob := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
-		own.put(&attempt{ho: own, en: en, number: 1})
-		other.put(&attempt{ho: other, en: otherJob, number: 1})
+		own.addAttempt(&attempt{ho: own, en: en, number: 1})
+		other.addAttempt(&attempt{ho: other, en: otherJob, number: 1})
 		other.reserved = other.reserved.Add(worker.Resources{MilliCores: 8000})
 		pl := ow.newPlacer()
 		ca := pl.rank(en, 0, false).best()
@@ -67,11 +67,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
 		mixed, empty := emptyHost(ow, "mixed"), emptyHost(ow, "empty")
-		for _, ho := range []*host{mixed, empty} {
-			ho.Holds = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
+		for _, ho := range []*workerState{mixed, empty} {
+			ho.Capacity = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
 		}
 		otherJob := addJob(ow, 1, serviceStep(1, "other"))
-		mixed.put(&attempt{ho: mixed, en: otherJob, number: 1})
+		mixed.addAttempt(&attempt{ho: mixed, en: otherJob, number: 1})
 		mixed.reserved = mixed.reserved.Add(worker.Resources{MilliCores: 48_000})
 		ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "s")), 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "empty")
@@ -109,7 +109,7 @@
 				ow.model = tc.model
 				emptyHost(ow, "empty")
 				other := emptyHost(ow, "other")
-				other.put(&attempt{ho: other, en: addJob(ow, 1, serviceStep(1, "other")), number: 1})
+				other.addAttempt(&attempt{ho: other, en: addJob(ow, 1, serviceStep(1, "other")), number: 1})
 				ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "one")), 0, false).best()
 				qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, tc.want)
 			})
@@ -144,7 +144,7 @@
 		ow := ownerWithoutLoop(t)
 		emptyHost(ow, "empty")
 		fuller := emptyHost(ow, "fuller")
-		fuller.Holds = worker.Resources{MilliCores: 96_000, MemMB: 384_000}
+		fuller.Capacity = worker.Resources{MilliCores: 96_000, MemMB: 384_000}
 		fuller.reserved = worker.Resources{MilliCores: 56_000}
 		ca := ow.newPlacer().rank(addJob(ow, 1, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3000}}), 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "fuller")
@@ -226,7 +226,7 @@
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		large := lasting(1)
+		large := longRunning(1)
 		large.Steps[0].Each = worker.Resources{MilliCores: 20_000, MemMB: 20_000}
 		n := 0
 		submitShort := func(seconds int) {
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -15,12 +15,12 @@
 // recordSighting records that a poll listed the attempt as running.
 func (at *attempt) recordSighting(now time.Time) {
 	at.lastSeenAt = now
-	ran := at.sightings().ran
+	ran := at.observed().ran
 	switch {
-	case ran >= lastsAfter && at.en.jo.MarkStable(at.ref, at.number):
+	case ran >= crashBlameLimit && at.en.jo.MarkStable(at.ref, at.number):
 		at.en.backoffs.reset(at.ref)
 		at.en.scheduleProofWrite(now)
-	case ran >= provenAfter && at.en.jo.MarkStarted(at.ref, at.number) && at.wrongBlameCostly():
+	case ran >= startupDuration && at.en.jo.MarkStarted(at.ref, at.number) && at.wrongBlameCostly():
 		at.en.scheduleProofWrite(now)
 	}
 }
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -8,10 +8,10 @@
 
 // recordOutcome records how an attempt on the worker ended, and quarantines the worker if it
 // fails tasks of several jobs in a row.
-func (ho *host) recordOutcome(en *entry, outcome string) {
+func (ho *workerState) recordOutcome(en *entry, outcome string) {
 	switch outcome {
 	case "done":
-		ho.failures, ho.asides = 0, 0
+		ho.failures, ho.failureQuarantines = 0, 0
 		clear(ho.failedJobs)
 	case "failed":
 		ho.failures++
@@ -20,20 +20,20 @@
 	if ho.failures < quarantineFailures || len(ho.failedJobs) < quarantineJobs || !ho.ow.mayQuarantine(ho) {
 		return
 	}
-	d := initialQuarantine << min(ho.asides, maxQuarantineDoublings)
-	ho.failingUntil = time.Now().Add(d)
+	d := initialQuarantine << min(ho.failureQuarantines, maxQuarantineDoublings)
+	ho.failureQuarantineUntil = time.Now().Add(d)
 	ho.logQuarantine(d, "fails tasks of several jobs")
-	ho.asides++
+	ho.failureQuarantines++
 	ho.failures = quarantineFailures - 1
 }
 
 // mayQuarantine reports whether one more worker of a service may be quarantined for failures.
 // If more than a share of them fail tasks of several jobs, the tasks are at fault and not the
 // workers.
-func (ow *Owner) mayQuarantine(ho *host) bool {
+func (ow *Owner) mayQuarantine(ho *workerState) bool {
 	now, all, quarantined := time.Now(), 0, 0
 	for _, other := range ow.hosts {
-		if other.Service != ho.Service || other.dead || other.gone {
+		if other.Service != ho.Service || other.dead || other.unlisted {
 			continue
 		}
 		all++
@@ -46,7 +46,7 @@
 
 // quarantinedForFailures reports whether the worker is quarantined because tasks failed
 // there.
-func (ho *host) quarantinedForFailures(now time.Time) bool { return !now.After(ho.failingUntil) }
+func (ho *workerState) quarantinedForFailures(now time.Time) bool { return !now.After(ho.failureQuarantineUntil) }
 
 // Rules of the quarantine.
 const (
@@ -72,16 +72,16 @@
 )
 
 // quarantine keeps new tasks away from the worker for d.
-func (ho *host) quarantine(d time.Duration, why string) {
+func (ho *workerState) quarantine(d time.Duration, why string) {
 	until := time.Now().Add(d)
-	if until.Before(ho.asideUntil) {
+	if until.Before(ho.quarantinedUntil) {
 		return
 	}
-	ho.asideUntil = until
+	ho.quarantinedUntil = until
 	ho.logQuarantine(d, why)
 }
 
-func (ho *host) logQuarantine(d time.Duration, why string) {
+func (ho *workerState) logQuarantine(d time.Duration, why string) {
 	ho.ow.Log.Warn("worker set aside", "worker", ho.incarnation, "for", d, "failures", ho.failures, "why", why)
 }
 
--- a/internal/sched/quarantine_test.go
+++ b/internal/sched/quarantine_test.go
@@ -40,7 +40,7 @@
 		}
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(time.Second)
-		qt.Assert(t, li.with(`msg="attempt placed"`, jobID(1)), qt.HasLen, 1)
+		qt.Assert(t, li.matching(`msg="attempt placed"`, jobID(1)), qt.HasLen, 1)
 	})
 }
 
@@ -54,7 +54,7 @@
 		ow := la.withLasting(2*16 - 1)
 		ow.post(func() {
 			for _, ho := range ow.hosts {
-				ho.failures, ho.asides = quarantineFailures, maxQuarantineDoublings
+				ho.failures, ho.failureQuarantines = quarantineFailures, maxQuarantineDoublings
 				ho.failedJobs["other"] = true
 			}
 			for _, ho := range ow.hosts {
@@ -63,7 +63,7 @@
 				}
 			}
 		})
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(lastResortAfter / 2)
 		la.assertRunning(2*16 - 1)
 		time.Sleep(lastResortAfter)
@@ -86,9 +86,9 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		lines := li.with(`msg="worker set aside"`)
+		lines := li.matching(`msg="worker set aside"`)
 		qt.Assert(t, len(lines) > 0, qt.IsTrue)
-		qt.Assert(t, li.with(`msg="worker set aside"`, "worker="+faulty.String()), qt.HasLen, len(lines))
-		qt.Assert(t, li.with(`msg="job time"`, "state=succeeded"), qt.HasLen, 20)
+		qt.Assert(t, li.matching(`msg="worker set aside"`, "worker="+faulty.String()), qt.HasLen, len(lines))
+		qt.Assert(t, li.matching(`msg="job time"`, "state=succeeded"), qt.HasLen, 20)
 	})
 }
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -53,7 +53,7 @@
 		id, ref, _ := job.ParseTaskID(at.Task)
 		switch {
 		case ref == (job.TaskRef{}) && crashesWorkers(jobNumber(id)):
-			return crashWork, standin.Crashes
+			return crashDelay, standin.Crashes
 		case fr.spec(id).Steps[0].Endless:
 			return -1, ""
 		case at.Number == 1 && at.Task[15]%4 == 0:
@@ -146,21 +146,21 @@
 		former := fr.restartWorker(rapid.Bool().Draw(fr.rt, "elsewhere"))
 		fr.ow.SetWorkers(fr.listed(), nil, true)
 		time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 100, 1000}).Draw(fr.rt, "until")) * time.Millisecond)
-		fr.ow.SetWorkers([]Listed{former}, nil, false)
+		fr.ow.SetWorkers([]WorkerEntry{former}, nil, false)
 	}
 }
 
 // restartWorker restarts a worker's process under its id after a pause, at its address or
 // at another, and returns the list entry of the former process. The clock that dates the
 // start may have been set back or forward.
-func (fr *faultRun) restartWorker(newAddress bool) Listed {
+func (fr *faultRun) restartWorker(newAddress bool) WorkerEntry {
 	i := rapid.IntRange(0, len(fr.fleetWorkers)-1).Draw(fr.rt, "worker")
 	former, fw := fr.listed()[i], fr.fleetWorkers[i]
 	fr.fleet.Kill(fw)
 	downFor := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(fr.rt, "away")) * time.Millisecond
 	if fr.fleet.Remembers {
 		// A poll that follows an answer within that time may reach the next process.
-		downFor = max(downFor, ackWithin+lookGrace)
+		downFor = max(downFor, ackWithin+pollGrace)
 	}
 	time.Sleep(downFor)
 	hostPort := fw.Addr.HostPort
@@ -189,7 +189,7 @@
 func (fr *faultRun) submitNumbered(n int) {
 	sp := batch(1+n%3, 1+n%5)
 	if n%7 == 0 {
-		sp = lasting(2)
+		sp = longRunning(2)
 	}
 	switch fr.submit(fr.ow, n, sp).Outcome {
 	case Accepted:
@@ -346,7 +346,7 @@
 		}
 	}
 	for task, n := range counts {
-		if n > startsMost {
+		if n > maxStarts {
 			fr.rt.Errorf("task %s crashed %d workers", task, n)
 		}
 	}
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -22,7 +22,7 @@
 	interrupted, respectsReservations bool
 	// counts has the attempts of the step by worker; nil if their number per worker is not
 	// limited.
-	counts map[*host]int
+	counts map[*workerState]int
 	heap   ratingHeap
 	// cause is why no worker can take a task.
 	cause Cause
@@ -32,7 +32,7 @@
 func (pl *placer) rank(en *entry, step int, interrupted bool) *ranking {
 	st := &en.jo.Spec.Steps[step]
 	ra := &ranking{pl: pl, en: en, step: step, st: st, selective: st.Filler && pl.selective(en), interrupted: interrupted, cause: CauseRoom}
-	ra.respectsReservations = st.Endless && !interrupted && pl.ow.reservations.binds(en)
+	ra.respectsReservations = st.Endless && !interrupted && pl.ow.reservations.appliesTo(en)
 	sh := shape{st: st, service: en.jo.Terms.Service, selective: ra.selective, interrupted: interrupted, respectsReservations: ra.respectsReservations}
 	if pl.ow.noPlace.has(sh) {
 		if st.Filler {
@@ -61,7 +61,7 @@
 	if !ca.hasCapacity(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.MaxPerWorker) {
 		return false
 	}
-	if ra.respectsReservations && !ra.st.Reserved().Fits(ca.free.Sub(ca.ho.promised)) {
+	if ra.respectsReservations && !ra.st.Reserved().Fits(ca.free.Sub(ca.ho.restartReserved)) {
 		return false
 	}
 	if ra.selective && !ca.acceptsFiller(ra.st) {
@@ -130,8 +130,8 @@
 }
 
 // countBy counts the attempts of a step by worker.
-func (en *entry) countBy(step int) map[*host]int {
-	counts := map[*host]int{}
+func (en *entry) countBy(step int) map[*workerState]int {
+	counts := map[*workerState]int{}
 	for ref, at := range en.attempts {
 		if ref.Step == step {
 			counts[at.ho]++
--- a/internal/sched/reach.go
+++ b/internal/sched/reach.go
@@ -29,7 +29,7 @@
 	// pollOverdueAfter is the time without a successful poll after which a worker is
 	// unresponsive although no poll has failed: a poll lasts up to the longest wait, its
 	// grace and the pause before the next, and a busy owner handles the results late.
-	pollOverdueAfter = idleWait + lookGrace + undurableWait + time.Second
+	pollOverdueAfter = idlePollWait + pollGrace + maxDurableWait + time.Second
 )
 
 // outage tracks an outage of workers that get no orders. The zero value means none.
@@ -40,36 +40,36 @@
 }
 
 // reach returns the state of the worker.
-func (ho *host) reach(now time.Time) reach {
+func (ho *workerState) reach(now time.Time) reach {
 	switch {
 	case !ho.settled:
 		return reachUnsettled
-	case !ho.failing.IsZero() || now.Sub(ho.seen) > pollOverdueAfter:
+	case !ho.failingSince.IsZero() || now.Sub(ho.lastPoll) > pollOverdueAfter:
 		return reachUnresponsive
 	}
 	return reachAnswering
 }
 
 // needsOrders reports whether the worker is expected to get orders at all.
-func (ho *host) needsOrders() bool { return !ho.gone && !ho.dead }
+func (ho *workerState) needsOrders() bool { return !ho.unlisted && !ho.dead }
 
 // recordReach records since when the worker gets no orders.
-func (ho *host) recordReach(re reach, now time.Time) {
+func (ho *workerState) recordReach(re reach, now time.Time) {
 	switch {
 	case re == reachAnswering:
-		ho.quiet = time.Time{}
-	case ho.quiet.IsZero():
-		ho.quiet = now
+		ho.noContactSince = time.Time{}
+	case ho.noContactSince.IsZero():
+		ho.noContactSince = now
 	}
 }
 
 // sinceLastContact returns how long ago the worker last answered or, if it never did, was
 // first found to get no orders.
-func (ho *host) sinceLastContact(now time.Time) time.Duration {
-	if ho.seen.IsZero() {
-		return now.Sub(ho.quiet)
+func (ho *workerState) sinceLastContact(now time.Time) time.Duration {
+	if ho.lastPoll.IsZero() {
+		return now.Sub(ho.noContactSince)
 	}
-	return now.Sub(ho.seen)
+	return now.Sub(ho.lastPoll)
 }
 
 // updateReach counts the workers by state, sets their gauge, and logs outages.
@@ -83,7 +83,7 @@
 		re := ho.reach(now)
 		ho.recordReach(re, now)
 		counts[re]++
-		if !ho.quiet.IsZero() && now.Sub(ho.quiet) > outageLogAfter {
+		if !ho.noContactSince.IsZero() && now.Sub(ho.noContactSince) > outageLogAfter {
 			late++
 		}
 	}
@@ -129,7 +129,7 @@
 		if !ho.needsOrders() {
 			continue
 		}
-		without := !ho.quiet.IsZero()
+		without := !ho.noContactSince.IsZero()
 		relays.add(ho.currentPath().addr.Via, without)
 		centres.add(ho.DataCentre, without)
 		if !without {
@@ -137,8 +137,8 @@
 		}
 		attempts += len(ho.attempts)
 		longest = max(longest, ho.sinceLastContact(now))
-		if ow.outage.beganAt.IsZero() || ho.quiet.Before(ow.outage.beganAt) {
-			ow.outage.beganAt = ho.quiet
+		if ow.outage.beganAt.IsZero() || ho.noContactSince.Before(ow.outage.beganAt) {
+			ow.outage.beganAt = ho.noContactSince
 		}
 	}
 	relay, centre := relays.largest(), centres.largest()
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -54,7 +54,7 @@
 
 // relayedLab returns a logged lab of six workers, four of them behind a relay that can
 // become unresponsive.
-func relayedLab(t *testing.T) (*lab, *lines, *unresponsiveRelay) {
+func relayedLab(t *testing.T) (*lab, *logLines, *unresponsiveRelay) {
 	t.Helper()
 	la, li := loggedLab(t, 6)
 	ur := &unresponsiveRelay{name: "e1"}
@@ -74,7 +74,7 @@
 		_, end := la.startOwner()
 		defer end()
 		time.Sleep(10 * time.Second)
-		logged := li.with("level=WARN", `msg="workers without orders"`, "workers=4", "of=6", "via=e1", "via_workers=4", "via_all=4")
+		logged := li.matching("level=WARN", `msg="workers without orders"`, "workers=4", "of=6", "via=e1", "via_workers=4", "via_all=4")
 		qt.Assert(t, len(logged) >= 8 && len(logged) <= 10, qt.IsTrue, qt.Commentf("%d lines", len(logged)))
 	})
 }
@@ -84,27 +84,27 @@
 func TestRelayBecomesUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li, ur := relayedLab(t)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(6*16))
+		la.submit(ow, 1, longRunning(6*16))
 		time.Sleep(time.Second)
 		la.assertRunning(6 * 16)
 		ur.enabled.Store(true)
 		time.Sleep(4 * time.Second)
-		outageLines := li.with("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
+		outageLines := li.matching("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
 		qt.Assert(t, outageLines, qt.Not(qt.HasLen), 0)
 		// A poll that was under way at that time was still answered.
 		longest := longestOf(t, outageLines[len(outageLines)-1])
-		qt.Assert(t, longest > 4*time.Second-lookWait-outageLogInterval && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
+		qt.Assert(t, longest > 4*time.Second-pollWait-outageLogInterval && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
 		ur.enabled.Store(false)
 		time.Sleep(4 * time.Second)
-		logged := len(li.with("workers without orders"))
-		qt.Assert(t, li.with("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
+		logged := len(li.matching("workers without orders"))
+		qt.Assert(t, li.matching("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
 		time.Sleep(10 * time.Second)
-		qt.Assert(t, li.with("workers without orders"), qt.HasLen, logged)
-		qt.Assert(t, li.with("all workers get orders again"), qt.HasLen, 1)
+		qt.Assert(t, li.matching("workers without orders"), qt.HasLen, logged)
+		qt.Assert(t, li.matching("all workers get orders again"), qt.HasLen, 1)
 	})
 }
 
@@ -127,9 +127,9 @@
 			fw.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
 		}
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, li.with("worker does not answer"), qt.HasLen, 4)
-		qt.Assert(t, li.with("workers without orders"), qt.HasLen, 0)
-		qt.Assert(t, li.with("all workers get orders again"), qt.HasLen, 0)
+		qt.Assert(t, li.matching("worker does not answer"), qt.HasLen, 4)
+		qt.Assert(t, li.matching("workers without orders"), qt.HasLen, 0)
+		qt.Assert(t, li.matching("all workers get orders again"), qt.HasLen, 0)
 	})
 }
 
@@ -156,8 +156,8 @@
 		time.Sleep(time.Second)
 		blocked.Store(true)
 		time.Sleep(10 * time.Second)
-		qt.Assert(t, li.with("worker does not answer"), qt.HasLen, 0)
-		qt.Assert(t, li.with("workers without orders", "workers=3 of=3 silent=3 "), qt.Not(qt.HasLen), 0)
+		qt.Assert(t, li.matching("worker does not answer"), qt.HasLen, 0)
+		qt.Assert(t, li.matching("workers without orders", "workers=3 of=3 silent=3 "), qt.Not(qt.HasLen), 0)
 	})
 }
 
@@ -166,17 +166,17 @@
 func TestUnlistedWorkersAreNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
-		la.fleet.RunFunc = endless
+		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(2*16))
+		la.submit(ow, 1, longRunning(2*16))
 		time.Sleep(time.Second)
 		la.fleetWorkers[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, li.with("worker does not answer", "worker=i-0"), qt.HasLen, 1)
-		qt.Assert(t, li.with("workers without orders"), qt.HasLen, 0)
+		qt.Assert(t, li.matching("worker does not answer", "worker=i-0"), qt.HasLen, 1)
+		qt.Assert(t, li.matching("workers without orders"), qt.HasLen, 0)
 	})
 }
 
--- a/internal/sched/score.go
+++ b/internal/sched/score.go
@@ -7,10 +7,10 @@
 // that large tasks fit elsewhere and workers without services stay available to fillers
 // that interfere with every service.
 func (ca *candidate) score(en *entry, st *job.Step) float64 {
-	score := -share(ca.free.MilliCores, ca.ho.Holds.MilliCores)
+	score := -share(ca.free.MilliCores, ca.ho.Capacity.MilliCores)
 	if st.Filler {
 		sum, over := ca.disturbance(st)
-		score = share(ca.idle, ca.ho.Holds.MilliCores) - disturbanceWeight*sum - excessWeight*over
+		score = share(ca.idle, ca.ho.Capacity.MilliCores) - disturbanceWeight*sum - excessWeight*over
 	}
 	if st.Endless && st.Image != "" {
 		score += ca.affinity(en, st.Image)
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -16,7 +16,7 @@
 // and what takes its capacity, and which workers have enough capacity but may not be used.
 type shortage struct {
 	st      *job.Step
-	nearest *host
+	nearest *workerState
 	// shortfall is what the nearest worker lacks, as a share of what the step needs.
 	shortfall float64
 	// barred counts the workers that have enough capacity but may not be used, by reason.
@@ -27,12 +27,12 @@
 func (ow *Owner) findShortage(en *entry, step int, now time.Time) shortage {
 	st := &en.jo.Spec.Steps[step]
 	sh := shortage{st: st, barred: map[string]int{}}
-	for _, ho := range ow.sortedHosts() {
+	for _, ho := range ow.sortedWorkers() {
 		ca := newCandidate(ho, now)
 		if !ca.suitable(en, st) {
 			continue
 		}
-		if why := cmp.Or(ho.bar(now), ho.stepBar(en, step)); why != "" {
+		if why := cmp.Or(ho.unavailableReason(now), ho.stepBar(en, step)); why != "" {
 			if st.Reserved().Fits(ca.free) {
 				sh.barred[why]++
 			}
@@ -55,7 +55,7 @@
 
 // stepBar returns why a worker that accepts new tasks accepts none of the step, or an empty
 // string if it does.
-func (ho *host) stepBar(en *entry, step int) string {
+func (ho *workerState) stepBar(en *entry, step int) string {
 	st := &en.jo.Spec.Steps[step]
 	switch {
 	case ho.isEarmarked() && !st.Filler && en.waitingInterrupted(step) == 0:
@@ -86,11 +86,11 @@
 	if sh.nearest == nil {
 		return append(list, slog.String("best", "none"))
 	}
-	free := sh.nearest.Holds.Sub(sh.nearest.reserved)
+	free := sh.nearest.Capacity.Sub(sh.nearest.reserved)
 	return append(list,
 		slog.String("best", sh.nearest.incarnation.String()),
 		slog.Int64("free_millicores", free.MilliCores), slog.Int64("free_mem_mb", free.MemMB),
-		slog.Int64("passing_millicores", sh.nearest.passing.MilliCores), slog.Int64("passing_mem_mb", sh.nearest.passing.MemMB),
+		slog.Int64("passing_millicores", sh.nearest.finiteReserved.MilliCores), slog.Int64("passing_mem_mb", sh.nearest.finiteReserved.MemMB),
 		slog.Int64("stopping_millicores", sh.nearest.stopping().MilliCores), slog.Int("attempts", len(sh.nearest.attempts)),
 	)
 }
@@ -106,7 +106,7 @@
 }
 
 // stopping returns the resources held by attempts that are being stopped.
-func (ho *host) stopping() worker.Resources {
+func (ho *workerState) stopping() worker.Resources {
 	var sum worker.Resources
 	for at := range ho.attempts {
 		if !at.haltSentAt.IsZero() {
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -25,11 +25,11 @@
 			full, other = other, full
 		}
 		ow.post(func() { ow.hosts[other.Addr.Incarnation].quarantine(time.Minute, "for a test") })
-		sp := lasting(1)
+		sp := longRunning(1)
 		sp.Steps[0].Each = worker.Resources{MilliCores: 1000, MemMB: 1000}
 		la.submit(ow, 2, sp)
 		time.Sleep(1500 * time.Millisecond)
-		logged := li.with(waitLine, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
+		logged := li.matching(waitLine, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
 			"best="+full.Addr.Incarnation.String(), "free_millicores=0", "free_mem_mb=64000", "passing_millicores=0", "stopping_millicores=0", "attempts=16")
 		qt.Assert(t, logged, qt.HasLen, 1)
 	})
@@ -41,20 +41,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(15)
-		spread := lasting(2)
+		spread := longRunning(2)
 		spread.Steps[0].Each = worker.Resources{MilliCores: 500, MemMB: 500}
 		spread.Steps[0].MaxPerWorker = 1
 		la.submit(ow, 2, spread)
 		time.Sleep(1500 * time.Millisecond)
 		waitLine := `msg="lasting tasks wait"`
-		qt.Assert(t, li.with(waitLine, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
+		qt.Assert(t, li.matching(waitLine, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
 		ow.post(func() {
-			ow.onlyLife("i-0").keptIn = ow.rounds
-			ow.entries[jobID(2)].timeBreakdown.tell = 0
-			ow.account(time.Now())
+			ow.soleIncarnation("i-0").reservedInRound = ow.rounds
+			ow.entries[jobID(2)].timeBreakdown.nextWaitLog = 0
+			ow.accountTime(time.Now())
 		})
 		synctest.Wait()
-		qt.Assert(t, li.with(waitLine, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
+		qt.Assert(t, li.matching(waitLine, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
 	})
 }
 
@@ -64,9 +64,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(16)
-		la.submit(ow, 2, lasting(4))
+		la.submit(ow, 2, longRunning(4))
 		time.Sleep(3500 * time.Millisecond)
-		logged := li.with(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
+		logged := li.matching(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
 		qt.Assert(t, logged, qt.HasLen, 3)
 	})
 }
@@ -80,12 +80,12 @@
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(1))
+		la.submit(ow, 1, longRunning(1))
 		time.Sleep(20 * time.Second)
 		waitLine := `msg="lasting tasks wait"`
-		qt.Assert(t, len(li.with(waitLine, "for=rest")) > 0, qt.IsTrue)
-		qt.Assert(t, li.with(waitLine, "for=room"), qt.HasLen, 0)
-		qt.Assert(t, li.with(waitLine, "for=order"), qt.HasLen, 0)
+		qt.Assert(t, len(li.matching(waitLine, "for=rest")) > 0, qt.IsTrue)
+		qt.Assert(t, li.matching(waitLine, "for=room"), qt.HasLen, 0)
+		qt.Assert(t, li.matching(waitLine, "for=order"), qt.HasLen, 0)
 	})
 }
 
@@ -96,11 +96,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
 		ow := la.withLasting(16)
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(500 * time.Millisecond)
 		ow.post(func() { ow.window.inFlight = ow.window.limit(); ow.place() })
 		time.Sleep(time.Second)
 		waitLine := `msg="lasting tasks wait"`
-		qt.Assert(t, li.with(waitLine, "job="+jobID(2), "for=order"), qt.HasLen, 1)
+		qt.Assert(t, li.matching(waitLine, "job="+jobID(2), "for=order"), qt.HasLen, 1)
 	})
 }
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -64,7 +64,7 @@
 
 // stopStalled stops a stalled attempt, so that its task is retried elsewhere, and
 // quarantines the worker.
-func (ho *host) stopStalled(at *attempt, now time.Time) {
+func (ho *workerState) stopStalled(at *attempt, now time.Time) {
 	if at.en.stallCounts == nil {
 		at.en.stallCounts = map[job.TaskRef]int{}
 	}
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -107,11 +107,11 @@
 func (ow *Owner) capacity(now time.Time) (held, reserved int64, barred map[string]int) {
 	barred = map[string]int{}
 	for _, ho := range ow.hosts {
-		if why := ho.bar(now); why != "" {
+		if why := ho.unavailableReason(now); why != "" {
 			barred[why]++
 			continue
 		}
-		held += ho.Holds.MilliCores
+		held += ho.Capacity.MilliCores
 		reserved += ho.reserved.MilliCores
 	}
 	return held, reserved, barred
@@ -139,7 +139,7 @@
 
 // countObstacles counts the job's waiting tasks by obstacle.
 func (en *entry) countObstacles(counts map[obstacle]int, now time.Time) {
-	cause := obstacle(en.cause(en.ow.storeDown()).String())
+	cause := obstacle(en.currentCause(en.ow.storeDown()).String())
 	for step, tasks := range en.jo.Tasks {
 		if !en.jo.Ready(step) {
 			continue
@@ -164,10 +164,10 @@
 // when; an empty string if nothing suggests it.
 func (at *attempt) obstacle() (obstacle, time.Time) {
 	switch {
-	case !at.ho.failing.IsZero():
-		return obstacleUnresponsive, at.ho.failing
+	case !at.ho.failingSince.IsZero():
+		return obstacleUnresponsive, at.ho.failingSince
 	case !at.ho.settled:
-		return obstacleUnresponsive, at.ho.entered
+		return obstacleUnresponsive, at.ho.firstSeen
 	case !at.haltSentAt.IsZero():
 		return obstacleStopping, at.haltSentAt
 	}
--- a/internal/sched/successiveowners_test.go
+++ b/internal/sched/successiveowners_test.go
@@ -19,12 +19,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		cr := &cluster{lab: newLab(t, 2)}
 		defer cr.stop()
-		cr.fleet.RunFunc = endless
+		cr.fleet.RunFunc = runUntilStopped
 		first := cr.join("a", 0.8)
 		time.Sleep(time.Second)
 		second, third := cr.join("b", 0.8), cr.join("c", 0.5)
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(first.ow.Load(), 1, lasting(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cr.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(time.Second)
 		cr.assertRunning(4)
 		test(cr, first, second, third)
@@ -181,7 +181,7 @@
 		second.gate.Set(down)
 		time.Sleep(tenure.ExtendFor)
 		second.set(func(co *clusterHost) { co.reachableOnce = map[worker.Incarnation]bool{fw.Addr.Incarnation: true} })
-		time.Sleep(lookRetry + silentAfter)
+		time.Sleep(pollRetry + unresponsiveAfter)
 		second.gate.Set(standin.Fault{})
 		time.Sleep(10 * time.Second)
 		cr.assertRunning(4)
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -35,9 +35,9 @@
 	}{{"workers that come back", false}, {"workers that are lost for good", true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cr, ow := startCrashes(t, newLab(t, 5*workersPerCrash))
-				cr.forGood = tc.forGood
-				cr.submit(ow, 1, lasting(12))
+				cr, ow := startCrashLab(t, newLab(t, 5*workersPerCrash))
+				cr.noRestart = tc.forGood
+				cr.submit(ow, 1, longRunning(12))
 				for range 4 {
 					time.Sleep(20 * time.Second)
 					cr.assertRunning(12)
@@ -54,7 +54,7 @@
 
 // loseOwnerAndCrash ends the owner, crashes the busiest workers shortly after, and returns
 // the next owner.
-func (cr *crashes) loseOwnerAndCrash(workers int) *Owner {
+func (cr *crashLab) loseOwnerAndCrash(workers int) *Owner {
 	cr.end()
 	time.Sleep(200 * time.Millisecond)
 	for range workers {
@@ -70,13 +70,13 @@
 func TestLostWorkersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
-		cr, ow := startCrashes(t, la)
-		cr.forGood = true
-		cr.submit(ow, 1, lasting(12))
+		cr, ow := startCrashLab(t, la)
+		cr.noRestart = true
+		cr.submit(ow, 1, longRunning(12))
 		time.Sleep(20 * time.Second)
 		cr.loseOwnerAndCrash(1)
 		time.Sleep(20 * time.Second)
-		lines := li.with(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
+		lines := li.matching(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
 		qt.Assert(t, lines, qt.HasLen, 1)
 	})
 }
@@ -104,7 +104,7 @@
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(40))
+		la.submit(ow, 1, longRunning(40))
 		la.submit(ow, 2, batch(1, 1))
 		time.Sleep(100 * time.Millisecond)
 		started := la.progressRow(ow, 1).Rev
@@ -128,14 +128,14 @@
 func TestHealthyTasksNotGivenUpOverTakeovers(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: takeoverScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
-			cr := newCrashes(t, newLab(t, 12))
-			cr.crashing()
-			cr.elsewhere = rapid.Bool().Draw(rt, "elsewhere")
-			cr.stays = rapid.SampledFrom([]time.Duration{0, entryStays, 5 * time.Second}).Draw(rt, "entry stays")
+			cr := newCrashLab(t, newLab(t, 12))
+			cr.setCrashingJobs()
+			cr.newAddress = rapid.Bool().Draw(rt, "elsewhere")
+			cr.entryTTL = rapid.SampledFrom([]time.Duration{0, crashedEntryTTL, 5 * time.Second}).Draw(rt, "entry stays")
 			ow := cr.own()
 			defer func() { cr.end() }()
 			time.Sleep(time.Second)
-			cr.submit(ow, 1, lasting(8))
+			cr.submit(ow, 1, longRunning(8))
 			for range rapid.IntRange(3, 9).Draw(rt, "losses") {
 				// Time for the lost tasks to run again and for their proofs to be written.
 				time.Sleep(22 * time.Second)
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -100,16 +100,16 @@
 
 // lostFromList reports whether the worker's entry is not expected back: it has been missing
 // for longer than entryReturnWait, and no store outage explains that.
-func (ho *host) lostFromList(now time.Time) bool {
-	return ho.gone && now.Sub(ho.goneAt) > entryReturnWait && ho.ow.listReliable(now)
+func (ho *workerState) lostFromList(now time.Time) bool {
+	return ho.unlisted && now.Sub(ho.unlistedAt) > entryReturnWait && ho.ow.listReliable(now)
 }
 
 // logEvacuation logs once that a worker without an entry is evacuated.
-func (ho *host) logEvacuation(now time.Time) {
-	if ho.emptied {
+func (ho *workerState) logEvacuation(now time.Time) {
+	if ho.evacuationLogged {
 		return
 	}
-	ho.emptied = true
+	ho.evacuationLogged = true
 	ho.ow.Log.Warn("emptying a worker without an entry", "worker", ho.incarnation, "attempts", len(ho.attempts), "draining", ho.Draining,
-		"gone_for", now.Sub(ho.goneAt), "list_age", ho.ow.listAge(now), "store_well_for", now.Sub(ho.ow.listTrust.untrustedAt))
+		"gone_for", now.Sub(ho.unlistedAt), "list_age", ho.ow.listAge(now), "store_well_for", now.Sub(ho.ow.listTrust.untrustedAt))
 }
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -49,11 +49,11 @@
 // withLasting starts an owner and the given number of long-running tasks.
 func (la *lab) withLasting(tasks int) *Owner {
 	la.t.Helper()
-	la.fleet.RunFunc = endless
+	la.fleet.RunFunc = runUntilStopped
 	ow, end := la.startOwner()
 	la.t.Cleanup(end)
 	time.Sleep(time.Second)
-	la.submit(ow, 1, lasting(tasks))
+	la.submit(ow, 1, longRunning(tasks))
 	time.Sleep(time.Second)
 	la.assertRunning(tasks)
 	return ow
@@ -85,13 +85,13 @@
 		la, ow := newLastingLab(t, 4, 24)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		// A pending write lets the owner notice the outage.
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(8 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
 		for _, li := range la.listed() {
 			time.Sleep(500 * time.Millisecond)
-			ow.SetWorkers([]Listed{li}, nil, false)
+			ow.SetWorkers([]WorkerEntry{li}, nil, false)
 		}
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
@@ -108,7 +108,7 @@
 		la, ow := newLastingLab(t, 4, 24)
 		lost, _ := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(8 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
 		back := time.Now()
@@ -116,7 +116,7 @@
 		time.Sleep(2 * time.Second)
 		for _, li := range la.listed() {
 			if li.Incarnation != lost.Addr.Incarnation {
-				ow.SetWorkers([]Listed{li}, nil, false)
+				ow.SetWorkers([]WorkerEntry{li}, nil, false)
 			}
 		}
 		time.Sleep(6 * time.Second)
@@ -141,7 +141,7 @@
 		la, ow := newLastingLab(t, 3, 12)
 		was := la.fleetWorkers[0]
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		la.submit(ow, 2, lasting(1))
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(time.Second)
 		la.fleet.Kill(was)
 		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
@@ -162,7 +162,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 3, 6)
 		ow.SetWorkers(nil, nil, true)
-		la.submit(ow, 2, lasting(6))
+		la.submit(ow, 2, longRunning(6))
 		time.Sleep(20 * time.Second)
 		la.assertRunning(6)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
@@ -202,9 +202,9 @@
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(10 * time.Second)
 		worker := "worker=" + leaving.Addr.Incarnation.String()
-		qt.Check(t, li.with(`msg="worker no longer listed"`, worker, "list_age=0s", "store_trouble=false"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="emptying a worker without an entry"`, worker, fmt.Sprintf("attempts=%d ", n), "list_age=0s"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="stopping attempt"`, worker, "has no entry"), qt.HasLen, n)
+		qt.Check(t, li.matching(`msg="worker no longer listed"`, worker, "list_age=0s", "store_trouble=false"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="emptying a worker without an entry"`, worker, fmt.Sprintf("attempts=%d ", n), "list_age=0s"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="stopping attempt"`, worker, "has no entry"), qt.HasLen, n)
 		re := httptest.NewRecorder()
 		page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		qt.Check(t, re.Body.String(), qt.Contains, fmt.Sprintf("pepperhatch_attempts_emptied_total{why=%q} %d\n", "unlisted", n))
@@ -221,7 +221,7 @@
 		ow.SetWorkers(la.listed()[3:], nil, true)
 		time.Sleep(doubtDuration - time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
-		qt.Check(t, li.with("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
+		qt.Check(t, li.matching("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.runningAt("i-3"), qt.Equals, 16)
 		la.assertRunning(24)
@@ -347,7 +347,7 @@
 		la, ow := newLastingLab(t, 3, 12)
 		worker, n := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		go la.submit(ow, 2, lasting(1))
+		go la.submit(ow, 2, longRunning(1))
 		time.Sleep(time.Second)
 		ow.SetWorkers(nil, []string{worker.Addr.Incarnation.ID}, false)
 		time.Sleep(6 * time.Second)
@@ -388,10 +388,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
 			la.formerKnown = known
-			la.fleet.RunFunc = endless
+			la.fleet.RunFunc = runUntilStopped
 			ow, end := la.startOwner()
 			time.Sleep(time.Second)
-			la.submit(ow, 1, lasting(12))
+			la.submit(ow, 1, longRunning(12))
 			time.Sleep(time.Second)
 			end()
 			crew := la.fleetWorkers
--- a/internal/sched/usage.go
+++ b/internal/sched/usage.go
@@ -66,7 +66,7 @@
 
 // fullShare returns the share of the worker's processors that a filler uses at full speed.
 func (at *attempt) fullShare() float64 {
-	declared := share(at.step().Each.MilliCores, at.ho.Holds.MilliCores)
+	declared := share(at.step().Each.MilliCores, at.ho.Capacity.MilliCores)
 	if at.cpuShare == 0 {
 		return declared
 	}
@@ -95,7 +95,7 @@
 
 // usedShares returns the shares of the worker's processors that fillers used in the window
 // that ends now, by image, as the worker reported them.
-func (ho *host) usedShares(now time.Time) interfere.Shares {
+func (ho *workerState) usedShares(now time.Time) interfere.Shares {
 	sh := interfere.Shares{}
 	for at := range ho.attempts {
 		if !at.step().Filler || at.launchedAt.IsZero() {
@@ -103,10 +103,10 @@
 		}
 		at.learnUsage(now)
 		if at.usage > 0 {
-			sh[at.step().Image] += share(at.usage, ho.Holds.MilliCores)
+			sh[at.step().Image] += share(at.usage, ho.Capacity.MilliCores)
 		}
 	}
-	for _, ef := range ho.fill.ended {
+	for _, ef := range ho.fillers.ended {
 		if within := usageWindow - now.Sub(ef.at); within > 0 {
 			sh[ef.image] += ef.share * within.Seconds() / usageWindow.Seconds()
 		}
@@ -116,31 +116,31 @@
 
 // expectedShares returns the shares of fillers at the ordered paces by image, including
 // attempts that are still being launched.
-func (ho *host) expectedShares() interfere.Shares {
-	if ho.fill.expectedShares != nil {
-		return ho.fill.expectedShares
+func (ho *workerState) expectedShares() interfere.Shares {
+	if ho.fillers.expectedShares != nil {
+		return ho.fillers.expectedShares
 	}
-	ho.fill.expectedShares = interfere.Shares{}
+	ho.fillers.expectedShares = interfere.Shares{}
 	for at := range ho.attempts {
 		if at.step().Filler {
-			ho.fill.expectedShares[at.step().Image] += at.expectedShare()
+			ho.fillers.expectedShares[at.step().Image] += at.expectedShare()
 		}
 	}
-	return ho.fill.expectedShares
+	return ho.fillers.expectedShares
 }
 
 // recordEndedFiller records the share of a filler that is removed from the worker.
-func (ho *host) recordEndedFiller(at *attempt, now time.Time) {
-	ho.fill.invalidate()
+func (ho *workerState) recordEndedFiller(at *attempt, now time.Time) {
+	ho.fillers.invalidate()
 	if at.step().Filler && !at.launchedAt.IsZero() {
-		ho.fill.ended = append(ho.fill.ended, endedFiller{image: at.step().Image, share: at.expectedShare(), at: now})
+		ho.fillers.ended = append(ho.fillers.ended, endedFiller{image: at.step().Image, share: at.expectedShare(), at: now})
 	}
 }
 
 // measure updates the model from the usage reported by a poll, at most once per half usage
 // window, and adjusts the paces of fillers.
-func (ho *host) measure(got time.Time) {
-	fi := &ho.fill
+func (ho *workerState) measure(got time.Time) {
+	fi := &ho.fillers
 	if got.Sub(fi.measuredAt) < usageWindow/2 {
 		return
 	}
@@ -167,7 +167,7 @@
 
 // excess returns by how much a service's headroom is predicted to fall short of the
 // headroom at the given part of its target, with the fillers at their ordered paces.
-func (ho *host) excess(at *attempt, part float64) float64 {
+func (ho *workerState) excess(at *attempt, part float64) float64 {
 	left := at.replica.Baseline(time.Now().Add(ho.ow.predictionHorizon())) - ho.ow.model.PredictedDrop(at.step().Image, ho.expectedShares())
 	return 1/part - left
 }
