--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -13,23 +13,22 @@
 
 // Times of orders.
 const (
-	// launchTimeout is how long the answer to a launch may take before it is
-	// looked into: one order takes under 5 ms where nothing is wrong.
+	// launchTimeout is how long a launch may go without an answer before the owner finds out
+	// what became of it. An order takes under 5 ms in normal operation.
 	launchTimeout = 400 * time.Millisecond
-	// haltTimeout is the same for a halt, which may take the time to stop.
+	// haltTimeout is the same for a halt, which may last as long as the task takes to stop.
 	haltTimeout = 500 * time.Millisecond
-	// resolveRetry is the pause between attempts to find out what became of an
-	// order.
+	// resolveRetry is the pause between tries to find out what became of an order.
 	resolveRetry = 200 * time.Millisecond
 )
 
-// launch sends the order of an attempt that is durable.
+// launch sends the order of an attempt whose start is durable.
 func (ow *Owner) launch(at *attempt) {
 	if at.en.attempts[at.ref] != at || at.en.jo.State().Final() {
 		ow.abandonLaunch(at, "job ended before the order was sent")
 		return
 	}
-	// Its start took a write, and the worker may have left the list meanwhile.
+	// The write of the start took time, in which the worker may have left the list.
 	if at.ho.unlisted || at.ho.Draining {
 		ow.abandonLaunch(at, "its worker drains or left the list before the order was sent")
 		return
@@ -69,7 +68,7 @@
 	ow.post(func() { ow.handleLaunchAnswer(at, ack, sent, got, err) })
 }
 
-// handleLaunchAnswer takes in the answer to a launch.
+// handleLaunchAnswer handles the answer to a launch, or its failure.
 func (ow *Owner) handleLaunchAnswer(at *attempt, ack worker.Ack, sent, got time.Time, err error) {
 	ow.Metrics.Add(telemetry.Launches, 1, "outcome", launchOutcome(err))
 	ow.land(at)
@@ -93,14 +92,15 @@
 		}
 	}
 	if errors.Is(err, worker.ErrOtherLife) {
-		// It was refused by the next process, so it had no part in the end of this one.
+		// The next process refused the order, so the attempt did not cause the end of this
+		// one.
 		ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by another process")
 		at.ho.markDead("another process answers at its address", worker.Incarnation{})
 		return
 	}
 	if !at.ho.handleRefusal(err) {
 		at.settling = true
-		go ow.resolveOrder(at.ho, at.name(), func(there bool) { ow.handleLaunchResolved(at, there) })
+		go ow.resolveOrder(at.ho, at.name(), func(present bool) { ow.handleLaunchResolved(at, present) })
 		return
 	}
 	ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by the worker")
@@ -108,20 +108,20 @@
 
 func taskID(at *attempt) string { return at.en.jo.TaskID(at.ref) }
 
-// handleRefusal draws the conclusions of a refusal and reports whether the
-// attempt certainly will not run.
+// handleRefusal quarantines a worker that refused an order, and reports whether the attempt
+// certainly will not run.
 func (ho *workerState) handleRefusal(err error) bool {
 	switch {
 	case errors.Is(err, worker.ErrNoRoom):
-		ho.setAside(capacityQuarantine, "has less room than known")
+		ho.setAside(capacityQuarantine, "has less capacity than known")
 	case errors.Is(err, worker.ErrUnfit), errors.Is(err, worker.ErrMalformed):
 		ho.setAside(asideUnfit, "refuses orders")
 	case errors.Is(err, worker.ErrLateLease):
-		ho.setAside(capacityQuarantine, "its clock is not known well")
+		ho.setAside(capacityQuarantine, "refused a lease that was late by its clock")
 	case errors.Is(err, worker.ErrFenced):
-		ho.setAside(asideUnfit, "obeys a later owner")
+		ho.setAside(asideUnfit, "obeys a higher fencing token")
 	case errors.Is(err, worker.ErrNoListener):
-		// Nobody had the order, so it is no sign of a crash under the task.
+		// No process got the order, so it does not count as a crash under the task.
 		ho.setAside(asideUnfit, "nothing listens there")
 	case errors.Is(err, worker.ErrNotSent):
 		ho.setAside(asideUnfit, "there is no way to it now")
@@ -131,21 +131,21 @@
 	return true
 }
 
-// capacityQuarantine is the time aside of a worker that had less room than known: the
-// next look tells more.
+// capacityQuarantine is the quarantine of a worker that had less capacity than known: the next
+// poll reports the current state.
 const capacityQuarantine = 150 * time.Millisecond
 
 func launchOutcome(err error) string {
 	for _, known := range []struct {
-		err  error
-		word string
+		err     error
+		outcome string
 	}{
 		{worker.ErrFenced, "fenced"}, {worker.ErrOldAttempt, "old"}, {worker.ErrLateLease, "late"},
 		{worker.ErrNoRoom, "no-room"}, {worker.ErrUnfit, "unfit"}, {worker.ErrOtherLife, "other-life"}, {worker.ErrMalformed, "malformed"},
 		{worker.ErrNotSent, "not-sent"},
 	} {
 		if errors.Is(err, known.err) {
-			return known.word
+			return known.outcome
 		}
 	}
 	if err != nil {
@@ -154,38 +154,38 @@
 	return "done"
 }
 
-// handleLaunchResolved takes in what became of a launch without an answer.
-func (ow *Owner) handleLaunchResolved(at *attempt, there bool) {
+// handleLaunchResolved handles what became of a launch without an answer.
+func (ow *Owner) handleLaunchResolved(at *attempt, present bool) {
 	if at.en.attempts[at.ref] != at {
 		return
 	}
 	at.settling = false
-	if there {
+	if present {
 		at.ho.markStarted(at, time.Now())
 		return
 	}
 	ow.end(at.en, at.ref, at.number, job.EndNever, "", "its launch had no answer and it was kept from starting")
 }
 
-// resolveOrder finds out whether an attempt got to a worker whose answer was lost,
-// and else keeps it from ever starting there. It goes on until the worker says
-// so, or is given up.
-func (ow *Owner) resolveOrder(ho *workerState, wa worker.Attempt, done func(there bool)) {
+// resolveOrder finds out whether an attempt reached a worker whose answer was lost, and
+// otherwise prevents that it ever starts there. It retries until the worker confirms one or
+// the other, or the attempt has ended.
+func (ow *Owner) resolveOrder(ho *workerState, wa worker.Attempt, done func(present bool)) {
 	for {
-		there, err := ow.listsAttempt(ho, wa)
-		if err == nil && there {
+		present, err := ow.listsAttempt(ho, wa)
+		if err == nil && present {
 			ow.post(func() { done(true) })
 			return
 		}
 		if err == nil && ow.sendHalt(ho, wa) {
-			there, err = ow.listsAttempt(ho, wa)
+			present, err = ow.listsAttempt(ho, wa)
 			if err == nil {
-				ow.post(func() { done(there) })
+				ow.post(func() { done(present) })
 				return
 			}
 		}
-		given, aerr := ask(ow.ctx, ow, func(answer func(bool)) { answer(ho.dead || ho.findAttempt(wa) == nil) })
-		if given || aerr != nil || !clock.Sleep(ow.ctx, resolveRetry) {
+		abandoned, aerr := ask(ow.ctx, ow, func(answer func(bool)) { answer(ho.dead || ho.findAttempt(wa) == nil) })
+		if abandoned || aerr != nil || !clock.Sleep(ow.ctx, resolveRetry) {
 			return
 		}
 	}
@@ -214,7 +214,8 @@
 	return false, nil
 }
 
-// halt orders the end of an attempt.
+// halt orders the worker to stop an attempt. An order sent less than StopTime ago is not
+// repeated.
 func (ow *Owner) halt(at *attempt, why string) {
 	// Another order helps only if the first was lost.
 	if !at.halted.IsZero() && time.Since(at.halted) < ow.Limits.StopTime {
@@ -225,7 +226,7 @@
 	go ow.sendHalt(at.ho, at.name())
 }
 
-// sendHalt sends the order and reports whether the worker took it.
+// sendHalt sends the order to stop an attempt and reports whether the worker acknowledged it.
 func (ow *Owner) sendHalt(ho *workerState, wa worker.Attempt) bool {
 	ctx, cancel := context.WithTimeout(ow.ctx, haltTimeout)
 	defer cancel()
--- a/internal/sched/polls.go
+++ b/internal/sched/polls.go
@@ -10,36 +10,36 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Times of looks.
+// Times and limits of polls.
 const (
-	// pollWait is how long a worker with work may wait for an end before it
-	// answers; without work it waits idleWait, and beside services with
-	// targets, whose figures are of half a second, serveWait.
+	// pollWait is how long a worker with attempts may wait for one to end before it answers a
+	// poll. Where fillers run beside services with latency targets, whose figures cover half a
+	// second, it waits mixedPollWait, and without attempts idlePollWait.
 	pollWait      = time.Second
 	mixedPollWait = 600 * time.Millisecond
 	idlePollWait  = 2 * time.Second
-	// pollGrace is how much longer an answer may take before the connection
-	// counts as dead.
+	// pollGrace is the extra time for an answer before the connection counts as dead.
 	pollGrace = 600 * time.Millisecond
-	// pollRetry is the pause after a look that failed.
+	// pollRetry is the longest pause after a failed poll.
 	pollRetry = 250 * time.Millisecond
-	// maxDurableWait is how long a look waits for ends to become durable before
-	// it extends leases all the same.
+	// maxDurableWait is how long a poll waits for ends to become durable. Then it is sent
+	// anyway, as it extends leases.
 	maxDurableWait = 500 * time.Millisecond
-	// unresponsiveAfter is the time without a successful look after which a worker
-	// gets nothing new.
+	// unresponsiveAfter is the time without a successful poll after which a worker counts as
+	// lost unless it answers again.
 	unresponsiveAfter = 2500 * time.Millisecond
-	// extendUnresponsive is how long the leases of a worker that does not answer are
-	// extended: each order on its way may be obeyed, so they would never lapse.
+	// extendUnresponsive is how long polls that fail still extend leases. An order under way
+	// may take effect without an answer, so if all of them extended leases, these would never
+	// lapse.
 	extendUnresponsive = time.Second
-	// ackWithin is how long after an answer ends are acknowledged: a process that took
-	// the place of the one that answered would take their numbers for its own.
+	// ackWithin is how long after an answer ends may be acknowledged. A process that replaced
+	// the one that answered would take the acknowledged numbers for its own.
 	ackWithin = 300 * time.Millisecond
-	// maxEnds is the most ends that one answer lists.
+	// maxEnds is the largest number of ends that an answer lists.
 	maxEnds = 500
 )
 
-// pollLoop looks at the worker again and again until ctx ends.
+// pollLoop polls the worker until ctx ends.
 func (ho *workerState) pollLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		lo, err := ask(ctx, ho.ow, func(answer func(worker.Look)) { answer(ho.nextPoll()) })
@@ -64,14 +64,14 @@
 	}
 }
 
-// waitForNextPoll waits until the next look is due: until the ends just seen are
-// durable, or until there is another way after one that failed, but not for long.
+// waitForNextPoll waits until the ends just listed are durable or, after a failed poll, until
+// there is another path, for a limited time.
 func (ho *workerState) waitForNextPoll(ctx context.Context, err error) {
-	due, most := ho.pollWake, maxDurableWait
+	due, limit := ho.pollWake, maxDurableWait
 	if err != nil {
-		due, most = ho.pathChanged, pollRetry
+		due, limit = ho.pathChanged, pollRetry
 	}
-	ti := time.NewTimer(most)
+	ti := time.NewTimer(limit)
 	defer ti.Stop()
 	select {
 	case <-due:
@@ -80,7 +80,7 @@
 	}
 }
 
-// wake wakes who waits for a channel, now or next.
+// wake signals a channel of capacity one: its receiver wakes now, or at its next receive.
 func wake(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -88,7 +88,7 @@
 	}
 }
 
-// clearWake takes a nudge back.
+// clearWake discards a pending signal.
 func clearWake(ch <-chan struct{}) {
 	select {
 	case <-ch:
@@ -96,8 +96,8 @@
 	}
 }
 
-// nextPoll is what to ask now. Ends are acknowledged only right after a look listed some, as
-// the process that answers may be another by now.
+// nextPoll returns the next request. It acknowledges ends only right after a poll listed some,
+// as by now another process may answer.
 func (ho *workerState) nextPoll() worker.Look {
 	now := time.Now()
 	lo := worker.Look{}
@@ -122,23 +122,25 @@
 	return lo
 }
 
-// mayAcknowledge reports whether the next look may acknowledge ends: soon after an answer, or
-// if the look before was for that, so that a busy owner does not put it off for ever.
+// mayAcknowledge reports whether the next poll may acknowledge ends: soon after an answer, or
+// if the last poll already withheld the acknowledgement. Otherwise a busy owner would withhold
+// it forever.
 func (ho *workerState) mayAcknowledge(now time.Time) bool {
 	return ho.failingSince.IsZero() && (ho.ackWithheld || now.Sub(ho.lastPoll) <= ackWithin)
 }
 
-// hasFillersBesideServices reports whether fillers run beside services with targets.
+// hasFillersBesideServices reports whether fillers run on the worker together with services
+// that have latency targets.
 func (ho *workerState) hasFillersBesideServices() bool {
-	filled, served := false, false
+	fillers, services := false, false
 	for at := range ho.attempts {
-		filled = filled || at.step().Filler
-		served = served || at.serves()
+		fillers = fillers || at.step().Filler
+		services = services || at.serves()
 	}
-	return filled && served
+	return fillers && services
 }
 
-// handlePoll takes in what a look saw that was sent with a fencing token.
+// handlePoll handles the result of a poll that was sent with the given fencing token.
 func (ho *workerState) handlePoll(sent, got time.Time, fence int64, si worker.Sight, err error) {
 	if ho.dead {
 		return
@@ -167,8 +169,8 @@
 		if settles {
 			ho.markSettled()
 			ho.ow.Log.Info("worker settled", "worker", ho.incarnation, "running", len(si.Running), "ended", len(si.Ended))
-			// Only now can its leases be extended, which a write may not hold up: a
-			// takeover has used most of what is left of them.
+			// Only now can the leases be extended. That must not wait for a write, as a
+			// takeover has used up most of their time.
 			wake(ho.pollWake)
 		}
 	}
@@ -176,6 +178,7 @@
 	ho.acknowledge()
 }
 
+// handlePollError handles a failed poll.
 func (ho *workerState) handlePollError(err error) {
 	ho.ow.Metrics.Add(telemetry.Looks, 1, "outcome", "failed")
 	le := (*worker.LifeError)(nil)
@@ -187,8 +190,8 @@
 	case errors.Is(err, worker.ErrFenced):
 		ho.ow.Log.Warn("worker obeys a higher fencing token", "worker", ho.incarnation, "epoch", ho.ow.Tenure.Epoch, "fence", ho.wayNow().fence)
 		ho.failingSince = time.Now()
-		// It may be of this owner, from a way that was given up; those of the next are
-		// higher than all that follow.
+		// The higher token may be this owner's own, sent on a path that was given up. If it is
+		// that of a next owner, it stays higher than any token of this one.
 		ho.raiseFence()
 	case ho.failingSince.IsZero():
 		ho.failingSince, ho.unresponsive = time.Now(), !errors.Is(err, worker.ErrBrokeOff)
@@ -196,7 +199,7 @@
 	}
 }
 
-// handleEnds takes in ends that are new, and returns all that are listed.
+// handleEnds handles the ends that are new and returns all that are listed.
 func (ho *workerState) handleEnds(si worker.Sight) map[worker.Attempt]bool {
 	ended := map[worker.Attempt]bool{}
 	for _, ea := range si.Ended {
@@ -211,7 +214,7 @@
 	return ended
 }
 
-// logSkippedEnd tells of an end that counts as known though its attempt counts as running.
+// logSkippedEnd logs an end that counts as handled though its attempt counts as running.
 func (ho *workerState) logSkippedEnd(ea worker.EndedAttempt) {
 	if ho.findAttempt(ea.Attempt) != nil {
 		ho.ow.Log.Warn("end skipped as known", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.How,
@@ -219,11 +222,12 @@
 	}
 }
 
+// handleEnd ends the attempt of a listed end.
 func (ho *workerState) handleEnd(ea worker.EndedAttempt) {
 	id, ref, ok := job.ParseTaskID(ea.Task)
 	en := ho.ow.entries[id]
 	if !ok || en == nil {
-		ho.ow.Log.Info("end of an unknown task", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.How)
+		ho.ow.Log.Info("worker lists the end of an unknown task", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.How)
 		return
 	}
 	ho.judge(en, ea.How)
@@ -234,10 +238,10 @@
 	ho.awaitDurableEnd(en)
 }
 
-// awaitDurableEnd keeps the ends just listed from being acknowledged until the job is
-// written as it is now. Also an end that is no news may rest on what is not
-// written yet: that its attempt was given up. The next owner would read of an
-// attempt that runs, and find it neither running nor ended.
+// awaitDurableEnd delays the acknowledgement of the ends just listed until the job's current
+// state is written. This holds also for an end that changes nothing, as the attempt may have
+// been given up in a state that is not written yet: the next owner would read that the attempt
+// runs and find it neither running nor ended.
 func (ho *workerState) awaitDurableEnd(en *entry) {
 	if !en.dirty && !en.writing {
 		return
@@ -247,8 +251,8 @@
 	ho.ow.touch(en)
 }
 
-// parseEnd translates a worker's word for how an attempt ended. What is neither
-// done nor failed can be tried again at no one's expense.
+// parseEnd converts a worker's report of how an attempt ended. Anything but done, failed and
+// stopped counts as lapsed: the task is retried and no failure is counted.
 func parseEnd(how string) job.End {
 	switch how {
 	case "done":
@@ -261,13 +265,13 @@
 	return job.EndLapsed
 }
 
-// endBecameDurable notes that an end became durable.
+// endBecameDurable records that a listed end was written.
 func (ho *workerState) endBecameDurable() {
 	ho.undurableEnds--
 	ho.acknowledge()
 }
 
-// acknowledge lets the next look go ahead once all ends are durable.
+// acknowledge starts the next poll, which acknowledges the ends, once all of them are durable.
 func (ho *workerState) acknowledge() {
 	if ho.undurableEnds > 0 {
 		return
@@ -276,7 +280,7 @@
 	wake(ho.pollWake)
 }
 
-// handleRunning takes in what runs. What should not is stopped.
+// handleRunning updates the attempts that run and stops those that should not.
 func (ho *workerState) handleRunning(si worker.Sight, got time.Time) {
 	for _, ra := range si.Running {
 		at := ho.findAttempt(ra.Attempt)
@@ -306,13 +310,13 @@
 	}
 }
 
-// stopUnknownAttempt stops an attempt that the cell's rows do not have.
+// stopUnknownAttempt stops an attempt that the cell has no record of.
 func (ho *workerState) stopUnknownAttempt(ra worker.RunningAttempt) {
-	ho.ow.Log.Warn("stopping an attempt that is not ours", "task", ra.Task, "attempt", ra.Number, "worker", ho.incarnation)
+	ho.ow.Log.Warn("stopping an attempt that the cell has no record of", "task", ra.Task, "attempt", ra.Number, "worker", ho.incarnation)
 	go ho.ow.sendHalt(ho, ra.Attempt)
 }
 
-// markStarted notes that an attempt is known to be at the worker.
+// markStarted records that the worker has the attempt.
 func (ho *workerState) markStarted(at *attempt, now time.Time) {
 	if !at.launched.IsZero() {
 		return
@@ -321,7 +325,7 @@
 	ho.easeIn(at, now)
 }
 
-// findAttempt returns the attempt that the worker names, if it runs here.
+// findAttempt returns the attempt of that name if it is recorded on this worker, or nil.
 func (ho *workerState) findAttempt(wa worker.Attempt) *attempt {
 	id, ref, ok := job.ParseTaskID(wa.Task)
 	en := ho.ow.entries[id]
@@ -335,9 +339,9 @@
 	return at
 }
 
-// endMissing notes the end of attempts that a look should have listed and did
-// not: those that were acknowledged before it was sent and, if it settles the worker, all
-// that was ordered by former owners or from lives before.
+// endMissing ends the attempts that a poll should have listed and did not: those whose order
+// was acknowledged before the poll was sent and, if the poll settles the worker, those ordered
+// by former owners or from earlier incarnations.
 func (ho *workerState) endMissing(si worker.Sight, sent time.Time, ended map[worker.Attempt]bool, settles bool) {
 	running := map[worker.Attempt]bool{}
 	for _, ra := range si.Running {
@@ -355,7 +359,7 @@
 		switch {
 		case !settles:
 		case at.ends != "":
-			ho.ow.end(at.en, at.ref, at.number, at.ends, "", "another life of its worker answers")
+			ho.ow.end(at.en, at.ref, at.number, at.ends, "", "another incarnation of its worker answers")
 		case at.inherited:
 			ho.ow.end(at.en, at.ref, at.number, job.EndNever, "", "ordered by a former owner and not listed")
 		}
--- a/internal/sched/workerstate.go
+++ b/internal/sched/workerstate.go
@@ -12,119 +12,125 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// WorkerEntry is a worker as the platform's list has it.
+// WorkerEntry is a worker's entry in the platform's list of workers.
 type WorkerEntry struct {
-	// Addr is where it listens, and which life it is.
+	// Addr is the address of the worker and the incarnation of its process.
 	worker.Addr
 
-	// Undecodable is set if the list has it and nothing else is known: a worker that was
-	// known stays as it was, and no other is entered.
+	// Undecodable is set if the entry exists but could not be decoded. A worker that is
+	// already known keeps its last state; an unknown one is not added.
 	Undecodable bool
-	// Service is what it belongs to, DataCentre where it is.
+	// Service is the service that the worker belongs to, DataCentre its zone.
 	Service    string
 	DataCentre string
-	// Labels are what steps may ask for; the last one is the rack.
+	// Labels are the labels that steps may require; the last one is the rack.
 	Labels []string
-	// Rack is where its machine stands.
+	// Rack is the rack of the worker's machine.
 	Rack string
-	// Capacity is what it has.
+	// Capacity is all the resources of the worker.
 	Capacity worker.Resources
-	// Draining workers get nothing new, and leave after Remaining at the
-	// earliest.
+	// Draining workers get no new attempts and may leave once Remaining has passed.
 	Draining  bool
 	Remaining time.Duration
 }
 
-// workerState is a worker of the cell.
+// workerState is the owner's state of one incarnation of a worker of the cell.
 type workerState struct {
 	WorkerEntry
 
 	ow *Owner
-	// path is how it is reached now. Orders on their way read it from any
-	// goroutine.
+	// path is the current path to the worker, direct or through a relay. Goroutines that send
+	// orders read it concurrently.
 	path        atomic.Pointer[way]
 	incarnation worker.Incarnation
-	// firstSeen is when it was first seen. lives are other lives of the worker whose
-	// attempts it may run, of rows of former owners, and movedUntil is when leases of
-	// attempts lapse at the latest that were ordered from a life before it.
+	// firstSeen is when the worker was added. formerIncarnations are the incarnations of the
+	// worker that former owners' rows name for attempts which may run here. inheritedUntil is
+	// when the leases of attempts that were ordered from an earlier incarnation have lapsed at
+	// the latest.
 	firstSeen          time.Time
 	formerIncarnations []worker.Incarnation
 	inheritedUntil     time.Time
-	// leavesAt is when a draining worker may leave, at the earliest.
+	// leavesAt is the earliest time at which a draining worker may leave.
 	leavesAt time.Time
-	// unlisted is set once the list no longer has it, goneAt is when that was seen; emptied
-	// is set once it was told that it is emptied for that.
+	// unlisted is set while the list has no entry of the worker, unlistedAt is when its
+	// removal was seen. evacuationLogged is set once the evacuation of the unlisted worker was
+	// logged.
 	unlisted         bool
 	unlistedAt       time.Time
 	evacuationLogged bool
-	// dead is set once its process is known to have ended.
+	// dead is set once the worker's process is known to have ended.
 	dead bool
-	// stopPolling ends its loop of looks.
+	// stopPolling ends the worker's poll loop.
 	stopPolling context.CancelFunc
-	// settled is set once it obeys this owner's fencing token, or settleFence if that is
-	// higher, and what it ran before is known.
+	// settled is set once the worker has answered a poll with this owner's fencing token, or
+	// with settleFence if that is higher, so that all it runs is known.
 	settled     bool
 	settleFence int64
-	// clockMS is its clock as read at clockAt; leaseUntilMS is the latest end
-	// of leases that it was told, by that clock.
+	// clockMS is the worker's clock, in milliseconds, as read at clockAt. leaseUntilMS is the
+	// latest lease end that the worker may have been sent, by that clock.
 	clockMS      int64
 	clockAt      time.Time
 	leaseUntilMS int64
-	// lastPoll is when a look last succeeded, failing since when looks fail.
+	// lastPoll is when the last successful poll was answered. failingSince is when polls began
+	// to fail, or zero.
 	lastPoll     time.Time
 	failingSince time.Time
-	// unresponsive is set if looks fail since one that had no answer in time, and not since the
-	// connection broke off.
+	// unresponsive is set if polls fail because the first failed one timed out, rather than
+	// because the connection broke off.
 	unresponsive bool
-	// noContactSince is since when it is silent or unsettled, or zero.
+	// noContactSince is when the worker became unresponsive or unsettled, or zero.
 	noContactSince time.Time
-	// endsHandled is the last end taken in, acked the last one that is durable.
+	// endsHandled is the number of the last end handled, endsAcked that of the last durable
+	// one.
 	endsHandled, endsAcked int64
-	// lastPollHadEnds is set if the last look that succeeded listed any, withheld if the last
-	// look could have acknowledged some and did not.
+	// lastPollHadEnds is set if the last successful poll listed ended attempts. ackWithheld is
+	// set if the next poll could have acknowledged some of them and does not.
 	lastPollHadEnds, ackWithheld bool
-	// undurableEnds counts ends that are not durable yet.
+	// undurableEnds counts the ends that are not written yet.
 	undurableEnds int
-	// pollWake lets the next look go ahead, rerouted that after one that failed.
+	// pollWake starts the next poll after a successful one, pathChanged the next poll after a
+	// failed one.
 	pollWake    chan struct{}
 	pathChanged chan struct{}
-	// attempts are those that run here, or may.
+	// attempts are the attempts that run here, or may run here.
 	attempts map[*attempt]bool
-	// services are those of them that serve within a target.
+	// services are the attempts with a latency target.
 	services []*attempt
-	// reserved is what they take of its room, inUse the processor time that they
-	// are likely to use, in thousandths of a core.
+	// reserved is the capacity reserved by the attempts. expectedUse is the processor time
+	// that they are likely to use, in thousandths of a core.
 	reserved    worker.Resources
 	expectedUse int64
-	// finiteReserved is the part of reserved that tasks take that end by themselves.
+	// finiteReserved is the part of reserved that belongs to tasks which end by themselves.
 	finiteReserved worker.Resources
-	// restartReserved is what of its room is promised to lasting tasks that are to begin again.
+	// restartReserved is the capacity reserved for interrupted long-running tasks.
 	restartReserved worker.Resources
-	// restartReady is set if some of them wait for it now.
+	// restartReady is set if some of these tasks may start now.
 	restartReady bool
-	// reservedInRound is the last round of placement in which its room was kept.
+	// reservedInRound is the last placement round in which the worker's capacity was reserved
+	// for a long-running task that never ran.
 	reservedInRound int
-	// trial is the task that is tried alone here, or is to be.
+	// trial is the suspect task that runs isolated here, or is about to.
 	trial *trial
-	// quarantinedUntil is until when it gets nothing new. failures counts attempts
-	// that failed here since one was done, of failedJobs; failingUntil is until when it
-	// is set aside for them, asides how often it was.
+	// quarantinedUntil is the time until which the worker gets no new attempts. failures
+	// counts the attempts that failed here since the last one that succeeded, failedJobs has
+	// their jobs. failureQuarantineUntil is the end of the quarantine for such failures,
+	// failureQuarantines the number of these quarantines in a row.
 	quarantinedUntil       time.Time
 	failureQuarantineUntil time.Time
 	failureQuarantines     int
 	failures               int
 	failedJobs             map[string]bool
-	// fillers follows the fillers.
+	// fillers is the state of the worker's fillers.
 	fillers fillers
 }
 
-// SetWorkers takes in rows of the platform's list of workers. If whole is set
-// they are all there are.
-func (ow *Owner) SetWorkers(listed []WorkerEntry, gone []string, whole bool) {
-	ow.post(func() { ow.setWorkers(listed, gone, whole) })
+// SetWorkers applies entries of the platform's list of workers, and the ids of workers whose
+// entries were removed. If whole is set, listed is the complete list.
+func (ow *Owner) SetWorkers(listed []WorkerEntry, removed []string, whole bool) {
+	ow.post(func() { ow.setWorkers(listed, removed, whole) })
 }
 
-func (ow *Owner) setWorkers(listed []WorkerEntry, gone []string, whole bool) {
+func (ow *Owner) setWorkers(listed []WorkerEntry, removed []string, whole bool) {
 	for _, li := range listed {
 		if li.Undecodable {
 			ow.retainWorker(li.Incarnation.ID)
@@ -132,16 +138,16 @@
 		}
 		ow.updateWorker(li)
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		ow.unlistWorker(id)
 	}
 	if whole {
-		named := map[string]bool{}
+		listedIDs := map[string]bool{}
 		for _, li := range listed {
-			named[li.Incarnation.ID] = true
+			listedIDs[li.Incarnation.ID] = true
 		}
 		for _, ho := range ow.sortedWorkers() {
-			if !named[ho.incarnation.ID] {
+			if !listedIDs[ho.incarnation.ID] {
 				ho.markUnlisted()
 			}
 		}
@@ -149,14 +155,14 @@
 	ow.due = true
 }
 
-// retainWorker takes a worker as listed of which no more is known.
+// retainWorker marks a known worker as listed though its entry could not be decoded.
 func (ow *Owner) retainWorker(id string) {
 	if ho := ow.soleIncarnation(id); ho != nil {
 		ho.unlisted, ho.evacuationLogged = false, false
 	}
 }
 
-// updateWorker enters or updates a worker.
+// updateWorker adds or updates a worker from its entry.
 func (ow *Owner) updateWorker(li WorkerEntry) {
 	ho := ow.workerOfEntry(li)
 	if ho == nil {
@@ -171,7 +177,7 @@
 	}
 }
 
-// update takes in what the worker's entry says now.
+// update applies the current entry of the worker.
 func (ho *workerState) update(li WorkerEntry) {
 	if ho.Draining != li.Draining || ho.unlisted {
 		ho.ow.Log.Info("worker changed", "worker", ho.incarnation, "draining", li.Draining, "listed", true)
@@ -182,7 +188,7 @@
 	ho.WorkerEntry, ho.unlisted, ho.evacuationLogged = li, false, false
 }
 
-// addWorker enters a worker that was not known.
+// addWorker adds a worker and starts to poll it.
 func (ow *Owner) addWorker(li WorkerEntry) *workerState {
 	ow.Log.Info("worker seen", "worker", li.Incarnation, "addr", li.HostPort, "service", li.Service, "rack", li.Rack,
 		"millicores", li.Capacity.MilliCores, "mem_mb", li.Capacity.MemMB, "draining", li.Draining)
@@ -202,15 +208,15 @@
 	return ho
 }
 
-// unlistWorker notes that the list no longer has a worker.
+// unlistWorker marks all incarnations of a worker as unlisted.
 func (ow *Owner) unlistWorker(id string) {
 	for _, ho := range slices.Clone(ow.byID[id]) {
 		ho.markUnlisted()
 	}
 }
 
-// markUnlisted notes that the list no longer has the worker. It stays as long as it may run
-// something.
+// markUnlisted records that the list has no entry of the worker any more. The worker stays
+// known as long as it may run an attempt.
 func (ho *workerState) markUnlisted() {
 	if ho.unlisted {
 		return
@@ -222,8 +228,8 @@
 	ow.removeIfIdle(ho)
 }
 
-// removeIfIdle forgets a worker that is gone and runs nothing. One that is dead stays known
-// while it is listed, so that it is not met again.
+// removeIfIdle removes an unlisted worker that has no attempts. A dead worker stays known
+// while it is listed, so that its entry does not add it again.
 func (ow *Owner) removeIfIdle(ho *workerState) {
 	if !ho.unlisted || len(ho.attempts) > 0 {
 		return
@@ -231,7 +237,7 @@
 	ho.deregister()
 }
 
-// deregister takes the worker for one that was never seen.
+// deregister removes the worker from the owner's state, as if it had never been seen.
 func (ho *workerState) deregister() {
 	ow := ho.ow
 	ho.disconnect()
@@ -240,7 +246,8 @@
 	ow.sorted = nil
 }
 
-// removeFromIndex takes a worker off a list, and the list off its map once it is empty.
+// removeFromIndex removes a worker from the slice under a key, and the key once its slice is
+// empty.
 func removeFromIndex(lists map[string][]*workerState, key string, ho *workerState) {
 	lists[key] = slices.DeleteFunc(lists[key], func(other *workerState) bool { return other == ho })
 	if len(lists[key]) == 0 {
@@ -248,13 +255,13 @@
 	}
 }
 
-// disconnect ends the looks at the worker and frees the way to it.
+// disconnect stops the polls of the worker and frees its path.
 func (ho *workerState) disconnect() {
 	ow := ho.ow
 	ho.stopPolling()
 	if ow.DroppedFunc != nil {
 		ow.DroppedFunc(ho.incarnation)
-		// Its way was chosen by what its entry told.
+		// The path was chosen by the incarnation in the entry, which may differ.
 		if ho.Incarnation != ho.incarnation {
 			ow.DroppedFunc(ho.Incarnation)
 		}
@@ -262,7 +269,7 @@
 	removeFromIndex(ow.byAddr, ho.HostPort, ho)
 }
 
-// removeAttempt takes an attempt off the worker.
+// removeAttempt removes an attempt and its resources from the worker.
 func (ho *workerState) removeAttempt(at *attempt) {
 	if !ho.attempts[at] {
 		return
@@ -279,7 +286,7 @@
 	}
 }
 
-// addAttempt enters an attempt.
+// addAttempt adds an attempt and its resources to the worker.
 func (ho *workerState) addAttempt(at *attempt) {
 	ho.attempts[at] = true
 	ho.reserved = ho.reserved.With(at.step().Reserved())
@@ -298,21 +305,23 @@
 	at.en.attempts[at.ref] = at
 }
 
-// available reports whether the worker may be given something new, but for a task that is tried
-// alone there.
+// available reports whether the worker may get new attempts, not counting the restriction to
+// an isolated task.
 func (ho *workerState) available(now time.Time) bool {
-	why := ho.unavailableReason(now)
-	return why == "" || why == unavailableTrial
+	reason := ho.unavailableReason(now)
+	return reason == "" || reason == unavailableTrial
 }
 
-// barTrial is why a worker gets nothing new while a task is tried alone there, barFailing
-// why it gets nothing but what finds room nowhere else.
+// Reasons of unavailableReason that do not hold for every task.
 const (
-	unavailableTrial   = "trial"
+	// unavailableTrial: a suspect task runs isolated there.
+	unavailableTrial = "trial"
+	// unavailableFailing: attempts fail there. The worker gets only tasks that fit nowhere
+	// else.
 	unavailableFailing = "failing"
 )
 
-// unavailableReason returns why the worker may not be given anything new, or nothing if it may.
+// unavailableReason returns why the worker may not get new attempts, or "" if it may.
 func (ho *workerState) unavailableReason(now time.Time) string {
 	switch {
 	case ho.dead:
@@ -335,7 +344,8 @@
 	return ""
 }
 
-// earliestClock is the worker's clock now, at the earliest.
+// earliestClock returns a lower bound of the worker's clock at a time, in milliseconds, or 0
+// if the clock was never read.
 func (ho *workerState) earliestClock(now time.Time) int64 {
 	if ho.clockAt.IsZero() {
 		return 0
@@ -344,9 +354,9 @@
 	return ho.clockMS + int64(passed*(1-clockDrift))
 }
 
-// nextLeaseEnd returns the end of leases to tell the worker now, or 0 if its clock
-// is not known, the tenure was not confirmed for too long, or the next owner may read that
-// it gets none.
+// nextLeaseEnd returns the lease end to send to the worker now, by its clock in milliseconds.
+// It returns 0 if the clock is not known, the tenure was not confirmed recently enough, or the
+// silent row, which the next owner may read, says that the worker gets no lease.
 func (ho *workerState) nextLeaseEnd(now time.Time) int64 {
 	te := &ho.ow.Tenure
 	age := now.Sub(te.LastBacked())
@@ -359,21 +369,23 @@
 	return until
 }
 
-// leaseDuration is how long a lease may be that is told so long after the tenure was last
-// confirmed. No lease outlives what its owner may claim: else the next one has to wait for
-// a whole lease after the last moment at which the former could have told one.
-func leaseDuration(age, most time.Duration) time.Duration {
-	return max(min(most, tenure.LeasesFor-age), 0)
+// leaseDuration returns how long a lease may be if the tenure was last confirmed age ago. No
+// lease outlives the period that the confirmation covers. Otherwise the next owner would have
+// to wait for a whole lease after the last moment at which the former one could extend it.
+func leaseDuration(age, maxLease time.Duration) time.Duration {
+	return max(min(maxLease, tenure.LeasesFor-age), 0)
 }
 
-// markSettled notes that the worker obeys this owner, and that a former one may have extended
-// its leases until just now: also if this one never does.
+// markSettled records that the worker accepts this owner's fencing token. A former owner may
+// have extended the worker's leases until now, so they count as extended by a full lease even
+// if this owner never extends them.
 func (ho *workerState) markSettled() {
 	ho.settled = true
 	ho.leaseUntilMS = max(ho.leaseUntilMS, ho.clockMS+ho.ow.Limits.MaxLease.Milliseconds())
 }
 
-// recordClock notes what the worker's clock read.
+// recordClock records a reading of the worker's clock. Readings behind the lower bound are
+// ignored, and logged if they are far behind.
 func (ho *workerState) recordClock(clockMS int64, at time.Time) {
 	if clockMS == 0 {
 		return
@@ -381,16 +393,17 @@
 	if earliest := ho.earliestClock(at); clockMS >= earliest {
 		ho.clockMS, ho.clockAt = clockMS, at
 	}
-	if back := time.Duration(ho.clockMS-clockMS) * time.Millisecond; back > maxClockRegression {
-		ho.ow.Log.Warn("worker's clock went back", "worker", ho.incarnation, "by", back, "clock_ms", clockMS, "attempts", len(ho.attempts))
+	if regression := time.Duration(ho.clockMS-clockMS) * time.Millisecond; regression > maxClockRegression {
+		ho.ow.Log.Warn("worker's clock went back", "worker", ho.incarnation, "by", regression, "clock_ms", clockMS, "attempts", len(ho.attempts))
 	}
 }
 
-// maxClockRegression is how far the reading of a worker's clock may be behind the last one, as
-// answers on different connections pass each other.
+// maxClockRegression is how far a reading may be behind the last one without a warning:
+// answers on different connections can arrive out of order.
 const maxClockRegression = 3 * time.Second
 
-// tick looks at what time alone changes.
+// tick handles what changes with time alone: the end of trials, idle unlisted workers and
+// lapsed leases.
 func (ho *workerState) tick(now time.Time) {
 	ho.tickTrial(now)
 	if len(ho.attempts) == 0 {
@@ -405,8 +418,8 @@
 	}
 }
 
-// leasesLapsed reports whether every lease that the worker can have been given has
-// ended by the slowest clock.
+// leasesLapsed reports whether every lease that the worker may have been given has lapsed by
+// the slowest clock.
 func (ho *workerState) leasesLapsed(now time.Time) bool {
 	if !ho.settled {
 		return now.After(ho.unsettledUntil())
@@ -415,33 +428,34 @@
 	return earliest > ho.leaseUntilMS+lapseMargin.Milliseconds()
 }
 
-// formerLeasesLapsed reports whether attempts ordered by a former owner have ended on
-// a worker that cannot be reached.
+// formerLeasesLapsed reports whether all attempts that former owners ordered from an
+// unreachable worker have ended.
 func (ow *Owner) formerLeasesLapsed(incarnation worker.Incarnation, now time.Time) bool {
 	return now.After(ow.formerLeasesUntil(incarnation))
 }
 
-// formerLeasesUntil returns when such attempts have ended at the latest: when the
-// former owner said so as it released the cell, also if that is later than by its own
-// leases, or once leases have lapsed since the last moment at which it can have
-// extended them, and those that former owners can claim at all.
+// formerLeasesUntil returns when such attempts have ended at the latest. If the former owner
+// stated it when it released the cell, that holds, even if it is later than the leases of the
+// former owner itself would give. Otherwise it is a lease after the last moment at which a
+// former owner can have extended one, but not later than the bound on all leases that former
+// owners can claim.
 func (ow *Owner) formerLeasesUntil(incarnation worker.Incarnation) time.Time {
 	if ms, ok := ow.Tenure.Former.SilentMS[incarnation.String()]; ok {
 		return ow.opened.Add(time.Duration(ms)*time.Millisecond + lapseMargin)
 	}
-	extended, most := ow.formerLeaseBounds()
+	extended, lapsed := ow.formerLeaseBounds()
 	if ended := ow.Tenure.FormerEnded(); !ended.IsZero() && ended.Before(extended) {
 		extended = ended
 	}
 	until := extended.Add(maxDriftDuration(ow.Limits.MaxLease))
-	if ow.Tenure.Former.Bounded && most.Before(until) {
-		until = most
+	if ow.Tenure.Former.Bounded && lapsed.Before(until) {
+		until = lapsed
 	}
 	return until.Add(lapseMargin)
 }
 
-// formerLeaseBounds returns until when former owners can have extended leases at the latest, and
-// until when their leases run that keep to what confirmed their owners.
+// formerLeaseBounds returns the latest time at which former owners can have extended leases,
+// and the latest end of those leases that stay within the confirmation of their owners.
 func (ow *Owner) formerLeaseBounds() (extended, lapsed time.Time) {
 	te, unconfirmed := &ow.Tenure, ow.opened
 	if te.FormerUnconfirmed != nil {
@@ -449,30 +463,29 @@
 	}
 	extended, lapsed = unconfirmed.Add(tenure.ExtendFor), unconfirmed.Add(maxDriftDuration(tenure.LeasesFor))
 	if unconfirmed.IsZero() {
-		most := ow.opened.Add(maxDriftDuration(tenure.VouchedFor))
-		extended, lapsed = most, most
+		latest := ow.opened.Add(maxDriftDuration(tenure.VouchedFor))
+		extended, lapsed = latest, latest
 	}
 	if te.FormerLapse != nil {
-		if said := te.FormerLapse(); !said.IsZero() && said.Before(lapsed) {
-			lapsed = said
+		if stated := te.FormerLapse(); !stated.IsZero() && stated.Before(lapsed) {
+			lapsed = stated
 		}
 	}
 	return extended, lapsed
 }
 
-// minDriftDuration is how long a time may be by a slow clock so that it is over once it has passed by
-// a fast one.
+// minDriftDuration returns how long a period may be by a slow clock so that it is surely over
+// once d has passed by a fast one.
 func minDriftDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - clockDrift) / (1 + clockDrift))
 }
 
-// maxDriftDuration is how long it takes at most until a time has passed by a slow clock, as measured
-// by a fast one.
+// maxDriftDuration returns how long d by a slow clock can take as measured by a fast one.
 func maxDriftDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + clockDrift) / (1 - clockDrift))
 }
 
-// sortedWorkers returns the workers in an order that does not change.
+// sortedWorkers returns the workers in a stable order, by id and start.
 func (ow *Owner) sortedWorkers() []*workerState {
 	if ow.sorted != nil {
 		return ow.sorted
