--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -9,10 +9,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// pollOthers has the workers asked at once that are known at the address of one that was
-// just listed, or under its id. Which of them lives only an answer can tell: the entry of one
-// that crashed stays for three heartbeats, and may be written once more after that of the
-// next.
+// pollOthers makes the owner poll at once the workers known at the address of a worker that
+// was just listed, or under its id. Only an answer shows which of them runs: the entry of a
+// crashed process stays for three heartbeats, and may be written once more after that of the
+// next one.
 func (ow *Owner) pollOthers(li WorkerEntry) {
 	for _, other := range ow.sameAddrOrID(li.Addr) {
 		ow.Log.Info("another process is listed at a worker's address or under its id", "worker", other.incarnation, "addr", li.HostPort, "other", li.Incarnation,
@@ -21,9 +21,9 @@
 	}
 }
 
-// supersedeOthers notes that the worker answered to a look. Another one at its address that
-// answered before the look was sent has ended, as one process listens at a time, and so has
-// another life that was known before.
+// supersedeOthers handles that the worker answered a poll. One process at a time listens at an
+// address, so another worker there that last answered before the poll was sent has ended. So
+// has another incarnation of the worker that was known before that.
 func (ho *workerState) supersedeOthers(sent time.Time) {
 	if len(ho.ow.byAddr[ho.HostPort]) < 2 && len(ho.ow.byID[ho.incarnation.ID]) < 2 {
 		return
@@ -32,7 +32,8 @@
 		switch {
 		case other == ho || other.dead:
 		case other.incarnation.ID == ho.incarnation.ID:
-			// One process at a time has an id, and the other began before this one answered.
+			// One process at a time has an id, and the other one started before this one
+			// answered.
 			if other.firstSeen.Before(sent) {
 				other.supersedeBy(ho)
 			}
@@ -42,7 +43,8 @@
 	}
 }
 
-// sameAddrOrID returns the workers known at an address, and those with the id of the one there.
+// sameAddrOrID returns the workers known at an address and those known with the id of its
+// worker, including that worker.
 func (ow *Owner) sameAddrOrID(ad worker.Addr) []*workerState {
 	list := slices.Clone(ow.byAddr[ad.HostPort])
 	for _, ho := range ow.byID[ad.Incarnation.ID] {
@@ -53,8 +55,8 @@
 	return list
 }
 
-// markDead notes that the worker's process has ended, and all that it ran. The other process
-// at its address is by, if that is known.
+// markDead records that the worker's process has ended, and with it all its attempts. The
+// process that replaced it at its address is by, if that is known.
 func (ho *workerState) markDead(why string, by worker.Incarnation) {
 	if ho.dead {
 		return
@@ -66,15 +68,16 @@
 	ho.ow.removeIfIdle(ho)
 }
 
-// endLapsed notes that the leases have lapsed of all that was ordered there. A worker
-// without an entry has most likely ended, and may be back at another address; one that
-// is listed, or may be if the list is in trouble, is cut off.
+// endLapsed ends all attempts on a worker whose leases have lapsed. The process of a worker
+// without an entry has most likely ended and may be back at another address, so its attempts
+// may be blamed for a crash. A worker that is listed, or whose entry may be missing only
+// because the list is unreliable, counts as unreachable.
 func (ho *workerState) endLapsed(now time.Time) {
 	ho.endAll(ho.unlisted && !ho.leftAsPlanned() && ho.ow.listSound(now), "its leases have lapsed")
 }
 
-// endAll notes the end of all that stood on a lost worker, and who may have ended it if its
-// process has, other than by a planned end.
+// endAll ends all attempts on a lost worker. If crashed is set, its process ended unplanned,
+// and the ends say which attempts may have caused that.
 func (ho *workerState) endAll(crashed bool, why string) {
 	var le lostEnds
 	for at := range ho.attempts {
@@ -85,8 +88,8 @@
 	ho.ow.logLost(ho.incarnation, le, why, ho.quietFor(time.Now()))
 }
 
-// lossEnd is how an attempt ended on a worker that was lost, and whose process has ended
-// other than by a planned end if crashed is set.
+// lossEnd returns how the attempt ended on a lost worker; crashed says that the worker's
+// process ended unplanned.
 func (at *attempt) lossEnd(crashed bool) job.End {
 	switch {
 	case at.ends != "":
@@ -97,14 +100,13 @@
 	return job.EndLapsed
 }
 
-// endDead notes the end of all that stood on a worker whose process has ended, and who may
-// have ended it.
+// endDead ends all attempts on a worker whose process has ended.
 func (ho *workerState) endDead(why string) {
 	ho.endAll(ho.recordCrash(), why)
 }
 
-// recordCrash reports whether the worker, whose process has ended, ended other than by a
-// planned end, and counts it.
+// recordCrash reports whether the worker, whose process has ended, ended unplanned, and counts
+// it in that case.
 func (ho *workerState) recordCrash() bool {
 	if ho.leftAsPlanned() {
 		return false
@@ -120,13 +122,13 @@
 	return "some"
 }
 
-// leftAsPlanned reports whether the worker, which has ended, was to: it drained, or still answered
-// after its entry went.
+// leftAsPlanned reports whether the worker, whose process has ended, was expected to: it
+// drained, or still answered after its entry was removed.
 func (ho *workerState) leftAsPlanned() bool {
 	return ho.Draining || (ho.unlisted && ho.lastPoll.After(ho.unlistedAt))
 }
 
-// crashEnd is what the end of its worker's process means for an attempt.
+// crashEnd returns how the attempt ended if its worker's process crashed.
 func (at *attempt) crashEnd() job.End {
 	ran := at.observed().ran
 	switch {
@@ -135,18 +137,18 @@
 	case ran >= crashBlameLimit:
 		return job.EndLapsed
 	case ran >= startupDuration, at.ho.unresponsive, !at.inherited && at.launched.IsZero():
-		// What was silent first may have ended long after that, and an order without an
-		// answer may have been the worker's end or come after it. Former owners' orders
-		// count as answered: most were, and a task that outlives its owners in this way
-		// would be started for ever.
+		// An unresponsive worker may have ended long after it stopped answering, and an order
+		// without an answer may have ended the worker or come after its end. Orders of former
+		// owners count as answered: most were, and otherwise a task whose crashes always
+		// coincide with a change of owner would be started forever.
 		return job.EndLost
 	}
 	return job.EndCrashed
 }
 
-// unseenEnd is what it means for an attempt that its worker was never seen by this
-// owner. If the list of workers is sound, its process has ended: nothing that runs is
-// without an entry for so long.
+// unseenEnd returns how an attempt ended whose worker this owner never saw. If the list of
+// workers is reliable, the worker's process has ended, since no running process goes without
+// an entry for so long.
 func unseenEnd(pr job.Proof, listSound bool) job.End {
 	switch {
 	case pr == job.Lasting:
@@ -157,7 +159,7 @@
 	return job.EndCrashed
 }
 
-// minRunTime is for how long an attempt was at work at least, by what its row says.
+// minRunTime returns how long an attempt ran at least, by its row.
 func minRunTime(pr job.Proof) time.Duration {
 	switch pr {
 	case job.Begun:
@@ -168,22 +170,23 @@
 	return 0
 }
 
-// Times of attempts at work, as looks list them.
+// Run times of attempts, as polls list them.
 const (
-	// startupDuration is after how long an attempt has got over its start, at which a program
-	// that takes its host down does so: 10 ms as users saw it.
+	// startupDuration is the run time after which an attempt is past its startup: a program
+	// that crashes its host does so 10 ms after it starts.
 	startupDuration = 500 * time.Millisecond
-	// crashBlameLimit is after how long the ends of workers are not put down to a task any
-	// more: three times what a crashed worker takes to come back, so that a task which
-	// crashes its worker later than that costs one of 48 workers a quarter of its time.
+	// crashBlameLimit is the run time after which an attempt is no longer blamed for the crash
+	// of its worker. It is three times as long as a crashed worker takes to come back, so a
+	// task that crashes its worker later than that costs one of 48 workers a quarter of its
+	// time.
 	crashBlameLimit = 10 * time.Second
 )
 
-// observation are what was seen of an attempt.
+// observation is what was observed of an attempt.
 type observation struct {
-	// acked is set if the worker acknowledged its order, or listed it.
+	// acked is set if the worker acknowledged the order or listed the attempt.
 	acked bool
-	// ran is how long it is known to have run, by its row and the last look that listed it.
+	// ran is how long it ran at least, by its row and the last poll that listed it.
 	ran time.Duration
 }
 
@@ -195,9 +198,8 @@
 	return se
 }
 
-// logDeath tells of the end of a worker's process what its attempts are judged by: when
-// it was last heard of, whether it was about to leave, and how many orders it had not
-// answered.
+// logDeath logs the end of a worker's process, with what decides how its attempts ended: the
+// last contact, whether it was about to leave, and how many orders it had not answered.
 func (ho *workerState) logDeath(why string, by worker.Incarnation, now time.Time) {
 	unanswered := 0
 	for at := range ho.attempts {
@@ -213,7 +215,7 @@
 		"heard", ho.quietFor(now), "failing_for", elapsedSince(now, ho.failingSince), "silent", ho.unresponsive, "listed", !ho.unlisted, "gone_for", goneFor, "draining", ho.Draining)
 }
 
-// elapsedSince is how long ago something began, or 0 if it did not.
+// elapsedSince returns the time since began, or 0 if began is zero.
 func elapsedSince(now, began time.Time) time.Duration {
 	if began.IsZero() {
 		return 0
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -9,19 +9,18 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// A worker's process may start again under its id. All that the owner knows of a process is
-// kept by its life, as of any other worker; what makes lives of one worker special is that
-// an order for one of them is carried out by whichever has the id when it arrives. So what
-// was ordered from a life that has ended is taken to run on the next one until that has
-// answered a look with a higher fencing token: by then it has carried out such an order, and
-// lists it, or never will.
-
-// maxOrderDelay is how long after it was sent an order may be carried out whose answer did
-// not come.
+// A worker's process may restart under the same id. The owner keeps its state by incarnation,
+// so the processes of a worker are separate workers to it. They differ from other workers in
+// one respect: an order for one incarnation is carried out by whichever has the id when the
+// order arrives. So an attempt that was ordered from an ended incarnation counts as running on
+// the next one until that has answered a poll with a higher fencing token. By then it either
+// has carried out the order and lists the attempt, or never will.
+
+// maxOrderDelay is how long after it was sent an unanswered order may still be carried out.
 const maxOrderDelay = 5 * time.Second
 
-// workerOfEntry returns the worker that an entry is of, or nil. An entry that does not tell
-// when the process started is of the one life that is known.
+// workerOfEntry returns the worker of an entry, or nil. An entry without the start time of the
+// process belongs to the only incarnation that is known.
 func (ow *Owner) workerOfEntry(li WorkerEntry) *workerState {
 	if ho := ow.hosts[li.Incarnation]; ho != nil || li.Incarnation.Born != 0 {
 		return ho
@@ -29,8 +28,8 @@
 	return ow.soleIncarnation(li.Incarnation.ID)
 }
 
-// soleIncarnation returns the life of a worker that is not known to have ended, or nil if there is
-// none or more than one.
+// soleIncarnation returns the incarnation of a worker that is not known to have ended. It
+// returns nil if there is none, or more than one.
 func (ow *Owner) soleIncarnation(id string) *workerState {
 	var only *workerState
 	for _, ho := range ow.byID[id] {
@@ -45,8 +44,8 @@
 	return only
 }
 
-// unlistOthers notes that the list has no other life of the worker. Which of them lives
-// their answers tell: entries may come late.
+// unlistOthers marks the other incarnations of the worker as unlisted. Which of them runs is
+// decided by their answers, as entries may come late.
 func (ho *workerState) unlistOthers() {
 	for _, other := range slices.Clone(ho.ow.byID[ho.incarnation.ID]) {
 		if other != ho {
@@ -55,7 +54,7 @@
 	}
 }
 
-// handleOtherIncarnation takes in that another life answered what the worker was asked.
+// handleOtherIncarnation handles that another incarnation answered a request to this one.
 func (ho *workerState) handleOtherIncarnation(answered worker.Incarnation) {
 	if ho.dead || answered == ho.incarnation {
 		return
@@ -75,15 +74,15 @@
 	}
 }
 
-// reportIncarnation takes in the error of an order or a look, from any goroutine: another life may
-// have answered.
+// reportIncarnation handles the error of an order or a poll, in which another incarnation may
+// have answered. It may be called from any goroutine.
 func (ho *workerState) reportIncarnation(err error) {
 	if le := (*worker.LifeError)(nil); errors.As(err, &le) {
 		ho.ow.post(func() { ho.handleOtherIncarnation(le.Answered) })
 	}
 }
 
-// setIncarnation takes in which life the worker is, whose entry does not tell.
+// setIncarnation sets the incarnation of a worker whose entry does not have it.
 func (ho *workerState) setIncarnation(answered worker.Incarnation) {
 	delete(ho.ow.hosts, ho.incarnation)
 	ho.incarnation = answered
@@ -94,8 +93,8 @@
 	wake(ho.pathChanged)
 }
 
-// addSuccessor enters a life that answered before its entry was seen. That entry tells what it
-// holds, so until then it gets nothing new.
+// addSuccessor adds an incarnation that answered before its entry was seen. Its capacity is in
+// that entry, so until then it gets no new attempts.
 func (ho *workerState) addSuccessor(answered worker.Incarnation) *workerState {
 	li := ho.WorkerEntry
 	li.Incarnation = answered
@@ -108,8 +107,8 @@
 	return next
 }
 
-// supersedeBy notes that the worker's process has ended, as another life of the worker
-// answered. What it was ordered is decided by what the other one lists.
+// supersedeBy records that the worker's process has ended, as another incarnation of the
+// worker answered. Its attempts move to that one, whose lists decide which of them run.
 func (ho *workerState) supersedeBy(next *workerState) {
 	ho.dead = true
 	ho.logDeath("another life of the worker answers", next.incarnation, time.Now())
@@ -131,7 +130,7 @@
 	ho.ow.removeIfIdle(ho)
 }
 
-// confirmRunning notes that an order for a life before was carried out by this one.
+// confirmRunning records that this incarnation carried out an order for an earlier one.
 func (ho *workerState) confirmRunning(at *attempt) {
 	ho.ow.Log.Info("order for a life before was carried out", "task", taskID(at), "attempt", at.number, "worker", ho.incarnation)
 	at.ends = ""
@@ -139,15 +138,15 @@
 	ho.ow.touch(at.en)
 }
 
-// raiseFence has the worker be told a fencing token that is higher than all before.
+// raiseFence sends the worker a fencing token above all earlier ones from now on.
 func (ho *workerState) raiseFence() {
 	wa := ho.wayNow()
 	wa.fence = ho.ow.nextFence()
 	ho.path.Store(&wa)
 }
 
-// unsettle has the worker answer a look with its present fencing token before more is
-// ordered there.
+// unsettle requires the worker to answer a poll with its current fencing token before it gets
+// new attempts.
 func (ho *workerState) unsettle() {
 	now := time.Now()
 	ho.settled, ho.settleFence = false, ho.wayNow().fence
@@ -156,12 +155,12 @@
 	wake(ho.pathChanged)
 }
 
-// unsettledUntil is when all has ended at the latest that may run on a worker which has not
-// settled.
+// unsettledUntil returns when all attempts that may run on an unsettled worker have ended at
+// the latest.
 func (ho *workerState) unsettledUntil() time.Time {
 	until := ho.ow.formerLeasesUntil(ho.incarnation)
-	for _, life := range ho.formerIncarnations {
-		if other := ho.ow.formerLeasesUntil(life).Add(maxOrderDelay); other.After(until) {
+	for _, in := range ho.formerIncarnations {
+		if other := ho.ow.formerLeasesUntil(in).Add(maxOrderDelay); other.After(until) {
 			until = other
 		}
 	}
--- a/internal/sched/interrupted.go
+++ b/internal/sched/interrupted.go
@@ -6,10 +6,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// placeInterrupted starts the tasks that last and ran before, of jobs of one priority. What
-// they served is missed until they run again, so they go before tasks that never ran: those
-// of other jobs that last are many where room is short, and short tasks take each part of
-// it that gets free. The smallest go first, so that as many as can run again. A worker's room is kept for each that finds none.
+// placeInterrupted starts the interrupted long-running tasks of jobs of one priority. Their
+// services are down until they run again, so they start before tasks that never ran: where
+// capacity is short, many of those wait too, and short tasks take each piece that becomes
+// free. The smallest tasks start first, so that as many as possible run again. For each task
+// that does not fit, a worker's capacity is reserved.
 func (pl *placer) placeInterrupted(list []*entry) {
 	var steps []longRunningStep
 	for _, en := range list {
@@ -25,7 +26,7 @@
 	}
 }
 
-// longRunningStep is a step whose tasks last.
+// longRunningStep is a step of long-running tasks.
 type longRunningStep struct {
 	en   *entry
 	step int
@@ -33,7 +34,8 @@
 
 func (ls longRunningStep) spec() *job.Step { return &ls.en.jo.Spec.Steps[ls.step] }
 
-// interrupted reports whether a task lasts, and has run before or was to.
+// interrupted reports whether a task is long-running and was started before, or was about to
+// be.
 func (en *entry) interrupted(ref job.TaskRef) bool {
 	return en.jo.Spec.Steps[ref.Step].Endless && en.jo.Task(ref).Attempt > 0
 }
--- a/internal/sched/lossreport.go
+++ b/internal/sched/lossreport.go
@@ -7,8 +7,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// lostEnds are the ends of what a lost worker ran, for one line: those of its attempts are
-// of a frequent kind, which is dropped in just such seconds.
+// lostEnds counts the ends of the attempts on a lost worker for one log line. The lines of the
+// single attempts are of a frequent kind, which is rate-limited in just such moments.
 type lostEnds struct {
 	attempts, longRunning int
 	verdicts              map[job.End]int
@@ -26,7 +26,8 @@
 	}
 }
 
-// logLost tells of the ends of what a lost worker ran, and how long ago it was last heard of.
+// logLost logs the ends of the attempts on a lost worker; quiet is the time since its last
+// contact.
 func (ow *Owner) logLost(incarnation worker.Incarnation, le lostEnds, why string, quiet time.Duration) {
 	if le.attempts == 0 {
 		return
--- a/internal/sched/reservation.go
+++ b/internal/sched/reservation.go
@@ -9,40 +9,42 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Tasks that last and stood on a worker that is lost may begin elsewhere only once its leases
-// have lapsed. What starts meanwhile and does not end by itself leaves them no room, so room
-// is promised to them from when their worker is missing on, and lasting tasks that never ran
-// start only beside it. Tasks that end by themselves may use it until then, and no longer
-// once those that were lost wait for it.
+// Long-running tasks of a lost worker can start elsewhere only once its leases have lapsed.
+// Tasks that start meanwhile and do not end by themselves would leave them no capacity. So
+// capacity is reserved for them as soon as their worker is likely to be lost, and long-running
+// tasks that never ran start only on what is left. Tasks that end by themselves may use the
+// reserved capacity until the interrupted tasks can start.
 
-// maxRestartReservations bounds the tasks to which room is promised, each a search of all workers at
-// worst.
+// maxRestartReservations bounds the tasks for which capacity is reserved, as each may take a
+// search of all workers.
 const maxRestartReservations = 500
 
-// pendingRestart is a task that is to begin again soon.
+// pendingRestart is an interrupted task that is expected to start again soon.
 type pendingRestart struct {
 	en *entry
 	st *job.Step
-	// ready is set once it may begin.
+	// ready is set once it may start.
 	ready bool
 }
 
-// restartReservations are what is kept for tasks that are to begin again. The zero value has none.
+// restartReservations summarizes the capacity reserved for tasks that are to start again. The
+// zero value means that none is.
 type restartReservations struct {
-	// active is set while there are any, priority is the highest of their jobs; jobs of a
-	// higher one need not heed them.
+	// active is set while there are such tasks, priority is the highest priority of their
+	// jobs. Jobs of a higher one ignore the reservations.
 	active   bool
 	priority int
-	// unmet counts the tasks for which no worker has enough room.
+	// unmet counts the tasks for which no worker has enough capacity.
 	unmet int
 }
 
-// appliesTo reports whether tasks of the job that never ran have to leave room.
+// appliesTo reports whether tasks of the job that never ran must leave the reserved capacity
+// free.
 func (pr *restartReservations) appliesTo(en *entry) bool {
 	return pr.active && en.jo.Terms.Priority >= pr.priority
 }
 
-// likelyLost reports whether the worker is likely to be lost with all that stands there.
+// likelyLost reports whether the worker has attempts and is likely to be lost with them.
 func (ho *workerState) likelyLost(now time.Time) bool {
 	if ho.dead || len(ho.attempts) == 0 {
 		return false
@@ -50,7 +52,7 @@
 	return ho.unlisted && !ho.failingSince.IsZero() || !ho.noContactSince.IsZero() && now.Sub(ho.noContactSince) >= unresponsiveAfter
 }
 
-// reserveForRestarts promises room to the lasting tasks that are to begin again.
+// reserveForRestarts reserves capacity for the long-running tasks that are to start again.
 func (ow *Owner) reserveForRestarts(now time.Time) {
 	if !ow.uses(MechKeepRoom) {
 		return
@@ -60,11 +62,11 @@
 		return
 	}
 	ow.promises = restartReservations{active: len(list) > 0}
-	var rooms []reservableWorker
+	var workers []reservableWorker
 	for _, ho := range ow.sortedWorkers() {
 		ho.restartReserved, ho.restartReady = worker.Resources{}, false
 		if ho.available(now) {
-			rooms = append(rooms, reservableWorker{ca: newCandidate(ho, now), free: ho.Capacity.Without(ho.reserved).With(ho.finiteReserved)})
+			workers = append(workers, reservableWorker{ca: newCandidate(ho, now), free: ho.Capacity.Without(ho.reserved).With(ho.finiteReserved)})
 		}
 	}
 	slices.SortFunc(list, func(a, b pendingRestart) int {
@@ -74,7 +76,7 @@
 		if i == 0 || ex.en.jo.Terms.Priority < ow.promises.priority {
 			ow.promises.priority = ex.en.jo.Terms.Priority
 		}
-		ho := ex.reserve(rooms)
+		ho := ex.reserve(workers)
 		if ho == nil {
 			ow.promises.unmet++
 			continue
@@ -88,29 +90,31 @@
 	return cmp.Or(cmp.Compare(b.Reserved().MilliCores, a.Reserved().MilliCores), cmp.Compare(b.Reserved().MemMB, a.Reserved().MemMB))
 }
 
-// reservableWorker is a worker, and what is left of its room once what ends by itself has ended.
+// reservableWorker is a worker and its capacity that is not reserved and not in use by
+// long-running tasks.
 type reservableWorker struct {
 	ca   *candidate
 	free worker.Resources
-	// exhausted is set once all of it is promised.
+	// exhausted is set once all of it is reserved.
 	exhausted bool
 }
 
-// reserve promises room on the worker that keeps least beside it. If none has enough, all of
-// that which lacks least is promised, as more may get free there, and it returns nil.
-func (ex pendingRestart) reserve(rooms []reservableWorker) *workerState {
+// reserve reserves capacity on the worker with the least left that has enough, and returns it.
+// If none has enough, it reserves all of the worker that has the most left, as more may become
+// free there, and returns nil.
+func (ex pendingRestart) reserve(workers []reservableWorker) *workerState {
 	need := ex.st.Reserved()
-	var best, roomiest *reservableWorker
-	for i := range rooms {
-		ro := &rooms[i]
-		if ro.exhausted || !ro.ca.suitable(ex.en, ex.st) {
+	var best, largest *reservableWorker
+	for i := range workers {
+		rw := &workers[i]
+		if rw.exhausted || !rw.ca.suitable(ex.en, ex.st) {
 			continue
 		}
-		if need.Fits(ro.free) && (best == nil || ro.free.MilliCores < best.free.MilliCores) {
-			best = ro
+		if need.Fits(rw.free) && (best == nil || rw.free.MilliCores < best.free.MilliCores) {
+			best = rw
 		}
-		if roomiest == nil || ro.free.MilliCores > roomiest.free.MilliCores {
-			roomiest = ro
+		if largest == nil || rw.free.MilliCores > largest.free.MilliCores {
+			largest = rw
 		}
 	}
 	if best != nil {
@@ -118,15 +122,15 @@
 		best.ca.ho.restartReserved = best.ca.ho.restartReserved.With(need)
 		return best.ca.ho
 	}
-	if roomiest != nil {
-		roomiest.exhausted = true
-		roomiest.ca.ho.restartReserved = roomiest.ca.ho.Capacity
+	if largest != nil {
+		largest.exhausted = true
+		largest.ca.ho.restartReserved = largest.ca.ho.Capacity
 	}
 	return nil
 }
 
-// pendingRestarts returns the lasting tasks that are to begin again: those of workers that are
-// missing, and those that wait for room.
+// pendingRestarts returns the long-running tasks that are to start again: those on workers
+// that are likely lost and those that wait for capacity.
 func (ow *Owner) pendingRestarts(now time.Time) []pendingRestart {
 	var list []pendingRestart
 	for _, ho := range ow.sortedWorkers() {
@@ -153,7 +157,7 @@
 	return list[:min(len(list), maxRestartReservations)]
 }
 
-// appendWaitingRestarts adds the job's tasks that were interrupted and may begin now.
+// appendWaitingRestarts appends the job's interrupted tasks that may start now.
 func (en *entry) appendWaitingRestarts(list []pendingRestart, now time.Time) []pendingRestart {
 	for step, tasks := range en.jo.Tasks {
 		st := &en.jo.Spec.Steps[step]
@@ -170,7 +174,8 @@
 	return list
 }
 
-// appendUnownedRestarts adds the job's tasks on workers that were not seen since the takeover.
+// appendUnownedRestarts appends the job's tasks on workers that were not seen since the
+// takeover.
 func (en *entry) appendUnownedRestarts(list []pendingRestart) []pendingRestart {
 	for _, ref := range en.orphans {
 		if st := &en.jo.Spec.Steps[ref.Step]; st.Endless {
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -8,40 +8,41 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// A worker that ends takes along up to twenty attempts, of which one may have ended it.
-// Placed by the usual rules they would stand together again on the best worker, and go down
-// with it again. So those that are suspected go where fewest others stand, which parts
-// them from each other and from the rest. One that is given up at the next crash is tried
-// alone: on a worker where all others have got over their start, and nothing begins
-// beside it until it has too. Then that crash is put down to nobody else.
+// When a worker crashes, up to twenty attempts end with it, of which one may have caused the
+// crash. Placed by the usual rules they would all start again on the best worker and crash it
+// together. So suspect tasks, under which workers crashed, are spread: they go to the workers
+// where the fewest other attempts are starting, apart from each other and from other tasks. A
+// task that would be given up at the next crash runs isolated, on a worker where all other
+// attempts are past their startup, and nothing else starts there until it is past its own. A
+// crash in that time can only be caused by that task.
 
 // Times of trials.
 const (
-	// maxTrialWait is how long a trial may wait for the others on its worker to get over
-	// their start, of which none begins any more.
+	// maxTrialWait is how long a trial may wait until the other attempts on its worker are
+	// past their startup. No new ones start there meanwhile.
 	maxTrialWait = 2 * startupDuration
-	// trialInterval is the time between the choices of workers for the trials of a job: a
-	// process that ends breaks off its connections within some 10 ms.
+	// trialInterval is the time between the choices of workers for the trials of a job. When a
+	// process ends, its connections break off within some 10 ms.
 	trialInterval = 300 * time.Millisecond
 	// trialCrashWait is how long the next trial of a job waits while the worker of another one
-	// does not answer: one that crashed is back after some 3.2 s.
+	// does not answer: a crashed worker is back after some 3.2 s.
 	trialCrashWait = 4 * time.Second
 )
 
-// trial is a task that is tried alone on a worker, or is to be once others there have got
-// over their start.
+// trial is a suspect task that runs isolated on a worker, or waits there until the other
+// attempts are past their startup.
 type trial struct {
 	en  *entry
 	ref job.TaskRef
-	// at is nil until it begins, since is when the worker was chosen.
+	// at is nil until the task starts. since is when the worker was chosen.
 	at    *attempt
 	since time.Time
 }
 
 func (at *attempt) task() *job.Task { return at.en.jo.Task(at.ref) }
 
-// starting reports whether the attempt may still be at its start: its worker's looks would
-// have broken off since, had that crashed.
+// starting reports whether the attempt may still be in its startup. If the worker had crashed
+// since, its polls would fail.
 func (at *attempt) starting(now time.Time) bool {
 	if !at.ho.failingSince.IsZero() {
 		return true
@@ -49,7 +50,7 @@
 	return at.worked < startupDuration && (at.launched.IsZero() || now.Sub(at.launched) < startupDuration)
 }
 
-// endTrial lets others begin beside an attempt that was tried alone.
+// endTrial allows other attempts to start again on the worker after the isolated one.
 func (ho *workerState) endTrial(at *attempt) {
 	if ho.trial != nil && ho.trial.at == at {
 		ho.trial = nil
@@ -57,7 +58,7 @@
 	}
 }
 
-// tickTrial frees a worker whose trial got over its start, or will not begin.
+// tickTrial ends a trial whose attempt is past its startup, or that will not start.
 func (ho *workerState) tickTrial(now time.Time) {
 	tr := ho.trial
 	switch {
@@ -70,13 +71,13 @@
 	ho.ow.due = true
 }
 
-// pending reports whether a trial that has not begun will.
+// pending reports whether a trial that has not started still can.
 func (tr *trial) pending(ho *workerState, now time.Time) bool {
 	waiting := tr.en.jo.Task(tr.ref).State == job.Waiting && tr.en.jo.Ready(tr.ref.Step)
 	return waiting && ho.available(now) && now.Sub(tr.since) < 2*maxTrialWait
 }
 
-// trialWorker returns the worker that was chosen to try a task on, or nil.
+// trialWorker returns the worker that was chosen for the trial of a task, or nil.
 func (ow *Owner) trialWorker(en *entry, ref job.TaskRef) *workerState {
 	for _, ho := range ow.hosts {
 		if ho.trial != nil && ho.trial.en == en && ho.trial.ref == ref {
@@ -86,9 +87,9 @@
 	return nil
 }
 
-// trialUnresolved reports whether a worker on which a task of the job was tried alone does not
-// answer. Of several that crash their workers the first ends the job, if the others wait
-// for what becomes of it.
+// trialUnresolved reports whether a worker on which a task of the job runs isolated does not
+// answer. Where several tasks of a job crash their workers, the first of them ends the job if
+// the others wait for its outcome.
 func (en *entry) trialUnresolved(now time.Time) bool {
 	for _, at := range en.attempts {
 		if at.task().Alone() && !at.ho.failingSince.IsZero() && now.Sub(at.ho.failingSince) < trialCrashWait {
@@ -98,8 +99,7 @@
 	return false
 }
 
-// placeSuspect starts a task under which workers ended, where it does least harm if it
-// ends another.
+// placeSuspect starts a suspect task on the worker where another crash would cost least.
 func (pl *placer) placeSuspect(en *entry, ref job.TaskRef) {
 	if en.jo.Task(ref).Alone() {
 		pl.placeIsolated(en, ref)
@@ -113,8 +113,8 @@
 	pl.keepRoom(en, ref)
 }
 
-// placeIsolated starts a task alone, once the turn of its job has come and its worker is ready
-// for it.
+// placeIsolated starts a task isolated once no other trial of its job is unresolved and its
+// worker is ready.
 func (pl *placer) placeIsolated(en *entry, ref job.TaskRef) {
 	en.lack = CausePlace
 	if en.trialUnresolved(pl.now) {
@@ -136,7 +136,8 @@
 	}
 }
 
-// chooseTrialWorker chooses a worker to try a task on, or returns nil.
+// chooseTrialWorker chooses a worker for the trial of a task. It returns nil if the last
+// choice for the job was too recent, or no worker has the capacity.
 func (pl *placer) chooseTrialWorker(en *entry, ref job.TaskRef) *workerState {
 	if pl.now.Sub(en.triedAt) < trialInterval {
 		return nil
@@ -152,18 +153,19 @@
 	return ca.ho
 }
 
-// startSuspect starts a task under which workers ended.
+// startSuspect starts a suspect task and logs the conditions.
 func (pl *placer) startSuspect(en *entry, ref job.TaskRef, ca *candidate, how string) {
-	cr := ca.ho.occupancy(pl.now)
+	oc := ca.ho.occupancy(pl.now)
 	pl.ow.Metrics.Add(telemetry.SuspectStarts, 1, "how", how)
 	pl.ow.Log.Info("trying a task under which workers ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "worker", ca.ho.incarnation,
-		"crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses, "how", how, "beside", cr.attempts, "fresh", cr.starting)
+		"crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses, "how", how, "beside", oc.attempts, "fresh", oc.starting)
 	pl.start(en, ref, ca)
 	en.lack = CauseOrder
 }
 
-// leastOccupied returns the worker with room for the task on which fewest attempts are fresh,
-// then fewest serve within a target, then fewest stand, or nil.
+// leastOccupied returns the worker with capacity for the task that has the fewest starting
+// attempts, then the fewest with a latency target, then the fewest at all. It returns nil if
+// there is none.
 func (pl *placer) leastOccupied(en *entry, ref job.TaskRef) *candidate {
 	st := &en.jo.Spec.Steps[ref.Step]
 	var best *candidate
@@ -172,31 +174,31 @@
 		if !ca.fits(en, ref, st) {
 			continue
 		}
-		if cr := ca.ho.occupancy(pl.now); best == nil || cr.compare(least) < 0 {
-			best, least = ca, cr
+		if oc := ca.ho.occupancy(pl.now); best == nil || oc.compare(least) < 0 {
+			best, least = ca, oc
 		}
 	}
 	return best
 }
 
-// occupancy is what a worker's end would cost.
+// occupancy counts the attempts that a crash of a worker would end.
 type occupancy struct{ starting, services, attempts int }
 
 func (ho *workerState) occupancy(now time.Time) occupancy {
-	cr := occupancy{services: len(ho.services), attempts: len(ho.attempts)}
+	oc := occupancy{services: len(ho.services), attempts: len(ho.attempts)}
 	for at := range ho.attempts {
 		if at.starting(now) {
-			cr.starting++
+			oc.starting++
 		}
 	}
-	return cr
+	return oc
 }
 
-func (cr occupancy) compare(other occupancy) int {
-	return cmp.Or(cmp.Compare(cr.starting, other.starting), cmp.Compare(cr.services, other.services), cmp.Compare(cr.attempts, other.attempts))
+func (oc occupancy) compare(other occupancy) int {
+	return cmp.Or(cmp.Compare(oc.starting, other.starting), cmp.Compare(oc.services, other.services), cmp.Compare(oc.attempts, other.attempts))
 }
 
-// logGivenUp tells of a task that is not tried again, and why.
+// logGivenUp logs and counts a task that is not retried any more.
 func (ow *Owner) logGivenUp(en *entry, ref job.TaskRef, end job.End) {
 	ta := en.jo.Task(ref)
 	if ta.State != job.Failing {
--- a/internal/sched/timebreakdown.go
+++ b/internal/sched/timebreakdown.go
@@ -7,36 +7,38 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// Cause is what a job's time goes to. Each moment of a job has one, so that its
-// causes add up to its age.
+// Cause is what a job's time is spent on. At each moment a job has exactly one cause, so the
+// times of its causes add up to its age.
 type Cause int8
 
 // The causes.
 const (
-	// CauseOrder: a task waits for a write or for an order to reach its worker.
+	// CauseOrder: a task waits for a write, or for an order to reach its worker.
 	CauseOrder Cause = iota
-	// CauseWork: all tasks that may run do, at full speed.
+	// CauseWork: all tasks that can run do so at full speed.
 	CauseWork
-	// CausePaced: the same, but one of them is slowed for the sake of a service.
+	// CausePaced: all tasks that can run do so, but one of them is slowed down to protect a
+	// service.
 	CausePaced
-	// CauseRoom: a task waits, as no worker that it may run on has room.
+	// CauseRoom: a task waits because no worker that it may run on has the capacity.
 	CauseRoom
-	// CausePlace: a filler waits, as it would disturb services wherever it has
-	// room, or finds no idle processors there; or a task waits to be tried alone.
+	// CausePlace: a filler waits because it would disturb services wherever it fits, or finds
+	// no idle processors there; or a task waits to run isolated.
 	CausePlace
-	// CauseStop: an attempt is being stopped, to go on elsewhere.
+	// CauseStop: an attempt is being stopped, to continue on another worker.
 	CauseStop
-	// CauseStore: the store takes no writes.
+	// CauseStore: the store accepts no writes.
 	CauseStore
 
 	causes
 
-	// CauseRest: a task that lasts and failed several times in a row is not to begin yet.
-	// The time of such jobs is not added up, so it has no place among the others.
+	// CauseBackoff: a long-running task that failed several times in a row waits for its
+	// backoff to end. The time of such jobs is not accounted, so this cause is not counted
+	// with the others.
 	CauseBackoff = causes
 )
 
-// causeNames are the names of causes in logs and metrics.
+// causeNames are the names of the causes in logs and metrics.
 var causeNames = [causes]string{"order", "work", "paced", "room", "place", "stop", "store"}
 
 // String returns the cause's name.
@@ -47,32 +49,30 @@
 	return causeNames[ca]
 }
 
-// CauseNames returns the names of the causes that a job's time is added up by, in their
+// CauseNames returns the names of the causes that the time of a job is accounted to, in their
 // order.
 func CauseNames() []string { return causeNames[:] }
 
-// Waits that are told.
+// Logging of waits.
 const (
-	// firstWaitLog is how long a job waits before a line tells of it; the next one
-	// follows after twice as long, so that a job has few lines however long it
-	// waits.
+	// firstWaitLog is how long a job waits before that is logged. The next line follows after
+	// twice that wait, so the number of lines stays small however long a job waits.
 	firstWaitLog = time.Second
 )
 
-// timeBreakdown is what the time of a job went to.
+// timeBreakdown is a job's time by cause.
 type timeBreakdown struct {
 	byCause [causes]time.Duration
-	// accountedUntil is the moment up to which time is accounted for.
+	// accountedUntil is the time up to which byCause accounts for the job's age.
 	accountedUntil time.Time
-	// nextWaitLog is the wait after which a line tells of it.
+	// nextWaitLog is the wait after which the next line is logged.
 	nextWaitLog time.Duration
-	// failed and moved count its attempts that failed, and that were stopped to
-	// go on elsewhere.
+	// failed counts the attempts that failed, moved those stopped to continue elsewhere.
 	failed, moved int
 }
 
-// accountTime adds the time since the last look to what jobs that are not over spend
-// it on, and tells of those that wait. The time of jobs that last is not added up.
+// accountTime accounts the time since the last call to the current causes of the jobs that
+// have not ended, and logs those that wait. The time of long-running jobs is not accounted.
 func (ow *Owner) accountTime(now time.Time) {
 	down := ow.storeDown()
 	for _, en := range ow.entries {
@@ -86,7 +86,7 @@
 	}
 }
 
-// addTime books the time since the last look under a cause.
+// addTime accounts the time since the last call to a cause.
 func (en *entry) addTime(ca Cause, now time.Time) {
 	if en.spent.accountedUntil.IsZero() {
 		en.spent.accountedUntil = en.acceptedAt
@@ -95,7 +95,7 @@
 	en.spent.accountedUntil = now
 }
 
-// currentCause is what the job's time goes to now.
+// currentCause returns what the job's time is spent on now.
 func (en *entry) currentCause(storeDown bool) Cause {
 	switch {
 	case storeDown && (en.waiting > 0 || en.progVer == 0):
@@ -119,7 +119,7 @@
 	return worst
 }
 
-// attrs are the fields of log lines on a job's time, in milliseconds.
+// attrs returns the log attributes of a job's time, in milliseconds.
 func (sp *timeBreakdown) attrs() []slog.Attr {
 	list := make([]slog.Attr, 0, causes+2)
 	for ca, d := range sp.byCause {
@@ -128,7 +128,7 @@
 	return append(list, slog.Int("failed", sp.failed), slog.Int("moved", sp.moved))
 }
 
-// logWait writes a line on a job whose tasks have waited for long.
+// logWait logs a job whose tasks have waited for long.
 func (ow *Owner) logWait(en *entry, now time.Time) {
 	wait := now.Sub(en.waitingSince)
 	if en.waiting == 0 || wait < firstWaitLog {
@@ -155,7 +155,7 @@
 	ow.Log.LogAttrs(ow.ctx, slog.LevelInfo, "lasting tasks wait", append(named, attrs...)...)
 }
 
-// waitingStep returns the first step of which tasks wait, or -1.
+// waitingStep returns the first step with waiting tasks, or -1.
 func (en *entry) waitingStep() int {
 	for step := range en.jo.Spec.Steps {
 		if en.waitingOf(step) > 0 {
@@ -165,8 +165,7 @@
 	return -1
 }
 
-// logJobTime writes a line on what the time of a job that is over went to, and
-// counts it.
+// logJobTime logs and counts the time by cause of a job that has ended.
 func (ow *Owner) logJobTime(en *entry, now time.Time) {
 	if en.jo.Endless() {
 		return
@@ -180,7 +179,7 @@
 	ow.logTimeBreakdown("job time", en, now)
 }
 
-// logTimeBreakdown writes a line with what the time of a job went to.
+// logTimeBreakdown logs a job's time by cause.
 func (ow *Owner) logTimeBreakdown(msg string, en *entry, now time.Time, more ...slog.Attr) {
 	attrs := append([]slog.Attr{
 		slog.String("job", en.jo.ID), slog.String("queue", en.jo.Terms.Queue), slog.String("state", string(en.jo.State())),
