--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -21,27 +21,21 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// maxStarts is how often a task that crashes its workers may be started, as the users
-// state it: two times more after three workers have crashed under it.
+// maxStarts is how often a task that crashes its workers may be started: two times more after
+// three workers have crashed under it, as users require.
 const maxStarts = 5
 
-// firstTask is the name of the first task of job 1.
+// firstTask returns the name of the first task of job 1.
 func firstTask() string {
 	return job.New(jobID(1), job.Terms{}, batch(1, 1)).TaskID(job.TaskRef{})
 }
 
-// TestTaskThatCrashesItsWorkers is the story of a task that ends the process of each
-// worker which starts it.
-//
-// Users saw it started 35 times in 110 s; eight such tasks took 281 workers with them,
-// and 1,715 attempts that stood beside them. Order of events: a worker starts the task
-// and its process ends 10 ms later without a word; its entry goes after 2.1 s; 3.2 s
-// after the crash another process is listed at its address; all that stood on the worker
-// ends as lapsed, and starts again 15 ms later on other workers, the task among them.
-// Cause: the end of a worker counted against none of its attempts, in no owner's memory
-// and in no row, so nothing bounded the tries. Evidence: in the record attempts 6 and 7
-// follow each other within 15 ms of the news, among fifteen that end alike, with no failure
-// counted; under this test the starts never end, also with an owner for each crash.
+// TestTaskThatCrashesItsWorkers guards against a task that crashes each worker which starts it
+// and is started again without limit, 35 times in 110 s. The worker ends 10 ms after the
+// start, its entry is removed 2.1 s later, and another process is listed at its address 3.2 s
+// after the crash. All attempts of the worker then ended as lapsed, so the crash counted
+// against none of its tasks, neither in the owner's memory nor in a row that the next owner
+// reads.
 func TestTaskThatCrashesItsWorkers(t *testing.T) {
 	for _, owners := range []string{"one owner", "an owner for each crash"} {
 		t.Run(owners, func(t *testing.T) {
@@ -55,7 +49,8 @@
 					if owners != "one owner" {
 						ow = cr.own()
 					}
-					// As long as it takes to give up what stood on a worker that was never seen.
+					// As long as it takes to give up the attempts on a worker that was never
+					// seen.
 					time.Sleep(16 * time.Second)
 				}
 				qt.Check(t, cr.starts(firstTask()) <= maxStarts, qt.IsTrue, qt.Commentf("%d starts", cr.starts(firstTask())))
@@ -66,8 +61,8 @@
 	}
 }
 
-// TestCrashedWorkersRestartAtOtherAddresses has the workers of a task that crashes them come back
-// at other addresses, so that only their leases tell of their end.
+// TestCrashedWorkersRestartAtOtherAddresses guards against crashes that are not counted when
+// the workers come back at other addresses, so that only lapsed leases show that they ended.
 func TestCrashedWorkersRestartAtOtherAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cr := newCrashLab(t, newLab(t, 6))
@@ -86,8 +81,8 @@
 	})
 }
 
-// TestLongRunningTaskThatCrashesItsWorkers has one of six tasks that last crash its workers:
-// its job ends, as it would be started for ever else.
+// TestLongRunningTaskThatCrashesItsWorkers guards against a long-running job that is restarted
+// forever because one of its six tasks crashes its workers. The job must fail.
 func TestLongRunningTaskThatCrashesItsWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cr, ow := startCrashLab(t, newLab(t, 6), 1)
@@ -99,8 +94,9 @@
 	})
 }
 
-// TestThirdAttemptIsIsolated checks that nothing begins beside a task that is given up at the
-// next crash, and that all that stood there had got over its start.
+// TestThirdAttemptIsIsolated guards against other tasks that start beside a task which is
+// given up at the next crash, or that are still in their startup there: the crash would also
+// count against them.
 func TestThirdAttemptIsIsolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cr := newCrashLab(t, newLab(t, 2))
@@ -112,7 +108,7 @@
 			}
 			return short(at)
 		}
-		// The next process settles late, so that the task is tried where others are at work.
+		// The next process settles late, so the task is tried where other attempts run.
 		cr.throughFunc = slowToSettle
 		ow := cr.own()
 		defer func() { cr.end() }()
@@ -141,7 +137,7 @@
 	})
 }
 
-// slowToSettle has workers that came back answer no look before 400 ms.
+// slowToSettle makes restarted workers answer no poll for 400 ms.
 func slowToSettle(ag worker.Agent) worker.Agent {
 	look := ag.LookFunc
 	var mu sync.Mutex
@@ -161,9 +157,10 @@
 	return ag
 }
 
-// TestSuspectsOfOneJobRestartInTime has six tasks that last lose their workers twice,
-// by nobody's doing, each time just after they began: they are tried alone, and all are
-// back within the time that users bear for one that lasts.
+// TestSuspectsOfOneJobRestartInTime guards against long waits of suspect tasks of one job. Six
+// long-running tasks lose their workers twice just after they started, by crashes that no task
+// caused. They are tried isolated, and all must run again within the outage that users accept
+// for long-running tasks.
 func TestSuspectsOfOneJobRestartInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cr, ow := startCrashLab(t, newLab(t, 12))
@@ -183,8 +180,9 @@
 	})
 }
 
-// TestPlannedWorkerExitBlamesNoTask has workers end four times just after a task began
-// there, which said that they drain, or whose entry went while they still answered.
+// TestPlannedWorkerExitBlamesNoTask guards against a task that is blamed for the ends of four
+// workers which left as planned just after it started there: they drained, or still answered
+// after their entries were removed.
 func TestPlannedWorkerExitBlamesNoTask(t *testing.T) {
 	for _, drains := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -207,7 +205,7 @@
 				if drains {
 					time.Sleep(300 * time.Millisecond)
 				} else {
-					// A look has come back since.
+					// A poll is answered in this time.
 					time.Sleep(1100 * time.Millisecond)
 				}
 				_, now := la.replaceProcess(i)
@@ -223,8 +221,8 @@
 	}
 }
 
-// TestOrderRefusedByNextProcessBlamesNoTask has an order reach the process that came after a crash: its
-// attempt had no part in that.
+// TestOrderRefusedByNextProcessBlamesNoTask guards against a task that is blamed for a crash
+// although its order reached only the process that started after it.
 func TestOrderRefusedByNextProcessBlamesNoTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
@@ -244,8 +242,9 @@
 	})
 }
 
-// TestUnresponsiveWorkerIsNoProofOfACrash has a worker that has just begun a task fall silent, and another
-// process listen at its address 3 s later: when it ended nobody knows.
+// TestUnresponsiveWorkerIsNoProofOfACrash guards against a task that counts as having crashed
+// its worker when the worker stopped answering just after the start and was replaced 4 s
+// later: when it ended is not known.
 func TestUnresponsiveWorkerIsNoProofOfACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
@@ -281,8 +280,8 @@
 	})
 }
 
-// TestTaskGivenUpIsLogged has the way from a job's id to the reason in the log, and the
-// counters.
+// TestTaskGivenUpIsLogged guards against log lines and counters from which an operator cannot
+// tell why a job was given up. A search for the job's id must lead to the reason.
 func TestTaskGivenUpIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 6)
@@ -308,9 +307,9 @@
 	})
 }
 
-// TestFailureOfAnUnresponsiveWorkersAttempt has a worker fall silent until its leases have lapsed,
-// and then list the attempt that was given up as failed. The task does not begin once more
-// than its queue allows.
+// TestFailureOfAnUnresponsiveWorkersAttempt guards against one attempt more than the queue
+// allows. A worker does not answer until its leases have lapsed and then lists the attempt,
+// which was given up, as failed.
 func TestFailureOfAnUnresponsiveWorkersAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
--- a/internal/sched/crashcost_test.go
+++ b/internal/sched/crashcost_test.go
@@ -12,19 +12,21 @@
 	"github.com/pepperhatch/pepperhatch/internal/proptest"
 )
 
-// crashCost is what tasks cost that crash their workers.
+// crashCost is the cost of tasks that crash their workers.
 type crashCost struct {
-	// workers were crashed by them.
+	// workers is the number of workers that they crashed.
 	workers int
-	// lost are the attempts of others that went with them, until a minute after.
+	// lost is the number of attempts of other tasks that ended with these workers, until ten
+	// seconds after the last job.
 	lost int
-	// failedAfter is how long after they were handed in all of their jobs had failed, or
-	// zero if they had not within a minute.
+	// failedAfter is the time from the first of their jobs until all of them had failed, or
+	// zero if they did not within a minute.
 	failedAfter time.Duration
 }
 
-// measureCrashCost plays a minute of twelve workers with 24 tasks that last and a short job each
-// 300 ms, into which jobs come of which so many tasks crash their workers.
+// measureCrashCost runs twelve workers for a minute with 24 long-running tasks and a short job
+// every 300 ms. It adds the given number of jobs, of which that many tasks each crash their
+// workers.
 func measureCrashCost(t *testing.T, jobs, tasks int) crashCost {
 	t.Helper()
 	cr := newCrashLab(t, newLab(t, 12))
@@ -73,9 +75,9 @@
 	return true
 }
 
-// TestCostOfCrashingTasks bounds the workers that tasks crash before they are given up:
-// three for a task, and for a job of several such tasks not many more than it has, as the
-// others wait while a worker of one that was tried alone does not answer.
+// TestCostOfCrashingTasks bounds the workers that tasks crash before they are given up: three
+// for one task, and for a job with several such tasks not many more than the job has. Its
+// other tasks wait while the worker of an isolated one does not answer.
 func TestCostOfCrashingTasks(t *testing.T) {
 	for _, tc := range []struct{ jobs, tasks, workersMost int }{{1, 1, 3}, {4, 1, 12}, {1, 8, 12}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -87,10 +89,10 @@
 	}
 }
 
-// TestRandomCrashes plays random crashes of workers, by tasks and by nobody's doing,
-// and changes of the owner, and checks that no task begins more often than users bear, that
-// no job is given up under whose tasks fewer than two workers ended, and that all others
-// are done in the end.
+// TestRandomCrashes runs random scripts of jobs, worker crashes with and without a task that
+// causes them, and changes of owner. It checks that no task starts more often than users
+// accept, that no job fails unless at least two workers crashed under one of its tasks, and
+// that all other jobs succeed.
 func TestRandomCrashes(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: crashScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
@@ -130,5 +132,5 @@
 	})
 }
 
-// crashScripts is the number of scripts; PEPPERHATCH_SEED plays others.
+// crashScripts is the number of scripts. PEPPERHATCH_SEED selects others.
 const crashScripts = 60
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -15,38 +15,38 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Times of workers that crash, as the users' do.
+// Times of crashes, as in production.
 const (
 	// crashedEntryTTL is how long the entry of a crashed worker stays: three heartbeats.
 	crashedEntryTTL = 2100 * time.Millisecond
-	// crashRestartAfter is when another process listens and is listed.
+	// crashRestartAfter is the time from a crash until another process listens and is listed.
 	crashRestartAfter = 3200 * time.Millisecond
-	// crashDelay is how long a task lasts that crashes its worker.
+	// crashDelay is the time from the start of a task to the crash that it causes.
 	crashDelay = 10 * time.Millisecond
 )
 
-// crashLab is a lab whose workers come back some seconds after a crash, with another
-// incarnation at the same address.
+// crashLab is a lab whose workers restart some seconds after a crash, as another incarnation
+// at the same address.
 type crashLab struct {
 	*lab
 
-	// newAddress has workers come back at other addresses.
+	// newAddress makes workers restart at other addresses.
 	newAddress bool
-	// noRestart has workers not come back.
+	// noRestart makes workers not restart.
 	noRestart bool
-	// entryTTL and back replace entryStays and backAfter, if set.
+	// entryTTL and restartAfter replace crashedEntryTTL and crashRestartAfter, if set.
 	entryTTL, restartAfter time.Duration
 
 	mu sync.Mutex
 	ow *Owner
-	// end ends the owner.
+	// end stops the owner.
 	end      context.CancelFunc
 	restarts int
-	// entries has the list of workers: those of dead ones stay for a while.
+	// entries is the list of workers, with those of dead ones that are not removed yet.
 	entries map[worker.Incarnation]WorkerEntry
 	// crashed counts the workers that tasks crashed.
 	crashed int
-	// down are workers that are not back yet.
+	// down has the workers that have not restarted yet.
 	down map[*standin.FleetWorker]bool
 }
 
@@ -66,7 +66,7 @@
 }
 
 // startCrashLab returns a lab whose workers are crashed by the first tasks of some jobs, and
-// its owner, a second old.
+// its owner after a second.
 func startCrashLab(t *testing.T, la *lab, jobs ...int) (*crashLab, *Owner) {
 	t.Helper()
 	cr := newCrashLab(t, la)
@@ -77,7 +77,7 @@
 	return cr, ow
 }
 
-// own starts an owner; the one before ends.
+// own starts an owner and stops the one before.
 func (cr *crashLab) own() *Owner {
 	cr.t.Helper()
 	if cr.end != nil {
@@ -98,7 +98,7 @@
 	return ow
 }
 
-// setEntry changes the list of workers and tells the owner.
+// setEntry adds an entry to the list of workers or removes it, and notifies the owner.
 func (cr *crashLab) setEntry(li WorkerEntry, gone bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -111,13 +111,13 @@
 	cr.ow.SetWorkers([]WorkerEntry{li}, nil, false)
 }
 
-// crash ends a worker by nobody's doing.
+// crash ends a worker without a task that caused it.
 func (cr *crashLab) crash(fw *standin.FleetWorker) {
 	cr.fleet.Kill(fw)
 	cr.scheduleRestart(fw)
 }
 
-// scheduleRestart has a worker that has just crashed lose its entry and come back.
+// scheduleRestart schedules the removal of a crashed worker's entry and its restart.
 func (cr *crashLab) scheduleRestart(fw *standin.FleetWorker) {
 	cr.mu.Lock()
 	cr.down[fw] = true
@@ -130,7 +130,7 @@
 	time.AfterFunc(cr.restartAfter, func() { cr.restartProcess(fw, was) })
 }
 
-// restartProcess has another process listen at a worker's address.
+// restartProcess starts another process at a worker's address.
 func (cr *crashLab) restartProcess(fw *standin.FleetWorker, was WorkerEntry) {
 	cr.mu.Lock()
 	cr.restarts++
@@ -149,8 +149,8 @@
 	cr.setEntry(was, false)
 }
 
-// setCrashingJobs has the first task of some jobs crash each worker that starts it; tasks of other
-// jobs take a while, or last.
+// setCrashingJobs makes the first task of some jobs crash each worker that starts it. Other
+// tasks take a second, or are long-running.
 func (cr *crashLab) setCrashingJobs(jobs ...int) {
 	cr.setCrashingTasks(func(id string, ref job.TaskRef) bool {
 		for _, n := range jobs {
@@ -162,7 +162,7 @@
 	})
 }
 
-// setCrashingTasks has the tasks crash that crash says.
+// setCrashingTasks makes the tasks crash their workers for which crash returns true.
 func (cr *crashLab) setCrashingTasks(crash func(id string, ref job.TaskRef) bool) {
 	cr.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 		id, ref, _ := job.ParseTaskID(at.Task)
@@ -187,14 +187,14 @@
 	return n
 }
 
-// workers returns the workers as they are now; others may be about to come back.
+// workers returns the current workers; some may not have restarted yet.
 func (cr *crashLab) workers() []*standin.FleetWorker {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return slices.Clone(cr.crew)
 }
 
-// crashAny crashes one of the workers that are up.
+// crashAny crashes a random worker, if it is up.
 func (cr *crashLab) crashAny(rt *rapid.T) {
 	cr.mu.Lock()
 	fw := cr.crew[rapid.IntRange(0, len(cr.crew)-1).Draw(rt, "worker")]
@@ -205,7 +205,7 @@
 	}
 }
 
-// checkRandomCrashes checks starts and states of jobs once all workers are back.
+// checkRandomCrashes checks the starts and states of the jobs once all workers are back.
 func (cr *crashLab) checkRandomCrashes(rt *rapid.T, ow *Owner, jobs, owners int, crashing []int) {
 	ends := map[string]int{}
 	crashed := map[int]int{}
--- a/internal/sched/death_test.go
+++ b/internal/sched/death_test.go
@@ -14,8 +14,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestWorkerDeathIsLogged has a worker's process end under two tasks and another begin at its
-// address: the lines say what is needed to tell who may have ended it.
+// TestWorkerDeathIsLogged guards against log lines from which an operator cannot tell which
+// task may have ended a worker's process. The process ends under two tasks and another one
+// starts at its address.
 func TestWorkerDeathIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
@@ -41,18 +42,11 @@
 	})
 }
 
-// TestUndeliveredOrderIsNoCrash is the story of a job that failed though nothing was
-// wrong with it.
-//
-// Users saw a job fail of which one task had ended one worker. Order of events: a task is
-// ordered to a worker that has crashed just before, where nothing listens; before that is
-// known as a crash the cell's owner changes; the next one finds the order in its rows and
-// takes it for one under which the worker crashed. The same again, and a worker that
-// crashes by itself makes three. Cause: a refused connection was taken for an order that
-// the worker may have had.
-//
-// Evidence: "launch not done .. connection refused" and, two owners and 2.6 s later,
-// "attempt ended .. end=crashed .. acked=false"; random scripts with PEPPERHATCH_SEED=7006.
+// TestUndeliveredOrderIsNoCrash guards against a job that fails although none of its tasks did
+// anything wrong. An order is sent to a worker that has just crashed, where nothing listens,
+// and the owner changes before the crash is known. The next owner found the order in its rows
+// and counted a crash under the task; a refused connection must count as an order that was
+// never received.
 func TestUndeliveredOrderIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
--- a/internal/sched/formerprocess_test.go
+++ b/internal/sched/formerprocess_test.go
@@ -14,47 +14,43 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// replaceProcess ends a worker's process and has another listen at its address. It returns the
-// entries of both.
-func (la *lab) replaceProcess(i int) (was, now WorkerEntry) {
-	was = la.listed()[i]
+// replaceProcess ends a worker's process and starts another with a new id at its address. It
+// returns the entries of both.
+func (la *lab) replaceProcess(i int) (former, next WorkerEntry) {
+	former = la.listed()[i]
 	fw := la.crew[i]
 	la.fleet.Kill(fw)
-	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fw.Addr.Incarnation.ID + "b"}}, Holds: fw.Holds}
-	la.fleet.Add(next)
-	la.crew[i] = next
-	la.former = append(la.former, was)
-	return was, la.listed()[i]
+	fresh := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fw.Addr.Incarnation.ID + "b"}}, Holds: fw.Holds}
+	la.fleet.Add(fresh)
+	la.crew[i] = fresh
+	la.former = append(la.former, former)
+	return former, la.listed()[i]
 }
 
-// TestFormerProcessIsListedAgain is the story of a worker that lives and is taken for dead.
-//
-// Users saw 19 to 298 tasks run twice at once after workers had crashed behind a cut, or
-// racks of them just before the owner changed. Order of events: a worker crashes; another
-// process is listed at its address and gets work; the entry of the one that crashed, which
-// stays for three heartbeats and may be written once more, is met again; the one that
-// lives is dead by that, and all that it runs starts elsewhere. Cause: what is listed
-// later was taken to have begun later. Evidence: "worker is dead" with another process
-// listed at its address, for a worker that a second later settles with what it ran.
+// TestFormerProcessIsListedAgain guards against tasks that run twice because a worker that
+// runs counts as dead. After a crash another process is listed at the worker's address and
+// gets tasks. The entry of the crashed one stays for three heartbeats, may be written once
+// more, and is then seen again. It was taken for that of a newer process, as it was listed
+// later.
 func TestFormerProcessIsListedAgain(t *testing.T) {
 	t.Run("again", formerEntryReappears)
 	t.Run("to the next owner", bothProcessesListed)
 }
 
-// formerEntryReappears has the entry of a dead worker go and come back while the next process
-// at its address works.
+// formerEntryReappears removes and adds the entry of a dead worker while the next process at
+// its address runs tasks.
 func formerEntryReappears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := lastingLab(t, 3, 12)
-		was, now := la.replaceProcess(0)
-		ow.SetWorkers([]WorkerEntry{now}, nil, false)
+		former, next := la.replaceProcess(0)
+		ow.SetWorkers([]WorkerEntry{next}, nil, false)
 		time.Sleep(time.Second)
 		la.submit(ow, 2, longRunning(12))
 		time.Sleep(time.Second)
 		la.assertRunning(24)
 		for range 3 {
-			ow.SetWorkers(nil, []string{was.Incarnation.ID}, false)
-			ow.SetWorkers([]WorkerEntry{was}, nil, false)
+			ow.SetWorkers(nil, []string{former.Incarnation.ID}, false)
+			ow.SetWorkers([]WorkerEntry{former}, nil, false)
 			time.Sleep(500 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
@@ -62,11 +58,11 @@
 	})
 }
 
-// bothProcessesListed has an owner begin while the list has both the worker that
-// crashed and the one that lives at its address, in either order: nothing runs twice, and
-// what the dead one ran starts at once.
+// bothProcessesListed starts an owner while the list has both the crashed worker and the one
+// that runs at its address, in either order. No task may run twice, and the tasks of the
+// crashed worker must start at once.
 func bothProcessesListed(t *testing.T) {
-	for _, formerLast := range []bool{false, true} {
+	for _, formerListedLast := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
 			la.fleet.RunFunc = runUntilStopped
@@ -74,8 +70,8 @@
 			time.Sleep(time.Second)
 			la.submit(ow, 1, longRunning(12))
 			time.Sleep(time.Second)
-			_, now := la.replaceProcess(0)
-			ow.SetWorkers([]WorkerEntry{now}, nil, false)
+			_, next := la.replaceProcess(0)
+			ow.SetWorkers([]WorkerEntry{next}, nil, false)
 			time.Sleep(time.Second)
 			la.submit(ow, 2, longRunning(12))
 			time.Sleep(time.Second)
@@ -85,7 +81,7 @@
 			defer end()
 			qt.Assert(t, <-loaded, qt.IsNil)
 			list := append(la.listed(), la.former...)
-			if !formerLast {
+			if !formerListedLast {
 				slices.Reverse(list)
 			}
 			ow.SetWorkers(list, nil, true)
@@ -97,9 +93,9 @@
 	}
 }
 
-// TestNextProcessAnswersWhilePollsHang has looks at a worker hang for good, as on a connection
-// that went silent, while another process answers at its address: what ran there starts
-// elsewhere at once, not once its leases have lapsed.
+// TestNextProcessAnswersWhilePollsHang guards against tasks that start again only after their
+// leases have lapsed when polls of a worker hang, as on a connection without traffic, while
+// another process answers at its address. They must start at once.
 func TestNextProcessAnswersWhilePollsHang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
@@ -117,9 +113,9 @@
 		}
 		ow := la.withLasting(12)
 		hung.Store(true)
-		_, now := la.replaceProcess(0)
+		_, next := la.replaceProcess(0)
 		time.Sleep(time.Second)
-		ow.SetWorkers([]WorkerEntry{now}, nil, false)
+		ow.SetWorkers([]WorkerEntry{next}, nil, false)
 		time.Sleep(300 * time.Millisecond)
 		la.assertRunning(12)
 	})
--- a/internal/sched/interrupted_test.go
+++ b/internal/sched/interrupted_test.go
@@ -12,14 +12,14 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// longRunningOf is a job of tasks that last, each with so many cores.
+// longRunningOf returns a job of long-running tasks with the given number of cores each.
 func longRunningOf(tasks int, cores int64) job.Spec {
 	sp := longRunning(tasks)
 	sp.Steps[0].Each = worker.Resources{MilliCores: cores * 1000, MemMB: 1000}
 	return sp
 }
 
-// runningOfJob counts the runs of a job that go on.
+// runningOfJob counts the running attempts of a job.
 func (la *lab) runningOfJob(n int) int {
 	count := 0
 	for _, ru := range la.fleet.Runs() {
@@ -30,19 +30,11 @@
 	return count
 }
 
-// TestInterruptedTasksGoFirst is the story of services that did not run again for 8 s and
-// more, while there was room for them.
-//
-// Users see tasks that last run nowhere after their workers were lost, though what is free
-// would hold them twice. Order of events: the owner's host stands still and 20 workers are
-// lost with 177 such tasks; ten seconds later these are free, and wait "for room" until
-// 29 to 33 s; meanwhile tasks begin that never ran before. Cause: where room is short and
-// in pieces, what decides is who looks first when a piece gets free, and tasks that were
-// interrupted stood in one line with tasks of other jobs that last and never ran, by an
-// order that a takeover had mixed, and with short tasks. Evidence: lines "room for lasting
-// tasks tasks=187 again=60 need_millicores=2619300 free_millicores=1288200
-// most_millicores=16250 passing_millicores=476700": room for all that ran before, and
-// 127 others waiting beside them.
+// TestInterruptedTasksGoFirst guards against interrupted long-running tasks that wait for 8 s
+// and more although the free capacity would hold them twice. The owner freezes and 20 workers
+// with 177 such tasks are lost. Where capacity is short and in pieces, each piece goes to the
+// first task placed after it becomes free, and interrupted tasks shared one order with short
+// tasks and with long-running tasks that never ran.
 func TestInterruptedTasksGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cr, ow := startCrashLab(t, newLab(t, 4))
--- a/internal/sched/leasewait_test.go
+++ b/internal/sched/leasewait_test.go
@@ -17,10 +17,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestWaitOfAFormerOwnerIsKept: an owner that is cut off goes on extending leases for a
-// while. The next one knew how long, and gave the cell up with a note of it; the third
-// took the shorter wait for an owner that has ceased to act, that of the second one, and
-// could have started tasks elsewhere that still ran.
+// TestLongerWaitOfAFormerOwnerIsRetained guards against tasks that start elsewhere while they
+// still run. An owner that is cut off goes on extending leases for a while. The next owner
+// knows for how long and states it when it releases the cell. The third one must not replace
+// that by the shorter wait for the second, which has ceased to act.
 func TestLongerWaitOfAFormerOwnerIsRetained(t *testing.T) {
 	now := time.Now()
 	for _, listed := range []time.Duration{time.Second, 12 * time.Second} {
@@ -31,8 +31,9 @@
 	}
 }
 
-// TestWaitsGivenRunOn: what an owner was told of leases that run goes on running while it
-// reads the cell, and is handed on as long as it has not looked for itself.
+// TestHandedOverWaitsElapse guards against waits for leases that stand still while a new owner
+// loads the cell, or that are lost when it hands the cell over before it has polled the
+// workers itself.
 func TestHandedOverWaitsElapse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
@@ -49,23 +50,23 @@
 	})
 }
 
-// pollRecorder notes looks, and has those fail whose relay is not of use.
+// pollRecorder records polls and fails those that use a relay which is down.
 type pollRecorder struct {
 	mu sync.Mutex
-	// downRelay is the relay that is not of use.
+	// downRelay is the relay that is down.
 	downRelay string
-	// polled has when looks came to a worker, and extended when the first came that
-	// extends its leases.
+	// polled has the times at which polls reached a worker. firstExtension is the time of the
+	// first one that extends the worker's leases.
 	polled         []time.Time
 	firstExtension time.Time
 }
 
 var errNoRelay = errors.New("no such relay")
 
-func (ls *pollRecorder) wrap(ag worker.Agent) worker.Agent {
+func (pr *pollRecorder) wrap(ag worker.Agent) worker.Agent {
 	look := ag.LookFunc
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-		if err := ls.record(ad, lo); err != nil {
+		if err := pr.record(ad, lo); err != nil {
 			return worker.Sight{}, err
 		}
 		return look(ctx, ad, lo)
@@ -73,24 +74,24 @@
 	return ag
 }
 
-func (ls *pollRecorder) record(ad worker.Addr, lo worker.Look) error {
-	ls.mu.Lock()
-	defer ls.mu.Unlock()
-	if ad.Via != "" && ad.Via == ls.downRelay {
+func (pr *pollRecorder) record(ad worker.Addr, lo worker.Look) error {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	if ad.Via != "" && ad.Via == pr.downRelay {
 		return fmt.Errorf("%w: %w", worker.ErrNotSent, errNoRelay)
 	}
-	ls.polled = append(ls.polled, time.Now())
-	if ls.firstExtension.IsZero() && lo.LeaseUntilMS > 0 {
-		ls.firstExtension = time.Now()
+	pr.polled = append(pr.polled, time.Now())
+	if pr.firstExtension.IsZero() && lo.LeaseUntilMS > 0 {
+		pr.firstExtension = time.Now()
 	}
 	return nil
 }
 
-// firstAfter is the first look that came after a moment.
-func (ls *pollRecorder) firstAfter(when time.Time) time.Time {
-	ls.mu.Lock()
-	defer ls.mu.Unlock()
-	for _, at := range ls.polled {
+// firstAfter returns the time of the first poll at or after when, or zero.
+func (pr *pollRecorder) firstAfter(when time.Time) time.Time {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	for _, at := range pr.polled {
 		if !at.Before(when) {
 			return at
 		}
@@ -98,31 +99,31 @@
 	return time.Time{}
 }
 
-// TestLooksFollowANewWay: a worker whose relay is lost is looked at once it has another
-// way, not after the usual pause: its leases run meanwhile.
+// TestPollFollowsANewPath guards against a worker whose relay is lost and that is polled only
+// after the pause of a failed poll, though it has another path and its leases run meanwhile.
 func TestPollFollowsANewPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		ls := pollRecorder{downRelay: "r0"}
-		la.throughFunc = ls.wrap
-		via := ls.downRelay
+		pr := pollRecorder{downRelay: "r0"}
+		la.throughFunc = pr.wrap
+		via := pr.downRelay
 		la.via.Store(&via)
 		ow, end := la.own()
 		defer end()
-		// In the midst of a pause.
+		// In the middle of a pause.
 		time.Sleep(3*time.Second + pollRetry/2)
 		other := "r1"
 		la.via.Store(&other)
 		moved := time.Now()
 		ow.Reroute()
 		time.Sleep(time.Second)
-		qt.Assert(t, ls.firstAfter(moved), qt.Equals, moved)
+		qt.Assert(t, pr.firstAfter(moved), qt.Equals, moved)
 	})
 }
 
-// TestFirstExtension: a new owner can extend no lease before a first look has told it the
-// worker's clock. The second look waited until the ends that the first had listed were
-// written, while all the worker's leases ran.
+// TestFirstLeaseExtensionIsNotDelayed guards against a second poll that waits until the ends
+// listed by the first one are written. A new owner can extend leases only once its first poll
+// has told it the worker's clock, so all leases of the worker run down meanwhile.
 func TestFirstLeaseExtensionIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
@@ -131,16 +132,16 @@
 		qt.Assert(t, la.submit(ow, 1, batch(1, 4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(100 * time.Millisecond)
 		end()
-		// The tasks end with nobody to take note of it.
+		// The tasks end while the cell has no owner.
 		time.Sleep(2 * time.Second)
-		var ls pollRecorder
-		la.throughFunc = ls.wrap
+		var pr pollRecorder
+		la.throughFunc = pr.wrap
 		opened := time.Now()
 		ow, end = la.own()
 		defer end()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		qt.Assert(t, ls.firstExtension.Sub(opened), qt.Equals, ls.firstAfter(opened).Sub(opened))
+		qt.Assert(t, pr.firstExtension.Sub(opened), qt.Equals, pr.firstAfter(opened).Sub(opened))
 	})
 }
--- a/internal/sched/ownerloss_test.go
+++ b/internal/sched/ownerloss_test.go
@@ -12,11 +12,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/tenure"
 )
 
-// restartDeadline is how long after a claim at the latest tasks of lost workers run elsewhere.
+// restartDeadline is the longest time after a claim until tasks of lost workers run elsewhere.
 const restartDeadline = 9 * time.Second
 
-// withSixHosts has a lasting job of four tasks run on three workers under six hosts, of which
-// the first owns the cell.
+// withSixHosts runs a long-running job of four tasks on three workers of six hosts, of which
+// the first owns the cell, and then calls play.
 func withSixHosts(t *testing.T, maxLease time.Duration, play func(cr *crowd, owner *contender)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -36,8 +36,8 @@
 	})
 }
 
-// TestWorkersGoneWithAnOwnerThatIsGoneForGood: tasks of lost workers waited for 14.6 s from
-// the claim where the former owner could not be asked.
+// TestWorkersLostWithTheirOwner guards against tasks of lost workers that start again only
+// 14.6 s after the claim when the former owner cannot be asked.
 func TestWorkersLostWithTheirOwner(t *testing.T) {
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
@@ -58,7 +58,7 @@
 	}
 }
 
-// refuseStore has the store refuse all hosts for a while.
+// refuseStore makes the store refuse all hosts for d.
 func (cr *crowd) refuseStore(d time.Duration) {
 	for _, co := range cr.hosts {
 		co.gate.Set(standin.Fault{Mode: standin.ModeDown})
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestLeasesOutliveALongOutage: what ran ended while the store was away for 14 s, though the
-// hosts and workers were well.
+// TestLeasesOutliveALongStoreOutage guards against attempts that end because the store is
+// unavailable for 14 s although hosts and workers are healthy.
 func TestLeasesOutliveALongStoreOutage(t *testing.T) {
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestLeasesOfAnOwnerThatStoodStill: a task was taken to run for a whole lease after an owner
-// that stood still had last told one, though none outlives what confirmed it.
+// TestLeasesOfAFrozenOwner guards against a wait of a whole lease after a frozen owner last
+// sent one: no lease outlives the confirmation of its owner's tenure.
 func TestLeasesOfAFrozenOwner(t *testing.T) {
 	withSixHosts(t, 10*time.Second, func(cr *crowd, owner *contender) {
 		lost := cr.busy()
--- a/internal/sched/reservation_test.go
+++ b/internal/sched/reservation_test.go
@@ -8,8 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestNewTasksLeaveRoomToInterruptedOnes: while the leases of lost workers ran, lasting tasks
-// that never ran took the room that was left.
+// TestNewTasksLeaveCapacityToInterruptedOnes guards against long-running tasks that never ran
+// and take the remaining capacity while the leases of lost workers run, so that interrupted
+// tasks find none.
 func TestNewTasksLeaveCapacityToInterruptedOnes(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -33,19 +34,19 @@
 	}
 }
 
-// TestOrderOfInterruptedTasks: small tasks that were interrupted took a part of the only room in
-// which a large one would have run, though there was room for them elsewhere; and a large one
-// went before them where there was not.
+// TestOrderOfInterruptedTasks guards against small interrupted tasks that take a part of the
+// only capacity in which a large one fits, though they fit elsewhere, and against a large one
+// that starts first where only the small ones or the large one fit.
 func TestOrderOfInterruptedTasks(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// others are the cores of tasks that fill the workers which are left, a worker each.
+		// others are the cores of the task that fills each other worker.
 		others []int64
-		// want is how many tasks of 4 cores run again, and of 24.
+		// want is how many tasks of 4 and of 24 cores run again.
 		want []int
 	}{
-		{"room for all", []int64{6, 12}, []int{2, 1}},
-		{"room for some", []int64{6}, []int{2, 0}},
+		{"capacity for all", []int64{6, 12}, []int{2, 1}},
+		{"capacity for some", []int64{6}, []int{2, 0}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -77,8 +78,9 @@
 	}
 }
 
-// TestRoomIsNotKeptFromInterruptedTasks: room that was kept for a large task, and never came
-// to enough for it, was kept from smaller ones that had been interrupted too.
+// TestCapacityIsNotWithheldFromInterruptedTasks guards against capacity that is reserved for a
+// large interrupted task, never becomes enough for it, and is withheld from smaller
+// interrupted ones.
 func TestCapacityIsNotWithheldFromInterruptedTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
@@ -93,7 +95,7 @@
 		la.addWorker(2)
 		ow.SetWorkers(la.listed(), nil, true)
 		la.submit(ow, 3, longRunningOf(1, 6))
-		// It is to end by itself and does not.
+		// These tasks are not marked as long-running, but do not end.
 		la.submit(ow, 4, batch(1, 2))
 		time.Sleep(time.Second)
 		qt.Assert(t, []int{la.runningOfJob(1), la.runningOfJob(2), la.runningOfJob(3), la.runningOfJob(4)}, qt.DeepEquals, []int{1, 2, 1, 2})
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -14,15 +14,16 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// restart ends a worker's process and has it start again under its id after a pause, at
-// its address or at another.
+// restart ends a worker's process and starts it again under its id after a pause, at its
+// address or another one.
 func (la *lab) restart(i int, pause time.Duration, hostPort string) {
 	la.fleet.Kill(la.crew[i])
 	time.Sleep(pause)
 	la.crew[i] = la.fleet.Restart(la.crew[i], hostPort, 0)
 }
 
-// TestTasksOfRestartedWorkersRunOnce guards against ends that count as known by the numbers of a worker's former process.
+// TestTasksOfRestartedWorkersRunOnce guards against ends that are skipped as known because a
+// restarted worker numbers them from the start again.
 func TestTasksOfRestartedWorkersRunOnce(t *testing.T) {
 	for _, pause := range []time.Duration{0, 50 * time.Millisecond, time.Second, 5 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
@@ -50,7 +51,8 @@
 	}
 }
 
-// TestLongRunningTasksOfRestartedWorkersRunAgain guards against leases that are counted by the clock of a worker's former process.
+// TestLongRunningTasksOfRestartedWorkersRunAgain guards against lease ends that are computed
+// by the clock of a worker's former process.
 func TestLongRunningTasksOfRestartedWorkersRunAgain(t *testing.T) {
 	for _, where := range []string{"10.0.0.0:80", "10.9.0.0:80"} {
 		t.Run(where, func(t *testing.T) {
@@ -66,7 +68,7 @@
 				time.Sleep(time.Second)
 				la.assertRunning(12)
 				la.fleet.Kill(la.crew[0])
-				// Its leases lapse 6 s after the last look.
+				// Its leases lapse 6 s after the last poll.
 				time.Sleep(9 * time.Second)
 				la.assertRunning(12)
 				la.assertNothingTwice()
@@ -75,7 +77,9 @@
 	}
 }
 
-// TestRestartIsNoticedBeforeItIsListed has a worker restart under its id while the list still has the entry of its former process.
+// TestRestartIsNoticedBeforeItIsListed guards against a restart that is noticed only when it
+// is listed: a worker restarts under its id while the list still has the entry of its former
+// process.
 func TestRestartIsNoticedBeforeItIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := lastingLab(t, 3, 12)
@@ -99,7 +103,9 @@
 	})
 }
 
-// TestEntryOfAFormerIncarnationDoesNotFenceTheNext has the entry of a former process be met again and replaced before that is looked at.
+// TestEntryOfAFormerIncarnationDoesNotFenceTheNext guards against attempts that lapse after
+// the entry of a former process is seen again and is replaced before that process is polled:
+// its fencing token must not shut out this owner's orders for the running process.
 func TestEntryOfAFormerIncarnationDoesNotFenceTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -130,26 +136,27 @@
 	})
 }
 
-// TestEntriesWithoutStartTime has workers restart of which only their answers tell.
+// TestEntriesWithoutStartTime guards against restarts that go unnoticed when entries do not
+// have the start time of the process, so that only answers show the incarnation.
 func TestEntriesWithoutStartTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.own()
 		defer end()
-		untold := func() {
+		listWithoutStart := func() {
 			list := la.listed()
 			for i := range list {
 				list[i].Incarnation.Born = 0
 			}
 			ow.SetWorkers(list, nil, true)
 		}
-		untold()
+		listWithoutStart()
 		la.submit(ow, 1, longRunning(12))
 		time.Sleep(time.Second)
 		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
 		time.Sleep(time.Second)
-		untold()
+		listWithoutStart()
 		la.submit(ow, 2, longRunning(30))
 		time.Sleep(time.Second)
 		la.assertRunning(42)
@@ -163,7 +170,7 @@
 	})
 }
 
-// slowFirstPolls has looks take so long to reach processes that restarted.
+// slowFirstPolls delays polls of restarted processes by d.
 func slowFirstPolls(d time.Duration) func(worker.Agent) worker.Agent {
 	began := time.Now().UnixMilli()
 	return func(ag worker.Agent) worker.Agent {
@@ -178,13 +185,14 @@
 	}
 }
 
-// TestOrderForAFormerIncarnationRunsOnce has the order to start a task carried out by the next process with the worker's id.
+// TestOrderForAFormerIncarnationRunsOnce guards against tasks that run twice when their start
+// is ordered from one process and carried out by the next one with the worker's id.
 func TestOrderForAFormerIncarnationRunsOnce(t *testing.T) {
-	for _, untold := range []bool{false, true} {
+	for _, noStartTime := range []bool{false, true} {
 		for late := 50 * time.Millisecond; late < time.Second; late += 50 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 3)
-				la.fleet.Untold = untold
+				la.fleet.Untold = noStartTime
 				la.throughFunc = slowFirstPolls(200 * time.Millisecond)
 				la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
 				ow, end := la.own()
@@ -209,7 +217,9 @@
 	}
 }
 
-// TestFormerOwnersOrderForAFormerIncarnation has an owner's order, sent before it was replaced, reach a worker's next process at any moment.
+// TestFormerOwnersOrderForAFormerIncarnation guards against tasks that run twice when an order
+// that a former owner sent reaches a worker's next process, at any moment after the change of
+// owner.
 func TestFormerOwnersOrderForAFormerIncarnation(t *testing.T) {
 	for late := 50 * time.Millisecond; late < 3*time.Second; late += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -238,7 +248,9 @@
 	}
 }
 
-// TestEndsOfTheNextIncarnationAreNotAcknowledgedUnseen has a process that restarted end tasks before it is first looked at.
+// TestEndsOfTheNextIncarnationAreNotAcknowledgedUnseen guards against ends that are lost
+// because a poll acknowledges them by the numbers of the former process: a restarted process
+// ends tasks before it is first polled.
 func TestEndsOfTheNextIncarnationAreNotAcknowledgedUnseen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 48
@@ -263,7 +275,8 @@
 	})
 }
 
-// TestBusyOwnerAcknowledgesEnds has an owner take each answer in half a second late.
+// TestBusyOwnerAcknowledgesEnds guards against ends that are never acknowledged because the
+// owner handles each answer half a second late.
 func TestBusyOwnerAcknowledgesEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
@@ -292,7 +305,7 @@
 		for _, ru := range runs {
 			qt.Check(t, ru.Noted.IsZero(), qt.IsFalse)
 		}
-		// The owner may be in its last busy spell, which ends only while time passes.
+		// The owner may still be blocked in a sleep, which ends only while time passes.
 		time.Sleep(time.Second)
 	})
 }
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -14,14 +14,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestStopsReserveTheCapacityTheyCount is the story of a step that stops for a place that is
-// taken.
-//
-// Users see services that do not run although their workers are well. Order of events: a
-// worker is emptied while there is room elsewhere for one task; that task takes 0.8 s to
-// stop, as checkpoints do. Cause: each look counted the room anew, as if the task stopped
-// at the look before were not to go there, and stopped another for it. Evidence: nine
-// stops for one place, and eight lasting tasks that wait for room.
+// TestStopsReserveTheCapacityTheyCount guards against nine tasks that are stopped to move into
+// free capacity for one. A worker is evacuated while there is capacity elsewhere for one task,
+// which takes 0.8 s to stop. Each check counted that capacity as free again and stopped
+// another task for it, so eight long-running tasks waited for capacity.
 func TestStopsReserveTheCapacityTheyCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -45,12 +41,8 @@
 
 var errStopLost = errors.New("no answer to the stop")
 
-// TestLostStopsAreSentAgain is the story of a task that is left behind.
-//
-// Users see a service that does not run for the length of a lease after a machine left,
-// with others of the same machine moved in time. Order of events: a worker is emptied;
-// the order to stop one of its tasks is lost on the way. Cause: a task that was once told
-// to stop was not told again. Evidence: it runs there to the end.
+// TestLostStopsAreSentAgain guards against a task that stays on a worker which leaves, and is
+// down for the length of a lease, because its order to stop was lost and not repeated.
 func TestLostStopsAreSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -75,20 +67,20 @@
 	})
 }
 
-// TestCapacityIsReservedForStoppedTasks has a task that was stopped wait for its placement, as
-// writes of other jobs are under way and the store is slow: its room is not counted for
-// another one.
+// TestCapacityIsReservedForStoppedTasks guards against capacity that is counted for another
+// task while a stopped one waits for its placement, as writes of other jobs are under way and
+// the store is slow.
 func TestCapacityIsReservedForStoppedTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		ow := la.withLasting(31)
 		leaving, _ := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
-		nowhere := batch(1, 1)
-		nowhere.Steps[0].Label = "of no worker"
+		unplaceable := batch(1, 1)
+		unplaceable.Steps[0].Label = "on no worker"
 		go func() {
 			for n := range 100 {
-				la.submit(ow, 10+n, nowhere)
+				la.submit(ow, 10+n, unplaceable)
 			}
 		}()
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
@@ -99,8 +91,8 @@
 	})
 }
 
-// TestLostStopOfAMoveIsSentAgain: a filler that was to move, and whose order to stop was lost,
-// stayed where it was, at the pace that it had.
+// TestLostStopOfAMoveIsSentAgain guards against a filler that is to move, whose order to stop
+// is lost, and that stays where it is at its reduced pace.
 func TestLostStopOfAMoveIsSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
--- a/internal/sched/timebreakdown_test.go
+++ b/internal/sched/timebreakdown_test.go
@@ -14,7 +14,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// logLines keeps log lines.
+// logLines retains log lines.
 type logLines struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -26,7 +26,7 @@
 	return li.buf.Write(line)
 }
 
-// matching returns the lines that have all of the words.
+// matching returns the lines that contain all of the words.
 func (li *logLines) matching(words ...string) []string {
 	li.mu.Lock()
 	defer li.mu.Unlock()
@@ -43,7 +43,7 @@
 	return list
 }
 
-// loggedLab is a lab whose log is kept.
+// loggedLab returns a lab whose log is retained.
 func loggedLab(t *testing.T, workers int) (*lab, *logLines) {
 	t.Helper()
 	la, li := newLab(t, workers), &logLines{}
@@ -51,8 +51,9 @@
 	return la, li
 }
 
-// TestJobTimeAddsUp has more tasks than there is room for: what the line at
-// the job's end says of its causes adds up to its age, and part of it is room.
+// TestJobTimeAddsUp guards against time of a job that is accounted to no cause, or to two. A
+// job has more tasks than there is capacity for: its causes must add up to its age, with a
+// part for the lack of capacity.
 func TestJobTimeAddsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
@@ -79,8 +80,9 @@
 	})
 }
 
-// TestLongWaitsAreLogged has a job for which no worker ever has room: its lines
-// come at growing distances and name the cause.
+// TestLongWaitsAreLogged guards against jobs that wait without a log line, or with too many.
+// No worker ever has capacity for the job: its lines must name the cause and come at growing
+// intervals.
 func TestLongWaitsAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
@@ -91,21 +93,15 @@
 		sp.Steps[0].Each = worker.Resources{MilliCores: 99_000}
 		la.submit(ow, 1, sp)
 		time.Sleep(20 * time.Second)
-		told := li.matching(`msg="job waits"`, "for=room")
-		qt.Assert(t, len(told) >= 3 && len(told) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(told)))
+		waits := li.matching(`msg="job waits"`, "for=room")
+		qt.Assert(t, len(waits) >= 3 && len(waits) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(waits)))
 	})
 }
 
-// TestWaitingLongRunningTasksAreLogged is the story of services for whose silence the log
-// had no reason.
-//
-// Users saw services that do not run. Order of events: workers fall silent; leases
-// there lapse; the workers that answer have no room. A search for a service's id ends
-// at "attempt ended .. its leases have lapsed": jobs that are over some day have lines
-// while their tasks wait, those that last had none.
-//
-// Evidence: the lab's log of these events had 64 such ends, and no line with the job's
-// id after them.
+// TestWaitingLongRunningTasksAreLogged guards against services that do not run and whose log
+// lines end at "attempt ended .. its leases have lapsed". Relayed workers stop answering,
+// leases there lapse, and the other workers have no capacity. Only jobs that end by themselves
+// had log lines while their tasks waited.
 func TestWaitingLongRunningTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li, mu := relayedLab(t)
@@ -118,8 +114,8 @@
 		mu.on.Store(true)
 		time.Sleep(30 * time.Second)
 		qt.Assert(t, li.matching("end=lapsed", "job="+jobID(1)), qt.HasLen, 4*16)
-		told := li.matching(`msg="lasting tasks wait"`, "job="+jobID(1), "for=room", "tasks=64")
-		qt.Assert(t, len(told) >= 3 && len(told) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(told)))
+		waits := li.matching(`msg="lasting tasks wait"`, "job="+jobID(1), "for=room", "tasks=64")
+		qt.Assert(t, len(waits) >= 3 && len(waits) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(waits)))
 		mu.on.Store(false)
 		time.Sleep(10 * time.Second)
 		la.assertRunning(6 * 16)
--- a/internal/sched/workers_test.go
+++ b/internal/sched/workers_test.go
@@ -16,14 +16,14 @@
 // runUntilStopped makes every task run until it is stopped.
 func runUntilStopped(worker.Attempt) (time.Duration, string) { return -1, "" }
 
-// longRunning is a job of endless tasks.
+// longRunning returns a job of one step of long-running tasks.
 func longRunning(tasks int) job.Spec {
 	sp := batch(1, tasks)
 	sp.Steps[0].Endless = true
 	return sp
 }
 
-// runningAt counts the runs that go on at a worker.
+// runningAt counts the running attempts on a worker.
 func (la *lab) runningAt(id string) int {
 	n := 0
 	for in, runs := range la.running() {
@@ -34,7 +34,7 @@
 	return n
 }
 
-// running counts the runs that go on, by worker.
+// running counts the running attempts by worker.
 func (la *lab) running() map[worker.Incarnation]int {
 	counts := map[worker.Incarnation]int{}
 	for _, ru := range la.fleet.Runs() {
@@ -45,6 +45,7 @@
 	return counts
 }
 
+// assertRunning asserts how many attempts run, and that no task runs twice at once.
 func (la *lab) assertRunning(n int) {
 	total := 0
 	for _, count := range la.running() {
@@ -54,6 +55,8 @@
 	la.assertNothingTwice()
 }
 
+// TestWorkerLostForGood guards against long-running tasks of a killed worker that do not start
+// again elsewhere, all within the leases, the margins and a second.
 func TestWorkerLostForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
@@ -77,6 +80,8 @@
 	})
 }
 
+// TestWorkerUnresponsiveForAWhile guards against tasks that are restarted although their
+// workers, which did not answer for 3 s, came back before their leases lapsed.
 func TestWorkerUnresponsiveForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -99,6 +104,8 @@
 	})
 }
 
+// TestWorkerThatLosesAnswers guards against tasks that run twice when workers carry out orders
+// whose answers are lost.
 func TestWorkerThatLosesAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -119,6 +126,8 @@
 	})
 }
 
+// TestOrdersCarriedOutLate guards against tasks that run twice when a worker carries out
+// orders 3 s after they were sent.
 func TestOrdersCarriedOutLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 4)
@@ -135,6 +144,7 @@
 	})
 }
 
+// TestOwnerReplaced guards against tasks that run again after a change of owner.
 func TestOwnerReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
@@ -153,6 +163,8 @@
 	})
 }
 
+// TestFormerOwnerCanWriteNothing guards against a former owner that accepts jobs and starts
+// tasks after another host has claimed the cell.
 func TestFormerOwnerCanWriteNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -168,6 +180,9 @@
 	})
 }
 
+// TestStoreUnavailable guards against jobs that are accepted, lost or run twice when the store
+// takes no writes for 10 s. Jobs handed in meanwhile must be refused at once, with a time to
+// retry after.
 func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -195,6 +210,8 @@
 	})
 }
 
+// TestStoreAnswersLost guards against tasks that run twice when writes take effect but their
+// answers are lost.
 func TestStoreAnswersLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -210,6 +227,8 @@
 	})
 }
 
+// TestFailuresAreLimited guards against a task that fails each time and is retried more often
+// than its queue allows.
 func TestFailuresAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 4)
@@ -224,9 +243,9 @@
 	})
 }
 
-// TestWorkerNotSeenSinceTakeover has a worker vanish together with its owner.
-// What it ran starts again once its leases have lapsed, counted from when the
-// former owner ceased to act if that is known.
+// TestWorkerNotSeenSinceTakeover guards against tasks that run twice or not at all when
+// workers are lost together with their owner. They start again once their leases have lapsed,
+// counted from when the former owner ceased to act if that is known.
 func TestWorkerNotSeenSinceTakeover(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -255,9 +274,9 @@
 	}
 }
 
-// TestWorkerDrains has a worker leave after a notice. What lasts goes on
-// elsewhere before, what ends soon may end there, and the rest is stopped in
-// time to be resumed.
+// TestWorkerDrains guards against tasks that are killed when a worker leaves after a notice.
+// Before that, long-running tasks move to other workers, tasks that end soon may end there,
+// and the others are stopped in time to be resumed.
 func TestWorkerDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
@@ -304,8 +323,8 @@
 	})
 }
 
-// TestOwnersChangeWhileAWorkerIsLost has a worker vanish and its owner stop,
-// and the next one too: what is known of its leases goes along.
+// TestOwnersChangeWhileAWorkerIsLost guards against waits for leases that begin anew with each
+// of two handovers after workers were lost: what is known of the leases must be passed on.
 func TestOwnersChangeWhileAWorkerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
