--- a/internal/sched/workerstate.go
+++ b/internal/sched/workerstate.go
@@ -192,9 +192,9 @@
 func (ow *Owner) addWorker(li WorkerEntry) *workerState {
 	ow.Log.Info("worker seen", "worker", li.Incarnation, "addr", li.HostPort, "service", li.Service, "rack", li.Rack,
 		"millicores", li.Capacity.MilliCores, "mem_mb", li.Capacity.MemMB, "draining", li.Draining)
-	ctx, stop := context.WithCancel(ow.ctx)
+	ctx, stopPolling := context.WithCancel(ow.ctx)
 	ho := &workerState{
-		WorkerEntry: li, ow: ow, incarnation: li.Incarnation, stopPolling: stop, pollWake: make(chan struct{}, 1), pathChanged: make(chan struct{}, 1),
+		WorkerEntry: li, ow: ow, incarnation: li.Incarnation, stopPolling: stopPolling, pollWake: make(chan struct{}, 1), pathChanged: make(chan struct{}, 1),
 		firstSeen: time.Now(), attempts: map[*attempt]bool{}, failedJobs: map[string]bool{},
 	}
 	ho.leavesAt = time.Now().Add(li.Remaining)
