--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -139,7 +139,7 @@
 
 // slowToSettle makes restarted workers answer no poll for 400 ms.
 func slowToSettle(ag worker.Agent) worker.Agent {
-	look := ag.LookFunc
+	poll := ag.LookFunc
 	var mu sync.Mutex
 	first := map[worker.Incarnation]time.Time{}
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
@@ -152,7 +152,7 @@
 		if strings.HasPrefix(ad.Incarnation.ID, "life-") && !clock.Sleep(ctx, max(wait, 0)) {
 			return worker.Sight{}, ctx.Err()
 		}
-		return look(ctx, ad, lo)
+		return poll(ctx, ad, lo)
 	}
 	return ag
 }
@@ -208,8 +208,8 @@
 					// A poll is answered in this time.
 					time.Sleep(1100 * time.Millisecond)
 				}
-				_, now := la.replaceProcess(i)
-				ow.SetWorkers([]WorkerEntry{now}, nil, false)
+				_, next := la.replaceProcess(i)
+				ow.SetWorkers([]WorkerEntry{next}, nil, false)
 				time.Sleep(time.Second)
 			}
 			time.Sleep(6 * time.Second)
@@ -249,12 +249,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
-		var silent atomic.Pointer[worker.Incarnation]
+		var unresponsive atomic.Pointer[worker.Incarnation]
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
+			poll := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-				si, err := look(ctx, ad, lo)
-				if id := silent.Load(); id != nil && *id == ad.Incarnation {
+				si, err := poll(ctx, ad, lo)
+				if id := unresponsive.Load(); id != nil && *id == ad.Incarnation {
 					<-ctx.Done()
 					return worker.Sight{}, ctx.Err()
 				}
@@ -268,11 +268,11 @@
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(10 * time.Millisecond)
 		i := slices.IndexFunc(la.crew, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
-		silent.Store(&la.crew[i].Addr.Incarnation)
+		unresponsive.Store(&la.crew[i].Addr.Incarnation)
 		time.Sleep(4 * time.Second)
-		silent.Store(nil)
-		_, now := la.replaceProcess(i)
-		ow.SetWorkers([]WorkerEntry{now}, nil, false)
+		unresponsive.Store(nil)
+		_, next := la.replaceProcess(i)
+		ow.SetWorkers([]WorkerEntry{next}, nil, false)
 		time.Sleep(6 * time.Second)
 		qt.Check(t, li.matching("end=lost"), qt.HasLen, 1)
 		qt.Check(t, li.matching("end=crashed"), qt.HasLen, 0)
@@ -319,10 +319,10 @@
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(300 * time.Millisecond)
-		silent, _ := la.busiest()
-		silent.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		unresponsive, _ := la.busiest()
+		unresponsive.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(10 * time.Second)
-		silent.Gate.Set(standin.Fault{})
+		unresponsive.Gate.Set(standin.Fault{})
 		time.Sleep(20 * time.Second)
 		qt.Check(t, la.state(ow, 1), qt.Equals, job.Failed)
 		qt.Check(t, la.fleet.Runs(), qt.HasLen, 3)
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -99,10 +99,10 @@
 }
 
 // setEntry adds an entry to the list of workers or removes it, and notifies the owner.
-func (cr *crashLab) setEntry(li WorkerEntry, gone bool) {
+func (cr *crashLab) setEntry(li WorkerEntry, removed bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	if gone {
+	if removed {
 		delete(cr.entries, li.Incarnation)
 		cr.ow.SetWorkers(nil, []string{li.Incarnation.ID}, false)
 		return
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -115,6 +115,7 @@
 	return true
 }
 
+// someOrNone returns the metric label of a count.
 func someOrNone(n int) string {
 	if n == 0 {
 		return "none"
@@ -190,12 +191,13 @@
 	ran time.Duration
 }
 
+// observed returns what was observed of the attempt so far.
 func (at *attempt) observed() observation {
-	se := observation{acked: !at.launched.IsZero(), ran: at.worked}
+	ob := observation{acked: !at.launched.IsZero(), ran: at.worked}
 	if at.sighted.After(at.launched) {
-		se.ran += at.sighted.Sub(at.launched)
+		ob.ran += at.sighted.Sub(at.launched)
 	}
-	return se
+	return ob
 }
 
 // logDeath logs the end of a worker's process, with what decides how its attempts ended: the
@@ -207,12 +209,12 @@
 			unanswered++
 		}
 	}
-	var goneFor time.Duration
+	var unlistedFor time.Duration
 	if ho.unlisted {
-		goneFor = now.Sub(ho.unlistedAt)
+		unlistedFor = now.Sub(ho.unlistedAt)
 	}
 	ho.ow.Log.Warn("worker is dead", "worker", ho.incarnation, "attempts", len(ho.attempts), "why", why, "by", by, "unanswered", unanswered,
-		"heard", ho.quietFor(now), "failing_for", elapsedSince(now, ho.failingSince), "silent", ho.unresponsive, "listed", !ho.unlisted, "gone_for", goneFor, "draining", ho.Draining)
+		"heard", ho.quietFor(now), "failing_for", elapsedSince(now, ho.failingSince), "silent", ho.unresponsive, "listed", !ho.unlisted, "gone_for", unlistedFor, "draining", ho.Draining)
 }
 
 // elapsedSince returns the time since began, or 0 if began is zero.
--- a/internal/sched/death_test.go
+++ b/internal/sched/death_test.go
@@ -27,9 +27,9 @@
 		time.Sleep(time.Second)
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(time.Second)
-		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
-		la.fleet.Add(now)
-		la.crew[0] = now
+		next := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
+		la.fleet.Add(next)
+		la.crew[0] = next
 		ow.SetWorkers(la.listed(), nil, false)
 		time.Sleep(time.Second)
 		dead := li.matching(`msg="worker is dead"`, "worker="+was.Addr.Incarnation.String()+" ")
--- a/internal/sched/formerprocess_test.go
+++ b/internal/sched/formerprocess_test.go
@@ -101,13 +101,13 @@
 		la := newLab(t, 3)
 		var hung atomic.Bool
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
+			poll := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 				if hung.Load() && ad.Incarnation.ID == "i-0" {
 					<-ctx.Done()
 					return worker.Sight{}, ctx.Err()
 				}
-				return look(ctx, ad, lo)
+				return poll(ctx, ad, lo)
 			}
 			return ag
 		}
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -164,7 +164,7 @@
 		at.ho.markStarted(at, time.Now())
 		return
 	}
-	ow.end(at.en, at.ref, at.number, job.EndNever, "", "its launch had no answer and it was kept from starting")
+	ow.end(at.en, at.ref, at.number, job.EndNever, "", "its launch had no answer and it was prevented from starting")
 }
 
 // resolveOrder finds out whether an attempt reached a worker whose answer was lost, and
--- a/internal/sched/leasewait_test.go
+++ b/internal/sched/leasewait_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestHandedOverWaitsElapse guards against waits for leases that stand still while a new owner
-// loads the cell, or that are lost when it hands the cell over before it has polled the
+// TestHandedOverWaitsElapse guards against waits for leases that do not count down while a new
+// owner loads the cell, or that are lost when it hands the cell over before it has polled the
 // workers itself.
 func TestHandedOverWaitsElapse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -64,12 +64,12 @@
 var errNoRelay = errors.New("no such relay")
 
 func (pr *pollRecorder) wrap(ag worker.Agent) worker.Agent {
-	look := ag.LookFunc
+	poll := ag.LookFunc
 	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 		if err := pr.record(ad, lo); err != nil {
 			return worker.Sight{}, err
 		}
-		return look(ctx, ad, lo)
+		return poll(ctx, ad, lo)
 	}
 	return ag
 }
@@ -123,7 +123,7 @@
 
 // TestFirstLeaseExtensionIsNotDelayed guards against a second poll that waits until the ends
 // listed by the first one are written. A new owner can extend leases only once its first poll
-// has told it the worker's clock, so all leases of the worker run down meanwhile.
+// has read the worker's clock, so all leases of the worker run down meanwhile.
 func TestFirstLeaseExtensionIsNotDelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
--- a/internal/sched/polls.go
+++ b/internal/sched/polls.go
@@ -25,8 +25,9 @@
 	// maxDurableWait is how long a poll waits for ends to become durable. Then it is sent
 	// anyway, as it extends leases.
 	maxDurableWait = 500 * time.Millisecond
-	// unresponsiveAfter is the time without a successful poll after which a worker counts as
-	// lost unless it answers again.
+	// unresponsiveAfter is the time without a successful poll after which a worker is likely
+	// lost: capacity is reserved for its long-running tasks, and its attempts end once its
+	// leases have lapsed.
 	unresponsiveAfter = 2500 * time.Millisecond
 	// extendUnresponsive is how long polls that fail still extend leases. An order under way
 	// may take effect without an answer, so if all of them extended leases, these would never
@@ -302,7 +303,7 @@
 			ho.ow.halt(at, "still running after the end of its job")
 		}
 		if !at.halted.IsZero() {
-			ho.ow.halt(at, "still running after it was to stop")
+			ho.ow.halt(at, "still running after it was ordered to stop")
 		}
 		if at.stalled(got) {
 			ho.relieve(at, got)
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -110,9 +110,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
+			poll := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-				si, err := look(ctx, ad, lo)
+				si, err := poll(ctx, ad, lo)
 				clock.Sleep(ctx, 50*time.Millisecond)
 				return si, err
 			}
@@ -174,12 +174,12 @@
 func slowFirstPolls(d time.Duration) func(worker.Agent) worker.Agent {
 	began := time.Now().UnixMilli()
 	return func(ag worker.Agent) worker.Agent {
-		look := ag.LookFunc
+		poll := ag.LookFunc
 		ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 			if ad.Incarnation.Born > began && !clock.Sleep(ctx, d) {
 				return worker.Sight{}, ctx.Err()
 			}
-			return look(ctx, ad, lo)
+			return poll(ctx, ad, lo)
 		}
 		return ag
 	}
@@ -282,9 +282,9 @@
 		la := newLab(t, 1)
 		var busy atomic.Pointer[Owner]
 		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
+			poll := ag.LookFunc
 			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-				si, err := look(ctx, ad, lo)
+				si, err := poll(ctx, ad, lo)
 				if ow := busy.Load(); ow != nil {
 					ow.post(func() { time.Sleep(ackWithin + 200*time.Millisecond) })
 				}
--- a/internal/sched/timebreakdown.go
+++ b/internal/sched/timebreakdown.go
@@ -120,12 +120,12 @@
 }
 
 // attrs returns the log attributes of a job's time, in milliseconds.
-func (sp *timeBreakdown) attrs() []slog.Attr {
+func (tb *timeBreakdown) attrs() []slog.Attr {
 	list := make([]slog.Attr, 0, causes+2)
-	for ca, d := range sp.byCause {
+	for ca, d := range tb.byCause {
 		list = append(list, slog.Int64(causeNames[ca]+"_ms", d.Milliseconds()))
 	}
-	return append(list, slog.Int("failed", sp.failed), slog.Int("moved", sp.moved))
+	return append(list, slog.Int("failed", tb.failed), slog.Int("moved", tb.moved))
 }
 
 // logWait logs a job whose tasks have waited for long.
--- a/internal/sched/timebreakdown_test.go
+++ b/internal/sched/timebreakdown_test.go
@@ -64,10 +64,10 @@
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, li.matching(`msg="job time"`, "job="+jobID(1), "state=succeeded"), qt.HasLen, 1)
 		synctest.Wait()
-		en, err := ask(t.Context(), ow, func(answer func(timeBreakdown)) { answer(ow.entries[jobID(1)].spent) })
+		tb, err := ask(t.Context(), ow, func(answer func(timeBreakdown)) { answer(ow.entries[jobID(1)].spent) })
 		qt.Assert(t, err, qt.IsNil)
 		var sum time.Duration
-		for _, d := range en.byCause {
+		for _, d := range tb.byCause {
 			sum += d
 		}
 		age, err := ask(t.Context(), ow, func(answer func(time.Duration)) {
@@ -75,8 +75,8 @@
 		})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, sum, qt.Equals, age)
-		qt.Assert(t, en.byCause[CauseRoom] > time.Second, qt.IsTrue, qt.Commentf("room %v", en.byCause[CauseRoom]))
-		qt.Assert(t, en.byCause[CauseWork] > 500*time.Millisecond, qt.IsTrue, qt.Commentf("work %v", en.byCause[CauseWork]))
+		qt.Assert(t, tb.byCause[CauseRoom] > time.Second, qt.IsTrue, qt.Commentf("room %v", tb.byCause[CauseRoom]))
+		qt.Assert(t, tb.byCause[CauseWork] > 500*time.Millisecond, qt.IsTrue, qt.Commentf("work %v", tb.byCause[CauseWork]))
 	})
 }
 
--- a/internal/sched/workerstate.go
+++ b/internal/sched/workerstate.go
@@ -356,7 +356,8 @@
 
 // nextLeaseEnd returns the lease end to send to the worker now, by its clock in milliseconds.
 // It returns 0 if the clock is not known, the tenure was not confirmed recently enough, or the
-// silent row, which the next owner may read, says that the worker gets no lease.
+// row of unresponsive workers (SilentTable), which the next owner may read, says that the
+// worker gets no lease.
 func (ho *workerState) nextLeaseEnd(now time.Time) int64 {
 	te := &ho.ow.Tenure
 	age := now.Sub(te.LastBacked())
