--- a/internal/sched/reach.go
+++ b/internal/sched/reach.go
@@ -21,7 +21,7 @@
 // Times of telling of workers that get no orders.
 const (
 	// quietAfter is how long a worker is silent or unsettled before it is told of: a
-	// look after a lost answer takes lookRetry and a few milliseconds, and most
+	// look after a lost answer takes pollRetry and a few milliseconds, and most
 	// workers settle within the first 20 ms of an owner.
 	quietAfter = time.Second
 	// tellReachEvery is the least time between lines.
--- a/internal/sched/workerstate.go
+++ b/internal/sched/workerstate.go
@@ -17,8 +17,8 @@
 	// Addr is the address of the worker and the incarnation of its process.
 	worker.Addr
 
-	// Undecodable is set if the entry exists but could not be decoded. A worker that is
-	// already known keeps its last state; an unknown one is not added.
+	// Undecodable is set if the entry could not be decoded. A worker that is already known
+	// keeps its last state; an unknown one is not added.
 	Undecodable bool
 	// Service is the service that the worker belongs to, DataCentre its zone.
 	Service    string
@@ -43,10 +43,9 @@
 	// orders read it concurrently.
 	path        atomic.Pointer[way]
 	incarnation worker.Incarnation
-	// firstSeen is when the worker was added. formerIncarnations are the incarnations of the
-	// worker that former owners' rows name for attempts which may run here. inheritedUntil is
-	// when the leases of attempts that were ordered from an earlier incarnation have lapsed at
-	// the latest.
+	// firstSeen is when the worker was added, formerIncarnations are those that former owners'
+	// rows name for attempts which may run here. inheritedUntil is when the leases of attempts
+	// ordered from an earlier incarnation have lapsed at the latest.
 	firstSeen          time.Time
 	formerIncarnations []worker.Incarnation
 	inheritedUntil     time.Time
@@ -112,20 +111,19 @@
 	// trial is the suspect task that runs isolated here, or is about to.
 	trial *trial
 	// quarantinedUntil is the time until which the worker gets no new attempts. failures
-	// counts the attempts that failed here since the last one that succeeded, failedJobs has
-	// their jobs. failureQuarantineUntil is the end of the quarantine for such failures,
-	// failureQuarantines the number of these quarantines in a row.
+	// counts the attempts that failed here since the last success, failedJobs has their jobs.
+	// failureQuarantineUntil is the end of the quarantine for them, failureQuarantines the
+	// number of these quarantines in a row.
 	quarantinedUntil       time.Time
 	failureQuarantineUntil time.Time
 	failureQuarantines     int
 	failures               int
 	failedJobs             map[string]bool
-	// fillers is the state of the worker's fillers.
-	fillers fillers
+	fillers                fillers
 }
 
-// SetWorkers applies entries of the platform's list of workers, and the ids of workers whose
-// entries were removed. If whole is set, listed is the complete list.
+// SetWorkers applies entries of the platform's list of workers and removes those with the ids
+// in removed. If whole is set, listed is the complete list.
 func (ow *Owner) SetWorkers(listed []WorkerEntry, removed []string, whole bool) {
 	ow.post(func() { ow.setWorkers(listed, removed, whole) })
 }
@@ -177,7 +175,6 @@
 	}
 }
 
-// update applies the current entry of the worker.
 func (ho *workerState) update(li WorkerEntry) {
 	if ho.Draining != li.Draining || ho.unlisted {
 		ho.ow.Log.Info("worker changed", "worker", ho.incarnation, "draining", li.Draining, "listed", true)
@@ -316,8 +313,7 @@
 const (
 	// unavailableTrial: a suspect task runs isolated there.
 	unavailableTrial = "trial"
-	// unavailableFailing: attempts fail there. The worker gets only tasks that fit nowhere
-	// else.
+	// unavailableFailing: attempts fail there. It gets only tasks that fit nowhere else.
 	unavailableFailing = "failing"
 )
 
@@ -435,11 +431,10 @@
 	return now.After(ow.formerLeasesUntil(incarnation))
 }
 
-// formerLeasesUntil returns when such attempts have ended at the latest. If the former owner
-// stated it when it released the cell, that holds, even if it is later than the leases of the
-// former owner itself would give. Otherwise it is a lease after the last moment at which a
-// former owner can have extended one, but not later than the bound on all leases that former
-// owners can claim.
+// formerLeasesUntil returns when these attempts have ended at the latest: when the former owner
+// stated as it released the cell, even if that is later than its own leases, or else a lease
+// after the last moment at which a former owner can have extended one, but not later than the
+// bound on all leases that former owners can claim.
 func (ow *Owner) formerLeasesUntil(incarnation worker.Incarnation) time.Time {
 	if ms, ok := ow.Tenure.Former.SilentMS[incarnation.String()]; ok {
 		return ow.opened.Add(time.Duration(ms)*time.Millisecond + lapseMargin)
