--- a/internal/sched/earmark.go
+++ b/internal/sched/earmark.go
@@ -7,7 +7,9 @@
 const earmarkShare = 16
 
 // isEarmarked reports whether the worker's free capacity is set aside for an endless task.
-func (ho *workerState) isEarmarked() bool { return ho.restartReady || ho.reservedInRound == ho.ow.rounds }
+func (ho *workerState) isEarmarked() bool {
+	return ho.restartReady || ho.reservedInRound == ho.ow.rounds
+}
 
 // earmark sets aside the free capacity of a worker for an endless task that never ran and
 // fits nowhere: otherwise short tasks would take each part of it as it becomes free, and
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -46,7 +46,9 @@
 
 // quarantinedForFailures reports whether the worker is quarantined because tasks failed
 // there.
-func (ho *workerState) quarantinedForFailures(now time.Time) bool { return !now.After(ho.failureQuarantineUntil) }
+func (ho *workerState) quarantinedForFailures(now time.Time) bool {
+	return !now.After(ho.failureQuarantineUntil)
+}
 
 // Rules of the quarantine.
 const (
--- a/internal/sched/reach.go
+++ b/internal/sched/reach.go
@@ -21,7 +21,7 @@
 // Limits on the reports of workers that get no orders.
 const (
 	// outageLogAfter is how long a worker must be unresponsive or unsettled to be logged: a
-	// poll after a lost answer takes lookRetry and a few milliseconds, and most workers
+	// poll after a lost answer takes pollRetry and a few milliseconds, and most workers
 	// settle within the first 20 ms of an owner.
 	outageLogAfter = time.Second
 	// outageLogInterval is the least time between log lines.
