--- a/internal/port/port_test.go
+++ b/internal/port/port_test.go
@@ -1,6 +1,7 @@
 package port
 
 import (
+	"bufio"
 	"bytes"
 	"context"
 	"io"
@@ -70,6 +71,10 @@
 		_, err = conn.Write([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nab"))
 		c.Assert(err, qt.IsNil)
 		c.Assert(<-ended, qt.IsNotNil)
+		// The answer is sent once the request no longer counts as in flight.
+		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		c.Assert(err, qt.IsNil)
+		c.Assert(resp.Body.Close(), qt.IsNil)
 		c.Assert(status(c, url, nil), qt.Equals, http.StatusOK)
 	})
 	t.Run("garbage", func(t *testing.T) {
