--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -42,7 +42,7 @@
 func keysTable() string {
 	var rows []string
 	for _, ke := range config.Keys {
-		rows = append(rows, fmt.Sprintf("| `%s` | %s | %s |", ke.Name, ke.Default, ke.Means))
+		rows = append(rows, fmt.Sprintf("| `%s` | %s | %s |", ke.Name, ke.Default, ke.Meaning))
 	}
 	return table("| key | default | meaning |", rows)
 }
@@ -58,19 +58,19 @@
 func metricsTable() string {
 	var rows []string
 	for _, en := range telemetry.Counters {
-		rows = append(rows, fmt.Sprintf("| `%s_total` | %s | %s | %s |", en.Name, en.Labels, en.Means, en.Do))
+		rows = append(rows, fmt.Sprintf("| `%s_total` | %s | %s | %s |", en.Name, en.Labels, en.Meaning, en.Action))
 	}
 	for _, en := range telemetry.Gauges {
-		rows = append(rows, fmt.Sprintf("| `%s` | %s | %s | %s |", en.Name, en.Labels, en.Means, en.Do))
+		rows = append(rows, fmt.Sprintf("| `%s` | %s | %s | %s |", en.Name, en.Labels, en.Meaning, en.Action))
 	}
-	rows = append(rows, fmt.Sprintf("| `%s` | class | histogram of the time from arrival to answer or refusal | the p99 of latency-critical is what callers feel |", telemetry.Duration))
+	rows = append(rows, fmt.Sprintf("| `%s` | class | histogram of the time from arrival to answer or refusal | the p99 of latency-critical is what callers feel |", telemetry.RequestDuration))
 	return table("| metric | labels | counts | what to do |", rows)
 }
 
 func reasonsTable(entries []reason.Entry) string {
 	var rows []string
 	for _, en := range entries {
-		rows = append(rows, fmt.Sprintf("| `%s` | %s | %s |", en.Reason, en.Means, en.Do))
+		rows = append(rows, fmt.Sprintf("| `%s` | %s | %s |", en.Reason, en.Meaning, en.Action))
 	}
 	return table("| reason | means | what to do |", rows)
 }
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -186,7 +186,7 @@
 	defer le.mu.Unlock()
 	sh := le.shard(id.Shard())
 	if sh == nil {
-		return Verdict{Reason: reason.ClaimAway}
+		return Verdict{Reason: reason.ClaimOwnerUnavailable}
 	}
 	en, known := sh.taken[id.Text]
 	if known && !en.free {
@@ -218,9 +218,9 @@
 	case now.Sub(id.Made) > le.Rules.Window:
 		return reason.IDStale
 	case !known && id.Made.Before(sh.vouches.Add(le.Rules.Skew)):
-		return reason.ClaimBefore
+		return reason.ClaimBeforeTenure
 	case !known && le.count >= le.Rules.Most && !le.prune(now):
-		return reason.ClaimFull
+		return reason.ClaimMemoryFull
 	}
 	return reason.None
 }
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -238,9 +238,9 @@
 	old := idMadeAt(time.Now().Add(-DefaultRules.Window-time.Second), 1)
 	c.Assert(le.Take(TakeRequest{ID: old, Sending: "a"}).Reason, qt.Equals, reason.IDStale)
 	begun = lease.OwnershipStart{At: time.Now(), Epoch: 2}
-	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimBefore)
+	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimBeforeTenure)
 	le.Owns = func(string) bool { return false }
-	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimAway)
+	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimOwnerUnavailable)
 }
 
 func TestMemoryIsBounded(t *testing.T) {
@@ -252,7 +252,7 @@
 	for range 10 {
 		c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Granted, qt.IsTrue)
 	}
-	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimFull)
+	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimMemoryFull)
 }
 
 // TestGuard checks the final word for each verdict and each loss.
@@ -272,10 +272,10 @@
 		{"granted, not run", Verdict{Granted: true}, nil, route.NotRunResult(reason.NoRunner, 1), route.NotRun, reason.NoRunner, 1, 1},
 		{"granted, unknown", Verdict{Granted: true}, nil, route.Result{Outcome: route.Unknown, Reason: reason.AnswerLost}, route.Unknown, reason.AnswerLost, 1, 0},
 		{"taken", Verdict{Reason: reason.ClaimTaken}, nil, route.Result{}, route.Unknown, reason.ClaimTaken, 0, 0},
-		{"before tenure", Verdict{Reason: reason.ClaimBefore}, nil, route.Result{}, route.Unknown, reason.ClaimBefore, 0, 0},
-		{"owner away", Verdict{}, errLost, route.Result{}, route.Unknown, reason.ClaimAway, 0, 0},
-		{"not the owner", Verdict{Reason: reason.ClaimAway}, nil, route.Result{}, route.Unknown, reason.ClaimAway, 0, 0},
-		{"memory full", Verdict{Reason: reason.ClaimFull}, nil, route.Result{}, route.NotRun, reason.ClaimFull, 0, 0},
+		{"before tenure", Verdict{Reason: reason.ClaimBeforeTenure}, nil, route.Result{}, route.Unknown, reason.ClaimBeforeTenure, 0, 0},
+		{"owner away", Verdict{}, errLost, route.Result{}, route.Unknown, reason.ClaimOwnerUnavailable, 0, 0},
+		{"not the owner", Verdict{Reason: reason.ClaimOwnerUnavailable}, nil, route.Result{}, route.Unknown, reason.ClaimOwnerUnavailable, 0, 0},
+		{"memory full", Verdict{Reason: reason.ClaimMemoryFull}, nil, route.Result{}, route.NotRun, reason.ClaimMemoryFull, 0, 0},
 	} {
 		t.Run(te.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/claim/guard.go
+++ b/internal/claim/guard.go
@@ -40,7 +40,7 @@
 	req := TakeRequest{ID: text, Sending: uuid.NewString()}
 	ver, err := gu.take(ctx, home, id.Shard(), req)
 	if err != nil {
-		return unvouched(reason.ClaimAway)
+		return unvouched(reason.ClaimOwnerUnavailable)
 	}
 	if !ver.Granted {
 		return refused(ver.Reason)
@@ -59,7 +59,7 @@
 		actx, cancel := context.WithTimeout(ctx, takeAttempt)
 		defer cancel()
 		ver, err := gu.Take(actx, home, shard, req)
-		if err == nil && ver.Reason == reason.ClaimAway {
+		if err == nil && ver.Reason == reason.ClaimOwnerUnavailable {
 			err = errNotOwner
 		}
 		return ver, err
@@ -76,7 +76,7 @@
 // through before, what became of it is not known here.
 func refused(why reason.Reason) route.Result {
 	switch why {
-	case reason.IDMalformed, reason.ClaimFull:
+	case reason.IDMalformed, reason.ClaimMemoryFull:
 		// Neither was ever let through: the one cannot be, and of the other
 		// the owner has full memory.
 		return route.NotRunResult(why, claimRetryIn)
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -360,7 +360,7 @@
 // Execute implements flags.Commander.
 func (cc *configKeysCommand) Execute([]string) error {
 	for _, ke := range config.Keys {
-		if _, err := fmt.Fprintf(cc.st.out, "%-30s %-8s %s\n", ke.Name, ke.Default, ke.Means); err != nil {
+		if _, err := fmt.Fprintf(cc.st.out, "%-30s %-8s %s\n", ke.Name, ke.Default, ke.Meaning); err != nil {
 			return err
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,8 +31,8 @@
 	Name string
 	// Default is the value when it is not set.
 	Default string
-	// Means says what it does, and in what unit.
-	Means string
+	// Meaning says what it does, and in what unit.
+	Meaning string
 	// check refuses a value.
 	check func(string) error
 }
@@ -44,7 +44,7 @@
 	RetryRatio      = "route.retry-ratio"
 	DeadlineLatency = "route.deadline-latency-critical"
 	DeadlineBatch   = "route.deadline-batch"
-	MaxAside        = "upstream.max-aside"
+	MaxQuarantined  = "upstream.max-aside"
 	TailTarget      = "place.tail-target"
 	WeightTail      = "place.weight-tail"
 	WeightEvictions = "place.weight-evictions"
@@ -62,7 +62,7 @@
 	{RetryRatio, "0.1", "retries earned by one request", part},
 	{DeadlineLatency, "2s", "deadline of a latency-critical request that states none", span},
 	{DeadlineBatch, "60s", "deadline of a batch request that states none", span},
-	{MaxAside, "0.5", "part of a service's runners in a data centre that may be set aside", part},
+	{MaxQuarantined, "0.5", "part of a service's runners in a data centre that may be set aside", part},
 	{TailTarget, "100ms", "p99 that service tasks are to keep", span},
 	{WeightTail, "1", "cost of a service over its target, against the other weights", positive},
 	{WeightEvictions, "1", "cost of one eviction, against the other weights", positive},
@@ -292,8 +292,8 @@
 	return do, rowVer, nil
 }
 
-// Also is a row written along with a change.
-type Also struct {
+// ExtraRow is a row written along with a change.
+type ExtraRow struct {
 	// Key and Version name the row as it must be.
 	Key     string
 	Version int64
@@ -304,7 +304,7 @@
 // Change writes the changes on top of the version that they were planned on,
 // along with one more row, and returns the new version. The error is
 // [ErrConflict] if there is a later version, or another one of the row.
-func (st *Store) Change(ctx context.Context, basis int64, changes map[string]string, also Also) (Doc, error) {
+func (st *Store) Change(ctx context.Context, basis int64, changes map[string]string, also ExtraRow) (Doc, error) {
 	do, rowVer, err := st.read(ctx)
 	if err != nil {
 		return do, err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -69,7 +69,7 @@
 	plan := "plan/" + rapid.StringMatching(`[a-z]{12}`).Draw(rt, "plan")
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	next, err := st.Change(ctx, doc.Version, map[string]string{QueueLimit: value}, Also{Key: plan, Value: 1})
+	next, err := st.Change(ctx, doc.Version, map[string]string{QueueLimit: value}, ExtraRow{Key: plan, Value: 1})
 	if err != nil {
 		return
 	}
@@ -129,17 +129,17 @@
 	table := &standin.Table{}
 	a, b := &Store{Table: table.Client()}, &Store{Table: table.Client()}
 	ctx := context.Background()
-	_, err := a.Change(ctx, 0, map[string]string{QueueLimit: "1"}, Also{Key: "plan/a", Value: 1})
+	_, err := a.Change(ctx, 0, map[string]string{QueueLimit: "1"}, ExtraRow{Key: "plan/a", Value: 1})
 	c.Assert(err, qt.IsNil)
-	_, err = b.Change(ctx, 0, map[string]string{QueueLimit: "2"}, Also{Key: "plan/b", Value: 1})
+	_, err = b.Change(ctx, 0, map[string]string{QueueLimit: "2"}, ExtraRow{Key: "plan/b", Value: 1})
 	c.Assert(errors.Is(err, ErrConflict), qt.IsTrue)
 	// The other's change comes between the look and the write.
 	cl := table.Client()
 	a.Table.CommitFunc = func(ctx context.Context, txn store.Txn) (store.CommitReply, error) {
-		_, err := b.Change(ctx, 1, map[string]string{QueueLimit: "3"}, Also{Key: "plan/c", Value: 1})
+		_, err := b.Change(ctx, 1, map[string]string{QueueLimit: "3"}, ExtraRow{Key: "plan/c", Value: 1})
 		c.Assert(err, qt.IsNil)
 		return cl.CommitFunc(ctx, txn)
 	}
-	_, err = a.Change(ctx, 1, map[string]string{QueueLimit: "4"}, Also{Key: "plan/d", Value: 1})
+	_, err = a.Change(ctx, 1, map[string]string{QueueLimit: "4"}, ExtraRow{Key: "plan/d", Value: 1})
 	c.Assert(errors.Is(err, ErrConflict), qt.IsTrue)
 }
--- a/internal/config/history_test.go
+++ b/internal/config/history_test.go
@@ -121,7 +121,7 @@
 func change(st *Store, in changeInput) changeOutput {
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	plan := Also{Key: "plan/" + in.value, Value: in.value}
+	plan := ExtraRow{Key: "plan/" + in.value, Value: in.value}
 	_, err := st.Change(ctx, in.basis, map[string]string{QueueLimit: in.value}, plan)
 	return changeOutput{accepted: err == nil, unknown: err != nil && !errors.Is(err, ErrConflict)}
 }
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -153,7 +153,7 @@
 	if err == nil {
 		return resp, nil
 	}
-	if wire.PortRefused(err) {
+	if wire.ConnectionRefused(err) {
 		do.Keeper.NotifyPortRefused(row.Process)
 	}
 	if wire.NotConnected(err) || wire.Code(err) == codeNotOwner {
--- a/internal/door/history_test.go
+++ b/internal/door/history_test.go
@@ -189,7 +189,7 @@
 func (ha *hall) ownUntil(ctx context.Context) {
 	te := tenure.Tenure{Epoch: 1, Key: "cells/c0/owner", Confirmed: time.Now, HeartbeatWritten: time.Now, FormerEnded: time.Now, End: func(error) {}}
 	ow := sched.New(&sched.Owner{Cell: "c0", Tenure: te, Table: ha.table.Client(), Log: ha.door.Log, Limits: sched.Limits{MaxLease: time.Second, KeepEnded: time.Minute}})
-	intake := watch.Watch{Table: ha.table.Client(), Name: sched.IntakeTable, Under: sched.IntakePrefix("c0"), Log: ha.door.Log,
+	intake := watch.Watch{Table: ha.table.Client(), TableName: sched.IntakeTable, Prefix: sched.IntakePrefix("c0"), Log: ha.door.Log,
 		OnRows: func(rows []store.FeedRow, _ bool) { ow.Import(rows) }}
 	loaded := func() {
 		ha.owner.Store(ow)
--- a/internal/door/narrow_test.go
+++ b/internal/door/narrow_test.go
@@ -229,7 +229,7 @@
 	err := ow.Run(ctx, func() {
 		st.owner.Store(ow)
 		ow.SetWorkers(st.to.listed, nil, true)
-		in := watch.Watch{Table: st.table(), Name: sched.IntakeTable, Under: sched.IntakePrefix("c0"), Log: st.to.log, OnRows: func(rows []store.FeedRow, _ bool) { ow.Import(rows) }}
+		in := watch.Watch{Table: st.table(), TableName: sched.IntakeTable, Prefix: sched.IntakePrefix("c0"), Log: st.to.log, OnRows: func(rows []store.FeedRow, _ bool) { ow.Import(rows) }}
 		go in.Run(ctx)
 	})
 	return ow.Handover(), err
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -47,7 +47,7 @@
 // run.
 func (ho *Host) refuseCaller(w http.ResponseWriter, r *http.Request, err *wire.Error) {
 	res := route.NotRunResult(portReasons[err.Code], err.RetryAfter)
-	ho.metrics.Ended("unread", res.Reason, 0)
+	ho.metrics.RecordRequest("unread", res.Reason, 0)
 	_ = connect.NewErrorWriter().Write(w, r, failure("", res))
 }
 
@@ -78,7 +78,7 @@
 		id = uuid.NewString()
 	}
 	res := cs.ho.call(ctx, id, msg)
-	cs.ho.metrics.Ended(class(msg.GetClass()).String(), res.Reason, time.Since(begun))
+	cs.ho.metrics.RecordRequest(class(msg.GetClass()).String(), res.Reason, time.Since(begun))
 	if res.Outcome != route.Answered {
 		return nil, failure(id, res)
 	}
@@ -200,7 +200,7 @@
 	})
 	var refused *session.Error
 	if errors.As(err, &refused) {
-		cs.ho.metrics.Ended("session", refused.Reason, 0)
+		cs.ho.metrics.RecordRequest("session", refused.Reason, 0)
 		return failure("", route.NotRunResult(refused.Reason, refused.RetryAfter))
 	}
 	return err
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -141,18 +141,18 @@
 
 func (ho *Host) callerLimits() port.Limits {
 	return port.Limits{
-		Conns: ho.set.MaxConns, InFlight: ho.set.MaxInFlight, Body: ho.set.MaxBody, Read: bodyTime, Write: answerTime,
+		MaxConns: ho.set.MaxConns, MaxInFlight: ho.set.MaxInFlight, MaxBody: ho.set.MaxBody, ReadTimeout: bodyTime, WriteTimeout: answerTime,
 		Refuse: ho.refuseCaller,
 	}
 }
 
 func (ho *Host) peerLimits() port.Limits {
 	// A peer's message has the body in base64 and some words around it.
-	return port.Limits{Conns: ho.set.MaxConns, InFlight: ho.set.MaxInFlight, Body: 2*ho.set.MaxBody + peerBody, Read: bodyTime, Write: answerTime}
+	return port.Limits{MaxConns: ho.set.MaxConns, MaxInFlight: ho.set.MaxInFlight, MaxBody: 2*ho.set.MaxBody + peerBody, ReadTimeout: bodyTime, WriteTimeout: answerTime}
 }
 
 func (ho *Host) adminLimits() port.Limits {
-	return port.Limits{Conns: adminConns, InFlight: adminInFlight, Body: adminBody, Read: bodyTime, Write: answerTime}
+	return port.Limits{MaxConns: adminConns, MaxInFlight: adminInFlight, MaxBody: adminBody, ReadTimeout: bodyTime, WriteTimeout: answerTime}
 }
 
 // Bounds of the ports that are not settings.
@@ -223,7 +223,7 @@
 	ho.stopping.Store(true)
 	close(ho.done)
 	ho.mesh.Hurry()
-	ho.callerPort.Retire()
+	ho.callerPort.DisableKeepAlives()
 	ho.relay.Stop()
 	ho.rebuild()
 	// The balancer goes on sending requests until it sees the host unready;
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -90,7 +90,7 @@
 func (ho *Host) applyConfig(doc config.Doc) {
 	ho.router.SetPolicy(route.Policy{QueueLimit: doc.Int(config.QueueLimit), BatchEvery: doc.Int(config.BatchEvery)})
 	ho.router.Budget.SetRatio(doc.Float(config.RetryRatio))
-	ho.registry.SetMaxAside(doc.Float(config.MaxAside))
+	ho.registry.SetMaxAside(doc.Float(config.MaxQuarantined))
 	ho.log.Info("configuration in force", "version", doc.Version)
 }
 
@@ -232,7 +232,7 @@
 	case "took-over":
 		ho.metrics.Add(telemetry.Takeovers, 1)
 	case "extended":
-		ho.metrics.Add(telemetry.Extensions, 1)
+		ho.metrics.Add(telemetry.LeaseExtensions, 1)
 	}
 	ho.log.Info("lease", "event", ev.Kind, "peer", ev.Peer)
 }
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -196,7 +196,7 @@
 	case err != nil:
 		return claim.Verdict{}, err
 	case msg.Passed:
-		return claim.Verdict{Reason: reason.ClaimAway}, nil
+		return claim.Verdict{Reason: reason.ClaimOwnerUnavailable}, nil
 	}
 	msg.Passed = true
 	return wire.Post[claimMessage[claim.TakeRequest], claim.Verdict](ctx, ho.web, "http://"+addr+pathTake, msg)
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -269,7 +269,7 @@
 	}
 	applied := pl
 	applied.Applied = pl.ConfigVersion + 1
-	doc, err := de.Config.Change(ctx, pl.ConfigVersion, changes, config.Also{Key: planPrefix + pl.ID, Version: version, Value: applied})
+	doc, err := de.Config.Change(ctx, pl.ConfigVersion, changes, config.ExtraRow{Key: planPrefix + pl.ID, Version: version, Value: applied})
 	if !errors.Is(err, config.ErrConflict) {
 		return Result{Applied: err == nil, Version: doc.Version}, err
 	}
--- a/internal/jobhost/cell.go
+++ b/internal/jobhost/cell.go
@@ -28,7 +28,7 @@
 		Self: se.Name, Cores: se.Processor(), Epoch: te.Epoch, HTTP: ho.streams, Direct: platform.NewAgent(ho.workers),
 		Former: te.Former.Owner, FormerProcess: te.Former.Process, Metrics: ho.metrics, Log: ho.log,
 	}
-	workers := &watch.Watch{Table: ho.table, Name: platform.WorkerTable, Under: platform.WorkerPrefix, Log: ho.log}
+	workers := &watch.Watch{Table: ho.table, TableName: platform.WorkerTable, Prefix: platform.WorkerPrefix, Log: ho.log}
 	ow := sched.New(&sched.Owner{
 		Cell: cellName, Tenure: te, Table: ho.table, Agent: po.Agent(), Without: ho.Without, Metrics: ho.metrics, Log: ho.log,
 		ViaFunc:     func(li sched.WorkerEntry) string { return po.Via(li.Incarnation.String(), li.DataCentre) },
@@ -57,10 +57,10 @@
 // watchCell hands the owner's relays and its tenure the list of entry hosts, and the owner
 // what other hosts took in.
 func (ho *Host) watchCell(ctx context.Context, ow *sched.Owner, po *relay.Pool, setHosts membersFunc) {
-	hosts := watch.Watch{Table: ho.table, Name: registry.Table, Under: registry.Prefix, Log: ho.log,
+	hosts := watch.Watch{Table: ho.table, TableName: registry.Table, Prefix: registry.Prefix, Log: ho.log,
 		OnRows: func(rows []store.FeedRow, whole bool) { ho.onMembers(rows, whole, po.SetMembers, setHosts) }}
 	go hosts.Run(ctx)
-	intake := watch.Watch{Table: ho.table, Name: sched.IntakeTable, Under: sched.IntakePrefix(cellName), Log: ho.log,
+	intake := watch.Watch{Table: ho.table, TableName: sched.IntakeTable, Prefix: sched.IntakePrefix(cellName), Log: ho.log,
 		OnRows: func(rows []store.FeedRow, _ bool) { ow.Import(rows) }}
 	go intake.Run(ctx)
 }
@@ -72,7 +72,7 @@
 	var listed []registry.Member
 	var gone []string
 	for _, row := range rows {
-		if row.Gone {
+		if row.Deleted {
 			gone = append(gone, strings.TrimPrefix(row.Key, registry.Prefix))
 			continue
 		}
@@ -92,7 +92,7 @@
 	var listed []sched.WorkerEntry
 	var names, gone []string
 	for _, row := range rows {
-		if row.Gone {
+		if row.Deleted {
 			gone = append(gone, platform.WorkerID(row.Key))
 			continue
 		}
--- a/internal/jobhost/follow.go
+++ b/internal/jobhost/follow.go
@@ -12,14 +12,14 @@
 // followConfig returns what follows the configuration.
 func (ho *Host) followConfig() *watch.Watch {
 	return &watch.Watch{
-		Table: ho.table, Name: platform.ConfigTable, Under: platform.ConfigPrefix, Relist: true, Log: ho.log,
+		Table: ho.table, TableName: platform.ConfigTable, Prefix: platform.ConfigPrefix, RelistOnError: true, Log: ho.log,
 		OnRows: ho.onConfig, OnContact: ho.onConfirmed,
 	}
 }
 
 func (ho *Host) onConfig(rows []store.FeedRow, _ bool) {
 	for _, row := range rows {
-		if row.Key != platform.ConfigKey || row.Gone {
+		if row.Key != platform.ConfigKey || row.Deleted {
 			continue
 		}
 		co, err := platform.DecodeConfig(row.Row)
--- a/internal/jobhost/host.go
+++ b/internal/jobhost/host.go
@@ -125,14 +125,14 @@
 
 // callers serves callers.
 func (ho *Host) callers() http.Handler {
-	return port.Timed(platform.Front{Door: ho.door}, bodyWait, answerWait)
+	return port.WithTimeouts(platform.Front{Door: ho.door}, bodyWait, answerWait)
 }
 
 // peers serves other entry hosts, and the product's own interface.
 func (ho *Host) peers() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/cell/", port.Timed(ho.door.Handler(), bodyWait, answerWait))
-	mux.Handle("/jobs/", port.Timed(jobapi.Handler(ho.door), bodyWait, answerWait))
+	mux.Handle("/cell/", port.WithTimeouts(ho.door.Handler(), bodyWait, answerWait))
+	mux.Handle("/jobs/", port.WithTimeouts(jobapi.Handler(ho.door), bodyWait, answerWait))
 	mux.Handle(relay.Path, ho.relay)
 	return mux
 }
--- a/internal/jobhost/lapse_test.go
+++ b/internal/jobhost/lapse_test.go
@@ -30,7 +30,7 @@
 	rows := make([]store.FeedRow, len(names))
 	for i, name := range names {
 		fw := &standin.FleetWorker{Addr: worker.Addr{HostPort: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Incarnation: worker.Incarnation{ID: name}}}
-		rows[i] = store.FeedRow{Row: store.Row{Key: platform.WorkerPrefix + name, Value: platformtest.WorkerRow(fw, "routedesk", "a")}, Gone: gone}
+		rows[i] = store.FeedRow{Row: store.Row{Key: platform.WorkerPrefix + name, Value: platformtest.WorkerRow(fw, "routedesk", "a")}, Deleted: gone}
 	}
 	return rows
 }
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -21,15 +21,15 @@
 
 // Limits bound one port.
 type Limits struct {
-	// Conns bounds open connections, InFlight requests being served.
-	Conns    int
-	InFlight int
-	// Body bounds a request in bytes.
-	Body int64
-	// Read bounds the time to receive a request.
-	Read time.Duration
-	// Write bounds the time in which a caller takes a part of an answer.
-	Write time.Duration
+	// MaxConns bounds open connections, InFlight requests being served.
+	MaxConns    int
+	MaxInFlight int
+	// MaxBody bounds a request in bytes.
+	MaxBody int64
+	// ReadTimeout bounds the time to receive a request.
+	ReadTimeout time.Duration
+	// WriteTimeout bounds the time in which a caller takes a part of an answer.
+	WriteTimeout time.Duration
 	// Refuse answers a request that is over a bound, in the form that the
 	// port's callers understand; nil answers as package wire does.
 	Refuse func(w http.ResponseWriter, r *http.Request, err *wire.Error)
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	po := &Port{Addr: ln.Addr().String(), ln: netutil.LimitListener(ln, lim.Conns)}
+	po := &Port{Addr: ln.Addr().String(), ln: netutil.LimitListener(ln, lim.MaxConns)}
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -81,10 +81,10 @@
 	return fmt.Errorf("serve %s: %w", po.Addr, err)
 }
 
-// Retire has every answer close its connection, so that callers come back over
+// DisableKeepAlives has every answer close its connection, so that callers come back over
 // another. A connection that is closed while idle can meet a request on its
 // way, which is then lost without a word.
-func (po *Port) Retire() { po.closing.Store(true) }
+func (po *Port) DisableKeepAlives() { po.closing.Store(true) }
 
 func (po *Port) ending(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -106,8 +106,8 @@
 
 // bound puts the limits before a handler.
 func bound(h http.Handler, lim Limits) http.Handler {
-	slots := make(chan struct{}, lim.InFlight)
-	timed := Timed(h, lim.Read, lim.Write)
+	slots := make(chan struct{}, lim.MaxInFlight)
+	timed := WithTimeouts(h, lim.ReadTimeout, lim.WriteTimeout)
 	refuse := lim.Refuse
 	if refuse == nil {
 		refuse = func(w http.ResponseWriter, _ *http.Request, err *wire.Error) { wire.WriteError(w, err) }
@@ -123,23 +123,23 @@
 			return
 		}
 		defer func() { <-slots }()
-		if r.ContentLength > lim.Body {
+		if r.ContentLength > lim.MaxBody {
 			refuse(w, r, &wire.Error{
 				Status: http.StatusRequestEntityTooLarge, Code: wire.CodeTooLarge,
-				Message: fmt.Sprintf("body is over %d bytes", lim.Body),
+				Message: fmt.Sprintf("body is over %d bytes", lim.MaxBody),
 			})
 			return
 		}
 		if r.Body != http.NoBody {
-			r.Body = http.MaxBytesReader(w, r.Body, lim.Body)
+			r.Body = http.MaxBytesReader(w, r.Body, lim.MaxBody)
 		}
 		timed.ServeHTTP(w, r)
 	})
 }
 
-// Timed bounds the time to receive a request's body, and the time in which a caller
+// WithTimeouts bounds the time to receive a request's body, and the time in which a caller
 // takes a part of the answer. Zero bounds nothing.
-func Timed(h http.Handler, read, write time.Duration) http.Handler {
+func WithTimeouts(h http.Handler, read, write time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rc := http.NewResponseController(w)
 		if read > 0 && r.Body != http.NoBody {
--- a/internal/port/port_test.go
+++ b/internal/port/port_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestLimits(t *testing.T) {
-	lim := Limits{Conns: 100, InFlight: 1, Body: 10, Read: 200 * time.Millisecond}
+	lim := Limits{MaxConns: 100, MaxInFlight: 1, MaxBody: 10, ReadTimeout: 200 * time.Millisecond}
 	read := func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
@@ -88,7 +88,7 @@
 
 func TestStopWaitsForRequestsInFlight(t *testing.T) {
 	c := qt.New(t)
-	lim := Limits{Conns: 10, InFlight: 10, Body: 10, Read: time.Second}
+	lim := Limits{MaxConns: 10, MaxInFlight: 10, MaxBody: 10, ReadTimeout: time.Second}
 	po, err := Listen("127.0.0.1:0", lim)
 	c.Assert(err, qt.IsNil)
 	gate, entered := make(chan struct{}), make(chan struct{})
@@ -106,7 +106,7 @@
 }
 
 // answerLimits bound the parts of an answer.
-var answerLimits = Limits{Conns: 10, InFlight: 10, Body: 10, Read: time.Second, Write: 200 * time.Millisecond}
+var answerLimits = Limits{MaxConns: 10, MaxInFlight: 10, MaxBody: 10, ReadTimeout: time.Second, WriteTimeout: 200 * time.Millisecond}
 
 // TestAnswerThatNobodyTakes is the story of callers that freeze while they are
 // answered.
@@ -150,7 +150,7 @@
 				for range 2 {
 					_, _ = w.Write([]byte("part"))
 					_ = http.NewResponseController(w).Flush()
-					time.Sleep(2 * answerLimits.Write)
+					time.Sleep(2 * answerLimits.WriteTimeout)
 				}
 			}, answerLimits)
 			data, err := io.ReadAll(get(c, protocols, url))
--- a/internal/reason/reason.go
+++ b/internal/reason/reason.go
@@ -11,29 +11,29 @@
 	// None is the reason of what went well.
 	None Reason = ""
 
-	Malformed     Reason = "malformed"
-	BodyTooLarge  Reason = "body-too-large"
-	Busy          Reason = "busy"
-	Stopping      Reason = "stopping"
-	NotReady      Reason = "not-ready"
-	NoRunner      Reason = "no-runner"
-	QueueFull     Reason = "queue-full"
-	TooLate       Reason = "too-late"
-	Expired       Reason = "expired"
-	RetryBudget   Reason = "retry-budget"
-	AllRefused    Reason = "all-refused"
-	AnswerLost    Reason = "answer-lost"
-	PeerLost      Reason = "peer-lost"
-	CallerGone    Reason = "caller-gone"
-	IDMalformed   Reason = "id-malformed"
-	IDStale       Reason = "id-stale"
-	ClaimTaken    Reason = "claim-taken"
-	ClaimAway     Reason = "claim-owner-away"
-	ClaimBefore   Reason = "claim-before-tenure"
-	ClaimFull     Reason = "claim-memory-full"
-	SessionToken  Reason = "session-token"
-	SessionLimit  Reason = "session-limit"
-	SessionNoHost Reason = "session-no-runner"
+	Malformed             Reason = "malformed"
+	BodyTooLarge          Reason = "body-too-large"
+	Busy                  Reason = "busy"
+	Stopping              Reason = "stopping"
+	NotReady              Reason = "not-ready"
+	NoRunner              Reason = "no-runner"
+	QueueFull             Reason = "queue-full"
+	TooLate               Reason = "too-late"
+	Expired               Reason = "expired"
+	RetryBudget           Reason = "retry-budget"
+	AllRefused            Reason = "all-refused"
+	AnswerLost            Reason = "answer-lost"
+	PeerLost              Reason = "peer-lost"
+	CallerGone            Reason = "caller-gone"
+	IDMalformed           Reason = "id-malformed"
+	IDStale               Reason = "id-stale"
+	ClaimTaken            Reason = "claim-taken"
+	ClaimOwnerUnavailable Reason = "claim-owner-away"
+	ClaimBeforeTenure     Reason = "claim-before-tenure"
+	ClaimMemoryFull       Reason = "claim-memory-full"
+	SessionToken          Reason = "session-token"
+	SessionLimit          Reason = "session-limit"
+	SessionNoRunner       Reason = "session-no-runner"
 )
 
 // Reasons for which a request is sent to another runner.
@@ -52,10 +52,10 @@
 type Entry struct {
 	// Reason is the word.
 	Reason Reason
-	// Means says what happened.
-	Means string
-	// Do says what an operator may do about it.
-	Do string
+	// Meaning says what happened.
+	Meaning string
+	// Action says what an operator may do about it.
+	Action string
 }
 
 // Refusals documents the reasons for which a request ends unanswered.
@@ -77,12 +77,12 @@
 	{IDMalformed, "a request marked run_once has no UUIDv7 as id", "mend the caller"},
 	{IDStale, "the id is older than ids are remembered", "mend the caller: make the id when the request is made"},
 	{ClaimTaken, "the id was let through before; it may have run", "none: the first sending has the answer"},
-	{ClaimAway, "the owner of the id's shard cannot be reached", "see status: a cut, or a takeover under way"},
-	{ClaimBefore, "the id was made before the shard's owner took over", "none: it passes in seconds"},
-	{ClaimFull, "the owner remembers as many ids as it may", "add entry hosts, or raise --max-claims"},
+	{ClaimOwnerUnavailable, "the owner of the id's shard cannot be reached", "see status: a cut, or a takeover under way"},
+	{ClaimBeforeTenure, "the id was made before the shard's owner took over", "none: it passes in seconds"},
+	{ClaimMemoryFull, "the owner remembers as many ids as it may", "add entry hosts, or raise --max-claims"},
 	{SessionToken, "the session's resume token cannot be read", "mend the caller"},
 	{SessionLimit, "the entry host has as many sessions as it takes", "add entry hosts, or raise --max-sessions"},
-	{SessionNoHost, "no runner of the service takes the session", "as for no-runner"},
+	{SessionNoRunner, "no runner of the service takes the session", "as for no-runner"},
 }
 
 // Retries documents the reasons for which a request is tried again.
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -237,7 +237,7 @@
 		if final, stop := tr.stop(ctx, at); stop {
 			return final
 		}
-		tr.ro.Metrics.Retried(at.retry)
+		tr.ro.Metrics.RecordRetry(at.retry)
 	}
 }
 
@@ -316,7 +316,7 @@
 		second.Release(tr.req.Method, upstream.Full, 0)
 		return <-results
 	}
-	tr.ro.Metrics.Retried(reason.RetryHedge)
+	tr.ro.Metrics.RecordRetry(reason.RetryHedge)
 	launch(second)
 	return tr.better(<-results, results)
 }
--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -107,7 +107,7 @@
 	}
 	ev.moves++
 	if at.haltSentAt.IsZero() {
-		ev.ow.Metrics.Add(telemetry.Emptied, 1, "why", cause)
+		ev.ow.Metrics.Add(telemetry.Evacuated, 1, "why", cause)
 	}
 	why := "its worker leaves and another has room"
 	if cause == reasonUnlisted {
--- a/internal/sched/intake.go
+++ b/internal/sched/intake.go
@@ -40,7 +40,7 @@
 func (ow *Owner) Import(rows []store.FeedRow) {
 	ow.post(func() {
 		for _, row := range rows {
-			if !row.Gone {
+			if !row.Deleted {
 				ow.importRow(row.Row)
 			}
 		}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -20,7 +20,7 @@
 		return
 	}
 	ow.rounds++
-	ow.Metrics.Add(telemetry.PlaceRounds, 1)
+	ow.Metrics.Add(telemetry.PlacementRounds, 1)
 	pl := ow.newPlacer()
 	for jobs := slices.Clone(ow.active); len(jobs) > 0; {
 		n := countSamePriority(jobs)
--- a/internal/sched/polls.go
+++ b/internal/sched/polls.go
@@ -181,7 +181,7 @@
 
 // handlePollError handles a failed poll.
 func (ho *workerState) handlePollError(err error) {
-	ho.ow.Metrics.Add(telemetry.Looks, 1, "outcome", "failed")
+	ho.ow.Metrics.Add(telemetry.PollFailures, 1, "outcome", "failed")
 	le := (*worker.IncarnationError)(nil)
 	switch {
 	case errors.As(err, &le):
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -277,7 +277,7 @@
 			lastGood = time.Now()
 			bo.Reset()
 		case time.Since(lastGood) > se.re.Patience:
-			return &Error{Reason: reason.SessionNoHost, RetryAfter: sessionRetryIn}
+			return &Error{Reason: reason.SessionNoRunner, RetryAfter: sessionRetryIn}
 		}
 		if !se.pause(ctx, bo.NextBackOff()) {
 			return se.sendMoved()
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -158,7 +158,7 @@
 		var caller *callerError
 		var refused *Error
 		switch {
-		case errors.As(err, &refused) && (refused.Reason == reason.SessionNoHost || refused.Reason == reason.Stopping):
+		case errors.As(err, &refused) && (refused.Reason == reason.SessionNoRunner || refused.Reason == reason.Stopping):
 			// The caller comes back with its token.
 		case errors.As(err, &caller) && errors.Is(caller.err, errEnough):
 			time.Sleep(time.Minute)
@@ -186,7 +186,7 @@
 	}{
 		{"token that is none", newRelay(&fakeStreams{}, "a"), Request{Token: "%%%"}, reason.SessionToken},
 		{"token of nothing", newRelay(&fakeStreams{}, "a"), Request{Token: position{}.token()}, reason.SessionToken},
-		{"no runner", newRelay(&fakeStreams{}), Request{Service: "s"}, reason.SessionNoHost},
+		{"no runner", newRelay(&fakeStreams{}), Request{Service: "s"}, reason.SessionNoRunner},
 		{"served", newRelay(&fakeStreams{}, "a"), Request{Service: "s"}, reason.None},
 	} {
 		t.Run(te.name, func(t *testing.T) {
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -220,7 +220,7 @@
 	ta.version++
 	for _, put := range txn.Puts {
 		row := store.Row{Key: put.Key, Value: put.Value, Version: ta.version, WriteID: txn.ID}
-		ta.history = append(ta.history, store.FeedRow{Row: row, Gone: put.Delete})
+		ta.history = append(ta.history, store.FeedRow{Row: row, Deleted: put.Delete})
 		if put.Delete {
 			delete(ta.rows, put.Key)
 			continue
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -182,8 +182,8 @@
 type FeedRow struct {
 	Row
 
-	// Gone is set if the row was removed.
-	Gone bool `json:"gone,omitempty"`
+	// Deleted is set if the row was removed.
+	Deleted bool `json:"gone,omitempty"`
 }
 
 // CommitReply is the version that a write gave its rows.
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -25,28 +25,28 @@
 
 // The counters.
 const (
-	Answers      Name = "pepperhatch_answers"
-	Refusals     Name = "pepperhatch_refusals"
-	Retries      Name = "pepperhatch_retries"
-	Attempts     Name = "pepperhatch_attempts"
-	Spills       Name = "pepperhatch_spills"
-	SessionMoves Name = "pepperhatch_session_moves"
-	TableErrors  Name = "pepperhatch_table_errors"
-	Takeovers    Name = "pepperhatch_takeovers"
-	Extensions   Name = "pepperhatch_lease_extensions"
-	JournalRows  Name = "pepperhatch_journal_rows"
-	TaskEvents   Name = "pepperhatch_task_events"
-	JobRequests  Name = "pepperhatch_job_requests"
-	JobVerdicts  Name = "pepperhatch_job_verdicts"
-	AttemptEnds  Name = "pepperhatch_attempt_ends"
-	CellWrites   Name = "pepperhatch_cell_writes"
-	Launches     Name = "pepperhatch_launches"
-	Looks        Name = "pepperhatch_looks"
-	PlaceRounds  Name = "pepperhatch_placement_rounds"
-	Stalls       Name = "pepperhatch_attempts_stalled"
-	Emptied      Name = "pepperhatch_attempts_emptied"
-	JobTime      Name = "pepperhatch_job_milliseconds"
-	RelaysLost   Name = "pepperhatch_relays_lost"
+	Answers         Name = "pepperhatch_answers"
+	Refusals        Name = "pepperhatch_refusals"
+	Retries         Name = "pepperhatch_retries"
+	Attempts        Name = "pepperhatch_attempts"
+	Spills          Name = "pepperhatch_spills"
+	SessionMoves    Name = "pepperhatch_session_moves"
+	TableErrors     Name = "pepperhatch_table_errors"
+	Takeovers       Name = "pepperhatch_takeovers"
+	LeaseExtensions Name = "pepperhatch_lease_extensions"
+	JournalRows     Name = "pepperhatch_journal_rows"
+	TaskEvents      Name = "pepperhatch_task_events"
+	JobRequests     Name = "pepperhatch_job_requests"
+	JobVerdicts     Name = "pepperhatch_job_verdicts"
+	AttemptEnds     Name = "pepperhatch_attempt_ends"
+	CellWrites      Name = "pepperhatch_cell_writes"
+	Launches        Name = "pepperhatch_launches"
+	PollFailures    Name = "pepperhatch_looks"
+	PlacementRounds Name = "pepperhatch_placement_rounds"
+	Stalls          Name = "pepperhatch_attempts_stalled"
+	Evacuated       Name = "pepperhatch_attempts_emptied"
+	JobTime         Name = "pepperhatch_job_milliseconds"
+	RelaysLost      Name = "pepperhatch_relays_lost"
 
 	WorkersCrashed Name = "pepperhatch_workers_crashed"
 	SuspectStarts  Name = "pepperhatch_suspect_starts"
@@ -62,8 +62,8 @@
 	ConfigConfirmed Name = "pepperhatch_config_confirmed_seconds"
 )
 
-// Duration is the histogram of request times.
-const Duration Name = "pepperhatch_request_seconds"
+// RequestDuration is the histogram of request times.
+const RequestDuration Name = "pepperhatch_request_seconds"
 
 // Entry documents one instrument.
 type Entry struct {
@@ -71,10 +71,10 @@
 	Name Name
 	// Labels are its labels.
 	Labels string
-	// Means says what it counts.
-	Means string
-	// Do says what to do about it.
-	Do string
+	// Meaning says what it counts.
+	Meaning string
+	// Action says what to do about it.
+	Action string
 }
 
 // Counters documents the counters.
@@ -87,17 +87,17 @@
 	{SessionMoves, "why", "sessions moved to another runner or entry host", "growth without a stop or drain: look at the runners"},
 	{TableErrors, "step", "failed uses of the platform's table or list", "growth: the platform is away or slow"},
 	{Takeovers, "", "leases taken over from an entry host that was silent", "find out why it was"},
-	{Extensions, "", "leases extended on the promises of all peers", "the table is away"},
+	{LeaseExtensions, "", "leases extended on the promises of all peers", "the table is away"},
 	{JournalRows, "cell", "batches written to a cell's journal", "over 10 a second: raise --cell-interval"},
 	{JobRequests, "kind, outcome, reason", "requests of callers about jobs, by how they were answered", "refusals: see the reason"},
 	{JobVerdicts, "outcome, reason", "what the owner of a cell said to jobs handed in", "refusals: see the reason"},
 	{AttemptEnds, "end", "attempts of tasks that ended, by how", "lapsed, lost, crashed or failed: look for the workers in the log"},
 	{CellWrites, "outcome", "writes of a cell's rows", "failed: the store is away or slow"},
 	{Launches, "outcome", "orders to start an attempt, by what the worker said", "no-answer or unfit: look for the workers in the log"},
-	{Looks, "outcome", "looks at workers that failed", "growth: workers are away"},
-	{PlaceRounds, "", "rounds of placement of a cell, each over all its workers", "many a second: the owner's processor is short, see CAPACITY.md"},
+	{PollFailures, "outcome", "looks at workers that failed", "growth: workers are away"},
+	{PlacementRounds, "", "rounds of placement of a cell, each over all its workers", "many a second: the owner's processor is short, see CAPACITY.md"},
 	{Stalls, "", "attempts that were stopped as they made no progress", "look for the workers in the log: \"attempts stand still\""},
-	{Emptied, "why", "lasting tasks that were stopped to go on elsewhere, as their worker drains or has had no entry for long (unlisted)", "unlisted: look for \"emptying a worker without an entry\" in the log"},
+	{Evacuated, "why", "lasting tasks that were stopped to go on elsewhere, as their worker drains or has had no entry for long (unlisted)", "unlisted: look for \"emptying a worker without an entry\" in the log"},
 	{JobTime, "cause", "time of jobs that are over, in milliseconds, by what it went to", "much of room or place: too little room; of store or order: the store or the owner is slow"},
 	{RelaysLost, "", "streams of an owner to other entry hosts that ended", "look for \"relay not used for a while\" in the owner's log"},
 	{WorkersCrashed, "attempts", "workers whose process ended without a word, by whether some attempts stood there or none", "some: look for \"task given up\" and \"trying a task under which workers ended\" in the log"},
@@ -132,22 +132,22 @@
 	meter := sdkmetric.NewMeterProvider(sdkmetric.WithReader(exp)).Meter("pepperhatch")
 	me := &Metrics{counters: map[Name]metric.Int64Counter{}, gauges: map[Name]metric.Int64Gauge{}}
 	for _, en := range Counters {
-		me.counters[en.Name], err = meter.Int64Counter(string(en.Name), metric.WithDescription(en.Means))
+		me.counters[en.Name], err = meter.Int64Counter(string(en.Name), metric.WithDescription(en.Meaning))
 		if err != nil {
 			return nil, nil, fmt.Errorf("counter %s: %w", en.Name, err)
 		}
 	}
 	for _, en := range Gauges {
-		me.gauges[en.Name], err = meter.Int64Gauge(string(en.Name), metric.WithDescription(en.Means))
+		me.gauges[en.Name], err = meter.Int64Gauge(string(en.Name), metric.WithDescription(en.Meaning))
 		if err != nil {
 			return nil, nil, fmt.Errorf("gauge %s: %w", en.Name, err)
 		}
 	}
-	me.duration, err = meter.Float64Histogram(string(Duration),
+	me.duration, err = meter.Float64Histogram(string(RequestDuration),
 		metric.WithDescription("time from arrival to answer or refusal"),
 		metric.WithExplicitBucketBoundaries(.001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10))
 	if err != nil {
-		return nil, nil, fmt.Errorf("histogram %s: %w", Duration, err)
+		return nil, nil, fmt.Errorf("histogram %s: %w", RequestDuration, err)
 	}
 	return me, promhttp.HandlerFor(reg, promhttp.HandlerOpts{}), nil
 }
@@ -178,8 +178,8 @@
 	return metric.WithAttributes(kvs...)
 }
 
-// Ended counts one request that ended, with its time.
-func (me *Metrics) Ended(class string, why reason.Reason, took time.Duration) {
+// RecordRequest counts one request that ended, with its time.
+func (me *Metrics) RecordRequest(class string, why reason.Reason, took time.Duration) {
 	if me == nil {
 		return
 	}
@@ -191,7 +191,7 @@
 	me.duration.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("class", class)))
 }
 
-// Retried counts one request sent to another runner.
-func (me *Metrics) Retried(why reason.Reason) {
+// RecordRetry counts one request sent to another runner.
+func (me *Metrics) RecordRetry(why reason.Reason) {
 	me.Add(Retries, 1, "reason", string(why))
 }
--- a/internal/tenure/stall.go
+++ b/internal/tenure/stall.go
@@ -81,7 +81,7 @@
 // would wait for these leases: 177 long-running tasks of lost workers were free to restart
 // 5.6 s late that way.
 func (ke *Keeper) mayExtend(epoch int64, confirmed time.Time) bool {
-	failed := ke.watch.Failed()
+	failed := ke.watch.LastFailure()
 	ke.mu.Lock()
 	ke.checkClocks()
 	trusts := ke.stalls.confirmationValid(confirmed, failed)
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -250,7 +250,7 @@
 
 // Run takes part in the election until ctx ends.
 func (ke *Keeper) Run(ctx context.Context) {
-	ke.watch = watch.Watch{Table: ke.Table, Name: tableName, Under: tableName + "/" + ke.Cell + "/", Also: ke.beatPart(), OnRows: ke.onRows, Log: ke.Log}
+	ke.watch = watch.Watch{Table: ke.Table, TableName: tableName, Prefix: tableName + "/" + ke.Cell + "/", ExtraPrefix: ke.beatPart(), OnRows: ke.onRows, Log: ke.Log}
 	go ke.watch.Run(ctx)
 	go ke.watchClocks(ctx)
 	for clock.Sleep(ctx, checkEvery) {
--- a/internal/transport/change_test.go
+++ b/internal/transport/change_test.go
@@ -71,7 +71,7 @@
 		}()
 		fo.change()
 		wa := watch.Watch{
-			Table: store.NewTable("http://"+fo.pipes.Addr().String(), fo.hc), Name: "op", Under: "op//", Relist: true,
+			Table: store.NewTable("http://"+fo.pipes.Addr().String(), fo.hc), TableName: "op", Prefix: "op//", RelistOnError: true,
 			Log: slog.New(slog.DiscardHandler), OnRows: fo.onRows,
 		}
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/watch/stall_test.go
+++ b/internal/watch/stall_test.go
@@ -26,7 +26,7 @@
 			t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
 			ln := linetest.NewLine(t, hs.Listener.Addr().String())
 			table := store.NewTable("http://"+ln.Addr(), &http.Client{Transport: &http.Transport{}})
-			mi.watch = Watch{Table: table, Name: "op", Under: "op/c0/", OnRows: mi.onRows, Log: slog.New(slog.DiscardHandler)}
+			mi.watch = Watch{Table: table, TableName: "op", Prefix: "op/c0/", OnRows: mi.onRows, Log: slog.New(slog.DiscardHandler)}
 			ctx, end := context.WithCancel(context.Background())
 			defer end()
 			ended := make(chan struct{})
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -45,16 +45,16 @@
 type Watch struct {
 	// Table is where the rows are.
 	Table store.Table
-	// Name is the part of the keys before the first "/".
-	Name string
-	// Under is the prefix of the keys wanted; it begins with Name and "/".
-	Under string
-	// Also is another prefix of which rows are wanted; empty is none.
-	Also string
-	// Relist has all rows read again after the table did not answer, rather than the
+	// TableName is the part of the keys before the first "/".
+	TableName string
+	// Prefix is the prefix of the keys wanted; it begins with Name and "/".
+	Prefix string
+	// ExtraPrefix is another prefix of which rows are wanted; empty is none.
+	ExtraPrefix string
+	// RelistOnError has all rows read again after the table did not answer, rather than the
 	// changes since: for few rows that are large and change often, of which the last
 	// state is wanted. A host whose link is full may never get all the changes.
-	Relist bool
+	RelistOnError bool
 	// OnRows gets rows in the order of their changes. If whole is set they are
 	// all there are, and any other that was known is gone.
 	OnRows func(rows []store.FeedRow, whole bool)
@@ -132,18 +132,18 @@
 	}
 	wa.unanswered()
 	wa.failures++
-	if wa.Relist {
+	if wa.RelistOnError {
 		wa.synced = false
 	}
 	if errors.Is(err, store.ErrHistoryGone) {
-		wa.Log.Warn("store forgot its history, reading all again", "watch", wa.Under, "version", wa.version)
+		wa.Log.Warn("store forgot its history, reading all again", "watch", wa.Prefix, "version", wa.version)
 		wa.synced = false
 		return
 	}
 	wa.noteFailed(sent)
 	if !wa.lost {
 		last, _ := wa.Contact()
-		wa.Log.Warn("store does not answer", "watch", wa.Under, "version", wa.version, "took", time.Since(sent), "contact_age", Age(last), "err", err)
+		wa.Log.Warn("store does not answer", "watch", wa.Prefix, "version", wa.version, "took", time.Since(sent), "contact_age", Age(last), "err", err)
 	}
 	wa.lost = true
 }
@@ -160,9 +160,9 @@
 	wa.failed = sent
 }
 
-// Failed returns when the last call without an answer was sent, or zero. That the table
+// LastFailure returns when the last call without an answer was sent, or zero. That the table
 // forgot its history is an answer.
-func (wa *Watch) Failed() time.Time {
+func (wa *Watch) LastFailure() time.Time {
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
 	return wa.failed
@@ -175,7 +175,7 @@
 	wa.contact, wa.answer, wa.failing = sent, time.Now(), false
 	if wa.lost || wa.regained.IsZero() {
 		wa.regained = time.Now()
-		wa.Log.Info("store answers", "watch", wa.Under, "version", wa.version, "took", time.Since(sent), "contact_age", Age(last))
+		wa.Log.Info("store answers", "watch", wa.Prefix, "version", wa.version, "took", time.Since(sent), "contact_age", Age(last))
 	}
 }
 
@@ -200,7 +200,7 @@
 	ctx, cancel := context.WithTimeout(ctx, waitMost+wa.patient(answerGrace))
 	defer cancel()
 	ctx = hedge.With(ctx, hedge.Policy{Wait: waitMost, After: doubleAfter})
-	reply, err := wa.Table.FeedFunc(ctx, store.FeedRequest{Prefix: wa.Name, After: wa.version, WaitMS: waitMost.Milliseconds()})
+	reply, err := wa.Table.FeedFunc(ctx, store.FeedRequest{Prefix: wa.TableName, After: wa.version, WaitMS: waitMost.Milliseconds()})
 	if err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 // within leaves out rows that do not begin with the prefix.
 func (wa *Watch) within(rows []store.FeedRow) []store.FeedRow {
 	return slices.DeleteFunc(rows, func(row store.FeedRow) bool {
-		return !strings.HasPrefix(row.Key, wa.Under) && (wa.Also == "" || !strings.HasPrefix(row.Key, wa.Also))
+		return !strings.HasPrefix(row.Key, wa.Prefix) && (wa.ExtraPrefix == "" || !strings.HasPrefix(row.Key, wa.ExtraPrefix))
 	})
 }
 
@@ -222,12 +222,12 @@
 // from the first, so that no change between them is missed. The pages have deadlines;
 // a long list over a narrow link takes as long as it needs.
 func (wa *Watch) list(ctx context.Context) error {
-	rows, version, err := wa.Table.ListFrom(ctx, wa.Under)
+	rows, version, err := wa.Table.ListFrom(ctx, wa.Prefix)
 	if err != nil {
 		return err
 	}
-	if wa.Also != "" {
-		also, err := wa.Table.List(ctx, wa.Also)
+	if wa.ExtraPrefix != "" {
+		also, err := wa.Table.List(ctx, wa.ExtraPrefix)
 		if err != nil {
 			return err
 		}
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		mi := &mirror{t: t, rows: map[string]string{}}
-		mi.watch = Watch{Table: mi.table.Client(), Name: "op", Under: "op/c0/", OnRows: mi.onRows, Log: slog.New(slog.DiscardHandler)}
+		mi.watch = Watch{Table: mi.table.Client(), TableName: "op", Prefix: "op/c0/", OnRows: mi.onRows, Log: slog.New(slog.DiscardHandler)}
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		go mi.watch.Run(ctx)
@@ -45,7 +45,7 @@
 		clear(mi.rows)
 	}
 	for _, row := range rows {
-		if row.Gone {
+		if row.Deleted {
 			delete(mi.rows, row.Key)
 			continue
 		}
@@ -161,7 +161,7 @@
 			told += len(rows)
 			mi.onRows(rows, whole)
 		}
-		mi.watch = Watch{Table: mi.table.Client(), Name: "op", Under: "op/c0/", Relist: true, OnRows: count, Log: slog.New(slog.DiscardHandler)}
+		mi.watch = Watch{Table: mi.table.Client(), TableName: "op", Prefix: "op/c0/", RelistOnError: true, OnRows: count, Log: slog.New(slog.DiscardHandler)}
 		ctx, end := context.WithCancel(context.Background())
 		defer end()
 		go mi.watch.Run(ctx)
--- a/internal/wire/dial.go
+++ b/internal/wire/dial.go
@@ -13,9 +13,9 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// PortRefused reports whether err says that nothing listens at the address,
+// ConnectionRefused reports whether err says that nothing listens at the address,
 // rather than that the way there is cut.
-func PortRefused(err error) bool {
+func ConnectionRefused(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" && !op.Timeout()
 }
