--- a/internal/store/hosts.go
+++ b/internal/store/hosts.go
@@ -17,10 +17,10 @@
 	KindWorker HostKind = "worker"
 )
 
-// HostState is what the list says of a host.
+// HostState is the state of a host in the list.
 type HostState string
 
-// The states of hosts. A host that is not listed is gone.
+// The states of hosts. A host that is not listed was removed.
 const (
 	HostLive    HostState = "live"
 	HostLeaving HostState = "leaving"
@@ -28,29 +28,29 @@
 
 // Host is one entry of the platform's list.
 type Host struct {
-	// ID names the host.
+	// ID identifies the host.
 	ID string `json:"id"`
-	// Kind says what it runs.
+	// Kind is what the host runs.
 	Kind HostKind `json:"kind"`
-	// Addr is its IP number and port.
+	// Addr is the host's IP number and port.
 	Addr string `json:"addr"`
-	// DC is its data centre.
+	// DC is the host's data centre.
 	DC string `json:"dc"`
-	// Rack is its rack.
+	// Rack is the host's rack.
 	Rack string `json:"rack"`
 	// State is live or leaving.
 	State HostState `json:"state"`
-	// Service is what a runner serves.
+	// Service is the service that a runner serves.
 	Service string `json:"service,omitempty"`
-	// Slots is how many requests a runner runs at a time.
+	// Slots is the number of requests that a runner runs at a time.
 	Slots int `json:"slots,omitempty"`
-	// MilliCores, MemMB and Accels are what a worker holds.
+	// MilliCores, MemMB and Accels are a worker's capacity.
 	MilliCores int64 `json:"milli_cores,omitempty"`
 	MemMB      int64 `json:"mem_mb,omitempty"`
 	Accels     int64 `json:"accels,omitempty"`
 }
 
-// HostsRequest asks for hosts.
+// HostsRequest reads the host list.
 type HostsRequest struct {
 	// DC limits the list to one data centre; empty means all.
 	DC string `json:"dc,omitempty"`
@@ -58,15 +58,15 @@
 	Kind HostKind `json:"kind,omitempty"`
 }
 
-// HostsReply is the list as it was a while ago.
+// HostsReply is the host list, which may be some time old.
 type HostsReply struct {
-	// Hosts are in order of id.
+	// Hosts are in order of ID.
 	Hosts []Host `json:"hosts"`
 }
 
 // Hosts is a client of the host list.
 type Hosts struct {
-	// ListFunc reads the list.
+	// ListFunc reads the host list.
 	ListFunc func(context.Context, HostsRequest) (HostsReply, error)
 }
 
--- a/internal/store/plausible_test.go
+++ b/internal/store/listfilter_test.go
@@ -19,28 +19,28 @@
 	return all
 }
 
-func TestListFilter(t *testing.T) {
+func TestListFilterRejectsImplausibleLists(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		lf := &store.ListFilter{}
 		full := append(hosts(store.KindRunner, 10), hosts(store.KindWorker, 10)...)
 		c.Assert(lf.Accept(full), qt.HasLen, 20)
-		// A few that go are believed at once.
+		// A few missing hosts are accepted at once.
 		c.Assert(lf.Accept(full[1:]), qt.HasLen, 19)
 		c.Assert(lf.Accept(full), qt.HasLen, 20)
-		// An empty list, or one without all workers, is not.
+		// An empty list, or one without any worker, is not.
 		c.Assert(lf.Accept(nil), qt.HasLen, 20)
 		c.Assert(lf.Accept(full[:10]), qt.HasLen, 20)
-		// What it says of those that it has is.
+		// The entries that it has are used.
 		left := hosts(store.KindRunner, 1)
 		left[0].State = store.HostLeaving
 		c.Assert(lf.Accept(left)[0].State, qt.Equals, store.HostLeaving)
 		c.Assert(lf.Accept(left), qt.HasLen, 20)
-		// Back again, the doubt begins anew the next time.
+		// After a complete list, the time starts anew.
 		c.Assert(lf.Accept(full), qt.HasLen, 20)
 		time.Sleep(time.Minute)
 		c.Assert(lf.Accept(nil), qt.HasLen, 20)
-		// A list that stays so is believed after a while.
+		// A list that stays the same is accepted in the end.
 		time.Sleep(time.Minute)
 		c.Assert(lf.Accept(nil), qt.HasLen, 0)
 	})
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -10,50 +10,54 @@
 	"github.com/pepperhatch/pepperhatch/internal/hedge"
 )
 
-// errNoProgress: the table has more rows, and returns none.
-var errNoProgress = errors.New("more rows, but none in the answer")
+// errNoProgress is returned for a page that has no rows although the table reports more.
+var errNoProgress = errors.New("table reports more rows but returned none")
 
-// Pages of a list. Rows of a job have up to some 6 kB, as the store writes them.
+// Sizes and times of the pages of a list. A row of a job has up to 6 kB in the store's
+// encoding.
 const (
-	// pageMost and pageLeast bound the rows of a page; the first has the most, as a
-	// store that is slow takes up to 0.5 s for each.
-	pageMost  = 1000
-	pageLeast = 4
-	// pageTimeout bounds one page: 4 ms, up to 120 times that in bad times, and what
-	// its bytes take over a link that is full of others.
+	// maxPageRows and minPageRows bound the rows of a page. The first page has the most,
+	// because a slow store takes up to 0.5 s for each page.
+	maxPageRows = 1000
+	minPageRows = 4
+	// pageTimeout bounds one page: 4 ms in normal operation, up to 120 times that at a
+	// slow store, plus the time of its bytes over a link that other traffic fills.
 	pageTimeout = 3 * time.Second
-	// pageDouble is after how long without an answer a page is asked for again beside
-	// itself, on another connection: over the 0.5 s of bad times.
-	pageDouble = 600 * time.Millisecond
-	// pageShrinks is how many times fewer rows the next page has after one that did
-	// not come in time: 1 MB, the most that the store answers, takes 4 s at 2 Mbit/s.
-	pageShrinks = 8
-	// pageQuick is the time under which the next page has twice as many rows.
-	pageQuick = pageTimeout / 3
-	// pageTries is how often a page of the least size is tried.
-	pageTries = 2
-	// errorsMost is how many errors other than a late answer one page may have, if it
-	// is not the first try of all, and errorPause the pause after each: a connection that was
-	// given up has to be opened anew, which takes 0.4 s over a full link.
-	errorsMost = 5
-	errorPause = 200 * time.Millisecond
+	// pageHedgeDelay is the time without an answer after which a page is requested a
+	// second time, on another connection. It is longer than the 0.5 s of a slow store.
+	pageHedgeDelay = 600 * time.Millisecond
+	// pageShrinkFactor divides the rows of the next page after a timeout. 1 MB, the
+	// store's largest answer, takes 4 s at 2 Mbit/s.
+	pageShrinkFactor = 8
+	// fastPage is the time below which the next page has twice as many rows.
+	fastPage = pageTimeout / 3
+	// maxTimeouts is the number of timeouts in a row of a page of the least size after
+	// which the list fails.
+	maxTimeouts = 2
+	// maxPageErrors bounds the errors other than timeouts of one page, and errorDelay is
+	// the delay after each. The very first request of a list is not repeated after such
+	// an error. A closed connection has to be reopened, which takes 0.4 s over a full
+	// link.
+	maxPageErrors = 5
+	errorDelay    = 200 * time.Millisecond
 )
 
-// pages reads a list page by page. No limit is on the whole: a list that is long, or
-// comes over a narrow link, takes as long as it needs while pages come.
-type pages struct {
+// pageReader reads a list page by page. There is no limit on the whole list: a long
+// list, or one over a narrow link, takes as long as its pages keep arriving.
+type pageReader struct {
 	tbl    Table
 	prefix string
 	limit  int
-	// late counts the last tries that had no answer in time, errors those that ended
-	// otherwise, since the last page.
-	late, errors int
+	// timeouts and errors count the attempts since the last page that ended in a timeout
+	// or in another error.
+	timeouts, errors int
 }
 
-// ListFrom reads all rows with the prefix, and returns the version of the
-// table from which a feed misses no change. Pages are of different moments.
+// ListFrom reads all rows with the prefix, in order of key. It returns the version of
+// the table from which a feed misses no change. The pages are not a snapshot: each is
+// read at a different time.
 func (tbl Table) ListFrom(ctx context.Context, prefix string) ([]Row, int64, error) {
-	pg := pages{tbl: tbl, prefix: prefix, limit: pageMost}
+	pg := pageReader{tbl: tbl, prefix: prefix, limit: maxPageRows}
 	var rows []Row
 	var version int64
 	after := ""
@@ -76,57 +80,58 @@
 	}
 }
 
-// read returns the page after a key, and how many rows were asked for.
-func (pg *pages) read(ctx context.Context, after string) (ReadReply, int, error) {
+// read returns the page after a key, and how many rows were requested.
+func (pg *pageReader) read(ctx context.Context, after string) (ReadReply, int, error) {
 	for {
 		limit := pg.limit
 		reply, took, err := pg.try(ctx, after)
 		if err == nil {
-			pg.came(took)
+			pg.succeeded(took)
 			return reply, limit, nil
 		}
-		if ctx.Err() != nil || !pg.again(ctx, took, after != "") {
+		if ctx.Err() != nil || !pg.retry(ctx, took, after != "") {
 			return reply, limit, err
 		}
 	}
 }
 
-// again reports whether a page is to be tried again. The first is not after an error that
-// came at once: nothing was read yet, and who asks knows what else to do.
-func (pg *pages) again(ctx context.Context, took time.Duration, begun bool) bool {
+// retry reports whether a page is to be requested again. An immediate error on the first
+// page is returned at once: nothing was read yet, and the caller can choose what to do.
+func (pg *pageReader) retry(ctx context.Context, took time.Duration, started bool) bool {
 	if took >= pageTimeout {
-		return pg.shorten()
+		return pg.shrink()
 	}
 	pg.errors++
-	if pg.errors > errorsMost || !begun && pg.limit == pageMost {
+	if pg.errors > maxPageErrors || !started && pg.limit == maxPageRows {
 		return false
 	}
-	return clock.Sleep(ctx, errorPause)
+	return clock.Sleep(ctx, errorDelay)
 }
 
-func (pg *pages) try(ctx context.Context, after string) (ReadReply, time.Duration, error) {
+func (pg *pageReader) try(ctx context.Context, after string) (ReadReply, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	sent := time.Now()
-	ctx = hedge.With(ctx, hedge.Policy{After: pageDouble})
+	ctx = hedge.With(ctx, hedge.Policy{After: pageHedgeDelay})
 	reply, err := pg.tbl.ReadFunc(ctx, ReadRequest{Prefix: pg.prefix, After: after, Limit: pg.limit})
 	return reply, time.Since(sent), err
 }
 
-// came has the next page be longer if the last one was quick.
-func (pg *pages) came(took time.Duration) {
-	pg.late, pg.errors = 0, 0
-	if took < pageQuick {
-		pg.limit = min(2*pg.limit, pageMost)
+// succeeded resets the counters, and increases the size of the next page if this one was
+// fast.
+func (pg *pageReader) succeeded(took time.Duration) {
+	pg.timeouts, pg.errors = 0, 0
+	if took < fastPage {
+		pg.limit = min(2*pg.limit, maxPageRows)
 	}
 }
 
-// shorten has the next try ask for less, and reports whether there is to be one.
-func (pg *pages) shorten() bool {
-	if pg.limit > pageLeast {
-		pg.limit = max(pg.limit/pageShrinks, pageLeast)
+// shrink reduces the size of the next page, and reports whether to retry.
+func (pg *pageReader) shrink() bool {
+	if pg.limit > minPageRows {
+		pg.limit = max(pg.limit/pageShrinkFactor, minPageRows)
 		return true
 	}
-	pg.late++
-	return pg.late < pageTries
+	pg.timeouts++
+	return pg.timeouts < maxTimeouts
 }
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -15,8 +15,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/proptest"
 )
 
-// slowTable has rows of one prefix, and takes a time for each row that it returns, up to
-// capped of them.
+// slowTable returns a table of rows with one prefix. It takes the time each for every
+// row that it returns, at most capped rows a call.
 func slowTable(rows, capped int, each time.Duration) Table {
 	return Table{ReadFunc: func(ctx context.Context, req ReadRequest) (ReadReply, error) {
 		from := 0
@@ -37,9 +37,9 @@
 	}}
 }
 
-// TestListsComeWhole: whatever the pace, each row is read once and in order, in a time
-// that goes with the rows.
-func TestListsComeWhole(t *testing.T) {
+// TestListReturnsEveryRowOnceInOrder checks that each row is read once and in order at
+// any speed of the table, in a time proportional to the rows.
+func TestListReturnsEveryRowOnceInOrder(t *testing.T) {
 	proptest.Check(t, proptest.Size{}, func(rt *rapid.T) {
 		rows, capped := rapid.IntRange(0, 1500).Draw(rt, "rows"), rapid.IntRange(1, 1200).Draw(rt, "capped")
 		each := time.Duration(rapid.IntRange(0, 350).Draw(rt, "ms a row")) * time.Millisecond
@@ -51,14 +51,15 @@
 			for i, row := range got {
 				qt.Assert(t, row.Key, qt.Equals, fmt.Sprintf("a/%06d", i))
 			}
-			// The first page, and a shorter one each after it, may be tried in vain.
+			// The first page, and a smaller one each after it, may time out.
 			qt.Assert(t, time.Since(began) <= time.Duration(rows)*each+4*pageTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 		})
 	})
 }
 
-// TestListsThatDoNotCome: a table that does not answer ends a list with an error.
-func TestListsThatDoNotCome(t *testing.T) {
+// TestListOfUnresponsiveTableFails checks that a table that does not answer ends a list
+// with an error.
+func TestListOfUnresponsiveTableFails(t *testing.T) {
 	t.Run("no answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			began := time.Now()
@@ -67,14 +68,14 @@
 			qt.Assert(t, time.Since(began) <= 6*pageTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 		})
 	})
-	t.Run("an error at once", func(t *testing.T) {
+	t.Run("immediate error", func(t *testing.T) {
 		tries := 0
 		tbl := Table{ReadFunc: func(context.Context, ReadRequest) (ReadReply, error) { tries++; return ReadReply{}, ErrBusy }}
 		_, err := tbl.List(t.Context(), "a/")
 		qt.Assert(t, errors.Is(err, ErrBusy), qt.IsTrue)
 		qt.Assert(t, tries, qt.Equals, 1)
 	})
-	t.Run("given up", func(t *testing.T) {
+	t.Run("caller's deadline", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
@@ -85,9 +86,9 @@
 	})
 }
 
-// TestListsGoOnAfterErrors: an error in the midst of a list threw away what had been read,
-// so that a long list over a poor link never came whole.
-func TestListsGoOnAfterErrors(t *testing.T) {
+// TestListContinuesAfterErrors guards against a list that discards the rows read so far
+// when a later page fails: a long list over a poor link then never completes.
+func TestListContinuesAfterErrors(t *testing.T) {
 	t.Run("opening a connection fails after each late answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			late := false
@@ -108,7 +109,7 @@
 			qt.Assert(t, rows, qt.HasLen, 2000)
 		})
 	})
-	t.Run("a call is refused now and then", func(t *testing.T) {
+	t.Run("some calls are refused", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			calls := 0
 			tbl := slowTable(2000, 10, time.Millisecond)
@@ -124,7 +125,7 @@
 			qt.Assert(t, rows, qt.HasLen, 2000)
 		})
 	})
-	t.Run("more rows, and none", func(t *testing.T) {
+	t.Run("more rows reported, none returned", func(t *testing.T) {
 		tbl := Table{ReadFunc: func(context.Context, ReadRequest) (ReadReply, error) { return ReadReply{More: true}, nil }}
 		_, err := tbl.List(t.Context(), "a/")
 		qt.Assert(t, errors.Is(err, errNoProgress), qt.IsTrue)
--- a/internal/store/stall_test.go
+++ b/internal/store/stall_test.go
@@ -11,7 +11,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-func TestTableThatStandsStill(t *testing.T) {
+func TestStalledTable(t *testing.T) {
 	var ta standin.Table
 	hs := httptest.NewServer(ta.Handler())
 	t.Cleanup(hs.Close)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,11 +1,10 @@
-// Package store has the clients of what the platform keeps for the system:
-// a transactional table, an object store and a list of hosts.
+// Package store has the clients of the platform's storage: a transactional table, an
+// object store and a list of hosts.
 //
-// The table is small, slow and sometimes away, and its answer to a write can
-// be lost after the write took effect. Every write therefore carries an id
-// that is kept in the rows written, and [Table.Settle] sends the same write
-// again until the table says one thing or the other. The clients are structs
-// of functions, which tests replace one by one.
+// The table is small, slow and at times unavailable, and its answer to a write can be
+// lost after the write took effect. Every write therefore carries an ID that is stored
+// in the rows written, and [Table.Settle] repeats the same write until its outcome is
+// known. The clients are structs of functions, so that tests can replace each one.
 package store
 
 import (
@@ -22,36 +21,33 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// CodeConflict is the code of the table's refusal of a write whose conditions
-// do not hold.
+// CodeConflict is the error code of a write whose conditions do not hold.
 const CodeConflict = "conflict"
 
-// CodeHistoryGone is the code of the table's refusal of a feed from too long
-// ago.
+// CodeHistoryGone is the error code of a feed from a version that is too old.
 const CodeHistoryGone = "history-gone"
 
-// CodeDown is the code of a table that carries nothing out.
+// CodeDown is the error code of a table that is down and executes no calls.
 const CodeDown = "down"
 
-// ErrConflict is returned for a write that certainly did not take effect
-// because a condition did not hold.
+// ErrConflict is returned for a write that had no effect because a condition did not
+// hold.
 var ErrConflict = errors.New("condition does not hold")
 
-// ConflictError is what a table says of a write whose conditions do not hold,
-// where it shows the rows as they are. [ErrConflict] is in its chain.
+// ConflictError is a table's refusal of a write whose conditions do not hold, with the
+// current rows. [ErrConflict] is in its chain.
 type ConflictError struct {
-	// Rows are those of the conditions that exist.
+	// Rows are the existing rows that the conditions name.
 	Rows []Row
 }
 
 // Error implements error.
 func (err *ConflictError) Error() string { return ErrConflict.Error() }
 
-// Unwrap makes it an [ErrConflict].
+// Unwrap returns [ErrConflict].
 func (err *ConflictError) Unwrap() error { return ErrConflict }
 
-// Row returns the row of a key as the table has it; one that is not there has
-// version 0.
+// Row returns the current row of a key; a missing row has version 0.
 func (err *ConflictError) Row(key string) Row {
 	for _, row := range err.Rows {
 		if row.Key == key {
@@ -61,36 +57,36 @@
 	return Row{Key: key}
 }
 
-// ErrHistoryGone is returned for a feed from a version whose successors the
-// table no longer knows: all has to be read again.
+// ErrHistoryGone is returned for a feed from a version whose later changes the table no
+// longer has: all rows have to be read again.
 var ErrHistoryGone = errors.New("history is gone")
 
-// ErrBusy is returned for a call that the table certainly did not carry out,
-// as it is down or has too much to do.
+// ErrBusy is returned for a call that the table did not execute because it is down or
+// overloaded.
 var ErrBusy = errors.New("table is busy or down")
 
-// ErrNotFound is returned for an object or row that is not there.
+// ErrNotFound is returned for an object or row that does not exist.
 var ErrNotFound = errors.New("not found")
 
 // Row is one row of the table.
 type Row struct {
 	// Key names the row.
 	Key string `json:"key"`
-	// Value is the row's content.
+	// Value is the row's content as JSON.
 	Value json.RawMessage `json:"value"`
-	// Version is the table's count of writes when the row was written; it
-	// only grows, also over a deletion.
+	// Version is the table's write counter at the time of the row's last write. It only
+	// grows, also across a deletion.
 	Version int64 `json:"version"`
-	// WriteID is the id of the write that left the row so.
+	// WriteID is the ID of the row's last write.
 	WriteID string `json:"write_id"`
 }
 
-// Cond is a condition of a write: the row has exactly this version, zero
-// meaning that there is no such row.
+// Cond is a condition of a write: the row has exactly this version. Zero means that the
+// row does not exist.
 type Cond struct {
 	// Key names the row.
 	Key string `json:"key"`
-	// Version is the version it must have.
+	// Version is the required version.
 	Version int64 `json:"version"`
 }
 
@@ -100,26 +96,27 @@
 	Key string `json:"key"`
 	// Value is its new content.
 	Value json.RawMessage `json:"value,omitempty"`
-	// Delete removes the row instead.
+	// Delete removes the row.
 	Delete bool `json:"delete,omitempty"`
 }
 
-// Txn is a write: all of it takes effect or nothing.
+// Txn is an atomic write.
 type Txn struct {
-	// ID is kept in the rows written; [NewTxn] sets it.
+	// ID is stored in the rows written; [NewTxn] sets it.
 	ID string `json:"id"`
-	// Conds must all hold.
+	// Conds are the conditions, which must all hold.
 	Conds []Cond `json:"conds,omitempty"`
-	// Puts are the rows written.
+	// Puts are the rows to write.
 	Puts []Put `json:"puts"`
 }
 
-// NewTxn returns an empty write with an id of its own.
+// NewTxn returns an empty write with a unique ID.
 func NewTxn() Txn {
 	return Txn{ID: uuid.NewString()}
 }
 
-// WithPut returns the write with one more row, conditional on its version.
+// WithPut returns the write with one more row, on the condition that the row has this
+// version.
 func (txn Txn) WithPut(key string, version int64, value any) (Txn, error) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -130,65 +127,66 @@
 	return txn, nil
 }
 
-// WithDelete returns the write with one row's deletion, conditional on its
-// version.
+// WithDelete returns the write with the deletion of one row, on the condition that the
+// row has this version.
 func (txn Txn) WithDelete(key string, version int64) Txn {
 	txn.Conds = append(txn.Conds[:len(txn.Conds):len(txn.Conds)], Cond{Key: key, Version: version})
 	txn.Puts = append(txn.Puts[:len(txn.Puts):len(txn.Puts)], Put{Key: key, Delete: true})
 	return txn
 }
 
-// ReadRequest asks for rows, by key or by prefix.
+// ReadRequest reads rows by key or by prefix.
 type ReadRequest struct {
-	// Keys are the rows wanted; those not there are left out of the reply.
+	// Keys are the rows to read; missing rows are left out of the reply.
 	Keys []string `json:"keys,omitempty"`
-	// Prefix asks for all rows whose key starts so, in order of key.
+	// Prefix selects all rows whose key begins with it, in order of key.
 	Prefix string `json:"prefix,omitempty"`
-	// After leaves out keys up to and including it.
+	// After skips keys up to and including it.
 	After string `json:"after,omitempty"`
-	// Limit bounds the rows of a prefix; 0 takes the table's own bound.
+	// Limit bounds the rows of a prefix; 0 means the table's own limit.
 	Limit int `json:"limit,omitempty"`
 }
 
-// ReadReply has the rows read, all as of one moment.
+// ReadReply has the rows of one snapshot.
 type ReadReply struct {
 	// Rows are in order of key.
 	Rows []Row `json:"rows"`
-	// Version is the table's at that moment; a feed can go on from it.
+	// Version is the table's version at the time of the read; a feed can continue from
+	// it.
 	Version int64 `json:"version,omitempty"`
-	// More is set if the limit left rows out.
+	// More is set if the limit left out rows.
 	More bool `json:"more,omitempty"`
 }
 
-// FeedRequest asks for the rows of one prefix that changed.
+// FeedRequest waits for changes of the rows of one prefix.
 type FeedRequest struct {
 	// Prefix is the part of a key before its first "/".
 	Prefix string `json:"prefix"`
-	// After is the version after which changes are wanted.
+	// After is the version after which changes are returned.
 	After int64 `json:"after"`
-	// WaitMS is how long to wait for one, in milliseconds.
+	// WaitMS is the longest time to wait for a change, in milliseconds.
 	WaitMS int64 `json:"wait_ms"`
 }
 
-// FeedReply has changes in their order.
+// FeedReply has changes in order.
 type FeedReply struct {
-	// Rows are as they are now; those with Gone set were removed.
+	// Rows are the current rows; those with Deleted set were deleted.
 	Rows []FeedRow `json:"rows"`
-	// Version is where to go on from.
+	// Version is the version to continue from.
 	Version int64 `json:"version"`
 }
 
-// FeedRow is one change.
+// FeedRow is a changed row.
 type FeedRow struct {
 	Row
 
-	// Deleted is set if the row was removed.
+	// Deleted is set if the row was deleted.
 	Deleted bool `json:"gone,omitempty"`
 }
 
-// CommitReply is the version that a write gave its rows.
+// CommitReply is the reply to a write.
 type CommitReply struct {
-	// Version is the rows' new version.
+	// Version is the new version of the rows written.
 	Version int64 `json:"version"`
 }
 
@@ -196,14 +194,14 @@
 type Table struct {
 	// ReadFunc reads rows.
 	ReadFunc func(context.Context, ReadRequest) (ReadReply, error)
-	// CommitFunc writes rows. Its error is [ErrConflict] in the chain if the
-	// write certainly had no effect; after any other it may have had.
+	// CommitFunc writes rows. [ErrConflict] is in the error's chain if the write had no
+	// effect; after any other error it may have taken effect.
 	CommitFunc func(context.Context, Txn) (CommitReply, error)
-	// FeedFunc waits for changes; its error is [ErrHistoryGone] in the chain
-	// if they are no longer known.
+	// FeedFunc waits for changes. [ErrHistoryGone] is in the error's chain if the table
+	// no longer has them.
 	FeedFunc func(context.Context, FeedRequest) (FeedReply, error)
-	// BackOffFunc makes the pauses between attempts of [Table.Settle]; nil
-	// takes exponential ones with jitter.
+	// BackOffFunc returns the delays between the attempts of [Table.Settle]; nil means
+	// exponential ones with jitter.
 	BackOffFunc func() backoff.BackOff
 }
 
@@ -216,7 +214,7 @@
 		},
 		CommitFunc: func(ctx context.Context, txn Txn) (CommitReply, error) {
 			reply, err := wire.Post[Txn, CommitReply](ctx, cl, base+"/table/commit", txn)
-			return reply, known(err)
+			return reply, wrapCode(err)
 		},
 		FeedFunc: func(ctx context.Context, req FeedRequest) (FeedReply, error) {
 			reply, err := wire.Post[FeedRequest, FeedReply](ctx, cl, base+"/table/feed", req)
@@ -228,8 +226,8 @@
 	}
 }
 
-// known puts the package's error into the chain of one that the table stated.
-func known(err error) error {
+// wrapCode adds the package's error for the table's error code to the chain.
+func wrapCode(err error) error {
 	switch wire.Code(err) {
 	case CodeConflict:
 		return fmt.Errorf("%w: %w", ErrConflict, err)
@@ -239,8 +237,8 @@
 	return err
 }
 
-// Get reads one row into value. A row that is not there has version 0 and
-// leaves value alone.
+// Get decodes one row into value and returns its version. A missing row has version 0
+// and leaves value unchanged.
 func (tbl Table) Get(ctx context.Context, key string, value any) (int64, error) {
 	reply, err := tbl.ReadFunc(ctx, ReadRequest{Keys: []string{key}})
 	if err != nil {
@@ -255,13 +253,13 @@
 	return reply.Rows[0].Version, nil
 }
 
-// List reads all rows with the prefix.
+// List reads all rows with the prefix, in order of key.
 func (tbl Table) List(ctx context.Context, prefix string) ([]Row, error) {
 	rows, _, err := tbl.ListFrom(ctx, prefix)
 	return rows, err
 }
 
-// Commit sends the write once.
+// Commit sends the write once and returns the new version of its rows.
 func (tbl Table) Commit(ctx context.Context, txn Txn) (int64, error) {
 	reply, err := tbl.CommitFunc(ctx, txn)
 	if err != nil {
@@ -270,28 +268,27 @@
 	return reply.Version, nil
 }
 
-// Settle sends the write, again where needed, until it is known whether it
-// took effect or ctx ends. The same write sent twice takes effect once: the
-// second finds its conditions broken by the first, and the rows then carry
-// the write's id. Every row of txn must be conditional (WithPut does that),
-// and the write must have one put that is not a deletion.
+// Settle sends the write, and repeats it until its outcome is known or ctx ends. A
+// repeated write takes effect once: the second attempt fails on the versions that the
+// first one changed, and the rows then have the write's ID. Every row of txn must be
+// conditional, as those of WithPut are, and at least one put must not be a deletion.
 func (tbl Table) Settle(ctx context.Context, txn Txn) (int64, error) {
 	attempt := func() (int64, error) {
-		actx, cancel := context.WithTimeout(ctx, settleAttempt)
+		actx, cancel := context.WithTimeout(ctx, settleAttemptTimeout)
 		defer cancel()
 		version, err := tbl.Commit(actx, txn)
 		if !errors.Is(err, ErrConflict) {
 			return version, err
 		}
-		return tbl.afterConflict(actx, txn, err)
+		return tbl.resolveConflict(actx, txn, err)
 	}
 	return backoff.Retry(ctx, attempt,
 		backoff.WithBackOff(tbl.backOff()), backoff.WithMaxElapsedTime(0))
 }
 
-// settleAttempt bounds one attempt, so that a frozen table does not use up
-// the caller's time in one.
-const settleAttempt = 2 * time.Second
+// settleAttemptTimeout bounds one attempt, so that a frozen table does not use up the
+// caller's time in a single attempt.
+const settleAttemptTimeout = 2 * time.Second
 
 func (tbl Table) backOff() backoff.BackOff {
 	if tbl.BackOffFunc != nil {
@@ -303,9 +300,9 @@
 	return bo
 }
 
-// afterConflict finds out whether the conflict is with the write itself,
-// sent before.
-func (tbl Table) afterConflict(ctx context.Context, txn Txn, conflict error) (int64, error) {
+// resolveConflict finds out whether the conflict is with an earlier attempt of the same
+// write.
+func (tbl Table) resolveConflict(ctx context.Context, txn Txn, conflict error) (int64, error) {
 	key := ""
 	for _, put := range txn.Puts {
 		if !put.Delete {
@@ -326,17 +323,17 @@
 type Objects struct {
 	// GetFunc reads an object; its error is [ErrNotFound] if there is none.
 	GetFunc func(ctx context.Context, key string) ([]byte, error)
-	// PutFunc writes an object whole.
+	// PutFunc replaces an object.
 	PutFunc func(ctx context.Context, key string, data []byte) error
 }
 
-// ObjectMessage names an object, with its content where it goes along.
+// ObjectMessage is a request to the object store or its reply.
 type ObjectMessage struct {
 	// Key names the object.
 	Key string `json:"key"`
-	// Data is its content.
+	// Data is the object's content in a write and in the reply to a read.
 	Data []byte `json:"data,omitempty"`
-	// Found is set in a reply if the object is there.
+	// Found is set in a reply if the object exists.
 	Found bool `json:"found,omitempty"`
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,14 +13,14 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// put returns a write of a row that must be new.
+// put returns a write that creates a row.
 func put(c *qt.C, key string) store.Txn {
 	txn, err := store.NewTxn().WithPut(key, 0, "v")
 	c.Assert(err, qt.IsNil)
 	return txn
 }
 
-func TestSettle(t *testing.T) {
+func TestSettleFindsOutcomeOfWrite(t *testing.T) {
 	run := func(name string, fn func(c *qt.C, ta *standin.Table, ctx context.Context)) {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -42,7 +42,7 @@
 		_, err = ta.Client().Settle(ctx, put(c, "k"))
 		c.Assert(errors.Is(err, store.ErrConflict), qt.IsTrue)
 	})
-	run("table away, then back", func(c *qt.C, ta *standin.Table, ctx context.Context) {
+	run("table down, then up again", func(c *qt.C, ta *standin.Table, ctx context.Context) {
 		ta.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		go func() {
 			time.Sleep(10 * time.Second)
@@ -51,7 +51,7 @@
 		_, err := ta.Client().Settle(ctx, put(c, "k"))
 		c.Assert(err, qt.IsNil)
 	})
-	run("table frozen, then back", func(c *qt.C, ta *standin.Table, ctx context.Context) {
+	run("table frozen, then running again", func(c *qt.C, ta *standin.Table, ctx context.Context) {
 		ta.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		go func() {
 			time.Sleep(10 * time.Second)
--- a/internal/watch/stall_test.go
+++ b/internal/watch/stall_test.go
@@ -14,10 +14,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// TestStoreThatStandsStill has the store stall while a watch waits for changes. The
-// watch tells that it has no answer, tells the changes once the store goes on, and
-// ends when it is to, also while the store stands still.
-func TestStoreThatStandsStill(t *testing.T) {
+// TestWatchOfStalledStore stalls the store while a watch waits for changes. The watch
+// must report that the store does not answer, report the changes once the store
+// continues, and end on request even while the store is stalled.
+func TestWatchOfStalledStore(t *testing.T) {
 	for _, st := range standin.Stalls {
 		t.Run(string(st), func(t *testing.T) {
 			t.Parallel()
@@ -27,23 +27,23 @@
 			ln := linetest.NewLine(t, hs.Listener.Addr().String())
 			table := store.NewTable("http://"+ln.Addr(), &http.Client{Transport: &http.Transport{}})
 			mi.watch = Watch{Table: table, TableName: "op", Prefix: "op/c0/", OnRows: mi.onRows, Log: slog.New(slog.DiscardHandler)}
-			ctx, end := context.WithCancel(context.Background())
-			defer end()
-			ended := make(chan struct{})
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			done := make(chan struct{})
 			go func() {
-				defer close(ended)
+				defer close(done)
 				mi.watch.Run(ctx)
 			}()
 			mi.write("op/c0/a", 1)
-			linetest.Eventually(t, "told", func() bool { return mi.row("op/c0/a") == "1" })
+			linetest.Eventually(t, "first change reported", func() bool { return mi.row("op/c0/a") == "1" })
 			qt.Assert(t, ln.Stall(st), qt.IsNil)
 			mi.write("op/c0/a", 2)
-			linetest.Eventually(t, "no answer", func() bool { return !mi.watch.Answering() })
+			linetest.Eventually(t, "missing answers detected", func() bool { return !mi.watch.Answering() })
 			ln.Thaw()
-			linetest.Eventually(t, "told again", func() bool { return mi.watch.Answering() && mi.row("op/c0/a") == "2" })
+			linetest.Eventually(t, "second change reported", func() bool { return mi.watch.Answering() && mi.row("op/c0/a") == "2" })
 			qt.Assert(t, ln.Stall(st), qt.IsNil)
-			end()
-			linetest.Ends(t, "watch", func() { <-ended })
+			cancel()
+			linetest.Ends(t, "watch", func() { <-done })
 		})
 	}
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,9 +1,9 @@
-// Package watch follows the rows of one prefix of the store's table: it reads
-// them all, then waits for changes, and reads all again if the table no longer
-// knows what changed.
+// Package watch follows the rows of one prefix of the store's table: it reads all of
+// them, then waits for changes, and reads all again if the table no longer has the
+// changes since.
 //
-// A silent connection must not hide changes, so every wait is short and has a
-// deadline.
+// Every wait is short and has a deadline, so that a silent connection cannot hide
+// changes.
 package watch
 
 import (
@@ -24,93 +24,95 @@
 
 // Intervals of a watch.
 const (
-	// waitMost is how long one call waits for a change: a tenth of the calls a
-	// second that nine hosts may make come to under one per cent.
-	waitMost = 1500 * time.Millisecond
-	// doubleAfter is how much longer until it is sent again beside itself, on another
-	// connection: a change within trouble is then in force 1.8 s after it, of the 3 s
-	// in which a host has to be back in touch.
-	doubleAfter = 300 * time.Millisecond
-	// answerGrace is how much longer the answer may take before the connection
-	// counts as dead: 4 ms an answer, up to 120 times slower in bad times.
+	// maxFeedWait is how long one call waits for a change. Nine hosts then make a tenth
+	// of the calls a second that they may make, a load of under one per cent.
+	maxFeedWait = 1500 * time.Millisecond
+	// hedgeDelay is the time after maxFeedWait at which the call is sent a second time,
+	// on another connection. A change during a network fault is then in force 1.8 s
+	// after the fault; a host has to be up to date within 3 s.
+	hedgeDelay = 300 * time.Millisecond
+	// answerGrace is the time after maxFeedWait within which the answer has to come, or
+	// the connection counts as dead. An answer takes 4 ms, and up to 120 times that at a
+	// slow store.
 	answerGrace = 700 * time.Millisecond
-	// patienceMost is how often the time for an answer is added to itself.
-	patienceMost = 3
-	// retryFirst and retryMost are the pauses after errors.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 400 * time.Millisecond
+	// maxExtraGraces is the most times that answerGrace is added after failures.
+	maxExtraGraces = 3
+	// minRetryDelay and maxRetryDelay bound the delay after an error, before jitter.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 )
 
-// Watch follows rows. Set the fields, then call [Watch.Run].
+// Watch follows rows. Set the exported fields, then call [Watch.Run].
 type Watch struct {
-	// Table is where the rows are.
+	// Table is the client of the table.
 	Table store.Table
-	// TableName is the part of the keys before the first "/".
+	// TableName is the part of the keys before the first "/", by which the store serves
+	// changes.
 	TableName string
-	// Prefix is the prefix of the keys wanted; it begins with Name and "/".
+	// Prefix selects the rows to report; it begins with TableName and "/".
 	Prefix string
-	// ExtraPrefix is another prefix of which rows are wanted; empty is none.
+	// ExtraPrefix selects further rows to report; empty means none.
 	ExtraPrefix string
-	// RelistOnError has all rows read again after the table did not answer, rather than the
-	// changes since: for few rows that are large and change often, of which the last
-	// state is wanted. A host whose link is full may never get all the changes.
+	// RelistOnError reads all rows after a call without an answer, instead of the
+	// changes since. It suits few, large rows that change often, of which only the last
+	// state matters: a host whose link is full may never receive all the changes.
 	RelistOnError bool
-	// OnRows gets rows in the order of their changes. If whole is set they are
-	// all there are, and any other that was known is gone.
+	// OnRows receives rows in the order of their changes. If whole is set, they are all
+	// the rows that exist, and any other row was deleted.
 	OnRows func(rows []store.FeedRow, whole bool)
-	// OnContact gets when the call was sent that the table answered last; nil gets none.
+	// OnContact, if not nil, receives the time at which each answered call was sent.
 	OnContact func(sent time.Time)
-	// Log gets lost and regained contact.
+	// Log receives lost and regained contact.
 	Log *slog.Logger
 
 	version int64
 	synced  bool
 	lost    bool
-	// failures counts calls without an answer since the last that had one.
+	// failures counts the calls without an answer since the last answered one.
 	failures int
 
 	mu sync.Mutex
-	// contact is when the call was sent that the table last answered, regained
-	// when it first answered after a loss.
+	// contact is when the last answered call was sent, and regained when the store first
+	// answered after a loss.
 	contact  time.Time
 	regained time.Time
-	// answer is when the last answer came, failing is set if the last call had
-	// none, and failed is when the last call was sent that the table did not answer.
-	answer  time.Time
-	failing bool
-	failed  time.Time
+	// lastAnswer is when the last answer came, failing is set if the last call had none,
+	// and lastFailure is when the last unanswered call was sent.
+	lastAnswer  time.Time
+	failing     bool
+	lastFailure time.Time
 }
 
-// Contact returns when the call was sent that the table last answered, and
-// since when it has answered without an error in between. What was told is true
-// of some moment after the first. Both are zero before the first answer.
+// Contact returns when the last answered call was sent, and since when the store has
+// answered without an error in between. The rows reported are those of some time after
+// the first. Both are zero before the first answer.
 func (wa *Watch) Contact() (last, since time.Time) {
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
 	return wa.contact, wa.regained
 }
 
-// Answering reports whether the table answered the last call, and did so within
-// the time that one call may take.
+// Answering reports whether the store answered the last call, and did so within the time
+// that one call may take.
 func (wa *Watch) Answering() bool {
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
-	return !wa.failing && !wa.answer.IsZero() && time.Since(wa.answer) < waitMost+answerGrace
+	return !wa.failing && !wa.lastAnswer.IsZero() && time.Since(wa.lastAnswer) < maxFeedWait+answerGrace
 }
 
-// Run follows until ctx ends.
+// Run follows the rows until ctx ends.
 func (wa *Watch) Run(ctx context.Context) {
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = retryFirst, retryMost
+	bo.InitialInterval, bo.MaxInterval = minRetryDelay, maxRetryDelay
 	for ctx.Err() == nil {
 		sent := time.Now()
-		err := wa.step(ctx)
+		err := wa.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		wa.note(sent, err)
-		// A table that forgot its history answers: after the long pauses of an outage all
-		// rows were read up to 0.6 s late (50 outages of 5 s in virtual time).
+		wa.record(sent, err)
+		// A table without the history does answer. With the long delays of an outage
+		// before the next call, all rows were read up to 0.6 s late.
 		if err == nil || errors.Is(err, store.ErrHistoryGone) {
 			bo.Reset()
 		}
@@ -120,27 +122,27 @@
 	}
 }
 
-// note keeps and logs whether the table answers.
-func (wa *Watch) note(sent time.Time, err error) {
+// record records and logs whether the store answers.
+func (wa *Watch) record(sent time.Time, err error) {
 	if err == nil {
-		wa.answered(sent)
+		wa.recordAnswer(sent)
 		wa.lost, wa.failures = false, 0
 		if wa.OnContact != nil {
 			wa.OnContact(sent)
 		}
 		return
 	}
-	wa.unanswered()
+	wa.recordUnanswered()
 	wa.failures++
 	if wa.RelistOnError {
 		wa.synced = false
 	}
 	if errors.Is(err, store.ErrHistoryGone) {
-		wa.Log.Warn("store forgot its history, reading all again", "watch", wa.Prefix, "version", wa.version)
+		wa.Log.Warn("store no longer has the changes since this version, reading all rows", "watch", wa.Prefix, "version", wa.version)
 		wa.synced = false
 		return
 	}
-	wa.noteFailed(sent)
+	wa.recordFailure(sent)
 	if !wa.lost {
 		last, _ := wa.Contact()
 		wa.Log.Warn("store does not answer", "watch", wa.Prefix, "version", wa.version, "took", time.Since(sent), "contact_age", Age(last), "err", err)
@@ -148,38 +150,38 @@
 	wa.lost = true
 }
 
-func (wa *Watch) unanswered() {
+func (wa *Watch) recordUnanswered() {
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
 	wa.failing = true
 }
 
-func (wa *Watch) noteFailed(sent time.Time) {
+func (wa *Watch) recordFailure(sent time.Time) {
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
-	wa.failed = sent
+	wa.lastFailure = sent
 }
 
-// LastFailure returns when the last call without an answer was sent, or zero. That the table
-// forgot its history is an answer.
+// LastFailure returns when the last unanswered call was sent, or zero. A refusal because
+// the history is lost is an answer.
 func (wa *Watch) LastFailure() time.Time {
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
-	return wa.failed
+	return wa.lastFailure
 }
 
-func (wa *Watch) answered(sent time.Time) {
+func (wa *Watch) recordAnswer(sent time.Time) {
 	wa.mu.Lock()
 	defer wa.mu.Unlock()
 	last := wa.contact
-	wa.contact, wa.answer, wa.failing = sent, time.Now(), false
+	wa.contact, wa.lastAnswer, wa.failing = sent, time.Now(), false
 	if wa.lost || wa.regained.IsZero() {
 		wa.regained = time.Now()
 		wa.Log.Info("store answers", "watch", wa.Prefix, "version", wa.version, "took", time.Since(sent), "contact_age", Age(last))
 	}
 }
 
-// Age is the time since a contact, or -1 if there was none.
+// Age returns the time since last, or -1 if last is zero.
 func Age(last time.Time) time.Duration {
 	if last.IsZero() {
 		return -1
@@ -187,40 +189,41 @@
 	return time.Since(last)
 }
 
-// patient returns how long an answer may take: longer after each failure, as it may
-// be large and the link full.
-func (wa *Watch) patient(d time.Duration) time.Duration {
-	return d * time.Duration(1+min(wa.failures, patienceMost))
+// withGrace returns the time d that an answer may take, extended after each failure, as
+// the answer may be large and the link full.
+func (wa *Watch) withGrace(d time.Duration) time.Duration {
+	return d * time.Duration(1+min(wa.failures, maxExtraGraces))
 }
 
-func (wa *Watch) step(ctx context.Context) error {
+func (wa *Watch) poll(ctx context.Context) error {
 	if !wa.synced {
 		return wa.list(ctx)
 	}
-	ctx, cancel := context.WithTimeout(ctx, waitMost+wa.patient(answerGrace))
+	ctx, cancel := context.WithTimeout(ctx, maxFeedWait+wa.withGrace(answerGrace))
 	defer cancel()
-	ctx = hedge.With(ctx, hedge.Policy{Wait: waitMost, After: doubleAfter})
-	reply, err := wa.Table.FeedFunc(ctx, store.FeedRequest{Prefix: wa.TableName, After: wa.version, WaitMS: waitMost.Milliseconds()})
+	ctx = hedge.With(ctx, hedge.Policy{Wait: maxFeedWait, After: hedgeDelay})
+	reply, err := wa.Table.FeedFunc(ctx, store.FeedRequest{Prefix: wa.TableName, After: wa.version, WaitMS: maxFeedWait.Milliseconds()})
 	if err != nil {
 		return err
 	}
 	wa.version = max(wa.version, reply.Version)
-	if rows := wa.within(reply.Rows); len(rows) > 0 {
+	if rows := wa.matching(reply.Rows); len(rows) > 0 {
 		wa.OnRows(rows, false)
 	}
 	return nil
 }
 
-// within leaves out rows that do not begin with the prefix.
-func (wa *Watch) within(rows []store.FeedRow) []store.FeedRow {
+// matching returns the rows that begin with one of the prefixes. It reuses the slice.
+func (wa *Watch) matching(rows []store.FeedRow) []store.FeedRow {
 	return slices.DeleteFunc(rows, func(row store.FeedRow) bool {
 		return !strings.HasPrefix(row.Key, wa.Prefix) && (wa.ExtraPrefix == "" || !strings.HasPrefix(row.Key, wa.ExtraPrefix))
 	})
 }
 
-// list reads all rows. Pages are read at different moments; the feed goes on
-// from the first, so that no change between them is missed. The pages have deadlines;
-// a long list over a narrow link takes as long as it needs.
+// list reads all rows. Pages are read at different times; the feed continues from the
+// first page's version, so that it has every change in between. Each page has a
+// deadline, the whole list has none: a long one over a narrow link takes as long as it
+// needs.
 func (wa *Watch) list(ctx context.Context) error {
 	rows, version, err := wa.Table.ListFrom(ctx, wa.Prefix)
 	if err != nil {
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -16,7 +16,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// mirror keeps what a watch told.
+// mirror is a copy of the rows that a watch reported.
 type mirror struct {
 	t     *testing.T
 	table standin.Table
@@ -26,13 +26,13 @@
 	rows map[string]string
 }
 
-func follow(t *testing.T, test func(mi *mirror)) {
+func startMirror(t *testing.T, test func(mi *mirror)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		mi := &mirror{t: t, rows: map[string]string{}}
 		mi.watch = Watch{Table: mi.table.Client(), TableName: "op", Prefix: "op/c0/", OnRows: mi.onRows, Log: slog.New(slog.DiscardHandler)}
-		ctx, end := context.WithCancel(context.Background())
-		defer end()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
 		go mi.watch.Run(ctx)
 		test(mi)
 	})
@@ -66,8 +66,8 @@
 	qt.Assert(mi.t, mi.rows, qt.DeepEquals, want)
 }
 
-func TestChangesCome(t *testing.T) {
-	follow(t, func(mi *mirror) {
+func TestChangesAreReportedInOrder(t *testing.T) {
+	startMirror(t, func(mi *mirror) {
 		mi.write("op/c0/a", 1)
 		mi.write("op/c1/a", 1)
 		mi.write("other/c0/a", 1)
@@ -83,8 +83,8 @@
 	})
 }
 
-func TestHistoryForgottenWhileAway(t *testing.T) {
-	follow(t, func(mi *mirror) {
+func TestHistoryLostDuringOutage(t *testing.T) {
+	startMirror(t, func(mi *mirror) {
 		mi.write("op/c0/a", 1)
 		mi.write("op/c0/b", 1)
 		time.Sleep(10 * time.Millisecond)
@@ -98,15 +98,13 @@
 	})
 }
 
-// Users saw a host decide by rows that were gone for up to 1.2 s after the store was
-// back. Order of events: the store is out for seconds, the pauses between tries grow to
-// 0.6 s; it comes back without its history; the first try is told so, and the next, which
-// reads all rows, waits for another long pause. Cause: an answer that says what to do was
-// paused after like a call without one. Evidence: a watch that slept 0.48 s when the rows
-// were already asked of it, in about one of 100 runs of the test above.
-func TestHistoryForgottenIsReadAtOnce(t *testing.T) {
-	const longest = retryMost * 3 / 2
-	follow(t, func(mi *mirror) {
+// TestLostHistoryIsRelistedWithoutDelay guards against a host that uses deleted rows for
+// up to 1.2 s after the store is back. During an outage of some seconds the retry delays
+// grow to 0.6 s. The store returns without its history, the first call is refused for
+// that, and the read of all rows that follows must not wait for another long delay.
+func TestLostHistoryIsRelistedWithoutDelay(t *testing.T) {
+	const longest = maxRetryDelay * 3 / 2
+	startMirror(t, func(mi *mirror) {
 		for range 50 {
 			mi.write("op/c0/a", 1)
 			time.Sleep(time.Second)
@@ -116,17 +114,17 @@
 			mi.table.Gate.Set(standin.Fault{})
 			mi.write("op/c0/a", -1)
 			mi.table.ForgetHistory()
-			time.Sleep(longest + 2*retryFirst)
+			time.Sleep(longest + 2*minRetryDelay)
 			mi.assertRows(map[string]string{})
 		}
 	})
 }
 
-func TestContact(t *testing.T) {
-	follow(t, func(mi *mirror) {
+func TestContactAcrossOutage(t *testing.T) {
+	startMirror(t, func(mi *mirror) {
 		time.Sleep(5 * time.Second)
 		last, since := mi.watch.Contact()
-		qt.Assert(t, time.Since(last) <= 2*waitMost, qt.IsTrue)
+		qt.Assert(t, time.Since(last) <= 2*maxFeedWait, qt.IsTrue)
 		qt.Assert(t, time.Since(since) >= 4*time.Second, qt.IsTrue)
 		mi.table.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(10 * time.Second)
@@ -139,31 +137,31 @@
 	})
 }
 
-func TestAnswering(t *testing.T) {
-	follow(t, func(mi *mirror) {
+func TestAnsweringAcrossOutage(t *testing.T) {
+	startMirror(t, func(mi *mirror) {
 		qt.Assert(t, mi.watch.Answering(), qt.IsFalse)
-		time.Sleep(waitMost + time.Second)
+		time.Sleep(maxFeedWait + time.Second)
 		qt.Assert(t, mi.watch.Answering(), qt.IsTrue)
 		mi.table.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
-		time.Sleep(waitMost + answerGrace + time.Second)
+		time.Sleep(maxFeedWait + answerGrace + time.Second)
 		qt.Assert(t, mi.watch.Answering(), qt.IsFalse)
 		mi.table.Gate.Set(standin.Fault{})
-		time.Sleep(waitMost + 2*time.Second)
+		time.Sleep(maxFeedWait + 2*time.Second)
 		qt.Assert(t, mi.watch.Answering(), qt.IsTrue)
 	})
 }
 
-func TestRelistTellsTheLastStateOnly(t *testing.T) {
+func TestRelistReportsOnlyLastState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mi := &mirror{t: t, rows: map[string]string{}}
-		told := 0
+		reported := 0
 		count := func(rows []store.FeedRow, whole bool) {
-			told += len(rows)
+			reported += len(rows)
 			mi.onRows(rows, whole)
 		}
 		mi.watch = Watch{Table: mi.table.Client(), TableName: "op", Prefix: "op/c0/", RelistOnError: true, OnRows: count, Log: slog.New(slog.DiscardHandler)}
-		ctx, end := context.WithCancel(context.Background())
-		defer end()
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
 		go mi.watch.Run(ctx)
 		mi.write("op/c0/a", 0)
 		time.Sleep(100 * time.Millisecond)
@@ -175,6 +173,6 @@
 		}
 		time.Sleep(2 * time.Second)
 		mi.assertRows(map[string]string{"op/c0/a": "20"})
-		qt.Assert(t, told < 5, qt.IsTrue, qt.Commentf("%d rows told", told))
+		qt.Assert(t, reported < 5, qt.IsTrue, qt.Commentf("%d rows reported", reported))
 	})
 }
