--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -7,22 +7,22 @@
 	"sync"
 )
 
-// errGivenUp is returned for a write to a connection that was given up before the
-// request had it: nothing of the request was sent.
-var errGivenUp = errors.New("connection was given up as silent")
+// errAbandoned is returned for a write to a connection that was abandoned before the
+// request received it: nothing of the request was sent.
+var errAbandoned = errors.New("connection was closed as it may be silent")
 
-// use is what a connection is used for.
-type use string
+// connState is whether and how a connection is used.
+type connState string
 
-// The uses. An unused connection was opened for a request that another one served
-// before; net/http keeps it, and it may be as silent as the others.
+// The states. An unused connection was opened for a request that another connection
+// served first. net/http keeps it, and it may be as silent as the others.
 const (
-	unused use = "unused"
-	idle   use = "idle"
-	busy   use = "busy"
+	unused connState = "unused"
+	idle   connState = "idle"
+	busy   connState = "busy"
 )
 
-// conn is a connection that knows which request has it.
+// conn is a connection that records which request holds it.
 type conn struct {
 	net.Conn
 
@@ -30,24 +30,25 @@
 	addr string
 
 	mu sync.Mutex
-	// holder is the request that has it, used is set once one had it, and gone once it
-	// was given up, which only happens while none has it.
-	holder     *hold
-	used, gone bool
+	// holder is the request that holds the connection. used is set once a request held
+	// it. abandoned is set when it is to be closed, which only happens while no request
+	// holds it.
+	holder          *connHolder
+	used, abandoned bool
 }
 
-// giveUp gives the connection up unless a request has it, and returns its use. A
-// connection counts by what net/http handed out, not by reads and writes: by these
-// one that was never used looked as if it had a request, and cost the next one 3 s
-// (five of them 16.4 s until a change was in force, in virtual time), and one whose
-// answer goes on looked idle.
-func (co *conn) giveUp() use {
+// abandonUnlessBusy marks the connection as abandoned unless a request holds it, and returns its
+// state before. The state follows which connections net/http hands out, not reads and
+// writes. By reads and writes a connection that was never used looks busy and costs the
+// next request 3 s (five of them delay a change by 16.4 s), and one whose answer is
+// still coming looks idle.
+func (co *conn) abandonUnlessBusy() connState {
 	co.mu.Lock()
 	defer co.mu.Unlock()
 	if co.holder != nil {
 		return busy
 	}
-	co.gone = true
+	co.abandoned = true
 	if co.used {
 		return idle
 	}
@@ -56,32 +57,33 @@
 
 // Write implements net.Conn.
 func (co *conn) Write(data []byte) (int, error) {
-	if co.isGone() {
-		return 0, errGivenUp
+	if co.isAbandoned() {
+		return 0, errAbandoned
 	}
 	return co.Conn.Write(data)
 }
 
-func (co *conn) isGone() bool {
+func (co *conn) isAbandoned() bool {
 	co.mu.Lock()
 	defer co.mu.Unlock()
-	return co.gone
+	return co.abandoned
 }
 
 // Close implements net.Conn.
 func (co *conn) Close() error {
-	co.ro.forget(co)
+	co.ro.untrack(co)
 	return co.Conn.Close()
 }
 
-// hold is what one request has: no connection, or one at a time.
-type hold struct {
+// connHolder is a request's hold on a connection: it holds none, or one at a time.
+type connHolder struct {
 	co *conn
 }
 
-// got notes that net/http handed out a connection, before anything is written to it.
-func (ho *hold) got(info httptrace.GotConnInfo) {
-	ho.leave()
+// gotConn records that net/http handed out a connection, before anything is written to
+// it.
+func (ho *connHolder) gotConn(info httptrace.GotConnInfo) {
+	ho.release()
 	co, ok := info.Conn.(*conn)
 	if !ok {
 		return
@@ -92,9 +94,9 @@
 	ho.co = co
 }
 
-// leave notes that the request no longer needs its connection. Another may have it
-// already: net/http hands it on at the answer's last byte.
-func (ho *hold) leave() {
+// release records that the request no longer needs its connection. Another request may
+// hold it already: net/http reuses it once the last byte of the answer is read.
+func (ho *connHolder) release() {
 	if ho.co == nil {
 		return
 	}
@@ -105,7 +107,7 @@
 	}
 }
 
-// missed reports whether the connection was given up before the request had it, so
-// that nothing was sent. net/http sends such a request again by itself only if the
-// connection had served another before.
-func (ho *hold) missed() bool { return ho.co != nil && ho.co.isGone() }
+// abandonedBeforeUse reports whether the connection was abandoned before the request
+// held it, so that nothing was sent. net/http repeats such a request by itself only if
+// the connection had served another before.
+func (ho *connHolder) abandonedBeforeUse() bool { return ho.co != nil && ho.co.isAbandoned() }
--- a/internal/transport/export_test.go
+++ b/internal/transport/export_test.go
@@ -2,5 +2,5 @@
 
 import "net/http"
 
-// NewClientOver returns a client whose connections a test opens.
-func NewClientOver(pi *Pipes, idle int) *http.Client { return newClient(idle, nil, pi.Dial) }
+// NewClientOver returns a client whose connections are opened in an in-memory network.
+func NewClientOver(nw *Network, idle int) *http.Client { return newClient(idle, nil, nw.Dial) }
--- a/internal/transport/stall_test.go
+++ b/internal/transport/stall_test.go
@@ -13,7 +13,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin/linetest"
 )
 
-func TestPeersThatStandStill(t *testing.T) {
+func TestStalledPeers(t *testing.T) {
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("answer")) }))
 	t.Cleanup(hs.Close)
 	linetest.Check(t, hs.Listener.Addr().String(), func(addr string) linetest.Call {
@@ -22,7 +22,7 @@
 	})
 }
 
-// read gets the whole answer to a request.
+// read sends a request and reads the whole answer.
 func read(ctx context.Context, hc *http.Client, url string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -37,46 +37,36 @@
 	return err
 }
 
-// TestConnectionsBesideAnAnswerThatStops is the story of connections that go silent
-// together while one of them has half an answer.
-//
-// What a user would see: after a cut, each call of an entry host to its store runs
-// into its deadline, once for each connection that was kept. Order of events: four
-// connections are kept; an answer has begun on one; all go silent. The request's
-// deadline ends the reading of its body, of which the transport knew nothing: it
-// closed idle connections only if the deadline came before the header. So the next
-// request took an idle connection that was as silent.
-//
-// Evidence: the second request below runs into its deadline too.
-func TestConnectionsBesideAnAnswerThatStops(t *testing.T) {
-	wy := newWay(t)
-	wy.warm()
+// TestTimeoutInBodyClosesIdleConnections guards against an entry host whose calls to its
+// store time out one after the other after a network fault, once for each connection
+// that was kept. Four connections are kept, an answer has begun on one, and all go
+// silent. The request's deadline expires while its body is read, so that closing idle
+// connections only after a timeout before the header leaves the next request an idle
+// connection that is silent too.
+func TestTimeoutInBodyClosesIdleConnections(t *testing.T) {
+	cl := newTestClient(t)
+	cl.warm()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+wy.line.Addr()+"/half", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+cl.line.Addr()+"/half", nil)
 	qt.Assert(t, err, qt.IsNil)
-	resp, err := wy.hc.Do(req)
+	resp, err := cl.hc.Do(req)
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = resp.Body.Close() }()
-	qt.Assert(t, wy.line.Silence(), qt.Equals, idleConns)
+	qt.Assert(t, cl.line.Silence(), qt.Equals, idleConns)
 	_, err = io.ReadAll(resp.Body)
 	qt.Assert(t, err, qt.IsNotNil)
-	// The next one finds none of the others.
-	qt.Assert(t, wy.get("/", 2*time.Second), qt.IsNil)
-	qt.Assert(t, wy.line.Silence(), qt.Equals, 1)
+	// The next request must not use another silent connection.
+	qt.Assert(t, cl.get("/", 2*time.Second), qt.IsNil)
+	qt.Assert(t, cl.line.Silence(), qt.Equals, 1)
 }
 
-// TestAnswersThatComeAreLeftAlone is the story of an answer that is cut off by another
-// request.
-//
-// What a user would see: over a full link a long list never comes whole, as each
-// deadline of any other request to the same address ends it. Order of events: half an
-// answer has come on one connection; a request on another runs into its deadline; the
-// connections that nothing uses are closed, and the one on which the last thing was a
-// read counted as such, though its answer goes on.
-//
-// Evidence: below, the rest of the answer never comes.
-func TestAnswersThatComeAreLeftAlone(t *testing.T) {
+// TestTimeoutDoesNotCutOffOtherAnswers guards against a long list that never completes
+// over a full link, because the timeout of any other request to the same address cuts it
+// off. Half an answer has arrived on one connection when a request on another times out.
+// The connections without a request are closed, and one whose last operation was a read
+// must not be taken for such a connection while its answer is still coming.
+func TestTimeoutDoesNotCutOffOtherAnswers(t *testing.T) {
 	rest := make(chan struct{})
 	mux := http.NewServeMux()
 	mux.HandleFunc("/half", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,13 +1,12 @@
-// Package transport has the HTTP client of an entry host towards everything
-// outside: other hosts, the platform's store, workers.
+// Package transport has the HTTP client of an entry host for everything outside: other
+// hosts, the platform's store, workers.
 //
-// Connections may go silent for good, without a reset, while new ones work. A
-// request on such a connection shows it by its deadline; but there may be others
-// beside it, idle ones of the same time, and each would cost the next request its
-// deadline too. So when a request to an address runs into its deadline, the
-// connections to that address that no request has are closed, whether the answer had
-// begun or not. Those that a request has are left to its own deadline; where that is
-// more than can be waited for, package hedge has the request be doubled.
+// Connections may go silent for good without a reset, while new ones work. A request on
+// such a connection detects it by its deadline, but idle connections of the same age may
+// be silent too, and each would cost the next request its deadline. So when a request to
+// an address times out, before or within its answer, all connections to that address
+// that no request holds are closed. Those in use are left to the deadlines of their
+// requests. Where that takes too long, package hedge lets the request be sent again.
 package transport
 
 import (
@@ -26,18 +25,18 @@
 
 // Times of connections.
 const (
-	// dialTimeout bounds opening a connection: some 3 ms at most where nothing is
-	// wrong.
+	// dialTimeout bounds opening a connection, which takes up to 3 ms in normal
+	// operation.
 	dialTimeout = 400 * time.Millisecond
-	// idleTimeout is how long a connection is kept that nothing uses.
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = 30 * time.Second
 )
 
 // dialFunc opens a connection to an address.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// NewClient returns a client that keeps up to idle connections to each address, and
-// logs which it gave up; with a nil log it does not.
+// NewClient returns a client that keeps up to idle connections to each address, and logs
+// those that it closes after a timeout. A nil log logs nothing.
 func NewClient(idle int, log *slog.Logger) *http.Client {
 	di := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return newClient(idle, log, di.DialContext)
@@ -59,11 +58,11 @@
 	return &http.Client{Transport: ro}
 }
 
-// roundTripper is a transport that knows its connections.
+// roundTripper is a transport that tracks its connections.
 type roundTripper struct {
 	*http.Transport
 
-	// fresh opens a connection for each request.
+	// fresh opens a new connection for each request.
 	fresh *http.Transport
 	log   *slog.Logger
 
@@ -75,39 +74,39 @@
 func (ro *roundTripper) RoundTrip(req *http.Request) (*http.Response, error) {
 	po, ok := hedge.Of(req.Context())
 	if !ok {
-		return ro.once(ro.Transport, req)
+		return ro.roundTripOnce(ro.Transport, req)
 	}
-	ra := &race{ro: ro, po: po, results: make(chan result), over: make(chan struct{})}
-	return ra.run(req)
+	hr := &hedgedRequest{ro: ro, po: po, results: make(chan result), finished: make(chan struct{})}
+	return hr.run(req)
 }
 
-// once sends a request on one connection.
-func (ro *roundTripper) once(tr *http.Transport, req *http.Request) (*http.Response, error) {
-	ho := &hold{}
-	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: ho.got})
+// roundTripOnce sends one copy of a request.
+func (ro *roundTripper) roundTripOnce(tr *http.Transport, req *http.Request) (*http.Response, error) {
+	ho := &connHolder{}
+	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{GotConn: ho.gotConn})
 	sent := req.WithContext(ctx)
 	for {
 		resp, err := tr.RoundTrip(sent)
 		if err == nil {
-			resp.Body = &body{ReadCloser: resp.Body, ro: ro, req: req, hold: ho}
+			resp.Body = &body{ReadCloser: resp.Body, ro: ro, req: req, holder: ho}
 			return resp, nil
 		}
-		missed := ho.missed()
-		ho.leave()
+		unsent := ho.abandonedBeforeUse()
+		ho.release()
 		next, ok := sent, false
-		if missed && ctx.Err() == nil {
-			next, ok = again(sent)
+		if unsent && ctx.Err() == nil {
+			next, ok = cloneForRetry(sent)
 		}
 		if !ok {
-			ro.failed(req)
+			ro.requestFailed(req)
 			return nil, err
 		}
 		sent = next
 	}
 }
 
-// again returns a request that is sent once more, if that can be done.
-func again(req *http.Request) (*http.Request, bool) {
+// cloneForRetry returns a copy of a request to send again, if its body allows that.
+func cloneForRetry(req *http.Request) (*http.Request, bool) {
 	next := req.Clone(req.Context())
 	if req.Body == nil || req.Body == http.NoBody {
 		return next, true
@@ -120,38 +119,39 @@
 	return next, err == nil
 }
 
-// failed notes that there is no whole answer to a request.
-func (ro *roundTripper) failed(req *http.Request) {
+// requestFailed closes idle connections if the request timed out without a complete
+// answer.
+func (ro *roundTripper) requestFailed(req *http.Request) {
 	if errors.Is(req.Context().Err(), context.DeadlineExceeded) {
-		ro.closeIdle(req.URL.Host, "a request ran into its deadline")
+		ro.closeIdle(req.URL.Host, "a request timed out")
 	}
 }
 
-// body is an answer's body, which may run into the request's deadline as well as
-// its header. The request has its connection until the body's end.
+// body is an answer's body. The request's deadline may expire while it is read. The
+// request holds its connection until the end of the body.
 type body struct {
 	io.ReadCloser
 
-	ro   *roundTripper
-	req  *http.Request
-	hold *hold
+	ro     *roundTripper
+	req    *http.Request
+	holder *connHolder
 }
 
 // Read implements io.Reader.
 func (bo *body) Read(data []byte) (int, error) {
 	n, err := bo.ReadCloser.Read(data)
 	if err != nil {
-		bo.hold.leave()
+		bo.holder.release()
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
-		bo.ro.failed(bo.req)
+		bo.ro.requestFailed(bo.req)
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
 func (bo *body) Close() error {
-	defer bo.hold.leave()
+	defer bo.holder.release()
 	return bo.ReadCloser.Close()
 }
 
@@ -166,7 +166,7 @@
 	return co
 }
 
-func (ro *roundTripper) forget(co *conn) {
+func (ro *roundTripper) untrack(co *conn) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	delete(ro.byAddr[co.addr], co)
@@ -175,24 +175,24 @@
 	}
 }
 
-// closeIdle closes the connections to an address that no request has, as some are
-// silent.
+// closeIdle closes the connections to an address that no request holds, as some of them
+// are silent.
 func (ro *roundTripper) closeIdle(addr, why string) {
 	ro.mu.Lock()
-	var given []*conn
-	counts := map[use]int{}
+	var closing []*conn
+	counts := map[connState]int{}
 	for co := range ro.byAddr[addr] {
-		us := co.giveUp()
-		counts[us]++
-		if us != busy {
-			given = append(given, co)
+		st := co.abandonUnlessBusy()
+		counts[st]++
+		if st != busy {
+			closing = append(closing, co)
 		}
 	}
 	ro.mu.Unlock()
-	for _, co := range given {
+	for _, co := range closing {
 		_ = co.Close()
 	}
-	if ro.log != nil && len(given) > 0 {
+	if ro.log != nil && len(closing) > 0 {
 		ro.log.Info("connections given up", "addr", addr, "idle", counts[idle], "unused", counts[unused], "busy", counts[busy], "why", why)
 	}
 }
