--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,11 @@
-// Package config has the configuration that operators change at run time and
-// its way to every entry host.
+// Package config has the configuration that operators change at run time, and
+// distributes it to every entry host.
 //
-// It is one row of the table: a version and the values that differ from the
-// defaults. A change is checked, then written by compare-and-set. Every entry
-// host looks at the row about once a second and hears of versions from its
-// peers, which hand over the values too when the table is away. A host never
-// takes a version lower than it has, and one that has none yet is not ready.
+// The configuration is one row of the table: a version and the values that differ from
+// the defaults. A change is checked, then written by compare-and-set. Every entry host
+// reads the row about once a second and learns of versions from its peers, which also
+// send the values when the table is unavailable. A host never goes back to a lower
+// version, and is not ready before it has one.
 package config
 
 import (
@@ -27,13 +27,13 @@
 
 // Key documents one key of the configuration.
 type Key struct {
-	// Name is the key; one that ends in a dot begins the names of many.
+	// Name is the key's name; one that ends in a dot is the prefix of several keys.
 	Name string
-	// Default is the value when it is not set.
+	// Default is the value of a key that is not set.
 	Default string
-	// Meaning says what it does, and in what unit.
+	// Meaning describes the key and its unit.
 	Meaning string
-	// check refuses a value.
+	// check returns an error for an invalid value.
 	check func(string) error
 }
 
@@ -57,33 +57,33 @@
 
 // Keys documents all keys.
 var Keys = []Key{
-	{QueueLimit, "1024", "requests that may wait for a runner of one service at one entry host", wholeFrom(1)},
-	{BatchEvery, "8", "batch requests get one turn in so many while latency-critical ones wait", wholeFrom(1)},
-	{RetryRatio, "0.1", "retries earned by one request", part},
-	{DeadlineLatency, "2s", "deadline of a latency-critical request that states none", span},
-	{DeadlineBatch, "60s", "deadline of a batch request that states none", span},
-	{MaxQuarantined, "0.5", "part of a service's runners in a data centre that may be set aside", part},
-	{TailTarget, "100ms", "p99 that service tasks are to keep", span},
-	{WeightTail, "1", "cost of a service over its target, against the other weights", positive},
-	{WeightEvictions, "1", "cost of one eviction, against the other weights", positive},
-	{WeightBatch, "1", "cost of a minute of batch work lost, against the other weights", positive},
-	{EvictionBudget, "6", "evictions a minute that a cell may make of its own accord", wholeFrom(0)},
-	{LeaseService, "30s", "lease of service tasks at their workers", span},
-	{LeaseBatch, "10s", "lease of batch tasks at their workers", span},
-	{QuotaPrefix, "", "quota.TEAM: what the team's tasks may hold in a cell, as cores:N,mem:MB,accels:N", quota},
+	{QueueLimit, "1024", "most requests that wait for a runner of one service at one entry host", checkMinInt(1)},
+	{BatchEvery, "8", "while latency-critical requests wait, one request in this many is a batch request", checkMinInt(1)},
+	{RetryRatio, "0.1", "retries that each request adds to the retry budget", checkFraction},
+	{DeadlineLatency, "2s", "deadline of a latency-critical request that states none", checkDuration},
+	{DeadlineBatch, "60s", "deadline of a batch request that states none", checkDuration},
+	{MaxQuarantined, "0.5", "largest fraction of a service's runners in a data centre that may be quarantined", checkFraction},
+	{TailTarget, "100ms", "target for the p99 latency of service tasks", checkDuration},
+	{WeightTail, "1", "cost of a service over its target, relative to the other weights", checkWeight},
+	{WeightEvictions, "1", "cost of one eviction, relative to the other weights", checkWeight},
+	{WeightBatch, "1", "cost of a minute of lost batch work, relative to the other weights", checkWeight},
+	{EvictionBudget, "6", "most evictions a minute that a cell starts on its own", checkMinInt(0)},
+	{LeaseService, "30s", "lease duration of service tasks at their workers", checkDuration},
+	{LeaseBatch, "10s", "lease duration of batch tasks at their workers", checkDuration},
+	{QuotaPrefix, "", "quota.TEAM: most resources of the team's tasks in a cell, as cores:N,mem:MB,accels:N", checkQuota},
 }
 
-func wholeFrom(least int) func(string) error {
+func checkMinInt(least int) func(string) error {
 	return func(text string) error {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < least {
-			return fmt.Errorf("want a whole number from %d", least)
+			return fmt.Errorf("want an integer of at least %d", least)
 		}
 		return nil
 	}
 }
 
-func part(text string) error {
+func checkFraction(text string) error {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil || f < 0 || f > 1 {
 		return errors.New("want a number from 0 to 1")
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func positive(text string) error {
+func checkWeight(text string) error {
 	f, err := strconv.ParseFloat(text, 64)
 	if err != nil || f < 0 || f > 1e6 {
 		return errors.New("want a number from 0 to 1e6")
@@ -99,23 +99,23 @@
 	return nil
 }
 
-func span(text string) error {
+func checkDuration(text string) error {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < time.Millisecond || d > time.Hour {
-		return errors.New("want a time from 1ms to 1h")
+		return errors.New("want a duration from 1ms to 1h")
 	}
 	return nil
 }
 
-func quota(text string) error {
+func checkQuota(text string) error {
 	_, err := ParseQuota(text)
 	return err
 }
 
-// ParseQuota reads a quota, for instance cores:120,mem:480000,accels:2. What
-// is left out is not limited.
+// ParseQuota parses a quota, such as cores:120,mem:480000,accels:2 with mem in MB.
+// Resources left out are unlimited.
 func ParseQuota(text string) (worker.Resources, error) {
-	re := worker.Resources{MilliCores: noLimit, MemMB: noLimit, Accels: noLimit}
+	re := worker.Resources{MilliCores: unlimited, MemMB: unlimited, Accels: unlimited}
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(field, ":")
 		n, err := strconv.ParseInt(value, 10, 32)
@@ -136,10 +136,10 @@
 	return re, nil
 }
 
-const noLimit = int64(1) << 60
+const unlimited = int64(1) << 60
 
-// find returns the entry of a key.
-func find(name string) (Key, bool) {
+// findKey returns the documentation of a key.
+func findKey(name string) (Key, bool) {
 	for _, ke := range Keys {
 		if ke.Name == name {
 			return ke, true
@@ -151,23 +151,23 @@
 	return Key{}, false
 }
 
-// Doc is one version of the configuration. It is not changed once made.
+// Doc is one version of the configuration. It is immutable.
 type Doc struct {
-	// Version counts changes; 0 is the defaults.
+	// Version is the number of changes; 0 has only defaults.
 	Version int64 `json:"version"`
-	// Values are the keys set.
+	// Values are the values of the keys that are set.
 	Values map[string]string `json:"values,omitempty"`
 }
 
-// With returns the next version, with values changed; an empty one goes back
-// to the default. Every mistake is named at once.
+// With returns the next version with the changes applied; an empty value resets a key to
+// its default. The error lists all mistakes.
 func (do Doc) With(changes map[string]string) (Doc, error) {
 	next := Doc{Version: do.Version + 1, Values: map[string]string{}}
 	maps.Copy(next.Values, do.Values)
 	var errs []error
 	for _, name := range slices.Sorted(maps.Keys(changes)) {
 		value := changes[name]
-		ke, ok := find(name)
+		ke, ok := findKey(name)
 		switch {
 		case !ok:
 			errs = append(errs, fmt.Errorf("%s: no such key", name))
@@ -188,29 +188,29 @@
 	if value, ok := do.Values[name]; ok {
 		return value
 	}
-	ke, _ := find(name)
+	ke, _ := findKey(name)
 	return ke.Default
 }
 
-// Int returns a key's value as a whole number.
+// Int returns a key's value as an integer.
 func (do Doc) Int(name string) int {
 	n, _ := strconv.Atoi(do.Text(name))
 	return n
 }
 
-// Float returns a key's value as a number.
+// Float returns a key's value as a float.
 func (do Doc) Float(name string) float64 {
 	f, _ := strconv.ParseFloat(do.Text(name), 64)
 	return f
 }
 
-// Duration returns a key's value as a time.
+// Duration returns a key's value as a duration.
 func (do Doc) Duration(name string) time.Duration {
 	d, _ := time.ParseDuration(do.Text(name))
 	return d
 }
 
-// Quotas returns the quota of every team that has one.
+// Quotas returns the quotas of the teams that have one.
 func (do Doc) Quotas() map[string]worker.Resources {
 	quotas := map[string]worker.Resources{}
 	for name, value := range do.Values {
@@ -221,7 +221,7 @@
 	return quotas
 }
 
-// All returns every key with its value, in order of name.
+// All returns all keys, set or not, with their values.
 func (do Doc) All() map[string]string {
 	all := maps.Clone(do.Values)
 	if all == nil {
@@ -235,17 +235,17 @@
 	return all
 }
 
-// rowKey is the configuration's row.
+// rowKey is the key of the configuration's row.
 const rowKey = "config"
 
-// ErrConflict is returned when the configuration has changed since.
+// ErrConflict is returned for a change that is based on an outdated version.
 var ErrConflict = errors.New("configuration has changed since")
 
 // Store holds the version in force at this host.
 type Store struct {
-	// Table is the platform's.
+	// Table is the client of the platform's table.
 	Table store.Table
-	// Apply is called with each version that comes into force, in order.
+	// Apply, if not nil, is called with each version that comes into force, in order.
 	Apply func(Doc)
 
 	mu      sync.Mutex
@@ -261,7 +261,8 @@
 	return *do, true
 }
 
-// Adopt puts a version in force, if it is higher than the one that is.
+// Adopt puts a version in force if it is higher than the current one, and reports
+// whether it did.
 func (st *Store) Adopt(do Doc) bool {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -276,7 +277,7 @@
 	return true
 }
 
-// Poll reads the row and adopts what it says.
+// Poll reads the row and adopts its version.
 func (st *Store) Poll(ctx context.Context) error {
 	_, _, err := st.read(ctx)
 	return err
@@ -292,18 +293,18 @@
 	return do, rowVer, nil
 }
 
-// ExtraRow is a row written along with a change.
+// ExtraRow is a row written in the same transaction as a change.
 type ExtraRow struct {
-	// Key and Version name the row as it must be.
+	// Key is the row's key, and Version the version that it must have.
 	Key     string
 	Version int64
-	// Value is its new content.
+	// Value is the row's new content.
 	Value any
 }
 
-// Change writes the changes on top of the version that they were planned on,
-// along with one more row, and returns the new version. The error is
-// [ErrConflict] if there is a later version, or another one of the row.
+// Change writes the changes on top of version basis, together with one more row, and
+// returns the new version. The error is [ErrConflict] if there is a later version of the
+// configuration or another version of the row.
 func (st *Store) Change(ctx context.Context, basis int64, changes map[string]string, also ExtraRow) (Doc, error) {
 	do, rowVer, err := st.read(ctx)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-func TestWith(t *testing.T) {
+func TestWithAppliesValidChanges(t *testing.T) {
 	c := qt.New(t)
 	doc, err := Doc{}.With(map[string]string{QueueLimit: "5", QuotaPrefix + "depot": "cores:2,mem:100"})
 	c.Assert(err, qt.IsNil)
@@ -23,9 +23,9 @@
 	c.Assert(doc.Duration(TailTarget), qt.Equals, 100*time.Millisecond)
 	c.Assert(doc.Quotas()["depot"].MilliCores, qt.Equals, int64(2000))
 	c.Assert(doc.All()[BatchEvery], qt.Equals, "8")
-	back, err := doc.With(map[string]string{QueueLimit: ""})
+	defaulted, err := doc.With(map[string]string{QueueLimit: ""})
 	c.Assert(err, qt.IsNil)
-	c.Assert(back.Int(QueueLimit), qt.Equals, 1024)
+	c.Assert(defaulted.Int(QueueLimit), qt.Equals, 1024)
 	c.Assert(doc.Int(QueueLimit), qt.Equals, 5)
 	_, err = doc.With(map[string]string{"nothing": "1", RetryRatio: "2", TailTarget: "soon", QuotaPrefix + "x": "beds:2"})
 	for _, name := range []string{"nothing", RetryRatio, TailTarget, "quota.x"} {
@@ -41,12 +41,12 @@
 	}
 }
 
-// model is three hosts over one table.
+// model is three hosts that share one table.
 type model struct {
 	table  standin.Table
 	stores [3]*Store
-	// last is the version that each host had, accepted the value of each
-	// version that was accepted.
+	// last is the last version seen at each host, and accepted the value of each
+	// accepted version.
 	last     [3]int64
 	accepted map[int64]string
 }
@@ -99,7 +99,7 @@
 	pick := func(rt *rapid.T, name string) int { return rapid.IntRange(0, len(mo.stores)-1).Draw(rt, name) }
 	return map[string]func(*rapid.T){
 		"poll": func(rt *rapid.T) { _ = mo.stores[pick(rt, "host")].Poll(context.Background()) },
-		"news": func(rt *rapid.T) {
+		"peer": func(rt *rapid.T) {
 			if doc, ok := mo.stores[pick(rt, "from")].Current(); ok {
 				mo.stores[pick(rt, "to")].Adopt(doc)
 			}
@@ -114,17 +114,16 @@
 	}
 }
 
-// TestNeverBack drives several hosts through changes, polls, news from peers
-// that may be old, outages, lost answers and restarts. No host goes back, and
-// a change that was accepted is never replaced by one that did not build on
-// it.
-func TestNeverBack(t *testing.T) {
+// TestVersionsNeverGoBack runs several hosts through changes, polls, versions from peers
+// that may be outdated, outages, lost answers and restarts. No host goes back to a lower
+// version, and an accepted change is never replaced by one that is not based on it.
+func TestVersionsNeverGoBack(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() { rt.Repeat(newModel().actions()) })
 	})
 }
 
-func TestRacingChanges(t *testing.T) {
+func TestConcurrentChangeIsRefused(t *testing.T) {
 	c := qt.New(t)
 	table := &standin.Table{}
 	a, b := &Store{Table: table.Client()}, &Store{Table: table.Client()}
@@ -133,7 +132,7 @@
 	c.Assert(err, qt.IsNil)
 	_, err = b.Change(ctx, 0, map[string]string{QueueLimit: "2"}, ExtraRow{Key: "plan/b", Value: 1})
 	c.Assert(errors.Is(err, ErrConflict), qt.IsTrue)
-	// The other's change comes between the look and the write.
+	// The other host's change is written between the read and the write.
 	cl := table.Client()
 	a.Table.CommitFunc = func(ctx context.Context, txn store.Txn) (store.CommitReply, error) {
 		_, err := b.Change(ctx, 1, map[string]string{QueueLimit: "3"}, ExtraRow{Key: "plan/c", Value: 1})
--- a/internal/config/history_test.go
+++ b/internal/config/history_test.go
@@ -18,27 +18,27 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin"
 )
 
-// changeInput is one operator's change, built on a version.
+// changeInput is one operator's change, based on a version.
 type changeInput struct {
 	basis int64
 	value string
 }
 
-// changeOutput is what the operator was told.
+// changeOutput is the answer to an operator.
 type changeOutput struct {
 	accepted bool
-	// unknown is set if no answer came; it may have been accepted.
+	// unknown is set if no answer came; the change may have been accepted.
 	unknown bool
 }
 
-// register is the configuration as one operator at a time would see it.
+// register is the configuration as a sequential model.
 type register struct {
 	version int64
 	value   string
 }
 
-// registerModel says which histories a configuration kept in one place, and
-// changed by one operator after the other, can have.
+// registerModel defines the valid histories: those of one copy of the configuration that
+// operators change one after the other.
 var registerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{register{}} },
 	Step: func(state, input, output any) []any {
@@ -62,10 +62,10 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestRacingOperatorsAreLinearizable has operators change the configuration at
-// the same time through different hosts, with the table slow, away or losing
-// answers, and checks the history of what they were told.
-func TestRacingOperatorsAreLinearizable(t *testing.T) {
+// TestConcurrentChangesAreLinearizable has operators change the configuration at the
+// same time through different hosts, with the table slow, unavailable or losing answers,
+// and checks the history of their answers.
+func TestConcurrentChangesAreLinearizable(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 150}, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.SampledFrom([]standin.Fault{
 			{}, {Mode: standin.ModeLost, Count: 1}, {Mode: standin.ModeDown, Count: 2},
@@ -73,18 +73,18 @@
 		}), 5, 20).Draw(rt, "faults")
 		pauses := rapid.SliceOfN(rapid.IntRange(0, 400), 24, 24).Draw(rt, "pauses")
 		var history []porcupine.Operation
-		proptest.InBubble(t, func() { history = race(faults, pauses) })
+		proptest.InBubble(t, func() { history = runOperators(faults, pauses) })
 		if res := porcupine.CheckOperations(registerModel.ToModel(), history); !res {
-			rt.Fatalf("no order of one after the other explains: %v", history)
+			rt.Fatalf("no sequential order explains the history: %v", history)
 		}
 	})
 }
 
-// race runs four operators with six changes each.
-func race(faults []standin.Fault, pauses []int) []porcupine.Operation {
+// runOperators runs four operators with six changes each and returns their history.
+func runOperators(faults []standin.Fault, pauses []int) []porcupine.Operation {
 	const operators, changes = 4, 6
 	table := &standin.Table{}
-	begun := time.Now()
+	began := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	var wg sync.WaitGroup
@@ -102,14 +102,14 @@
 				time.Sleep(time.Duration(pauses[op*changes+n]) * time.Millisecond)
 				doc, _ := st.Current()
 				in := changeInput{basis: doc.Version, value: fmt.Sprint(1 + op*changes + n)}
-				call := time.Since(begun).Nanoseconds()
+				call := time.Since(began).Nanoseconds()
 				out := change(st, in)
-				back := time.Since(begun).Nanoseconds()
+				returned := time.Since(began).Nanoseconds()
 				if out.unknown {
-					back = math.MaxInt64
+					returned = math.MaxInt64
 				}
 				mu.Lock()
-				history = append(history, porcupine.Operation{ClientId: op, Input: in, Output: out, Call: call, Return: back})
+				history = append(history, porcupine.Operation{ClientId: op, Input: in, Output: out, Call: call, Return: returned})
 				mu.Unlock()
 			}
 		})
@@ -126,8 +126,9 @@
 	return changeOutput{accepted: err == nil, unknown: err != nil && !errors.Is(err, ErrConflict)}
 }
 
-// TestHistoryCheckerSeesFaults makes sure that the model tells a bad history.
-func TestHistoryCheckerSeesFaults(t *testing.T) {
+// TestModelRejectsInvalidHistory checks that the model rejects two accepted changes of
+// the same version.
+func TestModelRejectsInvalidHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		both := []porcupine.Operation{
 			{ClientId: 0, Input: changeInput{basis: 0, value: "1"}, Output: changeOutput{accepted: true}, Call: 0, Return: 10},
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -1,7 +1,6 @@
-// Package port runs the HTTP servers of an entry host, each within bounds: on
-// connections, requests in flight, the size of a request and the time to send
-// it. What is over a bound gets a clear refusal at once and costs nobody else
-// anything.
+// Package port runs the HTTP servers of an entry host, each with limits on connections,
+// requests in flight, the size of a request and the time to receive it. A request over a
+// limit is refused at once with a clear error and does not affect other requests.
 package port
 
 import (
@@ -19,40 +18,40 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Limits bound one port.
+// Limits are the limits of one port.
 type Limits struct {
-	// MaxConns bounds open connections, InFlight requests being served.
+	// MaxConns bounds the open connections, MaxInFlight the requests being served.
 	MaxConns    int
 	MaxInFlight int
-	// MaxBody bounds a request in bytes.
+	// MaxBody bounds the body of a request in bytes.
 	MaxBody int64
 	// ReadTimeout bounds the time to receive a request.
 	ReadTimeout time.Duration
-	// WriteTimeout bounds the time in which a caller takes a part of an answer.
+	// WriteTimeout bounds the time in which a caller accepts one write of an answer.
 	WriteTimeout time.Duration
-	// Refuse answers a request that is over a bound, in the form that the
-	// port's callers understand; nil answers as package wire does.
+	// Refuse answers a request that is over a limit, in the protocol of the port's
+	// callers; nil means [wire.WriteError].
 	Refuse func(w http.ResponseWriter, r *http.Request, err *wire.Error)
 }
 
 const (
-	readHeaderTime = 5 * time.Second
-	idleTime       = 2 * time.Minute
-	maxHeader      = 64 << 10
-	busyRetry      = time.Second
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 64 << 10
+	busyRetryAfter    = time.Second
 )
 
-// Port is one listening server.
+// Port is one HTTP server.
 type Port struct {
-	// Addr is the address listened on.
+	// Addr is the address that the port listens on.
 	Addr string
 
-	srv     *http.Server
-	ln      net.Listener
-	closing atomic.Bool
+	srv         *http.Server
+	ln          net.Listener
+	noKeepAlive atomic.Bool
 }
 
-// Listen opens a port. An address with port 0 gets a free one.
+// Listen opens a port. Port number 0 in addr selects a free one.
 func Listen(addr string, lim Limits) (*Port, error) {
 	ln, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -63,9 +62,9 @@
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
 	po.srv = &http.Server{
-		ReadHeaderTimeout: readHeaderTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    maxHeader,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		Protocols:         protocols,
 	}
 	return po, nil
@@ -73,7 +72,7 @@
 
 // Serve serves until the port is stopped.
 func (po *Port) Serve(h http.Handler, lim Limits) error {
-	po.srv.Handler = po.ending(bound(h, lim))
+	po.srv.Handler = po.withConnectionClose(withLimits(h, lim))
 	err := po.srv.Serve(po.ln)
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -81,22 +80,22 @@
 	return fmt.Errorf("serve %s: %w", po.Addr, err)
 }
 
-// DisableKeepAlives has every answer close its connection, so that callers come back over
-// another. A connection that is closed while idle can meet a request on its
-// way, which is then lost without a word.
-func (po *Port) DisableKeepAlives() { po.closing.Store(true) }
+// DisableKeepAlives makes every HTTP/1 answer close its connection, so that callers open
+// a new one. Closing an idle connection instead could lose a request that is already on
+// its way, without an error from the server.
+func (po *Port) DisableKeepAlives() { po.noKeepAlive.Store(true) }
 
-func (po *Port) ending(h http.Handler) http.Handler {
+func (po *Port) withConnectionClose(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if po.closing.Load() && r.ProtoMajor == 1 {
+		if po.noKeepAlive.Load() && r.ProtoMajor == 1 {
 			w.Header().Set("Connection", "close")
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// Stop takes no new connections and waits for requests in flight, until ctx
-// ends.
+// Stop accepts no new connections and waits for requests in flight until ctx ends; then
+// it closes their connections.
 func (po *Port) Stop(ctx context.Context) error {
 	if err := po.srv.Shutdown(ctx); err != nil {
 		return errors.Join(fmt.Errorf("stop %s: %w", po.Addr, err), po.srv.Close())
@@ -104,8 +103,8 @@
 	return nil
 }
 
-// bound puts the limits before a handler.
-func bound(h http.Handler, lim Limits) http.Handler {
+// withLimits applies the limits to a handler.
+func withLimits(h http.Handler, lim Limits) http.Handler {
 	slots := make(chan struct{}, lim.MaxInFlight)
 	timed := WithTimeouts(h, lim.ReadTimeout, lim.WriteTimeout)
 	refuse := lim.Refuse
@@ -118,7 +117,7 @@
 		default:
 			refuse(w, r, &wire.Error{
 				Status: http.StatusServiceUnavailable, Code: wire.CodeBusy,
-				Message: "too many requests in flight", RetryAfter: busyRetry,
+				Message: "too many requests in flight", RetryAfter: busyRetryAfter,
 			})
 			return
 		}
@@ -137,8 +136,8 @@
 	})
 }
 
-// WithTimeouts bounds the time to receive a request's body, and the time in which a caller
-// takes a part of the answer. Zero bounds nothing.
+// WithTimeouts bounds the time to receive a request's body, and the time in which a
+// caller accepts one write of the answer. Zero means no limit.
 func WithTimeouts(h http.Handler, read, write time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rc := http.NewResponseController(w)
@@ -147,48 +146,49 @@
 			r.Body = &timedBody{ReadCloser: r.Body, rc: rc}
 		}
 		if write > 0 {
-			w = &timedAnswer{ResponseWriter: w, rc: rc, most: write}
-			// What is left is sent once the handler has returned.
+			w = &timedWriter{ResponseWriter: w, rc: rc, timeout: write}
+			// The buffered rest is sent after the handler returns.
 			defer func() { _ = rc.SetWriteDeadline(time.Now().Add(write)) }()
 		}
 		h.ServeHTTP(w, r)
 	})
 }
 
-// timedAnswer has each part of an answer be taken in time. A long answer has no
+// timedWriter gives each write of an answer a deadline of its own. A long answer has no
 // deadline as a whole.
-type timedAnswer struct {
+type timedWriter struct {
 	http.ResponseWriter
 
-	rc   *http.ResponseController
-	most time.Duration
+	rc      *http.ResponseController
+	timeout time.Duration
 }
 
-// Unwrap is for [http.ResponseController].
-func (ta *timedAnswer) Unwrap() http.ResponseWriter { return ta.ResponseWriter }
+// Unwrap implements the interface that [http.ResponseController] uses.
+func (tw *timedWriter) Unwrap() http.ResponseWriter { return tw.ResponseWriter }
 
 // Write implements http.ResponseWriter.
-func (ta *timedAnswer) Write(data []byte) (int, error) {
-	defer ta.limit()()
-	return ta.ResponseWriter.Write(data)
+func (tw *timedWriter) Write(data []byte) (int, error) {
+	defer tw.setDeadline()()
+	return tw.ResponseWriter.Write(data)
 }
 
-// Flush implements http.Flusher. That its error is lost is the interface's: what
-// follows fails too.
-func (ta *timedAnswer) Flush() {
-	defer ta.limit()()
-	_ = ta.rc.Flush()
+// Flush implements http.Flusher. The interface has no error to return; the next write
+// fails too.
+func (tw *timedWriter) Flush() {
+	defer tw.setDeadline()()
+	_ = tw.rc.Flush()
 }
 
-// limit sets the deadline of one part, and returns what lifts it: one that is over
-// would end the next part, and in HTTP/2 also an answer that is quiet.
-func (ta *timedAnswer) limit() (lift func()) {
-	_ = ta.rc.SetWriteDeadline(time.Now().Add(ta.most))
-	return func() { _ = ta.rc.SetWriteDeadline(time.Time{}) }
+// setDeadline sets the deadline of one write, and returns a function that clears it. An
+// expired deadline would fail the next write, and in HTTP/2 also an answer without
+// writes.
+func (tw *timedWriter) setDeadline() (reset func()) {
+	_ = tw.rc.SetWriteDeadline(time.Now().Add(tw.timeout))
+	return func() { _ = tw.rc.SetWriteDeadline(time.Time{}) }
 }
 
-// timedBody lifts the read deadline once the body is read, since it would end
-// a long answer too.
+// timedBody clears the read deadline once the body is read, because it would also end a
+// long answer.
 type timedBody struct {
 	io.ReadCloser
 
--- a/internal/port/port_test.go
+++ b/internal/port/port_test.go
@@ -31,7 +31,7 @@
 	return resp.StatusCode
 }
 
-func TestLimits(t *testing.T) {
+func TestRequestsOverLimitsAreRefused(t *testing.T) {
 	lim := Limits{MaxConns: 100, MaxInFlight: 1, MaxBody: 10, ReadTimeout: 200 * time.Millisecond}
 	read := func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err != nil {
@@ -43,7 +43,7 @@
 		url := open(c, read, lim)
 		c.Assert(status(c, url, strings.NewReader("0123456789")), qt.Equals, http.StatusOK)
 		c.Assert(status(c, url, strings.NewReader("0123456789x")), qt.Equals, http.StatusRequestEntityTooLarge)
-		// Without a length stated, the limit shows while reading.
+		// Without a Content-Length, the limit applies while reading.
 		c.Assert(status(c, url, io.MultiReader(bytes.NewReader(make([]byte, 20)))), qt.Equals, http.StatusBadRequest)
 	})
 	t.Run("in flight", func(t *testing.T) {
@@ -57,7 +57,7 @@
 		close(gate)
 		c.Assert(<-done, qt.Equals, http.StatusOK)
 	})
-	t.Run("a body that never comes costs nobody else anything", func(t *testing.T) {
+	t.Run("a body that never arrives does not affect other requests", func(t *testing.T) {
 		c := qt.New(t)
 		ended := make(chan error, 2)
 		url := open(c, func(_ http.ResponseWriter, r *http.Request) {
@@ -105,20 +105,15 @@
 	c.Assert(<-stopped, qt.IsNil)
 }
 
-// answerLimits bound the parts of an answer.
+// answerLimits are limits with a short timeout for one write.
 var answerLimits = Limits{MaxConns: 10, MaxInFlight: 10, MaxBody: 10, ReadTimeout: time.Second, WriteTimeout: 200 * time.Millisecond}
 
-// TestAnswerThatNobodyTakes is the story of callers that freeze while they are
-// answered.
-//
-// What a user would see: sessions are refused for their limit, while few callers have
-// one, and a planned stop takes all its time. Order of events: a caller freezes; its
-// kernel takes what it has room for; the write of the session's next event waits, and
-// with it the session, its place, and its place in flight. Nothing that the session
-// heeds, the host's stop or its runner's silence, ends a write.
-//
-// Evidence: the handler below doesn't end.
-func TestAnswerThatNobodyTakes(t *testing.T) {
+// TestUnreadAnswerIsAborted guards against sessions that stay open after their caller
+// froze. The caller's kernel stops accepting data, so that the write of the session's
+// next event blocks, and with it the session's slot and its place among the requests in
+// flight. Neither a stop of the host nor a lost runner ends a blocked write: new
+// sessions are refused for the session limit, and a planned stop takes all its time.
+func TestUnreadAnswerIsAborted(t *testing.T) {
 	c := qt.New(t)
 	ended := make(chan struct{})
 	url := open(c, func(w http.ResponseWriter, _ *http.Request) {
@@ -137,14 +132,14 @@
 	linetest.Ends(t, "answer", func() { <-ended })
 }
 
-// TestAnswersOverEachProtocol has an answer be quiet for longer than one of its parts
-// may wait, and one that nobody reads.
-func TestAnswersOverEachProtocol(t *testing.T) {
+// TestWriteTimeoutOverEachProtocol covers an answer that pauses for longer than the
+// write timeout, and one that the caller does not read.
+func TestWriteTimeoutOverEachProtocol(t *testing.T) {
 	for _, name := range []string{"HTTP/1", "HTTP/2"} {
 		protocols := &http.Protocols{}
 		protocols.SetHTTP1(name == "HTTP/1")
 		protocols.SetUnencryptedHTTP2(name == "HTTP/2")
-		t.Run(name+", quiet", func(t *testing.T) {
+		t.Run(name+", paused", func(t *testing.T) {
 			c := qt.New(t)
 			url := open(c, func(w http.ResponseWriter, _ *http.Request) {
 				for range 2 {
--- a/internal/wire/stall_test.go
+++ b/internal/wire/stall_test.go
@@ -10,7 +10,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-func TestPeersThatStandStill(t *testing.T) {
+func TestStalledPeers(t *testing.T) {
 	hs := httptest.NewServer(wire.Handle(func(_ context.Context, msg string) (string, error) { return msg, nil }))
 	t.Cleanup(hs.Close)
 	linetest.Check(t, hs.Listener.Addr().String(), func(addr string) linetest.Call {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,10 +1,10 @@
-// Package wire carries JSON messages over HTTP between processes of the
-// system, and between it and the platform, runners and workers.
+// Package wire sends JSON messages over HTTP between processes of the system, and
+// between them and the platform, runners and workers.
 //
-// Each message is one POST with a bounded body. A handler is a plain function
-// from request to reply; errors travel as [Error], so that the caller sees the
-// same code that the handler returned. The package never sends a message
-// twice: whether that is safe is for the slice above to decide.
+// Each message is one POST with a bounded body. A handler is a function from request to
+// reply; errors are sent as [Error], so that the caller sees the code that the handler
+// returned. The package never sends a message twice: the caller decides whether a retry
+// is safe.
 package wire
 
 import (
@@ -19,10 +19,10 @@
 	"time"
 )
 
-// MaxBody bounds a message in bytes, both ways.
+// MaxBody bounds the body of a request or reply, in bytes.
 const MaxBody = 8 << 20
 
-// Error codes that the package itself uses.
+// Error codes of this package.
 const (
 	CodeMalformed = "malformed"
 	CodeTooLarge  = "too-large"
@@ -30,17 +30,16 @@
 	CodeBusy      = "busy"
 )
 
-// Error is a failure that the other side stated. Anything else that [Post]
-// returns is a failure of the exchange, after which it is not known whether
-// the message was handled.
+// Error is a failure reported by the peer. After any other error of [Post] it is not
+// known whether the message was handled.
 type Error struct {
 	// Status is the HTTP status.
 	Status int `json:"-"`
-	// Code is a stable word.
+	// Code is a stable word that identifies the failure.
 	Code string `json:"code"`
-	// Message is for people.
+	// Message describes the failure to a person.
 	Message string `json:"message"`
-	// RetryAfter says when to come back; zero says nothing.
+	// RetryAfter is the time after which to retry; zero means that none was given.
 	RetryAfter time.Duration `json:"-"`
 }
 
@@ -63,11 +62,11 @@
 	var resp Resp
 	body, err := json.Marshal(req)
 	if err != nil {
-		return resp, fmt.Errorf("encode for %s: %w", url, err)
+		return resp, fmt.Errorf("encode request for %s: %w", url, err)
 	}
 	hreq, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return resp, fmt.Errorf("request for %s: %w", url, err)
+		return resp, fmt.Errorf("create request for %s: %w", url, err)
 	}
 	hreq.Header.Set("Content-Type", "application/json")
 	hresp, err := cl.Do(hreq)
@@ -98,8 +97,8 @@
 	return werr
 }
 
-// Handle makes an HTTP handler of a function from request to reply. An error
-// with an [Error] in its chain is sent as that; any other as an internal one.
+// Handle returns an HTTP handler that calls fn. An error with an [Error] in its chain is
+// sent as that, any other as an internal error.
 func Handle[Req, Resp any](fn func(context.Context, Req) (Resp, error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req Req
@@ -135,7 +134,7 @@
 	return nil
 }
 
-// WriteReply sends resp as JSON with its length.
+// WriteReply sends resp as JSON with a Content-Length.
 func WriteReply(w http.ResponseWriter, resp any) {
 	data, err := json.Marshal(resp)
 	if err != nil {
@@ -147,7 +146,7 @@
 	_, _ = w.Write(data)
 }
 
-// WriteError sends err as an [Error].
+// WriteError sends err as an [Error], with CodeInternal if it has none in its chain.
 func WriteError(w http.ResponseWriter, err error) {
 	var werr *Error
 	if !errors.As(err, &werr) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,7 +16,7 @@
 	Text string `json:"text"`
 }
 
-func TestPost(t *testing.T) {
+func TestPostReturnsReplyOrError(t *testing.T) {
 	c := qt.New(t)
 	srv := httptest.NewServer(Handle(func(_ context.Context, msg message) (message, error) {
 		switch msg.Text {
@@ -61,7 +61,7 @@
 		defer func() { _ = resp.Body.Close() }()
 		c.Assert(resp.StatusCode, qt.Equals, http.StatusRequestEntityTooLarge)
 	})
-	c.Run("nobody there", func(c *qt.C) {
+	c.Run("nothing listens", func(c *qt.C) {
 		_, err := Post[message, message](context.Background(), srv.Client(), "http://127.0.0.1:1", message{})
 		c.Assert(err, qt.IsNotNil)
 		c.Assert(Code(err), qt.Equals, "")
