--- a/internal/logs/bench_test.go
+++ b/internal/logs/bench_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// BenchmarkLine is what a line costs who logs: one that is written, and one that is
-// over the budget.
+// BenchmarkLine measures the cost of a line to its caller: a line that is formatted, and
+// one that is over the budget.
 func BenchmarkLine(b *testing.B) {
 	wr := New(io.Discard)
 	defer wr.Close()
@@ -16,7 +16,7 @@
 		name    string
 		handler slog.Handler
 	}{
-		{"made", slog.NewTextHandler(nowhere{}, nil)},
+		{"formatted", slog.NewTextHandler(discard{}, nil)},
 		{"dropped", NewHandler(wr, slog.LevelInfo)},
 	} {
 		b.Run(be.name, func(b *testing.B) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// nowhere takes what is written and keeps nothing.
-type nowhere struct{}
+// discard discards what is written.
+type discard struct{}
 
-func (nowhere) Write(line []byte) (int, error) { return len(line), nil }
+func (discard) Write(line []byte) (int, error) { return len(line), nil }
--- a/internal/logs/budget.go
+++ b/internal/logs/budget.go
@@ -8,49 +8,49 @@
 	"strings"
 )
 
-// Bounds on lines of one kind, which is the text of a line's message.
+// Limits on lines of one kind. The kind of a line is the text of its message.
 const (
-	// rareMost is how many lines of a kind in one second make it a frequent one. A
-	// loss of a relay takes two or three lines, and twenty of its workers tell as
-	// much as hundreds.
-	rareMost = 20
-	// reserveMost is how many lines a second are for rare kinds only, over
-	// perSecondMost: 25 kinds with all that they may have.
-	reserveMost = 25 * rareMost
-	// kindsMost bounds the kinds that are told apart: the program has some 110.
-	kindsMost = 256
-	// toldMost is how many kinds are named as dropped.
-	toldMost = 5
-	// otherKind stands for kinds beyond kindsMost, and for lines without one.
+	// maxRareLines is the number of lines of a kind in one second above which it is
+	// frequent. The loss of a relay takes two or three lines, and twenty lines about its
+	// workers tell as much as hundreds.
+	maxRareLines = 20
+	// maxReserveLines is the number of lines a second, in addition to maxLinesPerSecond,
+	// that are reserved for rare kinds: 25 kinds with maxRareLines each.
+	maxReserveLines = 25 * maxRareLines
+	// maxKinds bounds the kinds that are counted separately; the program has 110.
+	maxKinds = 256
+	// maxReported is the number of kinds that a report of dropped lines names.
+	maxReported = 5
+	// otherKind is the kind of lines without one, and of those beyond maxKinds.
 	otherKind = "other"
 )
 
-// budget decides which lines of a second are written. Frequent kinds share one
-// part of it and rare ones have a reserve behind that, as the few lines that tell
-// of an incident come in just the seconds in which all others are many. The zero
-// value is ready.
+// budget decides which lines of a second are written. All kinds share one part of it,
+// and rare kinds have a reserve in addition, because the few lines that explain an
+// incident are logged in the same seconds in which all others are frequent. The zero
+// value is ready to use.
 type budget struct {
 	second int64
-	// shared and reserve are what was spent of the two parts in this second.
+	// shared and reserve are the lines of this second that used each part.
 	shared, reserve int
 	kinds           map[string]*kind
 }
 
-// kind is what is known of the lines of a kind.
+// kind has the counters of one kind of lines.
 type kind struct {
-	// lines are those of the second in which the last one came.
+	// lines counts the lines in the second of the last one.
 	lines  int
 	second int64
-	// dropped counts those that were not written since the kind was last told.
+	// dropped counts the lines dropped since the last report.
 	dropped int
 }
 
-// rare reports whether the kind had few lines in its second.
-func (ki *kind) rare() bool { return ki.lines <= rareMost }
+// rare reports whether the kind had at most maxRareLines lines in its second.
+func (ki *kind) rare() bool { return ki.lines <= maxRareLines }
 
-// spend takes a line of a kind in, and reports whether it may be written. The second
-// is that of the clock.
-func (bu *budget) spend(ki *kind, second int64) bool {
+// allow counts a line of a kind, and reports whether it may be written. second is the
+// Unix time in seconds.
+func (bu *budget) allow(ki *kind, second int64) bool {
 	if second != bu.second {
 		bu.second, bu.shared, bu.reserve = second, 0, 0
 	}
@@ -59,18 +59,18 @@
 	}
 	ki.lines++
 	switch {
-	case bu.shared < perSecondMost:
+	case bu.shared < maxLinesPerSecond:
 		bu.shared++
 		return true
-	case ki.rare() && bu.reserve < reserveMost:
+	case ki.rare() && bu.reserve < maxReserveLines:
 		bu.reserve++
 		return true
 	}
 	return false
 }
 
-// kind returns what is known of a kind, or of all others together if there are too
-// many.
+// kind returns the counters of a kind, or those of otherKind if there are too many
+// kinds.
 func (bu *budget) kind(name string) *kind {
 	if ki := bu.kinds[name]; ki != nil {
 		return ki
@@ -78,7 +78,7 @@
 	if bu.kinds == nil {
 		bu.kinds = map[string]*kind{otherKind: {}}
 	}
-	if len(bu.kinds) >= kindsMost {
+	if len(bu.kinds) >= maxKinds {
 		return bu.kinds[otherKind]
 	}
 	ki := &kind{}
@@ -86,22 +86,23 @@
 	return ki
 }
 
-// most names the kinds of which most were dropped, with how many, and begins to
-// count anew. It forgets kinds without lines for a while, to make room for others.
-func (bu *budget) most() string {
+// report lists the kinds with the most dropped lines and their numbers, and resets the
+// numbers. It removes kinds without lines in the current second, so that other kinds can
+// be counted.
+func (bu *budget) report() string {
 	names := slices.SortedFunc(maps.Keys(bu.kinds), func(a, b string) int {
 		return cmp.Or(cmp.Compare(bu.kinds[b].dropped, bu.kinds[a].dropped), strings.Compare(a, b))
 	})
-	var told []string
+	var reported []string
 	for _, name := range names {
 		ki := bu.kinds[name]
-		if ki.dropped > 0 && len(told) < toldMost {
-			told = append(told, fmt.Sprintf("%s: %d", name, ki.dropped))
+		if ki.dropped > 0 && len(reported) < maxReported {
+			reported = append(reported, fmt.Sprintf("%s: %d", name, ki.dropped))
 		}
 		ki.dropped = 0
 		if ki.second != bu.second && name != otherKind {
 			delete(bu.kinds, name)
 		}
 	}
-	return strings.Join(told, ", ")
+	return strings.Join(reported, ", ")
 }
--- a/internal/logs/handler.go
+++ b/internal/logs/handler.go
@@ -5,25 +5,25 @@
 	"log/slog"
 )
 
-// handler is a handler of text lines that leaves lines out before they are put
-// together if they are over the budget of its writer: making a line takes more
-// processor time than all else about it. It decides in Handle, where a line's kind
-// is known, and not in Enabled, which would be cheaper by the record of the line.
+// handler is a text handler that drops lines over the budget of its writer before they
+// are formatted, because formatting takes most of a line's processor time. It decides in
+// Handle, where the kind of a line is known. Enabled would also save the line's record,
+// but does not know the kind.
 type handler struct {
 	slog.Handler
 
 	wr *Writer
 }
 
-// NewHandler returns a handler of lines of a level or above for the writer.
+// NewHandler returns a handler that writes lines of the level or above to wr.
 func NewHandler(wr *Writer, level slog.Leveler) slog.Handler {
-	return handler{Handler: slog.NewTextHandler(admitted{wr}, &slog.HandlerOptions{Level: level}), wr: wr}
+	return handler{Handler: slog.NewTextHandler(admittedWriter{wr}, &slog.HandlerOptions{Level: level}), wr: wr}
 }
 
-// admitted writes lines that the writer has admitted.
-type admitted struct{ wr *Writer }
+// admittedWriter writes lines that the budget has admitted.
+type admittedWriter struct{ wr *Writer }
 
-func (ad admitted) Write(line []byte) (int, error) { return ad.wr.put(line) }
+func (ad admittedWriter) Write(line []byte) (int, error) { return ad.wr.enqueue(line) }
 
 // Handle implements slog.Handler.
 func (ha handler) Handle(ctx context.Context, rec slog.Record) error {
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,8 +1,8 @@
-// Package logs writes log lines without ever holding up who logs: lines wait
-// in a bounded buffer, and those that find it full, or are over the budget of
-// lines a second, are dropped and counted. Whoever reads the output slowly, or
-// not at all, costs lines and nothing else. Lines of kinds that are rare come
-// through behind those of frequent ones.
+// Package logs writes log lines without blocking the caller: lines wait in a bounded
+// buffer, and those that find it full, or that are over the budget of lines a second,
+// are dropped and counted. An output that is read slowly or not at all costs lines and
+// nothing else. Rare kinds of lines have a reserve, so that frequent ones do not
+// displace them.
 package logs
 
 import (
@@ -13,36 +13,37 @@
 	"time"
 )
 
-// Bounds on what is written.
+// Limits on what is written.
 const (
-	// waitMost is how many bytes of lines wait to be written, and waitReserve how
-	// many more may be of rare kinds.
-	waitMost    = 512 << 10
-	waitReserve = 64 << 10
-	// perSecondMost is the budget of lines a second: a busy owner writes four
-	// for each attempt, some 1,200 a second.
-	perSecondMost = 3000
-	// flushEvery gathers lines, as each write of the process has its price.
-	flushEvery = 50 * time.Millisecond
-	// closeWait bounds the wait for the last lines at the end.
-	closeWait = 500 * time.Millisecond
-	// tellEvery is the least time between lines on what was dropped.
-	tellEvery = time.Second
+	// maxBuffered is the number of buffered bytes above which lines are dropped, and
+	// bufferReserve the additional bytes for rare kinds.
+	maxBuffered   = 512 << 10
+	bufferReserve = 64 << 10
+	// maxLinesPerSecond is the budget of lines a second: a busy owner writes four for
+	// each attempt, 1,200 a second.
+	maxLinesPerSecond = 3000
+	// flushInterval collects lines into fewer writes, as each write of the process costs
+	// processor time.
+	flushInterval = 50 * time.Millisecond
+	// closeTimeout bounds the wait for the last lines at the end.
+	closeTimeout = 500 * time.Millisecond
+	// reportInterval is the minimum interval between reports of dropped lines.
+	reportInterval = time.Second
 )
 
-// Writer is an [io.Writer] of lines. Make one with [New].
+// Writer is an [io.Writer] of log lines. Create one with [New].
 type Writer struct {
 	out  io.Writer
 	wake chan struct{}
 	done chan struct{}
 
-	mu      sync.Mutex
-	waiting bytes.Buffer
-	budget  budget
-	dropped int64
-	told    int64
-	toldAt  time.Time
-	closed  bool
+	mu         sync.Mutex
+	buffered   bytes.Buffer
+	budget     budget
+	dropped    int64
+	reported   int64
+	reportedAt time.Time
+	closed     bool
 }
 
 // New returns a writer that writes to out.
@@ -52,74 +53,74 @@
 	return wr
 }
 
-// Write takes one line in, of no kind. It never blocks and never fails.
+// Write accepts one line of otherKind. It never blocks and never fails.
 func (wr *Writer) Write(line []byte) (int, error) {
 	if !wr.admit(otherKind) {
 		return len(line), nil
 	}
-	return wr.put(line)
+	return wr.enqueue(line)
 }
 
-// admit reports whether a line of a kind is to be made and [Writer.put], and counts
-// it as dropped if not.
+// admit reports whether a line of a kind is to be formatted and passed to
+// [Writer.enqueue]. If not, it counts the line as dropped.
 func (wr *Writer) admit(name string) bool {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
 	ki := wr.budget.kind(name)
-	ok := wr.budget.spend(ki, time.Now().Unix())
-	room := waitMost
+	ok := wr.budget.allow(ki, time.Now().Unix())
+	capacity := maxBuffered
 	if ki.rare() {
-		room += waitReserve
+		capacity += bufferReserve
 	}
-	if !ok || wr.closed || wr.waiting.Len() >= room {
-		wr.drop(ki)
+	if !ok || wr.closed || wr.buffered.Len() >= capacity {
+		wr.countDropped(ki)
 		return false
 	}
 	return true
 }
 
-// put takes in a line that was admitted. What was admitted meanwhile may have
-// filled the buffer.
-func (wr *Writer) put(line []byte) (int, error) {
+// enqueue buffers a line that was admitted. Lines admitted at the same time may have
+// filled the buffer in between.
+func (wr *Writer) enqueue(line []byte) (int, error) {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
-	if wr.closed || wr.waiting.Len()+len(line) > waitMost+waitReserve {
-		wr.drop(wr.budget.kind(otherKind))
+	if wr.closed || wr.buffered.Len()+len(line) > maxBuffered+bufferReserve {
+		wr.countDropped(wr.budget.kind(otherKind))
 		return len(line), nil
 	}
-	wr.waiting.Write(line)
-	wr.nudge()
+	wr.buffered.Write(line)
+	wr.signal()
 	return len(line), nil
 }
 
-func (wr *Writer) drop(ki *kind) {
+func (wr *Writer) countDropped(ki *kind) {
 	wr.dropped++
 	ki.dropped++
 }
 
-func (wr *Writer) nudge() {
+func (wr *Writer) signal() {
 	select {
 	case wr.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of lines dropped.
 func (wr *Writer) Dropped() int64 {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
 	return wr.dropped
 }
 
-// Close writes what waits, if that can be done soon.
+// Close writes the buffered lines, within closeTimeout.
 func (wr *Writer) Close() {
 	wr.mu.Lock()
 	wr.closed = true
 	wr.mu.Unlock()
-	wr.nudge()
+	wr.signal()
 	select {
 	case <-wr.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
@@ -127,10 +128,10 @@
 	defer close(wr.done)
 	var chunk []byte
 	for range wr.wake {
-		time.Sleep(flushEvery)
+		time.Sleep(flushInterval)
 		var last bool
-		chunk, last = wr.take(chunk[:0])
-		// Nobody is left to be told of an error of the log itself.
+		chunk, last = wr.drain(chunk[:0])
+		// An error of the log's own output cannot be logged.
 		_, _ = wr.out.Write(chunk)
 		if last {
 			return
@@ -138,15 +139,16 @@
 	}
 }
 
-// take moves what waits to chunk, with a line on what was dropped.
-func (wr *Writer) take(chunk []byte) ([]byte, bool) {
+// drain moves the buffered lines to chunk, with a line that reports dropped lines. It
+// also reports whether the writer is closed.
+func (wr *Writer) drain(chunk []byte) ([]byte, bool) {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
-	chunk = append(chunk, wr.waiting.Bytes()...)
-	wr.waiting.Reset()
-	if wr.dropped > wr.told && (wr.closed || time.Since(wr.toldAt) >= tellEvery) {
-		chunk = fmt.Appendf(chunk, "level=WARN msg=\"log lines dropped\" lines=%d total=%d most=%q\n", wr.dropped-wr.told, wr.dropped, wr.budget.most())
-		wr.told, wr.toldAt = wr.dropped, time.Now()
+	chunk = append(chunk, wr.buffered.Bytes()...)
+	wr.buffered.Reset()
+	if wr.dropped > wr.reported && (wr.closed || time.Since(wr.reportedAt) >= reportInterval) {
+		chunk = fmt.Appendf(chunk, "level=WARN msg=\"log lines dropped\" lines=%d total=%d most=%q\n", wr.dropped-wr.reported, wr.dropped, wr.budget.report())
+		wr.reported, wr.reportedAt = wr.dropped, time.Now()
 	}
 	return chunk, wr.closed
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestLinesComeInOrder(t *testing.T) {
+func TestLinesAreWrittenInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var si sink
 		wr := New(&si)
@@ -47,11 +47,11 @@
 	})
 }
 
-func TestBudgetOfLines(t *testing.T) {
+func TestLinesOverBudgetAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var si sink
 		wr := New(&si)
-		write(wr, perSecondMost+10)
+		write(wr, maxLinesPerSecond+10)
 		qt.Assert(t, wr.Dropped(), qt.Equals, int64(10))
 		time.Sleep(2 * time.Second)
 		write(wr, 1)
@@ -61,8 +61,9 @@
 	})
 }
 
-// TestPipeThatNobodyReads fills a pipe and checks that nobody waits for it.
-func TestPipeThatNobodyReads(t *testing.T) {
+// TestUnreadPipeDoesNotBlock fills a pipe that is not read and checks that no write
+// blocks.
+func TestUnreadPipeDoesNotBlock(t *testing.T) {
 	reader, writer, err := os.Pipe()
 	qt.Assert(t, err, qt.IsNil)
 	wr := New(writer)
@@ -78,37 +79,37 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("a write waited for the reader")
+		t.Fatal("a write was blocked by the unread pipe")
 	}
 	qt.Assert(t, wr.Dropped() > 0, qt.IsTrue)
 	qt.Assert(t, reader.Close(), qt.IsNil)
 	qt.Assert(t, writer.Close(), qt.IsNil)
 }
 
-func TestLinesOverTheBudgetAreNotMade(t *testing.T) {
+func TestLinesOverBudgetAreNotFormatted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var si sink
 		wr := New(&si)
 		log := slog.New(NewHandler(wr, slog.LevelInfo))
-		made := 0
-		for range perSecondMost + 10 {
-			log.Info("line", "n", counted{&made})
+		formatted := 0
+		for range maxLinesPerSecond + 10 {
+			log.Info("line", "n", counted{&formatted})
 		}
-		qt.Assert(t, made, qt.Equals, perSecondMost)
+		qt.Assert(t, formatted, qt.Equals, maxLinesPerSecond)
 		qt.Assert(t, wr.Dropped(), qt.Equals, int64(10))
 		time.Sleep(time.Second)
-		log.With("a", 1).Info("line", "n", counted{&made})
-		qt.Assert(t, made, qt.Equals, perSecondMost+1)
-		log.Debug("too low", "n", counted{&made})
-		qt.Assert(t, made, qt.Equals, perSecondMost+1)
+		log.With("a", 1).Info("line", "n", counted{&formatted})
+		qt.Assert(t, formatted, qt.Equals, maxLinesPerSecond+1)
+		log.Debug("too low", "n", counted{&formatted})
+		qt.Assert(t, formatted, qt.Equals, maxLinesPerSecond+1)
 		wr.Close()
 	})
 }
 
-// counted counts how often it is put into a line.
-type counted struct{ made *int }
+// counted counts how often it is formatted.
+type counted struct{ formatted *int }
 
 func (co counted) LogValue() slog.Value {
-	*co.made++
-	return slog.IntValue(*co.made)
+	*co.formatted++
+	return slog.IntValue(*co.formatted)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func good() Serve {
+func validSettings() Serve {
 	return Serve{
 		Name: "e1", DC: "a", DCs: []string{"a", "b"},
 		CallerAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2", AdminAddr: "[::1]:3", Peers: []string{"10.0.0.1:2"},
@@ -17,12 +17,12 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
-	qt.Assert(t, good().Check(), qt.IsNil)
+func TestCheckReportsInvalidSettings(t *testing.T) {
+	qt.Assert(t, validSettings().Check(), qt.IsNil)
 	for _, te := range []struct {
-		name  string
-		wrong func(*Serve)
-		flag  string
+		name    string
+		invalid func(*Serve)
+		flag    string
 	}{
 		{"name", func(se *Serve) { se.Name = "E 1" }, "--name"},
 		{"data centre not in the list", func(se *Serve) { se.DC = "c" }, "--data-centres"},
@@ -34,8 +34,8 @@
 		{"lease too short", func(se *Serve) { se.LeaseTTL = 5 * time.Second }, "--lease-ttl"},
 	} {
 		t.Run(te.name, func(t *testing.T) {
-			se := good()
-			te.wrong(&se)
+			se := validSettings()
+			te.invalid(&se)
 			qt.Assert(t, se.Check(), qt.ErrorMatches, te.flag+": .*")
 		})
 	}
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,7 +1,7 @@
-// Package telemetry has the metrics of an entry host, over OpenTelemetry with
-// a Prometheus endpoint. All instruments stand in one table, which
-// docs/OPERATIONS.md repeats; a nil [Metrics] counts nothing, so that slices
-// can be tested without one.
+// Package telemetry has the metrics of an entry host, over OpenTelemetry with a
+// Prometheus endpoint. All instruments are in one table, from which docs/OPERATIONS.md
+// is generated. A nil [Metrics] counts nothing, so that packages can be tested without
+// one.
 package telemetry
 
 import (
@@ -62,18 +62,18 @@
 	ConfigConfirmed Name = "pepperhatch_config_confirmed_seconds"
 )
 
-// RequestDuration is the histogram of request times.
+// RequestDuration is the histogram of request times, in seconds.
 const RequestDuration Name = "pepperhatch_request_seconds"
 
 // Entry documents one instrument.
 type Entry struct {
 	// Name is the instrument's name; the endpoint adds _total to counters.
 	Name Name
-	// Labels are its labels.
+	// Labels are the names of its labels, separated by commas.
 	Labels string
-	// Meaning says what it counts.
+	// Meaning describes what the instrument counts or shows.
 	Meaning string
-	// Action says what to do about it.
+	// Action describes what to do about it.
 	Action string
 }
 
@@ -83,39 +83,39 @@
 	{Refusals, "reason, class", "requests that ended unanswered", "see the table of refusal reasons"},
 	{Retries, "reason", "requests sent to another runner", "see the table of retry reasons"},
 	{Attempts, "", "requests sent to runners, first ones and retries", "over 1.2 per request: look at the retry reasons"},
-	{Spills, "to", "requests passed to a peer because no own slot was free", "steady growth: add runners to the data centre"},
+	{Spills, "to", "requests passed to a peer because no local slot was free", "steady growth: add runners to the data centre"},
 	{SessionMoves, "why", "sessions moved to another runner or entry host", "growth without a stop or drain: look at the runners"},
-	{TableErrors, "step", "failed uses of the platform's table or list", "growth: the platform is away or slow"},
-	{Takeovers, "", "leases taken over from an entry host that was silent", "find out why it was"},
-	{LeaseExtensions, "", "leases extended on the promises of all peers", "the table is away"},
+	{TableErrors, "step", "failed calls to the platform's table or host list", "growth: the platform is unavailable or slow"},
+	{Takeovers, "", "leases taken over from an unresponsive entry host", "find out why the host was unresponsive"},
+	{LeaseExtensions, "", "leases extended on the promises of all peers", "the table is unavailable"},
 	{JournalRows, "cell", "batches written to a cell's journal", "over 10 a second: raise --cell-interval"},
-	{JobRequests, "kind, outcome, reason", "requests of callers about jobs, by how they were answered", "refusals: see the reason"},
-	{JobVerdicts, "outcome, reason", "what the owner of a cell said to jobs handed in", "refusals: see the reason"},
-	{AttemptEnds, "end", "attempts of tasks that ended, by how", "lapsed, lost, crashed or failed: look for the workers in the log"},
-	{CellWrites, "outcome", "writes of a cell's rows", "failed: the store is away or slow"},
-	{Launches, "outcome", "orders to start an attempt, by what the worker said", "no-answer or unfit: look for the workers in the log"},
-	{PollFailures, "outcome", "looks at workers that failed", "growth: workers are away"},
-	{PlacementRounds, "", "rounds of placement of a cell, each over all its workers", "many a second: the owner's processor is short, see CAPACITY.md"},
-	{Stalls, "", "attempts that were stopped as they made no progress", "look for the workers in the log: \"attempts stand still\""},
-	{Evacuated, "why", "lasting tasks that were stopped to go on elsewhere, as their worker drains or has had no entry for long (unlisted)", "unlisted: look for \"emptying a worker without an entry\" in the log"},
-	{JobTime, "cause", "time of jobs that are over, in milliseconds, by what it went to", "much of room or place: too little room; of store or order: the store or the owner is slow"},
-	{RelaysLost, "", "streams of an owner to other entry hosts that ended", "look for \"relay not used for a while\" in the owner's log"},
-	{WorkersCrashed, "attempts", "workers whose process ended without a word, by whether some attempts stood there or none", "some: look for \"task given up\" and \"trying a task under which workers ended\" in the log"},
-	{SuspectStarts, "how", "starts of tasks under which workers ended: apart from others, or alone, as one crash more gives them up", "alone: a task crashes its workers, or workers crash often"},
-	{TasksGivenUp, "why", "tasks that are not tried again: failures, as often as their queue allows, or crashes of workers under them", "crashes: tell the job's owner"},
+	{JobRequests, "kind, outcome, reason", "callers' requests about jobs, by outcome", "refusals: see the reason"},
+	{JobVerdicts, "outcome, reason", "submitted jobs, by the decision of the cell's owner", "refusals: see the reason"},
+	{AttemptEnds, "end", "attempts of tasks that ended, by the kind of end", "lapsed, lost, crashed or failed: look for the workers in the log"},
+	{CellWrites, "outcome", "writes of a cell's rows", "failed: the store is unavailable or slow"},
+	{Launches, "outcome", "orders to start an attempt, by the worker's answer", "no-answer or unfit: look for the workers in the log"},
+	{PollFailures, "outcome", "failed polls of workers", "growth: workers are unavailable"},
+	{PlacementRounds, "", "rounds of placement of a cell, each over all its workers", "many a second: the owner is short of processor time, see CAPACITY.md"},
+	{Stalls, "", "attempts that were stopped because they made no progress", "look for the workers in the log: \"attempts stand still\""},
+	{Evacuated, "why", "long-running tasks that were stopped to continue elsewhere, because their worker drains or has had no entry for long (unlisted)", "unlisted: look for \"emptying a worker without an entry\" in the log"},
+	{JobTime, "cause", "time of finished jobs, in milliseconds, by cause", "mostly room or place: too little free capacity; mostly store or order: the store or the owner is slow"},
+	{RelaysLost, "", "streams from an owner to other entry hosts that ended", "look for \"relay not used for a while\" in the owner's log"},
+	{WorkersCrashed, "attempts", "workers whose process ended without a report, by whether attempts were present at the worker (some) or not (none)", "some: look for \"task given up\" and \"trying a task under which workers ended\" in the log"},
+	{SuspectStarts, "how", "starts of tasks whose workers ended: spread (apart), or isolated (alone), because after one more crash the task is given up", "alone: a task crashes its workers, or workers crash often"},
+	{TasksGivenUp, "why", "tasks that are not retried, for as many failures as their queue allows or for crashes of their workers", "crashes: notify the job's owner"},
 	{TaskEvents, "event", "tasks started, done, failed, evicted, throttled", "evictions: see place.eviction-budget"},
 }
 
 // Gauges documents the gauges.
 var Gauges = []Entry{
-	{Workers, "state", "workers of the cell on its owner, 0 elsewhere: answering, silent, or unsettled (not reached yet by this owner)", "silent or unsettled for more than a second: see \"Workers get no orders\""},
-	{StuckTasks, "kind, why", "tasks of the owner's cell that have waited for 5 s, or are taken to run without their worker's word for as long, by what holds them back", "see \"Tasks are stuck\""},
-	{CellCores, "part", "cores of the workers that get tasks from the cell's owner: held, and reserved by tasks", "stuck tasks beside cores that are not reserved: look at why"},
+	{Workers, "state", "workers of the cell on its owner, 0 elsewhere: answering, unresponsive (silent), or not reached yet by this owner (unsettled)", "silent or unsettled for more than a second: see \"Workers get no orders\""},
+	{StuckTasks, "kind, why", "tasks of the owner's cell that have waited for 5 s, or are assumed to run without a report of their worker for as long, by cause", "see \"Tasks are stuck\""},
+	{CellCores, "part", "cores of the workers that get tasks from the cell's owner: their capacity, and what tasks reserve", "stuck tasks although cores are not reserved: look at the label why"},
 	{ConfigVersion, "", "version of the configuration in force at this host", "differs between hosts for over 2 s: see \"A change is not in force\""},
-	{ConfigConfirmed, "", "time of day, in seconds since 1970, of the last call by which the store confirmed that the configuration is current", "over 3 s ago: see \"A change is not in force\""},
+	{ConfigConfirmed, "", "Unix time, in seconds, of the last call by which the store confirmed that the configuration is current", "over 3 s ago: see \"A change is not in force\""},
 }
 
-// Metrics counts. Make one with [New]; nil counts nothing.
+// Metrics has the instruments. Create it with [New]; nil counts nothing.
 type Metrics struct {
 	counters map[Name]metric.Int64Counter
 	gauges   map[Name]metric.Int64Gauge
@@ -160,8 +160,8 @@
 	me.counters[name].Add(context.Background(), n, attributes(labels))
 }
 
-// Set sets a gauge, which is told until it is set anew; labels are pairs of name and
-// value.
+// Set sets a gauge, which keeps its value until the next call; labels are pairs of name
+// and value.
 func (me *Metrics) Set(name Name, n int64, labels ...string) {
 	if me == nil {
 		return
@@ -169,7 +169,7 @@
 	me.gauges[name].Record(context.Background(), n, attributes(labels))
 }
 
-// attributes are those of pairs of name and value.
+// attributes returns the attributes for pairs of name and value.
 func attributes(labels []string) metric.MeasurementOption {
 	kvs := make([]attribute.KeyValue, 0, len(labels)/2)
 	for i := 0; i+1 < len(labels); i += 2 {
@@ -178,7 +178,8 @@
 	return metric.WithAttributes(kvs...)
 }
 
-// RecordRequest counts one request that ended, with its time.
+// RecordRequest counts one request that ended, and records its time. The reason is
+// [reason.None] for an answered request.
 func (me *Metrics) RecordRequest(class string, why reason.Reason, took time.Duration) {
 	if me == nil {
 		return
