--- a/internal/store/listfilter.go
+++ b/internal/store/listfilter.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// implausibleFor is how long a list is rejected that lacks most hosts of the list
+// implausibleFor is how long a list is held back that lacks most hosts of the list
 // before.
 const implausibleFor = 30 * time.Second
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -59,7 +59,7 @@
 
 // ErrHistoryGone is returned for a feed from a version whose later changes the table no
 // longer has: all rows have to be read again.
-var ErrHistoryGone = errors.New("history is gone")
+var ErrHistoryGone = errors.New("table no longer has the changes since this version")
 
 // ErrBusy is returned for a call that the table did not execute because it is down or
 // overloaded.
--- a/internal/transport/change_delay_test.go
+++ b/internal/transport/change_delay_test.go
@@ -41,7 +41,7 @@
 	hc      *http.Client
 	// answerDelay is the store's time for an answer, a [time.Duration].
 	answerDelay atomic.Value
-	// release ends a request to /hold. version is the version of the row last reported.
+	// released ends a request to /hold. version is the version of the row last reported.
 	released chan struct{}
 	version  atomic.Int64
 }
@@ -111,7 +111,7 @@
 	return time.Since(began)
 }
 
-// phases returns times within a call that waits for changes, which takes 1.5 s.
+// phases returns times within a call that waits for changes, which takes up to 1.5 s.
 func phases() []time.Duration {
 	const step, most = 100 * time.Millisecond, 1500 * time.Millisecond
 	var out []time.Duration
@@ -151,9 +151,9 @@
 
 // TestOneChangeDuringPacketLoss drops everything sent to the store for a time, in which
 // one change is made. What was dropped does not arrive later, so that a call sent just
-// before the end is lost too. Without hedged calls a page then costs its deadline of 3
-// s, and the change is in force 3.01 s after the end. Hedging the page after 0.6 and 1.8
-// s reduces that to 1.45 s.
+// before the end is lost too. Without hedged calls a page then costs its deadline,
+// 3 s, and the change is in force 3.01 s after the end. Hedging the page after 0.6 s
+// and 1.8 s reduces that to 1.45 s.
 func TestOneChangeDuringPacketLoss(t *testing.T) {
 	const least, most, step = 300 * time.Millisecond, 9 * time.Second, 60 * time.Millisecond
 	longest := time.Duration(0)
@@ -184,8 +184,8 @@
 }
 
 // TestHedgedCallsAreBounded counts the calls to the store: one every 1.5 s while it
-// answers at its usual speed, and at most three while each answer takes 120 times as
-// long, as at its slowest.
+// answers at its usual speed, and at most three in that time while each answer takes
+// 120 times as long, as at its slowest.
 func TestHedgedCallsAreBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
