--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -91,7 +91,7 @@
 	if id.Home != "" || len(dcs) == 0 {
 		return id.Home
 	}
-	return spread.First(id.Text, dcs, 1)[0]
+	return spread.Preferred(id.Text, dcs, 1)[0]
 }
 
 // Shard returns the resource that the id falls into.
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -222,7 +222,7 @@
 	ho.log.Info("stopping", "delay", ho.set.StopDelay, "grace", ho.set.StopGrace)
 	ho.stopping.Store(true)
 	close(ho.done)
-	ho.mesh.Hurry()
+	ho.mesh.SendAll()
 	ho.callerPort.Retire()
 	ho.relay.Stop()
 	ho.rebuild()
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -131,7 +131,7 @@
 			ids = append(ids, ru.ID)
 		}
 	}
-	primary := spread.Even(ids, hosts)
+	primary := spread.AssignEvenly(ids, hosts)
 	var members []route.Member
 	for _, ru := range runners {
 		usable := ru.State == upstream.Live || ru.State == upstream.Probing
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -81,7 +81,7 @@
 	}
 	if res.Applied {
 		// A change of configuration is told to peers at once.
-		os.ho.mesh.Hurry()
+		os.ho.mesh.SendAll()
 	}
 	return connect.NewResponse(&pb.ConfirmResponse{Applied: res.Applied, Conflict: res.Changed, Version: res.Version}), nil
 }
@@ -140,7 +140,7 @@
 	for _, ru := range runners {
 		ids = append(ids, ru.ID)
 	}
-	primary := spread.Even(ids, ho.primaries())
+	primary := spread.AssignEvenly(ids, ho.primaries())
 	statuses := make([]*pb.RunnerStatus, 0, len(runners))
 	for _, ru := range runners {
 		rs := &pb.RunnerStatus{
--- a/internal/jobhost/cell.go
+++ b/internal/jobhost/cell.go
@@ -26,12 +26,12 @@
 	se := ho.se.Load()
 	po := &relay.Pool{
 		Self: se.Name, Cores: se.Processor(), Epoch: te.Epoch, HTTP: ho.streams, Direct: platform.NewAgent(ho.workers),
-		Former: te.Former.Owner, FormerProcess: te.Former.Process, Metrics: ho.metrics, Log: ho.log,
+		FormerOwner: te.Former.Owner, FormerOwnerProcess: te.Former.Process, Metrics: ho.metrics, Log: ho.log,
 	}
 	workers := &watch.Watch{Table: ho.table, Name: platform.WorkerTable, Under: platform.WorkerPrefix, Log: ho.log}
 	ow := sched.New(&sched.Owner{
 		Cell: cellName, Tenure: te, Table: ho.table, Agent: po.Agent(), Without: ho.Without, Metrics: ho.metrics, Log: ho.log,
-		ViaFunc:     func(li sched.Listed) string { return po.Via(li.Incarnation.String(), li.DataCentre) },
+		ViaFunc:     func(li sched.Listed) string { return po.RelayFor(li.Incarnation.String(), li.DataCentre) },
 		DroppedFunc: func(in worker.Incarnation) { po.Drop(in.String()) },
 		ListFunc:    workers.Contact,
 		Limits:      sched.Limits{MaxLease: millis(se.MaxLeaseMS), StopTime: millis(se.StopMS), HarmAfter: millis(se.HarmMS), KeepEnded: seconds(se.KeepEndedS)},
--- a/internal/jobhost/lapse_test.go
+++ b/internal/jobhost/lapse_test.go
@@ -62,7 +62,7 @@
 			ho.onWorkers(ow, po, rowsOf(names, false), true)
 			was := map[string]string{}
 			for _, name := range names {
-				was[name] = po.Via(name, "a")
+				was[name] = po.RelayFor(name, "a")
 				qt.Assert(t, was[name], qt.Not(qt.Equals), "")
 			}
 			synctest.Wait()
@@ -70,7 +70,7 @@
 			same := func() {
 				t.Helper()
 				for _, name := range names {
-					qt.Assert(t, po.Via(name, "a"), qt.Equals, was[name])
+					qt.Assert(t, po.RelayFor(name, "a"), qt.Equals, was[name])
 				}
 				synctest.Wait()
 				qt.Assert(t, changes.Load(), qt.Equals, before)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -109,7 +109,7 @@
 		}
 	}
 	slices.Sort(unowned)
-	owners := spread.Even(unowned, next.Members)
+	owners := spread.AssignEvenly(unowned, next.Members)
 	for _, re := range unowned {
 		next.Owners[re] = Ownership{Owner: owners[re], Epoch: next.Epoch}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Hurry has everyone greeted now, for news that should not wait.
-func (me *Mesh) Hurry() {
+// SendAll has everyone greeted now, for news that should not wait.
+func (me *Mesh) SendAll() {
 	select {
 	case me.wake <- struct{}{}:
 	default:
@@ -215,7 +215,7 @@
 	}
 	chosen := map[string]bool{}
 	for _, ids := range byDC {
-		for _, id := range spread.First(self.ID, ids, farHosts) {
+		for _, id := range spread.Preferred(self.ID, ids, farHosts) {
 			chosen[id] = true
 		}
 	}
--- a/internal/relay/again_test.go
+++ b/internal/relay/again_test.go
@@ -57,7 +57,7 @@
 	t.Run("a replaced owner's host that answers is used", func(t *testing.T) {
 		nt := newNetwork(t, 0)
 		nt.addRelays(2)
-		nt.pool.Former, nt.pool.FormerProcess = "r0", "p"
+		nt.pool.FormerOwner, nt.pool.FormerOwnerProcess = "r0", "p"
 		nt.pool.SetMembers(nt.members, nil, true)
 		nt.eventually("it is used", func() bool { return nt.usable("r0") })
 		nt.pool.SetMembers(nt.members, nil, true)
@@ -72,10 +72,10 @@
 	ad := nt.add()
 	qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNil)
 	nt.lines[0].Silence()
-	nt.eventually("there is none", func() bool { return nt.pool.Via("i-0", "a") == "" })
+	nt.eventually("there is none", func() bool { return nt.pool.RelayFor("i-0", "a") == "" })
 	before := nt.told()
 	nt.eventually("the owner is told", func() bool { return nt.usable("r0") && nt.told() > before })
-	qt.Assert(t, nt.pool.Via("i-0", "a"), qt.Equals, "r0")
+	qt.Assert(t, nt.pool.RelayFor("i-0", "a"), qt.Equals, "r0")
 }
 
 // TestHostThatStaysAway: a host that was lost is asked again and again; that is no news
@@ -127,7 +127,7 @@
 	ad := nt.add()
 	direct := func() (n int) {
 		for _, incarnation := range workers {
-			if nt.pool.Via(incarnation, "a") == "" {
+			if nt.pool.RelayFor(incarnation, "a") == "" {
 				n++
 			}
 		}
@@ -143,11 +143,11 @@
 	nt.eventually("no relay is of use", func() bool { return !nt.usable("r0") && !nt.usable("r1") && !nt.usable("r2") })
 	// The owner has a thousandth of a core.
 	qt.Check(t, direct() <= 1, qt.IsTrue, qt.Commentf("%d workers are reached directly", direct()))
-	ad.Via = nt.pool.Via("i-49", "a")
+	ad.Via = nt.pool.RelayFor("i-49", "a")
 	err := nt.launch(ad, "b", "x")
 	qt.Check(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
 	for _, ln := range nt.lines {
 		ln.Thaw()
 	}
-	nt.eventually("all go through relays", func() bool { return direct() == 0 && nt.usable(nt.pool.Via("i-49", "a")) })
+	nt.eventually("all go through relays", func() bool { return direct() == 0 && nt.usable(nt.pool.RelayFor("i-49", "a")) })
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -45,9 +45,9 @@
 	Cores float64
 	// Epoch is the owner's.
 	Epoch int64
-	// Former and FormerProcess name the host that was replaced as an owner, and its
+	// FormerOwner and FormerOwnerProcess name the host that was replaced as an owner, and its
 	// process; they are empty if it gave the cell up.
-	Former, FormerProcess string
+	FormerOwner, FormerOwnerProcess string
 	// HTTP is the client for other entry hosts, which must not limit the time of a
 	// request.
 	HTTP *http.Client
@@ -125,7 +125,7 @@
 // suspect keeps a host from being used until it answers, if it was just replaced as
 // an owner: mostly for its silence, and the list still has it.
 func (po *Pool) suspect(me registry.Member) {
-	if me.Name != po.Former || me.Process != po.FormerProcess {
+	if me.Name != po.FormerOwner || me.Process != po.FormerOwnerProcess {
 		return
 	}
 	po.plan.avoid(me.Name)
@@ -174,10 +174,10 @@
 	}
 }
 
-// Via names the entry host through which a worker is to be reached, or is empty
+// RelayFor names the entry host through which a worker is to be reached, or is empty
 // if it is to be reached directly. Orders through a host that may not relay now are not
 // sent.
-func (po *Pool) Via(incarnation, dataCentre string) string {
+func (po *Pool) RelayFor(incarnation, dataCentre string) string {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	delete(po.dropped, incarnation)
--- a/internal/relay/silent_test.go
+++ b/internal/relay/silent_test.go
@@ -38,8 +38,8 @@
 
 	err := nt.launch(ad, "a", "x")
 	qt.Assert(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
-	nt.eventually("another relay is wanted", func() bool { return nt.pool.Via("i-0", "a") != ad.Via })
-	ad.Via = nt.pool.Via("i-0", "a")
+	nt.eventually("another relay is wanted", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
+	ad.Via = nt.pool.RelayFor("i-0", "a")
 	_, err = nt.look(ad)
 	qt.Assert(t, err, qt.IsNil)
 }
@@ -50,9 +50,9 @@
 	nt := newNetwork(t, 0)
 	nt.addRelays(2)
 	nt.lines[0].Freeze()
-	nt.pool.Former, nt.pool.FormerProcess = "r0", "p"
+	nt.pool.FormerOwner, nt.pool.FormerOwnerProcess = "r0", "p"
 	nt.pool.SetMembers(nt.members, nil, true)
-	qt.Assert(t, nt.pool.Via("i-0", "a"), qt.Equals, "r1")
+	qt.Assert(t, nt.pool.RelayFor("i-0", "a"), qt.Equals, "r1")
 	nt.lines[0].Thaw()
 	nt.eventually("it is used again", func() bool { return nt.usable("r0") })
 }
@@ -81,8 +81,8 @@
 			nt.members[used].Addr = addr
 			nt.pool.SetMembers(nt.members, nil, true)
 			qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNotNil)
-			nt.eventually("another relay is wanted", func() bool { return nt.pool.Via("i-0", "a") != ad.Via })
-			ad.Via = nt.pool.Via("i-0", "a")
+			nt.eventually("another relay is wanted", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
+			ad.Via = nt.pool.RelayFor("i-0", "a")
 			qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNil)
 		})
 	}
--- a/internal/relay/strand_test.go
+++ b/internal/relay/strand_test.go
@@ -77,7 +77,7 @@
 	nt.pool.SetWorkers(workers, nil, false)
 	direct := func() (n int) {
 		for _, incarnation := range workers {
-			if nt.pool.Via(incarnation, "a") == "" {
+			if nt.pool.RelayFor(incarnation, "a") == "" {
 				n++
 			}
 		}
@@ -125,7 +125,7 @@
 // TestListChangesBeforeRun: the host of the former owner is the only one left in the list
 // before the pool runs; asking it again then ended the process.
 func TestListChangesBeforeRun(t *testing.T) {
-	po := &Pool{Self: "self", Cores: 1, Former: "r0", FormerProcess: "p", Log: slog.New(slog.DiscardHandler)}
+	po := &Pool{Self: "self", Cores: 1, FormerOwner: "r0", FormerOwnerProcess: "p", Log: slog.New(slog.DiscardHandler)}
 	po.SetMembers([]registry.Member{{Name: "r0", Process: "p"}, {Name: "r1", Process: "p"}}, nil, true)
 	po.SetMembers(nil, []string{"r1"}, false)
 	time.Sleep(2 * awayNone)
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -130,7 +130,7 @@
 func (nt *network) add() worker.Addr {
 	ad := worker.Addr{HostPort: "10.0.0.1:80", Incarnation: worker.Incarnation{ID: "i-0", Born: 1}}
 	nt.fleet.Add(&standin.FleetWorker{Addr: ad, Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}})
-	ad.Via = nt.pool.Via("i-0", "a")
+	ad.Via = nt.pool.RelayFor("i-0", "a")
 	return ad
 }
 
@@ -251,21 +251,21 @@
 		err := nt.launch(ad, "a", "x")
 		qt.Assert(t, err, qt.IsNotNil)
 		qt.Assert(t, errors.Is(err, worker.ErrNotSent), qt.IsFalse, qt.Commentf("%v", err))
-		nt.eventually("another relay is wanted", func() bool { return nt.pool.Via("i-0", "a") != ad.Via })
+		nt.eventually("another relay is wanted", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
 	})
 	t.Run("orders by the old way are not sent", func(t *testing.T) {
 		err := nt.launch(ad, "b", "x")
 		qt.Assert(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
 	})
 	t.Run("the other relay serves", func(t *testing.T) {
-		ad.Via = nt.pool.Via("i-0", "a")
+		ad.Via = nt.pool.RelayFor("i-0", "a")
 		si, err := nt.look(ad)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, si.Running, qt.HasLen, 0)
 	})
 	t.Run("a relay that is about to stop is not used", func(t *testing.T) {
 		nt.relays[1-used].Leave()
-		nt.eventually("it is not wanted", func() bool { return nt.pool.Via("i-0", "a") != ad.Via })
+		nt.eventually("it is not wanted", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
 		nt.mu.Lock()
 		defer nt.mu.Unlock()
 		qt.Assert(t, nt.changes >= 2, qt.IsTrue)
@@ -279,7 +279,7 @@
 	qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNil)
 	qt.Assert(t, nt.pool.links, qt.HasLen, 0)
 	nt.pool.SetWorkers(nil, nil, true)
-	qt.Assert(t, nt.pool.Via("i-0", "a"), qt.Equals, "")
+	qt.Assert(t, nt.pool.RelayFor("i-0", "a"), qt.Equals, "")
 }
 
 // TestDroppedWorkers has an owner forget most of its workers for a moment, and for good:
@@ -302,7 +302,7 @@
 		before := changes.Load()
 		drop := func() {
 			for _, name := range names[:290] {
-				qt.Assert(t, po.Via(name, "a"), qt.Equals, "h1")
+				qt.Assert(t, po.RelayFor(name, "a"), qt.Equals, "h1")
 				po.Drop(name)
 			}
 		}
@@ -312,12 +312,12 @@
 		drop()
 		time.Sleep(2 * time.Second)
 		po.SetWorkers(names[290:], nil, false)
-		qt.Assert(t, po.Via(names[295], "a"), qt.Equals, "h1")
+		qt.Assert(t, po.RelayFor(names[295], "a"), qt.Equals, "h1")
 		synctest.Wait()
 		qt.Assert(t, changes.Load(), qt.Equals, before)
 		time.Sleep(2 * time.Second)
 		po.SetWorkers(names[290:], nil, false)
-		qt.Assert(t, po.Via(names[295], "a"), qt.Equals, "")
+		qt.Assert(t, po.RelayFor(names[295], "a"), qt.Equals, "")
 		synctest.Wait()
 		qt.Assert(t, changes.Load(), qt.Equals, before+1)
 	})
--- a/internal/route/compare_test.go
+++ b/internal/route/compare_test.go
@@ -141,7 +141,7 @@
 func newTrialWorld(wa way) *trialWorld {
 	tw := &trialWorld{fr: newFakeRunners(trialMean, trialSigma, trialSlots), hosts: map[string]*Router{}, names: ids("e", wa.hosts)}
 	runners := ids("r", trialRunners)
-	primary := spread.Even(runners, tw.names)
+	primary := spread.AssignEvenly(runners, tw.names)
 	for _, name := range tw.names {
 		own := runners
 		if wa.subsets {
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -9,12 +9,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Even gives each item a host. It is rendezvous hashing with a bound: no host
+// AssignEvenly gives each item a host. It is rendezvous hashing with a bound: no host
 // gets more than its even share, rounded up, and an item whose first choice
 // is full goes to its next. A host that comes or goes moves about its share of
 // items and few more. Without the bound, 17 items over 3 hosts can split as
 // unevenly as 9, 5 and 3.
-func Even(items, hosts []string) map[string]string {
+func AssignEvenly(items, hosts []string) map[string]string {
 	given := make(map[string]string, len(items))
 	if len(hosts) == 0 {
 		return given
@@ -30,8 +30,8 @@
 	return given
 }
 
-// First returns the first n hosts by preference for the item.
-func First(item string, hosts []string, n int) []string {
+// Preferred returns the first n hosts by preference for the item.
+func Preferred(item string, hosts []string, n int) []string {
 	chs := choices([]string{item}, hosts)
 	first := make([]string, 0, n)
 	for _, ch := range chs[:min(n, len(chs))] {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -24,7 +24,7 @@
 	proptest.Check(t, proptest.Size{}, func(rt *rapid.T) {
 		items := names("i", rapid.IntRange(0, 60).Draw(rt, "items"))
 		hosts := names("h", rapid.IntRange(1, 9).Draw(rt, "hosts"))
-		given := Even(items, hosts)
+		given := AssignEvenly(items, hosts)
 		count := map[string]int{}
 		for _, it := range items {
 			count[given[it]]++
@@ -38,7 +38,7 @@
 				rt.Fatalf("%s has %d of %d", ho, n, len(items))
 			}
 		}
-		again := Even(rapid.Permutation(items).Draw(rt, "items again"), rapid.Permutation(hosts).Draw(rt, "hosts again"))
+		again := AssignEvenly(rapid.Permutation(items).Draw(rt, "items again"), rapid.Permutation(hosts).Draw(rt, "hosts again"))
 		for _, it := range items {
 			if again[it] != given[it] {
 				rt.Fatalf("%s: %s and %s", it, given[it], again[it])
@@ -49,7 +49,7 @@
 
 func TestFewItemsMove(t *testing.T) {
 	items, hosts := names("i", 300), names("h", 6)
-	before, after := Even(items, hosts), Even(items, hosts[:5])
+	before, after := AssignEvenly(items, hosts), AssignEvenly(items, hosts[:5])
 	moved := 0
 	for _, it := range items {
 		if before[it] != "h5" && before[it] != after[it] {
@@ -61,6 +61,6 @@
 }
 
 func TestNoHosts(t *testing.T) {
-	qt.Assert(t, Even(names("i", 3), nil), qt.HasLen, 0)
-	qt.Assert(t, First("i", nil, 2), qt.HasLen, 0)
+	qt.Assert(t, AssignEvenly(names("i", 3), nil), qt.HasLen, 0)
+	qt.Assert(t, Preferred("i", nil, 2), qt.HasLen, 0)
 }
