--- a/internal/relay/strand_test.go
+++ b/internal/relay/norelay_test.go
@@ -13,61 +13,61 @@
 )
 
 // directOf assigns so many workers of a data centre and returns how many are to be
-// reached directly.
-func directOf(pl *plan, n int, dataCentre string) (direct int) {
+// streamWorker directly.
+func directOf(as *assigner, n int, dataCentre string) (direct int) {
 	for i := range n {
-		if pl.assign(fmt.Sprint(dataCentre, "-", i), dataCentre) == "" {
+		if as.assign(fmt.Sprint(dataCentre, "-", i), dataCentre) == "" {
 			direct++
 		}
 	}
 	return direct
 }
 
-// helplessPlan is the plan of a host that is listed with one in another data centre,
+// noRelayAssigner is the plan of a host that is listed with one in another data centre,
 // which does not answer.
-func helplessPlan(cores float64) *plan {
-	pl := &plan{self: "me", cores: cores, members: map[string]registry.Member{
+func noRelayAssigner(cores float64) *assigner {
+	as := &assigner{self: "me", cores: cores, members: map[string]registry.Member{
 		"me": {Name: "me", DataCentre: "a", Cores: cores}, "h1": {Name: "h1", DataCentre: "b", Cores: cores},
 	}}
-	pl.avoid("h1")
-	return pl
+	as.markUnavailable("h1")
+	return as
 }
 
 // TestHostsThatAreListedAndGone: rows of hosts that crashed stay in the list. An owner that
-// was left alone reached a few workers only, until the end.
+// was left alone streamWorker a few workers only, until the end.
 func TestHostsThatAreListedAndGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		pl := helplessPlan(0.1)
-		qt.Assert(t, directOf(pl, 500, "a"), qt.Equals, 32)
+		as := noRelayAssigner(0.1)
+		qt.Assert(t, directOf(as, 500, "a"), qt.Equals, 32)
 		time.Sleep(9 * time.Second)
-		qt.Assert(t, directOf(pl, 500, "a"), qt.Equals, 500)
-		delete(pl.lost, "h1")
-		qt.Assert(t, directOf(pl, 500, "a"), qt.Equals, 0)
+		qt.Assert(t, directOf(as, 500, "a"), qt.Equals, 500)
+		delete(as.unavailable, "h1")
+		qt.Assert(t, directOf(as, 500, "a"), qt.Equals, 0)
 		time.Sleep(time.Hour)
-		pl.avoid("h1")
-		qt.Assert(t, directOf(pl, 500, "a"), qt.Equals, 32)
+		as.markUnavailable("h1")
+		qt.Assert(t, directOf(as, 500, "a"), qt.Equals, 32)
 	})
 }
 
 // TestOwnDataCentreFirst: an owner whose data centre was cut off kept its few direct ways
 // for workers elsewhere, which it could not reach, if these were the first.
 func TestOwnDataCentreFirst(t *testing.T) {
-	pl := helplessPlan(0.8)
-	qt.Assert(t, directOf(pl, 600, "b"), qt.Equals, 128)
-	qt.Assert(t, directOf(pl, 300, "a"), qt.Equals, 128)
+	as := noRelayAssigner(0.8)
+	qt.Assert(t, directOf(as, 600, "b"), qt.Equals, 128)
+	qt.Assert(t, directOf(as, 300, "a"), qt.Equals, 128)
 }
 
 // TestHostsNotKnownYet: the list of workers may be read before that of entry hosts; all
-// workers were reached directly meanwhile.
+// workers were streamWorker directly meanwhile.
 func TestHostsNotKnownYet(t *testing.T) {
-	pl := &plan{self: "me", cores: 0.1}
-	qt.Assert(t, directOf(pl, 500, "a"), qt.Equals, 32)
-	pl.members = map[string]registry.Member{"me": {Name: "me", DataCentre: "a", Cores: 0.1}}
-	qt.Assert(t, directOf(pl, 500, "a"), qt.Equals, 500)
+	as := &assigner{self: "me", cores: 0.1}
+	qt.Assert(t, directOf(as, 500, "a"), qt.Equals, 32)
+	as.members = map[string]registry.Member{"me": {Name: "me", DataCentre: "a", Cores: 0.1}}
+	qt.Assert(t, directOf(as, 500, "a"), qt.Equals, 500)
 }
 
 // TestWorkersAreBackLate: workers that were forgotten for long and come back together did
-// not count, and an owner of hundreds reached all directly.
+// not count, and an owner of hundreds streamWorker all directly.
 func TestWorkersAreBackLate(t *testing.T) {
 	nt := newNetwork(t, 2)
 	var workers []string
@@ -89,7 +89,7 @@
 	}
 	nt.pool.mu.Lock()
 	for incarnation := range nt.pool.dropped {
-		nt.pool.dropped[incarnation] = time.Now().Add(-2 * backWithin)
+		nt.pool.dropped[incarnation] = time.Now().Add(-2 * dropGrace)
 	}
 	nt.pool.mu.Unlock()
 	nt.pool.SetWorkers(workers, nil, false)
@@ -102,11 +102,11 @@
 	nt := newNetwork(t, 2)
 	nt.lines[0].Freeze()
 	nt.pool.mu.Lock()
-	nt.pool.open("r0")
+	nt.pool.ensureLink("r0")
 	nt.pool.mu.Unlock()
 	nt.eventually("it is lost", func() bool { return !nt.usable("r0") })
 	nt.pool.mu.Lock()
-	nt.pool.links["r0"].bo.InitialInterval = awayMost
+	nt.pool.links["r0"].bo.InitialInterval = maxRetryDelay
 	nt.pool.links["r0"].bo.Reset()
 	nt.pool.mu.Unlock()
 	nt.eventually("it is asked in vain", func() bool { return nt.opened("r0") == 2 && !nt.opening("r0") })
@@ -128,6 +128,6 @@
 	po := &Pool{Self: "self", Cores: 1, FormerOwner: "r0", FormerOwnerProcess: "p", Log: slog.New(slog.DiscardHandler)}
 	po.SetMembers([]registry.Member{{Name: "r0", Process: "p"}, {Name: "r1", Process: "p"}}, nil, true)
 	po.SetMembers(nil, []string{"r1"}, false)
-	time.Sleep(2 * awayNone)
-	qt.Assert(t, po.plan.helpless(), qt.IsTrue)
+	time.Sleep(2 * noRelayRetryDelay)
+	qt.Assert(t, po.assigner.noneUsable(), qt.IsTrue)
 }
--- a/internal/relay/outbox.go
+++ b/internal/relay/outbox.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// outboxMost bounds what waits to be sent on a stream: some seconds of the most
+// maxOutboxItems bounds what waits to be sent on a stream: some seconds of the most
 // orders that one owner gives.
-const outboxMost = 10_000
+const maxOutboxItems = 10_000
 
 // outbox holds what waits to be sent. Make one with [newOutbox].
 type outbox[T any] struct {
@@ -22,7 +22,7 @@
 func (ob *outbox[T]) put(item T) bool {
 	ob.mu.Lock()
 	defer ob.mu.Unlock()
-	if len(ob.items) >= outboxMost {
+	if len(ob.items) >= maxOutboxItems {
 		return false
 	}
 	ob.items = append(ob.items, item)
@@ -33,7 +33,7 @@
 	return true
 }
 
-func (ob *outbox[T]) take() []T {
+func (ob *outbox[T]) takeAll() []T {
 	ob.mu.Lock()
 	defer ob.mu.Unlock()
 	items := ob.items
@@ -42,9 +42,9 @@
 }
 
 // pump sends what is put, many items to a frame, and a frame without any after
-// [beatEvery], until send fails or done is closed.
-func (ob *outbox[T]) pump(done <-chan struct{}, send func([]T) error) error {
-	beat := time.NewTimer(beatEvery)
+// [heartbeatInterval], until send fails or done is closed.
+func (ob *outbox[T]) sendLoop(done <-chan struct{}, send func([]T) error) error {
+	beat := time.NewTimer(heartbeatInterval)
 	defer beat.Stop()
 	var last time.Time
 	for {
@@ -53,12 +53,12 @@
 			return nil
 		case <-beat.C:
 		case <-ob.wake:
-			time.Sleep(max(gatherFor, frameEvery-time.Since(last)))
+			time.Sleep(max(batchDelay, minFrameInterval-time.Since(last)))
 		}
 		last = time.Now()
-		if err := send(ob.take()); err != nil {
+		if err := send(ob.takeAll()); err != nil {
 			return err
 		}
-		beat.Reset(beatEvery)
+		beat.Reset(heartbeatInterval)
 	}
 }
--- a/internal/relay/listed.go
+++ b/internal/relay/polldiff.go
@@ -6,29 +6,29 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// figuresEvery is the least time between figures of one worker's attempts on a
+// minUpdateInterval is the least time between figures of one worker's attempts on a
 // stream. A worker is looked at after each end, and its figures are those of the
 // last half second, so more often they would say the same.
-const figuresEvery = 250 * time.Millisecond
+const minUpdateInterval = 250 * time.Millisecond
 
 // listed is what a look saw, as far as it differs from the look at the same
 // worker that was told before on the same stream.
-type listed struct {
+type pollDiff struct {
 	// New are attempts that were not listed before, or whose figures changed.
-	New []row `json:"r,omitempty"`
+	Updated []attemptRow `json:"r,omitempty"`
 	// Gone are the numbers of rows that are no longer listed.
-	Gone []int `json:"g,omitempty"`
+	Removed []int `json:"g,omitempty"`
 	// Ended are the ends.
-	Ended []ended `json:"e,omitempty"`
+	Ended []endedAttempt `json:"e,omitempty"`
 }
 
 // row is an attempt that runs. Its name is sent the first time only.
-type row struct {
+type attemptRow struct {
 	// Row numbers it among the worker's.
-	Row int `json:"i"`
+	ID int `json:"i"`
 	// Task and Number are the attempt, counted from 0.
-	Task   string `json:"t,omitempty"`
-	Number int    `json:"a,omitempty"`
+	Task         string `json:"t,omitempty"`
+	AttemptIndex int    `json:"a,omitempty"`
 	// Checkpoint, Percent and Usage are as in [worker.RunningAttempt].
 	Checkpoint string `json:"c,omitempty"`
 	Percent    int    `json:"p,omitempty"`
@@ -36,51 +36,51 @@
 }
 
 // ended is an end as in [worker.EndedAttempt].
-type ended struct {
+type endedAttempt struct {
 	EndNumber int64 `json:"n"`
 	// Row is the number of the row that the attempt had, if it was told of; Task and
 	// Number, counted from 0, name it otherwise.
-	Row    int    `json:"i,omitempty"`
-	Task   string `json:"t,omitempty"`
-	Number int    `json:"a,omitempty"`
+	RowID        int    `json:"i,omitempty"`
+	Task         string `json:"t,omitempty"`
+	AttemptIndex int    `json:"a,omitempty"`
 	// How is left out of one that was done, and so is its checkpoint, which nobody
 	// needs.
-	How        string `json:"h,omitempty"`
+	Outcome    string `json:"h,omitempty"`
 	Checkpoint string `json:"c,omitempty"`
 }
 
-// howDone is the worker's word for an attempt that was done.
-const howDone = "done"
+// outcomeDone is the worker's word for an attempt that was done.
+const outcomeDone = "done"
 
-// differ makes differences of one worker's looks, on the relay. The zero value is
+// diffEncoder makes differences of one worker's looks, on the relay. The zero value is
 // ready.
-type differ struct {
-	rows    map[worker.Attempt]row
+type diffEncoder struct {
+	rows    map[worker.Attempt]attemptRow
 	next    int
-	figures time.Time
+	updated time.Time
 }
 
 // diff returns how a look differs from the one before.
-func (di *differ) diff(si worker.Sight, now time.Time) *listed {
-	li := &listed{}
+func (di *diffEncoder) encode(si worker.Sight, now time.Time) *pollDiff {
+	li := &pollDiff{}
 	if di.rows == nil {
-		di.rows = map[worker.Attempt]row{}
+		di.rows = map[worker.Attempt]attemptRow{}
 	}
-	due := now.Sub(di.figures) >= figuresEvery
+	due := now.Sub(di.updated) >= minUpdateInterval
 	if due {
-		di.figures = now
+		di.updated = now
 	}
 	seen := make(map[worker.Attempt]bool, len(si.Running))
 	for _, ra := range si.Running {
 		seen[ra.Attempt] = true
-		di.add(li, ra, due)
+		di.encodeRunning(li, ra, due)
 	}
 	for _, ea := range si.Ended {
-		li.Ended = append(li.Ended, di.end(ea))
+		li.Ended = append(li.Ended, di.encodeEnded(ea))
 	}
 	for at, ro := range di.rows {
 		if !seen[at] {
-			li.Gone = append(li.Gone, ro.Row)
+			li.Removed = append(li.Removed, ro.ID)
 			delete(di.rows, at)
 		}
 	}
@@ -88,58 +88,58 @@
 }
 
 // end returns an end as it is sent.
-func (di *differ) end(ea worker.EndedAttempt) ended {
-	en := ended{EndNumber: ea.EndNumber}
+func (di *diffEncoder) encodeEnded(ea worker.EndedAttempt) endedAttempt {
+	en := endedAttempt{EndNumber: ea.EndNumber}
 	if ro, ok := di.rows[ea.Attempt]; ok {
-		en.Row = ro.Row
+		en.RowID = ro.ID
 	} else {
-		en.Task, en.Number = ea.Task, ea.Number-1
+		en.Task, en.AttemptIndex = ea.Task, ea.Number-1
 	}
-	if ea.How != howDone {
-		en.How, en.Checkpoint = ea.How, ea.Checkpoint
+	if ea.How != outcomeDone {
+		en.Outcome, en.Checkpoint = ea.How, ea.Checkpoint
 	}
 	return en
 }
 
 // add adds what is new of an attempt that runs.
-func (di *differ) add(li *listed, ra worker.RunningAttempt, due bool) {
+func (di *diffEncoder) encodeRunning(li *pollDiff, ra worker.RunningAttempt, due bool) {
 	known, ok := di.rows[ra.Attempt]
-	ro := row{Row: known.Row, Checkpoint: ra.Checkpoint, Percent: ra.Percent, Usage: ra.Usage}
+	ro := attemptRow{ID: known.ID, Checkpoint: ra.Checkpoint, Percent: ra.Percent, Usage: ra.Usage}
 	if !ok {
 		di.next++
-		ro.Row, ro.Task, ro.Number = di.next, ra.Task, ra.Number-1
+		ro.ID, ro.Task, ro.AttemptIndex = di.next, ra.Task, ra.Number-1
 	}
 	if ok && (!due || ro == known) {
 		return
 	}
-	li.New = append(li.New, ro)
-	ro.Task, ro.Number = "", 0
+	li.Updated = append(li.Updated, ro)
+	ro.Task, ro.AttemptIndex = "", 0
 	di.rows[ra.Attempt] = ro
 }
 
-// merger puts looks together again, on the owner's host. The zero value is ready.
-type merger struct {
+// diffDecoder puts looks together again, on the owner's host. The zero value is ready.
+type diffDecoder struct {
 	rows map[int]worker.RunningAttempt
 }
 
 // merge returns the whole look that a difference stands for.
-func (me *merger) merge(li *listed, clockMS int64) worker.Sight {
+func (me *diffDecoder) decode(li *pollDiff, clockMS int64) worker.Sight {
 	if me.rows == nil {
 		me.rows = map[int]worker.RunningAttempt{}
 	}
-	for _, ro := range li.New {
-		ra := me.rows[ro.Row]
+	for _, ro := range li.Updated {
+		ra := me.rows[ro.ID]
 		if ro.Task != "" {
-			ra.Attempt = worker.Attempt{Task: ro.Task, Number: ro.Number + 1}
+			ra.Attempt = worker.Attempt{Task: ro.Task, Number: ro.AttemptIndex + 1}
 		}
 		ra.Checkpoint, ra.Percent, ra.Usage = ro.Checkpoint, ro.Percent, ro.Usage
-		me.rows[ro.Row] = ra
+		me.rows[ro.ID] = ra
 	}
 	si := worker.Sight{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(me.rows))}
 	for _, en := range li.Ended {
-		si.Ended = append(si.Ended, me.end(en))
+		si.Ended = append(si.Ended, me.decodeEnded(en))
 	}
-	for _, n := range li.Gone {
+	for _, n := range li.Removed {
 		delete(me.rows, n)
 	}
 	for _, ra := range me.rows {
@@ -149,13 +149,13 @@
 }
 
 // end returns an end as the worker listed it.
-func (me *merger) end(en ended) worker.EndedAttempt {
-	ea := worker.EndedAttempt{Attempt: worker.Attempt{Task: en.Task, Number: en.Number + 1}, EndNumber: en.EndNumber, How: en.How, Checkpoint: en.Checkpoint}
-	if en.Row > 0 {
-		ea.Attempt = me.rows[en.Row].Attempt
+func (me *diffDecoder) decodeEnded(en endedAttempt) worker.EndedAttempt {
+	ea := worker.EndedAttempt{Attempt: worker.Attempt{Task: en.Task, Number: en.AttemptIndex + 1}, EndNumber: en.EndNumber, How: en.Outcome, Checkpoint: en.Checkpoint}
+	if en.RowID > 0 {
+		ea.Attempt = me.rows[en.RowID].Attempt
 	}
 	if ea.How == "" {
-		ea.How = howDone
+		ea.How = outcomeDone
 	}
 	return ea
 }
--- a/internal/relay/listed_test.go
+++ b/internal/relay/polldiff_test.go
@@ -18,14 +18,14 @@
 
 // scene is a worker whose looks are told as differences.
 type scene struct {
-	rt      *rapid.T
-	differ  differ
-	merger  merger
-	now     time.Time
-	running map[worker.Attempt]worker.RunningAttempt
-	ended   []worker.EndedAttempt
-	next    int
-	ends    int64
+	rt          *rapid.T
+	diffEncoder diffEncoder
+	diffDecoder diffDecoder
+	now         time.Time
+	running     map[worker.Attempt]worker.RunningAttempt
+	ended       []worker.EndedAttempt
+	next        int
+	ends        int64
 }
 
 // act changes what the worker lists.
@@ -50,7 +50,7 @@
 	case what == "forget":
 		sc.ended = nil
 	case what == "time":
-		sc.now = sc.now.Add(figuresEvery)
+		sc.now = sc.now.Add(minUpdateInterval)
 	}
 }
 
@@ -58,18 +58,18 @@
 // whole figures only if whole is set.
 func (sc *scene) look(whole bool) worker.Sight {
 	if whole {
-		sc.now = sc.now.Add(figuresEvery)
+		sc.now = sc.now.Add(minUpdateInterval)
 	}
 	si := worker.Sight{ClockMS: 7, Running: slices.Collect(maps.Values(sc.running)), Ended: sc.ended}
-	data, err := json.Marshal(sc.differ.diff(si, sc.now))
+	data, err := json.Marshal(sc.diffEncoder.encode(si, sc.now))
 	if err != nil {
 		sc.rt.Fatal(err)
 	}
-	var li listed
+	var li pollDiff
 	if err := json.Unmarshal(data, &li); err != nil {
 		sc.rt.Fatal(err)
 	}
-	return sc.merger.merge(&li, 7)
+	return sc.diffDecoder.decode(&li, 7)
 }
 
 // TestDifferencesTellAll plays looks at a worker and checks that what is made of the
@@ -104,7 +104,7 @@
 	}
 	for i, ea := range si.Ended {
 		want := sc.ended[i]
-		if want.How == howDone {
+		if want.How == outcomeDone {
 			want.Checkpoint = ""
 		}
 		if ea != want {
@@ -114,14 +114,14 @@
 }
 
 func TestFiguresAreNotToldTooOften(t *testing.T) {
-	var di differ
+	var di diffEncoder
 	at := worker.Attempt{Task: "t", Number: 1}
-	look := func(usage int64, now time.Duration) *listed {
+	look := func(usage int64, now time.Duration) *pollDiff {
 		si := worker.Sight{Running: []worker.RunningAttempt{{Attempt: at, Usage: usage}}}
-		return di.diff(si, time.Unix(0, 0).Add(now))
+		return di.encode(si, time.Unix(0, 0).Add(now))
 	}
-	qt.Assert(t, len(look(1, 0).New), qt.Equals, 1)
-	qt.Assert(t, len(look(2, figuresEvery/2).New), qt.Equals, 0)
-	qt.Assert(t, len(look(2, figuresEvery).New), qt.Equals, 1)
-	qt.Assert(t, len(look(2, 3*figuresEvery).New), qt.Equals, 0)
+	qt.Assert(t, len(look(1, 0).Updated), qt.Equals, 1)
+	qt.Assert(t, len(look(2, minUpdateInterval/2).Updated), qt.Equals, 0)
+	qt.Assert(t, len(look(2, minUpdateInterval).Updated), qt.Equals, 1)
+	qt.Assert(t, len(look(2, 3*minUpdateInterval).Updated), qt.Equals, 0)
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -19,22 +19,22 @@
 
 // Times of relays.
 const (
-	// openFor is how long an order waits for a stream to open: it is to another
+	// openWait is how long an order waits for a stream to open: it is to another
 	// entry host, some 3 ms away.
-	openFor = 250 * time.Millisecond
-	// awayFirst and awayMost are how long no stream is opened to a host after one
+	openWait = 250 * time.Millisecond
+	// initialRetryDelay and maxRetryDelay are how long no stream is opened to a host after one
 	// ended, longer each time.
-	awayFirst = 2 * time.Second
-	awayMost  = 30 * time.Second
-	// awayNone takes the place of both while no host may relay: then the owner's own
+	initialRetryDelay = 2 * time.Second
+	maxRetryDelay     = 30 * time.Second
+	// noRelayRetryDelay takes the place of both while no host may relay: then the owner's own
 	// link is more likely full than all hosts away, and most workers wait.
-	awayNone = 400 * time.Millisecond
-	// provedAfter is how long a stream must have been open for the next pause to
+	noRelayRetryDelay = 400 * time.Millisecond
+	// stableAfter is how long a stream must have been open for the next pause to
 	// be the first again.
-	provedAfter = 10 * time.Second
-	// backWithin is how long a worker counts that the owner forgot: the users' machines
+	stableAfter = 10 * time.Second
+	// dropGrace is how long a worker counts that the owner forgot: the users' machines
 	// enter themselves again within some 2 s of the end of an outage.
-	backWithin = 3 * time.Second
+	dropGrace = 3 * time.Second
 )
 
 // Pool is an owner's relays. Set the fields, then call [Pool.Run]; the other
@@ -59,13 +59,13 @@
 	Metrics *telemetry.Metrics
 	Log     *slog.Logger
 
-	mu   sync.Mutex
-	ctx  context.Context
-	plan plan
+	mu       sync.Mutex
+	ctx      context.Context
+	assigner assigner
 	// workers are those that the owner has, by incarnation.
 	workers map[string]bool
-	// directMost is how many workers might be reached directly when that was last told.
-	directMost int
+	// reportedDirectLimit is how many workers might be streamWorker directly when that was last told.
+	reportedDirectLimit int
 	// dropped has when the owner forgot workers that count for a little longer.
 	dropped map[string]time.Time
 	links   map[string]*link
@@ -79,18 +79,18 @@
 	ready chan struct{}
 	// began is when it was begun to open, told is set once a line has said that
 	// orders waited for that in vain.
-	began time.Time
-	told  bool
-	bo    *backoff.ExponentialBackOff
+	began  time.Time
+	warned bool
+	bo     *backoff.ExponentialBackOff
 }
 
 // Run keeps streams until ctx ends.
 func (po *Pool) Run(ctx context.Context) {
 	po.mu.Lock()
 	po.ctx = ctx
-	po.plan.self, po.plan.cores = po.Self, po.Cores
-	for name := range po.plan.lost {
-		go po.regain(name, 0)
+	po.assigner.self, po.assigner.cores = po.Self, po.Cores
+	for name := range po.assigner.unavailable {
+		go po.retryHost(name, 0)
 	}
 	po.mu.Unlock()
 	<-ctx.Done()
@@ -101,36 +101,36 @@
 func (po *Pool) SetMembers(listed []registry.Member, gone []string, whole bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	known := po.plan.members
+	known := po.assigner.members
 	if whole || known == nil {
-		po.plan.members = map[string]registry.Member{}
+		po.assigner.members = map[string]registry.Member{}
 	}
 	for _, me := range listed {
 		was, ok := known[me.Name]
-		po.plan.members[me.Name] = me
+		po.assigner.members[me.Name] = me
 		if !ok || was.Process != me.Process {
-			delete(po.plan.lost, me.Name)
-			po.suspect(me)
+			delete(po.assigner.unavailable, me.Name)
+			po.avoidFormerOwner(me)
 		}
 	}
 	for _, name := range gone {
-		delete(po.plan.members, name)
+		delete(po.assigner.members, name)
 	}
-	if len(gone) > 0 && po.ctx != nil && po.plan.helpless() {
-		po.regainAll()
+	if len(gone) > 0 && po.ctx != nil && po.assigner.noneUsable() {
+		po.retryAll()
 	}
-	po.changed()
+	po.notifyChanged()
 }
 
 // suspect keeps a host from being used until it answers, if it was just replaced as
 // an owner: mostly for its silence, and the list still has it.
-func (po *Pool) suspect(me registry.Member) {
+func (po *Pool) avoidFormerOwner(me registry.Member) {
 	if me.Name != po.FormerOwner || me.Process != po.FormerOwnerProcess {
 		return
 	}
-	po.plan.avoid(me.Name)
+	po.assigner.markUnavailable(me.Name)
 	if po.ctx != nil {
-		go po.regain(me.Name, 0)
+		go po.retryHost(me.Name, 0)
 	}
 }
 
@@ -139,7 +139,7 @@
 func (po *Pool) SetWorkers(listed, gone []string, whole bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	was := po.plan.shared(len(po.workers))
+	was := po.assigner.needsRelays(len(po.workers))
 	if whole || po.workers == nil {
 		po.workers = map[string]bool{}
 	}
@@ -150,17 +150,17 @@
 	for _, incarnation := range gone {
 		delete(po.workers, incarnation)
 	}
-	po.forget()
-	if po.plan.shared(len(po.workers)) != was {
-		po.changed()
+	po.expireDropped()
+	if po.assigner.needsRelays(len(po.workers)) != was {
+		po.notifyChanged()
 	}
 }
 
 // forget leaves out workers that the owner forgot for good. Those that had nothing to do
 // are forgotten at once and are back after an outage; relays are not given up for that.
-func (po *Pool) forget() {
+func (po *Pool) expireDropped() {
 	for incarnation, at := range po.dropped {
-		if time.Since(at) > backWithin {
+		if time.Since(at) > dropGrace {
 			delete(po.workers, incarnation)
 			delete(po.dropped, incarnation)
 		}
@@ -168,31 +168,31 @@
 }
 
 // changed tells of a change without waiting for it to be taken in.
-func (po *Pool) changed() {
+func (po *Pool) notifyChanged() {
 	if po.ChangedFunc != nil {
 		go po.ChangedFunc()
 	}
 }
 
-// RelayFor names the entry host through which a worker is to be reached, or is empty
-// if it is to be reached directly. Orders through a host that may not relay now are not
+// RelayFor names the entry host through which a worker is to be streamWorker, or is empty
+// if it is to be streamWorker directly. Orders through a host that may not relay now are not
 // sent.
 func (po *Pool) RelayFor(incarnation, dataCentre string) string {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	delete(po.dropped, incarnation)
-	if po.ctx == nil || !po.plan.shared(len(po.workers)) {
-		po.plan.release(incarnation)
+	if po.ctx == nil || !po.assigner.needsRelays(len(po.workers)) {
+		po.assigner.unassign(incarnation)
 		return ""
 	}
-	return po.plan.assign(incarnation, dataCentre)
+	return po.assigner.assign(incarnation, dataCentre)
 }
 
 // Drop forgets a worker.
 func (po *Pool) Drop(incarnation string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.plan.release(incarnation)
+	po.assigner.unassign(incarnation)
 	if po.dropped == nil {
 		po.dropped = map[string]time.Time{}
 	}
@@ -200,44 +200,44 @@
 }
 
 // stream returns the open stream to a host, and opens one if there is none.
-func (po *Pool) stream(ctx context.Context, via string) (*stream, error) {
-	st, ready := po.opening(via)
+func (po *Pool) readyStream(ctx context.Context, via string) (*stream, error) {
+	st, ready := po.openStream(via)
 	if st == nil {
 		return nil, fmt.Errorf("through %s, which is not used now: %w", via, worker.ErrNotSent)
 	}
-	ti := time.NewTimer(openFor)
+	ti := time.NewTimer(openWait)
 	defer ti.Stop()
 	select {
 	case <-ready:
 		return st, nil
 	case <-ti.C:
-		po.tellUnopened(via)
+		po.warnNotOpen(via)
 	case <-ctx.Done():
 	}
 	return nil, fmt.Errorf("through %s, which does not answer: %w", via, worker.ErrNotSent)
 }
 
-// tellUnopened tells once of a stream that an order has waited for in vain.
-func (po *Pool) tellUnopened(via string) {
+// warnNotOpen tells once of a stream that an order has waited for in vain.
+func (po *Pool) warnNotOpen(via string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	li := po.links[via]
-	if li.told || li.st == nil {
+	if li.warned || li.st == nil {
 		return
 	}
-	li.told = true
-	po.Log.Warn("relay does not answer", "relay", via, "workers", po.plan.load[via], "for", time.Since(li.began))
+	li.warned = true
+	po.Log.Warn("relay does not answer", "relay", via, "workers", po.assigner.load[via], "for", time.Since(li.began))
 }
 
 // opening returns the stream to a host, and what is closed once that is open or has
 // failed. It returns nil if the host is not to be used.
-func (po *Pool) opening(via string) (*stream, <-chan struct{}) {
+func (po *Pool) openStream(via string) (*stream, <-chan struct{}) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	if po.plan.lost[via] {
+	if po.assigner.unavailable[via] {
 		return nil, nil
 	}
-	li := po.open(via)
+	li := po.ensureLink(via)
 	if li == nil {
 		return nil, nil
 	}
@@ -245,15 +245,15 @@
 }
 
 // open returns the link to a host, with a stream, or nil if there is no such host.
-func (po *Pool) open(via string) *link {
-	me, ok := po.plan.members[via]
+func (po *Pool) ensureLink(via string) *link {
+	me, ok := po.assigner.members[via]
 	if !ok || po.ctx == nil || po.ctx.Err() != nil {
 		return nil
 	}
 	li := po.links[via]
 	if li == nil {
 		bo := backoff.NewExponentialBackOff()
-		bo.InitialInterval, bo.MaxInterval = awayFirst, awayMost
+		bo.InitialInterval, bo.MaxInterval = initialRetryDelay, maxRetryDelay
 		li = &link{name: via, bo: bo}
 		if po.links == nil {
 			po.links = map[string]*link{}
@@ -270,12 +270,12 @@
 func (po *Pool) dial(li *link, me registry.Member) {
 	st := newStream(li.name, po.Self, po.Epoch, po.Log)
 	ready := make(chan struct{})
-	li.st, li.ready, li.began, li.told = st, ready, time.Now(), false
-	po.Log.Info("opening a stream to a relay", "relay", li.name, "addr", me.Addr, "data_centre", me.DataCentre, "workers", po.plan.load[li.name])
-	st.onLeaving = func() { po.lose(li, st, errLeaving) }
-	if po.plan.lost[li.name] {
+	li.st, li.ready, li.began, li.warned = st, ready, time.Now(), false
+	po.Log.Info("opening a stream to a relay", "relay", li.name, "addr", me.Addr, "data_centre", me.DataCentre, "workers", po.assigner.load[li.name])
+	st.onLeaving = func() { po.streamLost(li, st, errRelayStopping) }
+	if po.assigner.unavailable[li.name] {
 		// No order waits for it, and it may be the owner's link that is slow.
-		st.openMost = silentMost
+		st.openTimeout = idleTimeout
 	}
 	go po.serve(li, st, me, ready)
 }
@@ -287,90 +287,90 @@
 	err := st.run(po.ctx, po.HTTP, me.Addr, func() {
 		answered = true
 		po.Log.Info("relay answers", "relay", me.Name, "data_centre", me.DataCentre, "cores", me.Cores, "took", time.Since(began))
-		po.answered(li, st)
+		po.markUsable(li, st)
 		close(ready)
 	})
-	po.lose(li, st, err)
+	po.streamLost(li, st, err)
 	if !answered {
 		close(ready)
 	}
 }
 
 // answered lets a host be used whose stream has opened.
-func (po *Pool) answered(li *link, st *stream) {
+func (po *Pool) markUsable(li *link, st *stream) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	if li.st != st || !po.plan.lost[li.name] {
+	if li.st != st || !po.assigner.unavailable[li.name] {
 		return
 	}
-	delete(po.plan.lost, li.name)
-	po.plan.helplessFrom = time.Time{}
-	po.changed()
+	delete(po.assigner.unavailable, li.name)
+	po.assigner.noRelaySince = time.Time{}
+	po.notifyChanged()
 }
 
-// errLeaving: the relay's host is about to stop.
-var errLeaving = errors.New("relay's host stops")
+// errRelayStopping: the relay's host is about to stop.
+var errRelayStopping = errors.New("relay's host stops")
 
 // lose takes a host out of use until it answers again.
-func (po *Pool) lose(li *link, st *stream, why error) {
+func (po *Pool) streamLost(li *link, st *stream, why error) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	if li.st != st || po.ctx.Err() != nil {
 		return
 	}
 	li.st = nil
-	if time.Since(li.began) > provedAfter {
+	if time.Since(li.began) > stableAfter {
 		li.bo.Reset()
 	}
 	away := li.bo.NextBackOff()
-	if po.plan.lost[li.name] {
-		if po.plan.helpless() {
-			away = min(away, awayNone)
-			po.widen()
+	if po.assigner.unavailable[li.name] {
+		if po.assigner.noneUsable() {
+			away = min(away, noRelayRetryDelay)
+			po.notifyDirectLimit()
 		}
-		go po.regain(li.name, away)
+		go po.retryHost(li.name, away)
 		po.Log.Info("relay still not used", "relay", li.name, "away", away, "why", why)
 		return
 	}
-	po.Log.Warn("relay not used for a while", "relay", li.name, "workers", po.plan.load[li.name], "away", away, "why", why)
+	po.Log.Warn("relay not used for a while", "relay", li.name, "workers", po.assigner.load[li.name], "away", away, "why", why)
 	po.Metrics.Add(telemetry.RelaysLost, 1)
-	po.plan.avoid(li.name)
-	if po.plan.helpless() {
-		po.regainAll()
+	po.assigner.markUnavailable(li.name)
+	if po.assigner.noneUsable() {
+		po.retryAll()
 	} else {
-		go po.regain(li.name, away)
+		go po.retryHost(li.name, away)
 	}
-	po.changed()
+	po.notifyChanged()
 }
 
-// widen tells of a change if more workers may be reached directly than before.
-func (po *Pool) widen() {
-	most := po.plan.directMost(time.Now())
-	if most > po.directMost {
-		po.changed()
+// widen tells of a change if more workers may be streamWorker directly than before.
+func (po *Pool) notifyDirectLimit() {
+	most := po.assigner.directLimit(time.Now())
+	if most > po.reportedDirectLimit {
+		po.notifyChanged()
 	}
-	po.directMost = most
+	po.reportedDirectLimit = most
 }
 
 // regainAll has streams opened to all hosts that were lost.
-func (po *Pool) regainAll() {
-	po.directMost = po.plan.directMost(time.Now())
-	po.Log.Warn("no host may relay", "workers", len(po.workers), "hosts", len(po.plan.lost), "asked_after", awayNone)
-	for name := range po.plan.lost {
-		go po.regain(name, awayNone)
+func (po *Pool) retryAll() {
+	po.reportedDirectLimit = po.assigner.directLimit(time.Now())
+	po.Log.Warn("no host may relay", "workers", len(po.workers), "hosts", len(po.assigner.unavailable), "asked_after", noRelayRetryDelay)
+	for name := range po.assigner.unavailable {
+		go po.retryHost(name, noRelayRetryDelay)
 	}
 }
 
 // regain opens the stream to a host that is not used, so that it is used again once it
 // has answered, and no worker waits for that.
-func (po *Pool) regain(name string, after time.Duration) {
+func (po *Pool) retryHost(name string, after time.Duration) {
 	if !clock.Sleep(po.ctx, after) {
 		return
 	}
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	if po.plan.lost[name] {
-		po.open(name)
+	if po.assigner.unavailable[name] {
+		po.ensureLink(name)
 	}
 }
 
@@ -387,19 +387,19 @@
 			if ad.Via == "" {
 				return po.Direct.HaltFunc(ctx, ad, ha)
 			}
-			return po.order(ctx, ad, order{Kind: kindHalt, Task: ha.Task, Number: ha.Number - 1, Fence: ha.Fence})
+			return po.send(ctx, ad, order{Kind: kindHalt, Task: ha.Task, AttemptIndex: ha.Number - 1, Fence: ha.Fence})
 		},
 		PaceFunc: func(ctx context.Context, ad worker.Addr, pa worker.Pace) (worker.Ack, error) {
 			if ad.Via == "" {
 				return po.Direct.PaceFunc(ctx, ad, pa)
 			}
-			return po.order(ctx, ad, order{Kind: kindPace, Task: pa.Task, Number: pa.Number - 1, Fence: pa.Fence, Percent: pa.Percent})
+			return po.send(ctx, ad, order{Kind: kindPace, Task: pa.Task, AttemptIndex: pa.Number - 1, Fence: pa.Fence, Percent: pa.Percent})
 		},
 		LookFunc: func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
 			if ad.Via == "" {
 				return po.Direct.LookFunc(ctx, ad, lo)
 			}
-			re, err := po.call(ctx, ad, order{Kind: kindLook, Fence: lo.Fence, Seen: lo.Seen, LeaseUntilMS: lo.LeaseUntilMS, WaitMS: lo.Wait.Milliseconds()})
+			re, err := po.call(ctx, ad, order{Kind: kindPoll, Fence: lo.Fence, AckedEnd: lo.Seen, LeaseUntilMS: lo.LeaseUntilMS, WaitMS: lo.Wait.Milliseconds()})
 			return re.si, err
 		},
 	}
@@ -409,30 +409,30 @@
 // that.
 func (po *Pool) launch(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
 	or := order{
-		Kind: kindLaunch, Task: la.Task, Number: la.Number - 1, Fence: la.Fence, Text: la.Payload,
+		Kind: kindLaunch, Task: la.Task, AttemptIndex: la.Number - 1, Fence: la.Fence, PayloadText: la.Payload,
 		Checkpoint: la.Checkpoint, LeaseUntilMS: la.LeaseUntilMS,
 	}
-	ack, err := po.order(ctx, ad, or)
+	ack, err := po.send(ctx, ad, or)
 	if !errors.Is(err, errNoPayload) {
 		return ack, err
 	}
-	if st, serr := po.stream(ctx, ad.Via); serr == nil {
-		st.lacks()
+	if st, serr := po.readyStream(ctx, ad.Via); serr == nil {
+		st.resetPayloads()
 	}
-	ack, err = po.order(ctx, ad, or)
+	ack, err = po.send(ctx, ad, or)
 	if errors.Is(err, errNoPayload) {
 		err = worker.ErrNotSent
 	}
 	return ack, err
 }
 
-func (po *Pool) order(ctx context.Context, ad worker.Addr, or order) (worker.Ack, error) {
+func (po *Pool) send(ctx context.Context, ad worker.Addr, or order) (worker.Ack, error) {
 	re, err := po.call(ctx, ad, or)
 	return worker.Ack{ClockMS: re.an.ClockMS}, err
 }
 
 func (po *Pool) call(ctx context.Context, ad worker.Addr, or order) (result, error) {
-	st, err := po.stream(ctx, ad.Via)
+	st, err := po.readyStream(ctx, ad.Via)
 	if err != nil {
 		return result{}, err
 	}
--- a/internal/relay/again_test.go
+++ b/internal/relay/reconnect_test.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// TestRelayIsBack: with no relay left workers are reached directly; they stayed so when
+// TestRelayIsBack: with no relay left workers are streamWorker directly; they stayed so when
 // a host answered again, as nobody was told.
 func TestRelayIsBack(t *testing.T) {
 	nt := newNetwork(t, 1)
@@ -106,7 +106,7 @@
 	})
 }
 
-// TestOwnerThatIsSwamped: after a takeover the new owner reached none of its workers for
+// TestOwnerThatIsSwamped: after a takeover the new owner streamWorker none of its workers for
 // twenty seconds, and tasks that were to last did not run, with room for them.
 //
 // Order of events: the new owner's link is full of what it reads; relays take its streams
@@ -142,7 +142,7 @@
 	}
 	nt.eventually("no relay is of use", func() bool { return !nt.usable("r0") && !nt.usable("r1") && !nt.usable("r2") })
 	// The owner has a thousandth of a core.
-	qt.Check(t, direct() <= 1, qt.IsTrue, qt.Commentf("%d workers are reached directly", direct()))
+	qt.Check(t, direct() <= 1, qt.IsTrue, qt.Commentf("%d workers are streamWorker directly", direct()))
 	ad.Via = nt.pool.RelayFor("i-49", "a")
 	err := nt.launch(ad, "b", "x")
 	qt.Check(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -12,7 +12,7 @@
 //
 // A stream is one HTTP request whose body and answer both go on; each is a
 // sequence of JSON values, one a frame. Both sides send a frame at least every
-// [beatEvery], so that a connection that went silent is noticed.
+// [heartbeatInterval], so that a connection that went silent is noticed.
 package relay
 
 import (
@@ -28,28 +28,28 @@
 
 // Times of a stream.
 const (
-	// beatEvery is the time after which an empty frame is sent.
-	beatEvery = 400 * time.Millisecond
-	// silentMost is how long no frame may come before the stream counts as dead:
+	// heartbeatInterval is the time after which an empty frame is sent.
+	heartbeatInterval = 400 * time.Millisecond
+	// idleTimeout is how long no frame may come before the stream counts as dead:
 	// three beats, and some processor time of a host that is short of it.
-	silentMost = 1500 * time.Millisecond
-	// openMost is how long a stream may take to open: 4 to 13 ms were seen with
+	idleTimeout = 1500 * time.Millisecond
+	// openTimeout is how long a stream may take to open: 4 to 13 ms were seen with
 	// 490 workers. A new owner has 1.7 s left of a lease of 6 s, the shortest there
 	// is, if its predecessor was replaced as late as can be; after a host that
 	// stands still another relay has to take over in that time.
-	openMost = 600 * time.Millisecond
-	// gatherFor is how long a frame waits for more after its first order or
+	openTimeout = 600 * time.Millisecond
+	// batchDelay is how long a frame waits for more after its first order or
 	// answer: less than the way to another data centre and back. While there is much
-	// to send it waits until frameEvery after the frame before: each frame costs both
+	// to send it waits until minFrameInterval after the frame before: each frame costs both
 	// sides a call of the system and often a wake-up.
-	gatherFor  = time.Millisecond
-	frameEvery = 6 * time.Millisecond
-	// timeoutUsual is what most orders have to be answered, lookUsual what looks have
-	// besides their wait, and nearUsual how much more or less counts as that: they are
+	batchDelay       = time.Millisecond
+	minFrameInterval = 6 * time.Millisecond
+	// defaultOrderTimeout is what most orders have to be answered, defaultPollTimeout what looks have
+	// besides their wait, and timeoutTolerance how much more or less counts as that: they are
 	// not sent then.
-	timeoutUsual = 400 * time.Millisecond
-	lookUsual    = 600 * time.Millisecond
-	nearUsual    = 30 * time.Millisecond
+	defaultOrderTimeout = 400 * time.Millisecond
+	defaultPollTimeout  = 600 * time.Millisecond
+	timeoutTolerance    = 30 * time.Millisecond
 )
 
 // kind says what an order is.
@@ -60,7 +60,7 @@
 	kindLaunch kind = "l"
 	kindHalt   kind = "h"
 	kindPace   kind = "p"
-	kindLook   kind = "k"
+	kindPoll   kind = "k"
 )
 
 // order is one order on its way to a relay. Fields that its kind does not have
@@ -82,12 +82,12 @@
 	// is not as usual.
 	TimeoutMS int64 `json:"t,omitempty"`
 	// Task and Number are the attempt, counted from 0 here, as most are the first.
-	Task   string `json:"id,omitempty"`
-	Number int    `json:"a,omitempty"`
+	Task         string `json:"id,omitempty"`
+	AttemptIndex int    `json:"a,omitempty"`
 	// Payload numbers the payload of a launch on the stream; Text has it, the first
 	// time.
-	Payload int    `json:"p,omitempty"`
-	Text    string `json:"text,omitempty"`
+	PayloadID   int    `json:"p,omitempty"`
+	PayloadText string `json:"text,omitempty"`
 	// Checkpoint is what to resume from.
 	Checkpoint string `json:"c,omitempty"`
 	// LeaseUntilMS is the end of leases by the worker's clock.
@@ -96,15 +96,15 @@
 	Percent int `json:"pc,omitempty"`
 	// Seen is the last end that the worker may forget, WaitMS how long a look may
 	// wait for another.
-	Seen   int64 `json:"s,omitempty"`
-	WaitMS int64 `json:"wait,omitempty"`
+	AckedEnd int64 `json:"s,omitempty"`
+	WaitMS   int64 `json:"wait,omitempty"`
 }
 
 // withTimeout returns the order with the time that it has.
 func (or order) withTimeout(d time.Duration) order {
 	d -= time.Duration(or.WaitMS) * time.Millisecond
 	or.TimeoutMS = 0
-	if (d - or.usual()).Abs() > nearUsual {
+	if (d - or.defaultTimeout()).Abs() > timeoutTolerance {
 		or.TimeoutMS = max(d.Milliseconds(), 1)
 	}
 	return or
@@ -114,23 +114,25 @@
 func (or order) timeout() time.Duration {
 	d := time.Duration(or.TimeoutMS) * time.Millisecond
 	if or.TimeoutMS == 0 {
-		d = or.usual()
+		d = or.defaultTimeout()
 	}
-	return min(d+time.Duration(or.WaitMS)*time.Millisecond, timeoutMost)
+	return min(d+time.Duration(or.WaitMS)*time.Millisecond, maxOrderTimeout)
 }
 
-func (or order) usual() time.Duration {
-	if or.Kind == kindLook {
-		return lookUsual
+func (or order) defaultTimeout() time.Duration {
+	if or.Kind == kindPoll {
+		return defaultPollTimeout
 	}
-	return timeoutUsual
+	return defaultOrderTimeout
 }
 
 // attempt is the attempt that the order is about.
-func (or order) attempt() worker.Attempt { return worker.Attempt{Task: or.Task, Number: or.Number + 1} }
+func (or order) attempt() worker.Attempt {
+	return worker.Attempt{Task: or.Task, Number: or.AttemptIndex + 1}
+}
 
 // orders is a frame to a relay.
-type orders struct {
+type orderFrame struct {
 	Orders []order `json:"o,omitempty"`
 }
 
@@ -146,12 +148,12 @@
 	// ClockMS is what the worker's clock read.
 	ClockMS int64 `json:"ms,omitempty"`
 	// Worker is the worker of a look, and Listed what that saw.
-	Worker int     `json:"w,omitempty"`
-	Listed *listed `json:"l,omitempty"`
+	Worker int       `json:"w,omitempty"`
+	Diff   *pollDiff `json:"l,omitempty"`
 }
 
 // answers is a frame of a relay.
-type answers struct {
+type answerFrame struct {
 	Answers []answer `json:"a,omitempty"`
 	// Leaving is set once the relay's host is about to stop.
 	Leaving bool `json:"leaving,omitempty"`
@@ -166,8 +168,8 @@
 	codeNoAnswer code = "no-answer"
 	// codeNoPayload: the relay does not have the payload that a launch names.
 	codeNoPayload code = "no-payload"
-	// codeLife: another life of the worker answered.
-	codeLife code = "life"
+	// codeOtherIncarnation: another life of the worker answered.
+	codeOtherIncarnation code = "life"
 )
 
 // codes has the errors of workers that stay what they are over a stream.
@@ -190,7 +192,7 @@
 func (an answer) withError(err error) answer {
 	an.Code, an.Text = codeOf(err), err.Error()
 	if le := (*worker.LifeError)(nil); errors.As(err, &le) {
-		an.Code, an.Born = codeLife, le.Answered.Born
+		an.Code, an.Born = codeOtherIncarnation, le.Answered.Born
 	}
 	return an
 }
@@ -215,7 +217,7 @@
 		return nil
 	case codeNoPayload:
 		return errNoPayload
-	case codeLife:
+	case codeOtherIncarnation:
 		return fmt.Errorf("through %s: %w", via, &worker.LifeError{Meant: meant, Answered: worker.Incarnation{ID: meant.ID, Born: an.Born}})
 	}
 	for _, known := range codes {
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -57,8 +57,8 @@
 
 // flood sends more orders, all answered at once, than may wait for the owner.
 func (ow *slowOwner) flood() {
-	var fr orders
-	for n := range 2 * outboxMost {
+	var fr orderFrame
+	for n := range 2 * maxOutboxItems {
 		fr.Orders = append(fr.Orders, order{N: int64(n + 1), Kind: "none", Worker: 1})
 	}
 	qt.Assert(ow.t, ow.frames.Encode(fr), qt.IsNil)
@@ -68,8 +68,8 @@
 func (ow *slowOwner) sendUntil(ok func() bool) {
 	for !ok() {
 		// What the relay no longer takes tells nothing: it still has to end.
-		_ = ow.frames.Encode(orders{})
-		time.Sleep(beatEvery / 8)
+		_ = ow.frames.Encode(orderFrame{})
+		time.Sleep(heartbeatInterval / 8)
 	}
 }
 
@@ -77,7 +77,7 @@
 func (ow *slowOwner) given() bool {
 	ow.relay.mu.Lock()
 	defer ow.relay.mu.Unlock()
-	for se := range ow.relay.open {
+	for se := range ow.relay.streams {
 		return se.ctx.Err() != nil
 	}
 	return true
@@ -126,5 +126,5 @@
 func serves(sv *Server) bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	return len(sv.open) > 0
+	return len(sv.streams) > 0
 }
--- a/internal/relay/still_test.go
+++ b/internal/relay/stall_test.go
@@ -38,7 +38,7 @@
 
 // TestOrdersOfAStreamThatStoodStillAreNotCarriedOut has a relay wake with an order unread that its owner has given up.
 func TestOrdersOfAStreamThatStoodStillAreNotCarriedOut(t *testing.T) {
-	for pause, want := range map[time.Duration]int32{beatEvery: 2, 5 * time.Second: 0} {
+	for pause, want := range map[time.Duration]int32{heartbeatInterval: 2, 5 * time.Second: 0} {
 		synctest.Test(t, func(t *testing.T) {
 			var launches atomic.Int32
 			sv := &Server{Log: slog.New(slog.DiscardHandler), Agent: worker.Agent{
@@ -49,7 +49,7 @@
 			}}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			se := &serving{sv: sv, ctx: ctx, end: cancel, out: newOutbox[answer](), workers: map[int]*reached{}, payloads: map[int]string{}}
+			se := &ownerStream{sv: sv, ctx: ctx, end: cancel, out: newOutbox[answer](), workers: map[int]*streamWorker{}, payloads: map[int]string{}}
 			body := &stillBody{pause: pause, frames: []string{
 				`{"o":[{"n":1,"k":"l","w":1,"addr":"10.0.0.1:80","inc":"i-0@5","f":1,"id":"t"}]}`,
 				`{"o":[{"n":2,"k":"l","w":1,"id":"u"}]}`,
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -17,9 +17,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// payloadKept is how long an owner takes a relay to have a payload that it last
+// payloadRetention is how long an owner takes a relay to have a payload that it last
 // named so long ago.
-const payloadKept = 20 * time.Second
+const payloadRetention = 20 * time.Second
 
 // errStreamEnded: what was under way has no answer.
 var errStreamEnded = errors.New("stream to the relay has ended")
@@ -33,32 +33,32 @@
 	epoch int64
 	log   *slog.Logger
 	out   *outbox[order]
-	// openMost is how long it may take to open.
-	openMost time.Duration
+	// openTimeout is how long it may take to open.
+	openTimeout time.Duration
 	// onLeaving is called when the relay's host is about to stop.
 	onLeaving func()
 
-	mu      sync.Mutex
-	ended   bool
-	next    int64
-	waiting map[int64]chan<- result
-	workers map[worker.Addr]*peer
-	mergers map[int]*merger
+	mu       sync.Mutex
+	ended    bool
+	next     int64
+	pending  map[int64]chan<- result
+	workers  map[worker.Addr]*workerRef
+	decoders map[int]*diffDecoder
 	// payloads are those that the relay should have, by their hash; named counts
 	// those there ever were.
-	payloads map[uint64]named
-	named    int
+	payloads     map[uint64]payloadRef
+	payloadCount int
 }
 
-// peer is a worker as a stream knows it: its number, and the fencing token of the
+// workerRef is a worker as a stream knows it: its number, and the fencing token of the
 // last order to it.
-type peer struct {
+type workerRef struct {
 	number int
 	fence  int64
 }
 
 // named is a payload's number on a stream, and when it was last named there.
-type named struct {
+type payloadRef struct {
 	number int
 	last   time.Time
 }
@@ -73,8 +73,8 @@
 
 func newStream(via, owner string, epoch int64, log *slog.Logger) *stream {
 	return &stream{
-		via: via, owner: owner, epoch: epoch, log: log, out: newOutbox[order](), openMost: openMost,
-		waiting: map[int64]chan<- result{}, workers: map[worker.Addr]*peer{}, mergers: map[int]*merger{}, payloads: map[uint64]named{},
+		via: via, owner: owner, epoch: epoch, log: log, out: newOutbox[order](), openTimeout: openTimeout,
+		pending: map[int64]chan<- result{}, workers: map[worker.Addr]*workerRef{}, decoders: map[int]*diffDecoder{}, payloads: map[uint64]payloadRef{},
 	}
 }
 
@@ -82,10 +82,10 @@
 func (st *stream) run(ctx context.Context, hc *http.Client, addr string, opened func()) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer st.end()
+	defer st.failPending()
 	// The watchdog ends the stream if it does not open, or if no frame comes, for too
 	// long.
-	watchdog := time.AfterFunc(st.openMost, cancel)
+	watchdog := time.AfterFunc(st.openTimeout, cancel)
 	defer watchdog.Stop()
 	body, in := io.Pipe()
 	// The client returns only once the request is written to its end, so the context
@@ -109,7 +109,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("open stream to relay %s: status %d", st.via, resp.StatusCode)
 	}
-	watchdog.Reset(silentMost)
+	watchdog.Reset(idleTimeout)
 	opened()
 	return st.read(resp.Body, watchdog)
 }
@@ -117,7 +117,7 @@
 func (st *stream) write(ctx context.Context, cancel context.CancelFunc, in *io.PipeWriter) {
 	defer cancel()
 	enc := json.NewEncoder(in)
-	err := st.out.pump(ctx.Done(), func(list []order) error { return enc.Encode(orders{Orders: list}) })
+	err := st.out.sendLoop(ctx.Done(), func(list []order) error { return enc.Encode(orderFrame{Orders: list}) })
 	if err != nil && ctx.Err() == nil {
 		st.log.Info("stream to a relay cannot be written", "relay", st.via, "err", err)
 	}
@@ -126,13 +126,13 @@
 func (st *stream) read(body io.Reader, watchdog *time.Timer) error {
 	dec := json.NewDecoder(body)
 	for {
-		var fr answers
+		var fr answerFrame
 		if err := dec.Decode(&fr); err != nil {
 			return fmt.Errorf("read frame of relay %s: %w", st.via, err)
 		}
-		watchdog.Reset(silentMost)
+		watchdog.Reset(idleTimeout)
 		for _, an := range fr.Answers {
-			st.take(an)
+			st.deliver(an)
 		}
 		if fr.Leaving {
 			st.onLeaving()
@@ -141,32 +141,32 @@
 }
 
 // take hands an answer to who waits for it. Looks are put together also if
-// nobody does any more: later ones differ from them.
-func (st *stream) take(an answer) {
+// nobody does any more: later ones diffEncoder from them.
+func (st *stream) deliver(an answer) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	re := result{an: an}
-	if an.Listed != nil {
-		me := st.mergers[an.Worker]
+	if an.Diff != nil {
+		me := st.decoders[an.Worker]
 		if me == nil {
-			me = &merger{}
-			st.mergers[an.Worker] = me
+			me = &diffDecoder{}
+			st.decoders[an.Worker] = me
 		}
-		re.si = me.merge(an.Listed, an.ClockMS)
+		re.si = me.decode(an.Diff, an.ClockMS)
 	}
-	if ch := st.waiting[an.N]; ch != nil {
-		delete(st.waiting, an.N)
+	if ch := st.pending[an.N]; ch != nil {
+		delete(st.pending, an.N)
 		ch <- re
 	}
 }
 
 // end answers all that is under way with an error.
-func (st *stream) end() {
+func (st *stream) failPending() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.ended = true
-	for n, ch := range st.waiting {
-		delete(st.waiting, n)
+	for n, ch := range st.pending {
+		delete(st.pending, n)
 		ch <- result{err: fmt.Errorf("through %s: %w", st.via, errStreamEnded)}
 	}
 }
@@ -186,7 +186,7 @@
 		}
 		return re, re.an.asError(st.via, ad.Incarnation)
 	case <-ctx.Done():
-		st.forget(n)
+		st.dropPending(n)
 		return result{}, fmt.Errorf("through %s: %w", st.via, ctx.Err())
 	}
 }
@@ -195,7 +195,7 @@
 func (st *stream) send(ctx context.Context, ad worker.Addr, or order, ch chan<- result) (int64, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
-		deadline = time.Now().Add(timeoutMost)
+		deadline = time.Now().Add(maxOrderTimeout)
 	}
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -205,78 +205,78 @@
 	st.next++
 	or.N = st.next
 	or = or.withTimeout(time.Until(deadline))
-	st.name(ad, &or)
+	st.setWorker(ad, &or)
 	if or.Kind == kindLaunch {
-		st.shorten(&or)
+		st.setPayload(&or)
 	}
 	if !st.out.put(or) {
 		return 0, fmt.Errorf("through %s, which has too much to do: %w", st.via, worker.ErrNotSent)
 	}
-	st.waiting[or.N] = ch
+	st.pending[or.N] = ch
 	return or.N, nil
 }
 
 // name says which worker the order is for, and leaves its fencing token out if that
 // is the last one.
-func (st *stream) name(ad worker.Addr, or *order) {
-	pe := st.workers[ad]
-	if pe == nil {
-		pe = &peer{number: len(st.workers) + 1}
-		st.workers[ad] = pe
+func (st *stream) setWorker(ad worker.Addr, or *order) {
+	wr := st.workers[ad]
+	if wr == nil {
+		wr = &workerRef{number: len(st.workers) + 1}
+		st.workers[ad] = wr
 		or.HostPort, or.Incarnation = ad.HostPort, ad.Incarnation
 	}
-	or.Worker = pe.number
-	if or.Fence == pe.fence {
+	or.Worker = wr.number
+	if or.Fence == wr.fence {
 		or.Fence = 0
 		return
 	}
-	pe.fence = or.Fence
+	wr.fence = or.Fence
 }
 
 // shorten leaves the payload out that the relay has.
-func (st *stream) shorten(or *order) {
-	if or.Text == "" {
+func (st *stream) setPayload(or *order) {
+	if or.PayloadText == "" {
 		return
 	}
-	now, hash := time.Now(), xxhash.Sum64String(or.Text)
-	if len(st.payloads) >= payloadsMost/2 {
-		st.forgetPayloads(now)
+	now, hash := time.Now(), xxhash.Sum64String(or.PayloadText)
+	if len(st.payloads) >= maxPayloads/2 {
+		st.expirePayloads(now)
 	}
-	na, ok := st.payloads[hash]
-	if ok && now.Sub(na.last) < payloadKept {
-		or.Text = ""
+	pr, ok := st.payloads[hash]
+	if ok && now.Sub(pr.last) < payloadRetention {
+		or.PayloadText = ""
 	} else {
-		st.named++
-		na.number = st.named
+		st.payloadCount++
+		pr.number = st.payloadCount
 	}
-	na.last = now
-	st.payloads[hash] = na
-	or.Payload = na.number
+	pr.last = now
+	st.payloads[hash] = pr
+	or.PayloadID = pr.number
 }
 
-// forgetPayloads takes the relay not to have payloads that were not named for long,
+// expirePayloads takes the relay not to have payloads that were not named for long,
 // or any, if all were.
-func (st *stream) forgetPayloads(now time.Time) {
-	for hash, na := range st.payloads {
-		if now.Sub(na.last) >= payloadKept {
+func (st *stream) expirePayloads(now time.Time) {
+	for hash, pr := range st.payloads {
+		if now.Sub(pr.last) >= payloadRetention {
 			delete(st.payloads, hash)
 		}
 	}
-	if len(st.payloads) >= payloadsMost/2 {
+	if len(st.payloads) >= maxPayloads/2 {
 		clear(st.payloads)
 	}
 }
 
 // lacks notes that the relay does not have a payload.
-func (st *stream) lacks() {
+func (st *stream) resetPayloads() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	clear(st.payloads)
 }
 
 // forget has nobody wait for an order any more.
-func (st *stream) forget(n int64) {
+func (st *stream) dropPending(n int64) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	delete(st.waiting, n)
+	delete(st.pending, n)
 }
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -138,7 +138,7 @@
 func (nt *network) usable(name string) bool {
 	nt.pool.mu.Lock()
 	defer nt.pool.mu.Unlock()
-	return nt.pool.plan.usable(name)
+	return nt.pool.assigner.usable(name)
 }
 
 // drop loses the stream to a host, if there is one, and lets the host be used at once.
@@ -151,11 +151,11 @@
 	}
 	nt.pool.mu.Unlock()
 	if st != nil {
-		nt.pool.lose(li, st, errLeaving)
+		nt.pool.streamLost(li, st, errRelayStopping)
 	}
 	nt.pool.mu.Lock()
 	defer nt.pool.mu.Unlock()
-	delete(nt.pool.plan.lost, name)
+	delete(nt.pool.assigner.unavailable, name)
 }
 
 // endless has attempts run until they are stopped.
@@ -199,9 +199,9 @@
 	t.Run("a payload that the relay lost is sent again", func(t *testing.T) {
 		st := nt.pool.links["r0"].st
 		st.mu.Lock()
-		for hash, na := range st.payloads {
-			na.number += 1000
-			st.payloads[hash] = na
+		for hash, pr := range st.payloads {
+			pr.number += 1000
+			st.payloads[hash] = pr
 		}
 		st.mu.Unlock()
 		qt.Assert(t, nt.launch(ad, "e", payload), qt.IsNil)
--- a/internal/relay/silent_test.go
+++ b/internal/relay/unresponsive_test.go
@@ -27,7 +27,7 @@
 //
 // Evidence: on the days that showed it the log has "worker does not answer" for the
 // workers of one data centre, and neither "relay not used for a while" nor "worker
-// reached another way" until the end.
+// streamWorker another way" until the end.
 func TestRelayThatNeverAnswers(t *testing.T) {
 	nt := newNetwork(t, 2)
 	nt.fleet.RunFunc = endless
