--- a/internal/relay/assigner.go
+++ b/internal/relay/assigner.go
@@ -8,48 +8,50 @@
 	"github.com/pepperhatch/pepperhatch/internal/registry"
 )
 
-// Loads of hosts.
+// Limits on the number of workers.
 const (
-	// maxDirectPerCore is how many workers a host reaches itself as an owner, for each
-	// core that it has: 350 workers with 560 to 900 starts a second were seen to take 0.35
-	// of a core, so that it would be some third of the host.
+	// maxDirectPerCore is how many workers an owner reaches directly for each core of its
+	// host. 350 workers with 560 to 900 starts per second take 0.35 of a core, so the limit
+	// corresponds to about a third of the host.
 	maxDirectPerCore = 320
-	// maxRelayedPerCore is how many workers a host is given as a relay, for each core
-	// that it has: seven calls a second and worker at 0.2 ms take a fifth of it.
+	// maxRelayedPerCore is how many workers a relay is assigned for each core of its host.
+	// Seven calls per second and worker at 0.2 ms each take a fifth of the host.
 	maxRelayedPerCore = 150
-	// directDoublingInterval is the time after which an owner that no host relays for reaches twice
-	// as many workers directly: hosts are asked five times in it. All of 1,100 workers are
-	// streamWorker after 6 s by a host of 0.8 cores. maxDirectDoublings bounds the doubling.
+	// directDoublingInterval is the interval at which the limit on directly reached workers
+	// doubles while no host may relay; the owner retries the hosts five times in each
+	// interval. A host of 0.8 cores reaches all of 1,100 workers after 6 s. maxDirectDoublings
+	// bounds the number of doublings.
 	directDoublingInterval = 2 * time.Second
 	maxDirectDoublings     = 16
 )
 
-// plan assigns workers to relays. It keeps what is assigned as long as the relay
-// is of use, and adds to relays that have room before it opens another: each
-// stream costs the owner frames. The zero value has nobody; it is not for several
-// goroutines at once.
+// assigner assigns workers to relays. It keeps an assignment while the relay is usable, and
+// fills relays that have capacity left before it adds another one, as each stream costs the
+// owner additional frames. The zero value has no hosts; it is not safe for concurrent use.
 type assigner struct {
-	// self is the owner's host, cores what it has.
+	// self is the name of the owner's host, cores its processor capacity in cores.
 	self  string
 	cores float64
-	// members are the entry hosts, by name; lost has those not to be used.
+	// members are the entry hosts by name. unavailable holds the names of those that may not
+	// relay now.
 	members     map[string]registry.Member
 	unavailable map[string]bool
-	// assigned has each worker's relay, by incarnation, and load how many workers
-	// each relay has.
+	// assigned maps the incarnations of workers to their relays. load is the number of workers
+	// of each relay.
 	assigned map[string]string
 	load     map[string]int
-	// direct are workers that are streamWorker directly as no host may relay, noRelaySince is
-	// since when that is so.
+	// direct is the set of workers reached directly because no host may relay. noRelaySince is
+	// the time since which no host may relay, or zero.
 	direct       map[string]bool
 	noRelaySince time.Time
 }
 
-// shared reports whether an owner of so many workers uses relays.
+// needsRelays reports whether an owner of this many workers uses relays.
 func (as *assigner) needsRelays(workers int) bool {
 	return as.cores > 0 && float64(workers) > maxDirectPerCore*as.cores
 }
 
+// relayCapacity returns how many workers a host is assigned as a relay.
 func relayCapacity(me registry.Member) int { return max(int(maxRelayedPerCore*me.Cores), 1) }
 
 // usable reports whether a host may relay.
@@ -58,7 +60,7 @@
 	return ok && name != as.self && !as.unavailable[name]
 }
 
-// avoid has a host not used.
+// markUnavailable excludes a host from relaying.
 func (as *assigner) markUnavailable(name string) {
 	if as.unavailable == nil {
 		as.unavailable = map[string]bool{}
@@ -66,10 +68,10 @@
 	as.unavailable[name] = true
 }
 
-// assign returns the relay of a worker in a data centre, or "" if the worker is to be
-// streamWorker directly. If no host may relay, that is so for a few workers only; the others
-// keep their relay, and orders to them are not sent: all of them at once are more than
-// the owner's processor or link can carry, and then nothing gets through.
+// assign returns the relay of a worker in a data centre, or "" if the worker is to be reached
+// directly. If no host may relay, only a limited number of workers is reached directly. The
+// others keep their relay, and orders to them are not sent: reaching all of them at once would
+// overload the owner's processor or link, and then no order would get through.
 func (as *assigner) assign(incarnation, dataCentre string) string {
 	if as.assigned == nil {
 		as.assigned, as.load, as.direct = map[string]string{}, map[string]int{}, map[string]bool{}
@@ -94,25 +96,26 @@
 	return via
 }
 
-// strand returns the relay that one more worker is left with, or takes up, while none is
-// of use, or "" if it is to be streamWorker directly: if there is no other host, or as long as
-// the owner has room for it, half of which is for its own data centre, from which it may
-// be cut off together.
+// fallbackRelay returns the relay under which a worker stays, or is entered, while no host may
+// relay, or "" if the worker is to be reached directly. That is so if there is no other host,
+// or while the limit on directly reached workers allows it. Half of the limit is kept for
+// workers in the owner's own data centre, as the whole data centre may be cut off from the
+// others.
 func (as *assigner) fallbackRelay(was, dataCentre string) string {
 	other := as.firstOther()
-	room := as.directLimit(time.Now())
+	limit := as.directLimit(time.Now())
 	if own := as.members[as.self].DataCentre; own != "" && own != dataCentre {
-		room /= 2
+		limit /= 2
 	}
-	if other == "" || len(as.direct) < room {
+	if other == "" || len(as.direct) < limit {
 		return ""
 	}
 	return cmp.Or(was, other)
 }
 
-// reportedDirectLimit is how many workers the owner reaches directly at most while no host may
-// relay: as many as it would without relays, and twice as many after each directDoublingInterval, as
-// hosts that are listed may all be gone.
+// directLimit returns the maximum number of workers that the owner reaches directly while no
+// host may relay: as many as it would without relays, doubled after each
+// directDoublingInterval, as all the listed hosts may be lost.
 func (as *assigner) directLimit(now time.Time) int {
 	if as.noRelaySince.IsZero() {
 		as.noRelaySince = now
@@ -121,10 +124,10 @@
 	return max(int(maxDirectPerCore*as.cores), 1) << doubled
 }
 
-// unknownRelay takes the place of a relay while the list of hosts is not known.
+// unknownRelay is used as the name of a relay while the list of hosts is not known.
 const unknownRelay = "unknown"
 
-// first returns the first of the other hosts, or "" if there is none.
+// firstOther returns the alphabetically first of the other hosts, or "" if there is none.
 func (as *assigner) firstOther() string {
 	if as.members == nil {
 		return unknownRelay
@@ -138,7 +141,7 @@
 	return first
 }
 
-// helpless reports whether no host may relay.
+// noneUsable reports whether no host may relay.
 func (as *assigner) noneUsable() bool {
 	for name := range as.members {
 		if as.usable(name) {
@@ -148,9 +151,9 @@
 	return true
 }
 
-// canRebalance reports whether a relay has more workers than it should, and another
-// host has room: the first owner of a deployment assigns workers before most hosts
-// have entered the list.
+// canRebalance reports whether a relay has more workers than its capacity while another host
+// has capacity left: the first owner of a deployment assigns workers before most hosts have
+// entered the list.
 func (as *assigner) canRebalance(via, dataCentre string) bool {
 	if as.load[via] <= relayCapacity(as.members[via]) {
 		return false
@@ -159,7 +162,7 @@
 	return other != via && as.load[other] < relayCapacity(as.members[other])
 }
 
-// release takes a worker off its relay.
+// unassign removes a worker from its relay, or from the directly reached workers.
 func (as *assigner) unassign(incarnation string) {
 	delete(as.direct, incarnation)
 	if via, ok := as.assigned[incarnation]; ok {
@@ -168,9 +171,10 @@
 	}
 }
 
-// pick returns the host that is to relay for one more worker: in the worker's data
-// centre if one has room there, one that relays already if it has room, the one
-// with most processor otherwise. If none has room, it is the least loaded.
+// pickRelay returns the best host to relay for one more worker: one in the worker's data
+// centre if it has capacity left, preferably one that already relays, otherwise the one with
+// most cores. If no host has capacity left it returns the least loaded one, relative to its
+// capacity.
 func (as *assigner) pickRelay(dataCentre string) string {
 	best := ""
 	for name := range as.members {
@@ -181,14 +185,15 @@
 	return best
 }
 
-// compare orders hosts by how well they suit as the relay of one more worker.
+// compareRelays orders hosts by how well they suit as the relay of one more worker, best
+// first.
 func (as *assigner) compareRelays(a, b, dataCentre string) int {
 	ma, mb := as.members[a], as.members[b]
-	ra, rb := as.load[a] < relayCapacity(ma), as.load[b] < relayCapacity(mb)
+	fa, fb := as.load[a] < relayCapacity(ma), as.load[b] < relayCapacity(mb)
 	switch {
-	case ra != rb:
-		return preferFirst(ra)
-	case !ra:
+	case fa != fb:
+		return preferFirst(fa)
+	case !fa:
 		return cmp.Compare(float64(as.load[a])/float64(relayCapacity(ma)), float64(as.load[b])/float64(relayCapacity(mb)))
 	case (ma.DataCentre == dataCentre) != (mb.DataCentre == dataCentre):
 		return preferFirst(ma.DataCentre == dataCentre)
@@ -198,7 +203,8 @@
 	return cmp.Or(cmp.Compare(mb.Cores, ma.Cores), strings.Compare(a, b))
 }
 
-// prefer orders the first of two before the second, if it is so for the first.
+// preferFirst returns the comparison result that orders the first of two hosts before the
+// second if first is set, and after it otherwise.
 func preferFirst(first bool) int {
 	if first {
 		return -1
--- a/internal/relay/codes_test.go
+++ b/internal/relay/codes_test.go
@@ -10,8 +10,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestErrorsStayWhatTheyAre sends each error of a worker over a stream.
-func TestErrorsStayWhatTheyAre(t *testing.T) {
+// TestWorkerErrorsKeepIdentity checks that errors.Is holds for each worker error after it was
+// sent over a stream.
+func TestWorkerErrorsKeepIdentity(t *testing.T) {
 	for _, known := range codes {
 		t.Run(string(known.code), func(t *testing.T) {
 			an := answer{}.withError(fmt.Errorf("launch: %w", known.err))
@@ -24,7 +25,7 @@
 	}
 }
 
-func TestOtherLifeOverAStream(t *testing.T) {
+func TestOtherIncarnationKeepsStartTime(t *testing.T) {
 	meant := worker.Incarnation{ID: "i-0", Born: 5}
 	an := answer{}.withError(fmt.Errorf("look: %w", worker.CheckLife(meant, 9)))
 	var le *worker.LifeError
--- a/internal/relay/outbox.go
+++ b/internal/relay/outbox.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxOutboxItems bounds what waits to be sent on a stream: some seconds of the most
-// orders that one owner gives.
+// maxOutboxItems bounds the items queued on a stream: several seconds of orders at the highest
+// rate of one owner.
 const maxOutboxItems = 10_000
 
-// outbox holds what waits to be sent. Make one with [newOutbox].
+// outbox queues items and sends them in frames. Create one with [newOutbox].
 type outbox[T any] struct {
 	mu    sync.Mutex
 	items []T
@@ -18,7 +18,7 @@
 
 func newOutbox[T any]() *outbox[T] { return &outbox[T]{wake: make(chan struct{}, 1)} }
 
-// put adds an item, and reports whether there was room.
+// put adds an item and reports whether it fitted; it does not if maxOutboxItems are queued.
 func (ob *outbox[T]) put(item T) bool {
 	ob.mu.Lock()
 	defer ob.mu.Unlock()
@@ -41,17 +41,17 @@
 	return items
 }
 
-// pump sends what is put, many items to a frame, and a frame without any after
-// [heartbeatInterval], until send fails or done is closed.
+// sendLoop sends queued items in batches, and an empty frame after [heartbeatInterval] without
+// items, until send fails or done is closed.
 func (ob *outbox[T]) sendLoop(done <-chan struct{}, send func([]T) error) error {
-	beat := time.NewTimer(heartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
 	var last time.Time
 	for {
 		select {
 		case <-done:
 			return nil
-		case <-beat.C:
+		case <-heartbeat.C:
 		case <-ob.wake:
 			time.Sleep(max(batchDelay, minFrameInterval-time.Since(last)))
 		}
@@ -59,6 +59,6 @@
 		if err := send(ob.takeAll()); err != nil {
 			return err
 		}
-		beat.Reset(heartbeatInterval)
+		heartbeat.Reset(heartbeatInterval)
 	}
 }
--- a/internal/relay/polldiff.go
+++ b/internal/relay/polldiff.go
@@ -6,27 +6,27 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// minUpdateInterval is the least time between figures of one worker's attempts on a
-// stream. A worker is looked at after each end, and its figures are those of the
-// last half second, so more often they would say the same.
+// minUpdateInterval is the shortest time between updates of the progress of one worker's
+// attempts on a stream. A worker is polled after each end of an attempt, and reports usage
+// over the last half second, so more frequent updates would repeat the same values.
 const minUpdateInterval = 250 * time.Millisecond
 
-// listed is what a look saw, as far as it differs from the look at the same
-// worker that was told before on the same stream.
+// pollDiff is the result of a poll, relative to the previous poll of the same worker on the
+// same stream.
 type pollDiff struct {
-	// New are attempts that were not listed before, or whose figures changed.
+	// Updated are attempts that were not listed before, or whose progress changed.
 	Updated []attemptRow `json:"r,omitempty"`
-	// Gone are the numbers of rows that are no longer listed.
+	// Removed are the ids of rows that are no longer listed.
 	Removed []int `json:"g,omitempty"`
-	// Ended are the ends.
+	// Ended are the attempts that have ended and that the owner has not acknowledged yet.
 	Ended []endedAttempt `json:"e,omitempty"`
 }
 
-// row is an attempt that runs. Its name is sent the first time only.
+// attemptRow is a running attempt. Task and AttemptIndex are sent only the first time.
 type attemptRow struct {
-	// Row numbers it among the worker's.
+	// ID identifies the row among those of the worker on this stream.
 	ID int `json:"i"`
-	// Task and Number are the attempt, counted from 0.
+	// Task and AttemptIndex identify the attempt; the index counts from 0.
 	Task         string `json:"t,omitempty"`
 	AttemptIndex int    `json:"a,omitempty"`
 	// Checkpoint, Percent and Usage are as in [worker.RunningAttempt].
@@ -35,34 +35,34 @@
 	Usage      int64  `json:"u,omitempty"`
 }
 
-// ended is an end as in [worker.EndedAttempt].
+// endedAttempt is an ended attempt, as in [worker.EndedAttempt].
 type endedAttempt struct {
 	EndNumber int64 `json:"n"`
-	// Row is the number of the row that the attempt had, if it was told of; Task and
-	// Number, counted from 0, name it otherwise.
+	// RowID is the id of the attempt's row if it was listed as running. Otherwise Task and
+	// AttemptIndex, which counts from 0, identify the attempt.
 	RowID        int    `json:"i,omitempty"`
 	Task         string `json:"t,omitempty"`
 	AttemptIndex int    `json:"a,omitempty"`
-	// How is left out of one that was done, and so is its checkpoint, which nobody
-	// needs.
+	// Outcome is left out for an attempt that is done, as is its checkpoint, which is no
+	// longer needed.
 	Outcome    string `json:"h,omitempty"`
 	Checkpoint string `json:"c,omitempty"`
 }
 
-// outcomeDone is the worker's word for an attempt that was done.
+// outcomeDone is the outcome that workers report for an attempt that is done.
 const outcomeDone = "done"
 
-// diffEncoder makes differences of one worker's looks, on the relay. The zero value is
-// ready.
+// diffEncoder computes the differences between successive polls of one worker, on the relay.
+// The zero value is ready to use.
 type diffEncoder struct {
 	rows    map[worker.Attempt]attemptRow
-	next    int
+	lastID  int
 	updated time.Time
 }
 
-// diff returns how a look differs from the one before.
+// encode returns the difference between the poll result si and the previous one.
 func (di *diffEncoder) encode(si worker.Sight, now time.Time) *pollDiff {
-	li := &pollDiff{}
+	pd := &pollDiff{}
 	if di.rows == nil {
 		di.rows = map[worker.Attempt]attemptRow{}
 	}
@@ -73,21 +73,21 @@
 	seen := make(map[worker.Attempt]bool, len(si.Running))
 	for _, ra := range si.Running {
 		seen[ra.Attempt] = true
-		di.encodeRunning(li, ra, due)
+		di.encodeRunning(pd, ra, due)
 	}
 	for _, ea := range si.Ended {
-		li.Ended = append(li.Ended, di.encodeEnded(ea))
+		pd.Ended = append(pd.Ended, di.encodeEnded(ea))
 	}
 	for at, ro := range di.rows {
 		if !seen[at] {
-			li.Removed = append(li.Removed, ro.ID)
+			pd.Removed = append(pd.Removed, ro.ID)
 			delete(di.rows, at)
 		}
 	}
-	return li
+	return pd
 }
 
-// end returns an end as it is sent.
+// encodeEnded returns an ended attempt in the form in which it is sent.
 func (di *diffEncoder) encodeEnded(ea worker.EndedAttempt) endedAttempt {
 	en := endedAttempt{EndNumber: ea.EndNumber}
 	if ro, ok := di.rows[ea.Attempt]; ok {
@@ -101,58 +101,60 @@
 	return en
 }
 
-// add adds what is new of an attempt that runs.
-func (di *diffEncoder) encodeRunning(li *pollDiff, ra worker.RunningAttempt, due bool) {
+// encodeRunning adds a running attempt to the difference if it is new, or if its progress
+// changed and an update is due.
+func (di *diffEncoder) encodeRunning(pd *pollDiff, ra worker.RunningAttempt, due bool) {
 	known, ok := di.rows[ra.Attempt]
 	ro := attemptRow{ID: known.ID, Checkpoint: ra.Checkpoint, Percent: ra.Percent, Usage: ra.Usage}
 	if !ok {
-		di.next++
-		ro.ID, ro.Task, ro.AttemptIndex = di.next, ra.Task, ra.Number-1
+		di.lastID++
+		ro.ID, ro.Task, ro.AttemptIndex = di.lastID, ra.Task, ra.Number-1
 	}
 	if ok && (!due || ro == known) {
 		return
 	}
-	li.Updated = append(li.Updated, ro)
+	pd.Updated = append(pd.Updated, ro)
 	ro.Task, ro.AttemptIndex = "", 0
 	di.rows[ra.Attempt] = ro
 }
 
-// diffDecoder puts looks together again, on the owner's host. The zero value is ready.
+// diffDecoder reconstructs poll results from their differences, on the owner's host. The zero
+// value is ready to use.
 type diffDecoder struct {
 	rows map[int]worker.RunningAttempt
 }
 
-// merge returns the whole look that a difference stands for.
-func (me *diffDecoder) decode(li *pollDiff, clockMS int64) worker.Sight {
-	if me.rows == nil {
-		me.rows = map[int]worker.RunningAttempt{}
+// decode applies a difference and returns the complete poll result.
+func (de *diffDecoder) decode(pd *pollDiff, clockMS int64) worker.Sight {
+	if de.rows == nil {
+		de.rows = map[int]worker.RunningAttempt{}
 	}
-	for _, ro := range li.Updated {
-		ra := me.rows[ro.ID]
+	for _, ro := range pd.Updated {
+		ra := de.rows[ro.ID]
 		if ro.Task != "" {
 			ra.Attempt = worker.Attempt{Task: ro.Task, Number: ro.AttemptIndex + 1}
 		}
 		ra.Checkpoint, ra.Percent, ra.Usage = ro.Checkpoint, ro.Percent, ro.Usage
-		me.rows[ro.ID] = ra
+		de.rows[ro.ID] = ra
 	}
-	si := worker.Sight{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(me.rows))}
-	for _, en := range li.Ended {
-		si.Ended = append(si.Ended, me.decodeEnded(en))
+	si := worker.Sight{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(de.rows))}
+	for _, en := range pd.Ended {
+		si.Ended = append(si.Ended, de.decodeEnded(en))
 	}
-	for _, n := range li.Removed {
-		delete(me.rows, n)
+	for _, n := range pd.Removed {
+		delete(de.rows, n)
 	}
-	for _, ra := range me.rows {
+	for _, ra := range de.rows {
 		si.Running = append(si.Running, ra)
 	}
 	return si
 }
 
-// end returns an end as the worker listed it.
-func (me *diffDecoder) decodeEnded(en endedAttempt) worker.EndedAttempt {
+// decodeEnded returns an ended attempt in the form in which the worker listed it.
+func (de *diffDecoder) decodeEnded(en endedAttempt) worker.EndedAttempt {
 	ea := worker.EndedAttempt{Attempt: worker.Attempt{Task: en.Task, Number: en.AttemptIndex + 1}, EndNumber: en.EndNumber, How: en.Outcome, Checkpoint: en.Checkpoint}
 	if en.RowID > 0 {
-		ea.Attempt = me.rows[en.RowID].Attempt
+		ea.Attempt = de.rows[en.RowID].Attempt
 	}
 	if ea.How == "" {
 		ea.How = outcomeDone
--- a/internal/relay/polldiff_test.go
+++ b/internal/relay/polldiff_test.go
@@ -16,8 +16,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// scene is a worker whose looks are told as differences.
-type scene struct {
+// diffModel is a worker whose poll results are encoded as differences.
+type diffModel struct {
 	rt          *rapid.T
 	diffEncoder diffEncoder
 	diffDecoder diffDecoder
@@ -28,100 +28,99 @@
 	ends        int64
 }
 
-// act changes what the worker lists.
-func (sc *scene) act() {
-	names := slices.SortedFunc(maps.Keys(sc.running), func(a, b worker.Attempt) int { return strings.Compare(a.Task, b.Task) })
-	switch what := rapid.SampledFrom([]string{"start", "start", "work", "end", "forget", "time"}).Draw(sc.rt, "act"); {
+// step makes a random change to the attempts that the worker lists, or advances the clock.
+func (dm *diffModel) step() {
+	names := slices.SortedFunc(maps.Keys(dm.running), func(a, b worker.Attempt) int { return strings.Compare(a.Task, b.Task) })
+	switch what := rapid.SampledFrom([]string{"start", "start", "work", "end", "forget", "time"}).Draw(dm.rt, "act"); {
 	case what == "start":
-		sc.next++
-		at := worker.Attempt{Task: fmt.Sprintf("t%d", sc.next), Number: rapid.IntRange(1, 3).Draw(sc.rt, "number")}
-		sc.running[at] = worker.RunningAttempt{Attempt: at}
+		dm.next++
+		at := worker.Attempt{Task: fmt.Sprintf("t%d", dm.next), Number: rapid.IntRange(1, 3).Draw(dm.rt, "number")}
+		dm.running[at] = worker.RunningAttempt{Attempt: at}
 	case what == "work" && len(names) > 0:
-		ra := sc.running[rapid.SampledFrom(names).Draw(sc.rt, "task")]
-		ra.Percent = rapid.IntRange(0, 100).Draw(sc.rt, "percent")
-		ra.Usage = rapid.Int64Range(0, 9).Draw(sc.rt, "usage")
-		ra.Checkpoint = rapid.SampledFrom([]string{"", "c1", "c2"}).Draw(sc.rt, "checkpoint")
-		sc.running[ra.Attempt] = ra
+		ra := dm.running[rapid.SampledFrom(names).Draw(dm.rt, "task")]
+		ra.Percent = rapid.IntRange(0, 100).Draw(dm.rt, "percent")
+		ra.Usage = rapid.Int64Range(0, 9).Draw(dm.rt, "usage")
+		ra.Checkpoint = rapid.SampledFrom([]string{"", "c1", "c2"}).Draw(dm.rt, "checkpoint")
+		dm.running[ra.Attempt] = ra
 	case what == "end" && len(names) > 0:
-		at := rapid.SampledFrom(names).Draw(sc.rt, "task")
-		delete(sc.running, at)
-		sc.ends++
-		sc.ended = append(sc.ended, worker.EndedAttempt{Attempt: at, EndNumber: sc.ends, How: rapid.SampledFrom([]string{"done", "failed", "stopped"}).Draw(sc.rt, "how"), Checkpoint: "c3"})
+		at := rapid.SampledFrom(names).Draw(dm.rt, "task")
+		delete(dm.running, at)
+		dm.ends++
+		dm.ended = append(dm.ended, worker.EndedAttempt{Attempt: at, EndNumber: dm.ends, How: rapid.SampledFrom([]string{"done", "failed", "stopped"}).Draw(dm.rt, "how"), Checkpoint: "c3"})
 	case what == "forget":
-		sc.ended = nil
+		dm.ended = nil
 	case what == "time":
-		sc.now = sc.now.Add(minUpdateInterval)
+		dm.now = dm.now.Add(minUpdateInterval)
 	}
 }
 
-// look tells a look as a difference, and returns what is made of that. It is told
-// whole figures only if whole is set.
-func (sc *scene) look(whole bool) worker.Sight {
-	if whole {
-		sc.now = sc.now.Add(minUpdateInterval)
+// poll encodes the current state as a difference and returns the decoded result. If full is
+// set, an update of the progress is due.
+func (dm *diffModel) poll(full bool) worker.Sight {
+	if full {
+		dm.now = dm.now.Add(minUpdateInterval)
 	}
-	si := worker.Sight{ClockMS: 7, Running: slices.Collect(maps.Values(sc.running)), Ended: sc.ended}
-	data, err := json.Marshal(sc.diffEncoder.encode(si, sc.now))
+	si := worker.Sight{ClockMS: 7, Running: slices.Collect(maps.Values(dm.running)), Ended: dm.ended}
+	data, err := json.Marshal(dm.diffEncoder.encode(si, dm.now))
 	if err != nil {
-		sc.rt.Fatal(err)
+		dm.rt.Fatal(err)
 	}
 	var li pollDiff
 	if err := json.Unmarshal(data, &li); err != nil {
-		sc.rt.Fatal(err)
+		dm.rt.Fatal(err)
 	}
-	return sc.diffDecoder.decode(&li, 7)
+	return dm.diffDecoder.decode(&li, 7)
 }
 
-// TestDifferencesTellAll plays looks at a worker and checks that what is made of the
-// differences names the same attempts and ends, and has the same figures once they
-// are due.
-func TestDifferencesTellAll(t *testing.T) {
+// TestDiffsReproducePolls checks, for random sequences of changes, that decoded polls list the
+// same running and ended attempts as the worker, with the same progress once an update is due.
+func TestDiffsReproducePolls(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
-		sc := &scene{rt: rt, now: time.Unix(100, 0), running: map[worker.Attempt]worker.RunningAttempt{}}
+		dm := &diffModel{rt: rt, now: time.Unix(100, 0), running: map[worker.Attempt]worker.RunningAttempt{}}
 		for range rapid.IntRange(1, 40).Draw(rt, "acts") {
-			sc.act()
+			dm.step()
 			if !rapid.Bool().Draw(rt, "look") {
 				continue
 			}
-			whole := rapid.Bool().Draw(rt, "whole")
-			checkSight(rt, sc, sc.look(whole), whole)
+			full := rapid.Bool().Draw(rt, "whole")
+			checkPoll(rt, dm, dm.poll(full), full)
 		}
 	})
 }
 
-func checkSight(rt *rapid.T, sc *scene, si worker.Sight, whole bool) {
-	if len(si.Running) != len(sc.running) {
-		rt.Fatalf("%d attempts run, told %d", len(sc.running), len(si.Running))
+func checkPoll(rt *rapid.T, dm *diffModel, si worker.Sight, full bool) {
+	if len(si.Running) != len(dm.running) {
+		rt.Fatalf("%d attempts run, decoded %d", len(dm.running), len(si.Running))
 	}
 	for _, ra := range si.Running {
-		want, ok := sc.running[ra.Attempt]
-		if !ok || (whole && ra != want) {
-			rt.Fatalf("told %v, listed %v", ra, want)
+		want, ok := dm.running[ra.Attempt]
+		if !ok || (full && ra != want) {
+			rt.Fatalf("decoded %v, want %v", ra, want)
 		}
 	}
-	if len(si.Ended) != len(sc.ended) {
-		rt.Fatalf("%d ends, told %d", len(sc.ended), len(si.Ended))
+	if len(si.Ended) != len(dm.ended) {
+		rt.Fatalf("%d attempts ended, decoded %d", len(dm.ended), len(si.Ended))
 	}
 	for i, ea := range si.Ended {
-		want := sc.ended[i]
+		want := dm.ended[i]
 		if want.How == outcomeDone {
 			want.Checkpoint = ""
 		}
 		if ea != want {
-			rt.Fatalf("told %v, listed %v", ea, want)
+			rt.Fatalf("decoded %v, want %v", ea, want)
 		}
 	}
 }
 
-func TestFiguresAreNotToldTooOften(t *testing.T) {
+func TestProgressUpdatesAreRateLimited(t *testing.T) {
 	var di diffEncoder
 	at := worker.Attempt{Task: "t", Number: 1}
-	look := func(usage int64, now time.Duration) *pollDiff {
+	poll := func(usage int64, now time.Duration) *pollDiff {
 		si := worker.Sight{Running: []worker.RunningAttempt{{Attempt: at, Usage: usage}}}
 		return di.encode(si, time.Unix(0, 0).Add(now))
 	}
-	qt.Assert(t, len(look(1, 0).Updated), qt.Equals, 1)
-	qt.Assert(t, len(look(2, minUpdateInterval/2).Updated), qt.Equals, 0)
-	qt.Assert(t, len(look(2, minUpdateInterval).Updated), qt.Equals, 1)
-	qt.Assert(t, len(look(2, 3*minUpdateInterval).Updated), qt.Equals, 0)
+	qt.Assert(t, len(poll(1, 0).Updated), qt.Equals, 1)
+	qt.Assert(t, len(poll(2, minUpdateInterval/2).Updated), qt.Equals, 0)
+	qt.Assert(t, len(poll(2, minUpdateInterval).Updated), qt.Equals, 1)
+	qt.Assert(t, len(poll(2, 3*minUpdateInterval).Updated), qt.Equals, 0)
 }
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -17,74 +17,77 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Times of relays.
+// Timeouts and delays of relays.
 const (
-	// openWait is how long an order waits for a stream to open: it is to another
-	// entry host, some 3 ms away.
+	// openWait is how long an order waits for a stream to open; another entry host is about 3
+	// ms away.
 	openWait = 250 * time.Millisecond
-	// initialRetryDelay and maxRetryDelay are how long no stream is opened to a host after one
-	// ended, longer each time.
+	// initialRetryDelay and maxRetryDelay bound the backoff before a stream to a host is
+	// opened again after the previous one ended.
 	initialRetryDelay = 2 * time.Second
 	maxRetryDelay     = 30 * time.Second
-	// noRelayRetryDelay takes the place of both while no host may relay: then the owner's own
-	// link is more likely full than all hosts away, and most workers wait.
+	// noRelayRetryDelay is the largest delay while no host may relay: it is then more likely
+	// that the owner's own link is saturated than that all hosts are unavailable, and most
+	// workers wait.
 	noRelayRetryDelay = 400 * time.Millisecond
-	// stableAfter is how long a stream must have been open for the next pause to
-	// be the first again.
+	// stableAfter is how long a stream must have been open for the backoff to start over.
 	stableAfter = 10 * time.Second
-	// dropGrace is how long a worker counts that the owner forgot: the users' machines
-	// enter themselves again within some 2 s of the end of an outage.
+	// dropGrace is how long a worker that the owner has dropped still counts: after an outage
+	// the users' machines register again within about 2 s.
 	dropGrace = 3 * time.Second
 )
 
-// Pool is an owner's relays. Set the fields, then call [Pool.Run]; the other
-// methods may be called from any goroutine.
+// Pool holds the relays of an owner. Set the fields, then call [Pool.Run]; the other methods
+// are safe for concurrent use.
 type Pool struct {
-	// Self names the owner's host, Cores is the processor that it has, in cores.
+	// Self is the name of the owner's host, Cores its processor capacity in cores.
 	Self  string
 	Cores float64
-	// Epoch is the owner's.
+	// Epoch is the epoch of the owner.
 	Epoch int64
-	// FormerOwner and FormerOwnerProcess name the host that was replaced as an owner, and its
-	// process; they are empty if it gave the cell up.
+	// FormerOwner and FormerOwnerProcess name the host that was replaced as the owner, and its
+	// process. They are empty if that owner released the cell.
 	FormerOwner, FormerOwnerProcess string
-	// HTTP is the client for other entry hosts, which must not limit the time of a
-	// request.
+	// HTTP is the client for requests to other entry hosts. It must not limit the duration of
+	// a request.
 	HTTP *http.Client
-	// Direct reaches workers from this host.
+	// Direct reaches workers from this host without a relay.
 	Direct worker.Agent
-	// ChangedFunc is called when workers may have another relay than before.
+	// ChangedFunc is called when the relays of workers may have changed.
 	ChangedFunc func()
-	// Metrics counts, Log gets relays that come and go.
+	// Metrics counts lost relays. Log receives messages on relays that become available or
+	// unavailable.
 	Metrics *telemetry.Metrics
 	Log     *slog.Logger
 
 	mu       sync.Mutex
 	ctx      context.Context
 	assigner assigner
-	// workers are those that the owner has, by incarnation.
+	// workers is the set of the owner's workers, by incarnation.
 	workers map[string]bool
-	// reportedDirectLimit is how many workers might be streamWorker directly when that was last told.
+	// reportedDirectLimit is the limit on directly reached workers as of the last call of
+	// ChangedFunc on its account.
 	reportedDirectLimit int
-	// dropped has when the owner forgot workers that count for a little longer.
+	// dropped holds when the owner dropped workers that still count for dropGrace.
 	dropped map[string]time.Time
 	links   map[string]*link
 }
 
-// link is the owner's relation to one host.
+// link is the state that the owner keeps on one relay host.
 type link struct {
 	name string
-	// st is its stream, ready is closed once that is open or has failed.
+	// st is the stream to the host, nil if there is none. ready is closed once the stream is
+	// open or has failed.
 	st    *stream
 	ready chan struct{}
-	// began is when it was begun to open, told is set once a line has said that
-	// orders waited for that in vain.
+	// began is when opening the stream began. warned is set once a warning was logged that an
+	// order timed out waiting for the stream.
 	began  time.Time
 	warned bool
 	bo     *backoff.ExponentialBackOff
 }
 
-// Run keeps streams until ctx ends.
+// Run opens streams as needed until ctx ends.
 func (po *Pool) Run(ctx context.Context) {
 	po.mu.Lock()
 	po.ctx = ctx
@@ -96,9 +99,9 @@
 	<-ctx.Done()
 }
 
-// SetMembers takes in rows of the list of entry hosts. If whole is set they are
-// all there are.
-func (po *Pool) SetMembers(listed []registry.Member, gone []string, whole bool) {
+// SetMembers applies changes to the list of entry hosts. If whole is set, listed is the
+// complete list.
+func (po *Pool) SetMembers(listed []registry.Member, removed []string, whole bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	known := po.assigner.members
@@ -113,17 +116,17 @@
 			po.avoidFormerOwner(me)
 		}
 	}
-	for _, name := range gone {
+	for _, name := range removed {
 		delete(po.assigner.members, name)
 	}
-	if len(gone) > 0 && po.ctx != nil && po.assigner.noneUsable() {
+	if len(removed) > 0 && po.ctx != nil && po.assigner.noneUsable() {
 		po.retryAll()
 	}
 	po.notifyChanged()
 }
 
-// suspect keeps a host from being used until it answers, if it was just replaced as
-// an owner: mostly for its silence, and the list still has it.
+// avoidFormerOwner excludes a host that was just replaced as the owner until it answers: an
+// owner is mostly replaced because it is unresponsive, and the list of hosts still has it.
 func (po *Pool) avoidFormerOwner(me registry.Member) {
 	if me.Name != po.FormerOwner || me.Process != po.FormerOwnerProcess {
 		return
@@ -134,9 +137,9 @@
 	}
 }
 
-// SetWorkers takes in the incarnations of workers that the owner has, and of those
-// that it has no longer. If whole is set the listed ones are all there are.
-func (po *Pool) SetWorkers(listed, gone []string, whole bool) {
+// SetWorkers applies changes to the owner's workers, given by incarnation. If whole is set,
+// listed is the complete set.
+func (po *Pool) SetWorkers(listed, removed []string, whole bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	was := po.assigner.needsRelays(len(po.workers))
@@ -147,7 +150,7 @@
 		po.workers[incarnation] = true
 		delete(po.dropped, incarnation)
 	}
-	for _, incarnation := range gone {
+	for _, incarnation := range removed {
 		delete(po.workers, incarnation)
 	}
 	po.expireDropped()
@@ -156,8 +159,9 @@
 	}
 }
 
-// forget leaves out workers that the owner forgot for good. Those that had nothing to do
-// are forgotten at once and are back after an outage; relays are not given up for that.
+// expireDropped removes workers that were dropped longer than dropGrace ago. The owner drops
+// idle workers at once during an outage, and they return after it; relays are not given up for
+// that.
 func (po *Pool) expireDropped() {
 	for incarnation, at := range po.dropped {
 		if time.Since(at) > dropGrace {
@@ -167,16 +171,16 @@
 	}
 }
 
-// changed tells of a change without waiting for it to be taken in.
+// notifyChanged calls ChangedFunc without waiting for it to return.
 func (po *Pool) notifyChanged() {
 	if po.ChangedFunc != nil {
 		go po.ChangedFunc()
 	}
 }
 
-// RelayFor names the entry host through which a worker is to be streamWorker, or is empty
-// if it is to be streamWorker directly. Orders through a host that may not relay now are not
-// sent.
+// RelayFor returns the name of the entry host through which a worker is to be reached, or ""
+// if it is to be reached directly. Orders through a host that may not relay at the moment are
+// not sent.
 func (po *Pool) RelayFor(incarnation, dataCentre string) string {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -188,7 +192,8 @@
 	return po.assigner.assign(incarnation, dataCentre)
 }
 
-// Drop forgets a worker.
+// Drop removes a worker from its relay. It still counts as one of the owner's workers for
+// dropGrace.
 func (po *Pool) Drop(incarnation string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -199,11 +204,12 @@
 	po.dropped[incarnation] = time.Now()
 }
 
-// stream returns the open stream to a host, and opens one if there is none.
+// readyStream returns the open stream to a host. It opens one if there is none, and waits up
+// to openWait for it.
 func (po *Pool) readyStream(ctx context.Context, via string) (*stream, error) {
 	st, ready := po.openStream(via)
 	if st == nil {
-		return nil, fmt.Errorf("through %s, which is not used now: %w", via, worker.ErrNotSent)
+		return nil, fmt.Errorf("through relay %s, which is not in use now: %w", via, worker.ErrNotSent)
 	}
 	ti := time.NewTimer(openWait)
 	defer ti.Stop()
@@ -214,10 +220,11 @@
 		po.warnNotOpen(via)
 	case <-ctx.Done():
 	}
-	return nil, fmt.Errorf("through %s, which does not answer: %w", via, worker.ErrNotSent)
+	return nil, fmt.Errorf("through relay %s, which does not answer: %w", via, worker.ErrNotSent)
 }
 
-// warnNotOpen tells once of a stream that an order has waited for in vain.
+// warnNotOpen logs a warning, once for each stream, that an order timed out waiting for the
+// stream to open.
 func (po *Pool) warnNotOpen(via string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -229,8 +236,8 @@
 	po.Log.Warn("relay does not answer", "relay", via, "workers", po.assigner.load[via], "for", time.Since(li.began))
 }
 
-// opening returns the stream to a host, and what is closed once that is open or has
-// failed. It returns nil if the host is not to be used.
+// openStream returns the stream to a host, opening one if necessary, and a channel that is
+// closed once the stream is open or has failed. It returns nil if the host may not relay.
 func (po *Pool) openStream(via string) (*stream, <-chan struct{}) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -244,7 +251,8 @@
 	return li.st, li.ready
 }
 
-// open returns the link to a host, with a stream, or nil if there is no such host.
+// ensureLink returns the link to a host, with a stream that is open or being opened, or nil if
+// there is no such host.
 func (po *Pool) ensureLink(via string) *link {
 	me, ok := po.assigner.members[via]
 	if !ok || po.ctx == nil || po.ctx.Err() != nil {
@@ -266,7 +274,7 @@
 	return li
 }
 
-// dial begins to open a link's stream.
+// dial starts opening a link's stream.
 func (po *Pool) dial(li *link, me registry.Member) {
 	st := newStream(li.name, po.Self, po.Epoch, po.Log)
 	ready := make(chan struct{})
@@ -274,14 +282,14 @@
 	po.Log.Info("opening a stream to a relay", "relay", li.name, "addr", me.Addr, "data_centre", me.DataCentre, "workers", po.assigner.load[li.name])
 	st.onLeaving = func() { po.streamLost(li, st, errRelayStopping) }
 	if po.assigner.unavailable[li.name] {
-		// No order waits for it, and it may be the owner's link that is slow.
+		// No order waits for this stream, and it may be the owner's own link that is slow.
 		st.openTimeout = idleTimeout
 	}
 	go po.serve(li, st, me, ready)
 }
 
-// serve serves a link's stream until that ends. It closes ready once the stream is
-// open or has failed.
+// serve runs a link's stream until it ends. It closes ready once the stream is open or has
+// failed.
 func (po *Pool) serve(li *link, st *stream, me registry.Member, ready chan<- struct{}) {
 	began, answered := time.Now(), false
 	err := st.run(po.ctx, po.HTTP, me.Addr, func() {
@@ -296,7 +304,7 @@
 	}
 }
 
-// answered lets a host be used whose stream has opened.
+// markUsable allows a host to relay again once its stream has opened.
 func (po *Pool) markUsable(li *link, st *stream) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -308,10 +316,12 @@
 	po.notifyChanged()
 }
 
-// errRelayStopping: the relay's host is about to stop.
-var errRelayStopping = errors.New("relay's host stops")
+// errRelayStopping is the reason for which a stream is given up when the relay's host is about
+// to stop.
+var errRelayStopping = errors.New("the relay's host is about to stop")
 
-// lose takes a host out of use until it answers again.
+// streamLost excludes a host from relaying until it answers again, and schedules the next
+// attempt to open a stream.
 func (po *Pool) streamLost(li *link, st *stream, why error) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -322,28 +332,28 @@
 	if time.Since(li.began) > stableAfter {
 		li.bo.Reset()
 	}
-	away := li.bo.NextBackOff()
+	delay := li.bo.NextBackOff()
 	if po.assigner.unavailable[li.name] {
 		if po.assigner.noneUsable() {
-			away = min(away, noRelayRetryDelay)
+			delay = min(delay, noRelayRetryDelay)
 			po.notifyDirectLimit()
 		}
-		go po.retryHost(li.name, away)
-		po.Log.Info("relay still not used", "relay", li.name, "away", away, "why", why)
+		go po.retryHost(li.name, delay)
+		po.Log.Info("relay still not used", "relay", li.name, "away", delay, "why", why)
 		return
 	}
-	po.Log.Warn("relay not used for a while", "relay", li.name, "workers", po.assigner.load[li.name], "away", away, "why", why)
+	po.Log.Warn("relay not used for a while", "relay", li.name, "workers", po.assigner.load[li.name], "away", delay, "why", why)
 	po.Metrics.Add(telemetry.RelaysLost, 1)
 	po.assigner.markUnavailable(li.name)
 	if po.assigner.noneUsable() {
 		po.retryAll()
 	} else {
-		go po.retryHost(li.name, away)
+		go po.retryHost(li.name, delay)
 	}
 	po.notifyChanged()
 }
 
-// widen tells of a change if more workers may be streamWorker directly than before.
+// notifyDirectLimit calls ChangedFunc if the limit on directly reached workers has grown.
 func (po *Pool) notifyDirectLimit() {
 	most := po.assigner.directLimit(time.Now())
 	if most > po.reportedDirectLimit {
@@ -352,7 +362,7 @@
 	po.reportedDirectLimit = most
 }
 
-// regainAll has streams opened to all hosts that were lost.
+// retryAll opens streams to all unavailable hosts after noRelayRetryDelay.
 func (po *Pool) retryAll() {
 	po.reportedDirectLimit = po.assigner.directLimit(time.Now())
 	po.Log.Warn("no host may relay", "workers", len(po.workers), "hosts", len(po.assigner.unavailable), "asked_after", noRelayRetryDelay)
@@ -361,8 +371,8 @@
 	}
 }
 
-// regain opens the stream to a host that is not used, so that it is used again once it
-// has answered, and no worker waits for that.
+// retryHost opens a stream to an unavailable host after a delay. The host may relay again once
+// it has answered; no order waits for that.
 func (po *Pool) retryHost(name string, after time.Duration) {
 	if !clock.Sleep(po.ctx, after) {
 		return
@@ -374,7 +384,7 @@
 	}
 }
 
-// Agent reaches workers the way that their addresses say.
+// Agent returns an agent that reaches each worker over the path given by its address.
 func (po *Pool) Agent() worker.Agent {
 	return worker.Agent{
 		LaunchFunc: func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
@@ -405,8 +415,8 @@
 	}
 }
 
-// launch sends a launch, once more with its payload if the relay does not have
-// that.
+// launch sends a launch order, and sends it again with its payload if the relay does not have
+// the payload.
 func (po *Pool) launch(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
 	or := order{
 		Kind: kindLaunch, Task: la.Task, AttemptIndex: la.Number - 1, Fence: la.Fence, PayloadText: la.Payload,
--- a/internal/relay/reconnect_test.go
+++ b/internal/relay/reconnect_test.go
@@ -14,10 +14,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestStreamsThatEndLeaveNothing: a stream that ended by its relay's doing left the
-// goroutine that writes the request, which waits for a pipe that nobody closes, and the
-// connection with it; an owner for long would run out of both.
-func TestStreamsThatEndLeaveNothing(t *testing.T) {
+// TestEndedStreamLeaksNoGoroutine guards against a leak: after a stream was ended by the
+// relay, the goroutine that writes the request kept waiting for a pipe that was never closed,
+// and held its connection. A long-lived owner would run out of both.
+func TestEndedStreamLeaksNoGoroutine(t *testing.T) {
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		rc := http.NewResponseController(w)
 		qt.Check(t, rc.EnableFullDuplex(), qt.IsNil)
@@ -30,19 +30,20 @@
 		st := newStream("r0", "self", 1, nt.pool.Log)
 		qt.Assert(t, st.run(t.Context(), &http.Client{Transport: &http.Transport{}}, hs.Listener.Addr().String(), func() {}), qt.IsNotNil)
 	}
-	nt.eventually("nobody waits for a pipe", func() bool { return !strings.Contains(stacks(), "io.(*pipe).read(") })
+	nt.eventually("no goroutine reads from a pipe", func() bool { return !strings.Contains(stacks(), "io.(*pipe).read(") })
 }
 
-// stacks are those of all goroutines.
+// stacks returns the stack traces of all goroutines.
 func stacks() string {
 	buf := make([]byte, 4<<20)
 	return string(buf[:runtime.Stack(buf, true)])
 }
 
-// TestListIsReadAgain: the store forgets its history, and the list of entry hosts is read
-// as a whole again. Then hosts counted as new: one that stands still was chosen again at
-// once, and a former owner's was not used any more although its stream was open.
-func TestListIsReadAgain(t *testing.T) {
+// TestFullMemberListKeepsAvailability guards against a loss of state when the store has
+// discarded its history and the list of entry hosts is read in full again. All hosts then
+// counted as new: a frozen host was chosen as a relay again at once, and the host of a former
+// owner was no longer used although its stream was open.
+func TestFullMemberListKeepsAvailability(t *testing.T) {
 	t.Run("a host that does not answer is not used", func(t *testing.T) {
 		nt := newNetwork(t, 2)
 		ad := nt.add()
@@ -50,7 +51,7 @@
 		nt.lines[used].Freeze()
 		t.Cleanup(nt.lines[used].Thaw)
 		qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNotNil)
-		nt.eventually("it is not used", func() bool { return !nt.usable(ad.Via) })
+		nt.eventually("the host is not used", func() bool { return !nt.usable(ad.Via) })
 		nt.pool.SetMembers(nt.members, nil, true)
 		qt.Assert(t, nt.usable(ad.Via), qt.IsFalse)
 	})
@@ -59,65 +60,63 @@
 		nt.addRelays(2)
 		nt.pool.FormerOwner, nt.pool.FormerOwnerProcess = "r0", "p"
 		nt.pool.SetMembers(nt.members, nil, true)
-		nt.eventually("it is used", func() bool { return nt.usable("r0") })
+		nt.eventually("the host is used", func() bool { return nt.usable("r0") })
 		nt.pool.SetMembers(nt.members, nil, true)
 		qt.Assert(t, nt.usable("r0"), qt.IsTrue)
 	})
 }
 
-// TestRelayIsBack: with no relay left workers are streamWorker directly; they stayed so when
-// a host answered again, as nobody was told.
-func TestRelayIsBack(t *testing.T) {
+// TestOwnerNotifiedWhenRelayReturns guards against workers staying on the direct path, which
+// is used when no relay is left, after a host answers again: the owner was not notified.
+func TestOwnerNotifiedWhenRelayReturns(t *testing.T) {
 	nt := newNetwork(t, 1)
 	ad := nt.add()
 	qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNil)
 	nt.lines[0].Silence()
-	nt.eventually("there is none", func() bool { return nt.pool.RelayFor("i-0", "a") == "" })
-	before := nt.told()
-	nt.eventually("the owner is told", func() bool { return nt.usable("r0") && nt.told() > before })
+	nt.eventually("no relay is assigned", func() bool { return nt.pool.RelayFor("i-0", "a") == "" })
+	before := nt.notifications()
+	nt.eventually("the owner is notified", func() bool { return nt.usable("r0") && nt.notifications() > before })
 	qt.Assert(t, nt.pool.RelayFor("i-0", "a"), qt.Equals, "r0")
 }
 
-// TestHostThatStaysAway: a host that was lost is asked again and again; that is no news
-// to the owner, which would look at the ways to all its workers each time.
-func TestHostThatStaysAway(t *testing.T) {
+// TestRetriesOfLostHostDoNotNotifyOwner checks that failed retries of a lost host do not
+// notify the owner, which would check the paths to all its workers each time.
+func TestRetriesOfLostHostDoNotNotifyOwner(t *testing.T) {
 	nt := newNetwork(t, 2)
 	ad := nt.add()
 	used := int(ad.Via[1] - '0')
 	nt.lines[used].Freeze()
 	t.Cleanup(nt.lines[used].Thaw)
 	qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNotNil)
-	nt.eventually("it is not used", func() bool { return !nt.usable(ad.Via) })
-	before := nt.told()
-	nt.eventually("it is asked again", func() bool { return nt.opened(ad.Via) >= 3 })
-	qt.Assert(t, nt.told(), qt.Equals, before)
+	nt.eventually("the host is not used", func() bool { return !nt.usable(ad.Via) })
+	before := nt.notifications()
+	nt.eventually("a stream to the host is opened again", func() bool { return nt.streamsOpened(ad.Via) >= 3 })
+	qt.Assert(t, nt.notifications(), qt.Equals, before)
 }
 
-// TestHostThatLeaves: one that is about to stop takes no new streams.
-func TestHostThatLeaves(t *testing.T) {
+// TestStoppingHostRefusesStreams checks that a host that is about to stop accepts no new
+// streams.
+func TestStoppingHostRefusesStreams(t *testing.T) {
 	nt := newNetwork(t, 2)
 	ad := nt.add()
 	qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNil)
 	nt.relays[ad.Via[1]-'0'].Leave()
-	nt.eventually("it is not used", func() bool { return !nt.usable(ad.Via) })
-	nt.eventually("it is asked again", func() bool {
+	nt.eventually("the host is not used", func() bool { return !nt.usable(ad.Via) })
+	nt.eventually("a stream to the host is opened again", func() bool {
 		qt.Check(t, nt.usable(ad.Via), qt.IsFalse)
-		return nt.opened(ad.Via) >= 2
+		return nt.streamsOpened(ad.Via) >= 2
 	})
 }
 
-// TestOwnerThatIsSwamped: after a takeover the new owner streamWorker none of its workers for
-// twenty seconds, and tasks that were to last did not run, with room for them.
+// TestOverloadedOwnerLimitsDirectWorkers guards against an owner that reaches none of its
+// workers for 20 s after a takeover, so that long-running tasks did not run although there was
+// free capacity.
 //
-// Order of events: the new owner's link is full of what it reads; relays take its streams
-// within 0.5 s, but their answers come later than the 0.6 s that it waits; it takes all
-// for lost, and reaches each worker itself, which is what its link can't carry: nothing
-// gets through any more, nor do new streams, which it asks for more and more seldom.
-//
-// Evidence: "relaying for an owner" on five relays, "relay not used for a while" for the
-// same on the owner, and then "workers without orders" with all its workers, an empty
-// via, and "dial .. i/o timeout" for each relay until the end.
-func TestOwnerThatIsSwamped(t *testing.T) {
+// The new owner's link was saturated by what it read. Relays accepted its streams within 0.5
+// s, but their answers took longer than the timeout of 0.6 s. The owner considered all relays
+// lost and reached each worker directly, which its link could not carry either. No requests
+// got through any more, nor did new streams, which it opened less and less often.
+func TestOverloadedOwnerLimitsDirectWorkers(t *testing.T) {
 	nt := newNetwork(t, 3)
 	var workers []string
 	for i := range 50 {
@@ -140,14 +139,14 @@
 		ad.Via = nt.members[i].Name
 		qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNotNil)
 	}
-	nt.eventually("no relay is of use", func() bool { return !nt.usable("r0") && !nt.usable("r1") && !nt.usable("r2") })
+	nt.eventually("no host may relay", func() bool { return !nt.usable("r0") && !nt.usable("r1") && !nt.usable("r2") })
 	// The owner has a thousandth of a core.
-	qt.Check(t, direct() <= 1, qt.IsTrue, qt.Commentf("%d workers are streamWorker directly", direct()))
+	qt.Check(t, direct() <= 1, qt.IsTrue, qt.Commentf("%d workers are reached directly", direct()))
 	ad.Via = nt.pool.RelayFor("i-49", "a")
 	err := nt.launch(ad, "b", "x")
 	qt.Check(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
 	for _, ln := range nt.lines {
 		ln.Thaw()
 	}
-	nt.eventually("all go through relays", func() bool { return direct() == 0 && nt.usable(nt.pool.RelayFor("i-49", "a")) })
+	nt.eventually("all workers are reached through relays", func() bool { return direct() == 0 && nt.usable(nt.pool.RelayFor("i-49", "a")) })
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,18 +1,17 @@
-// Package relay carries the orders of a cell's owner to workers through other
-// entry hosts, and the workers' answers back.
+// Package relay carries the orders of a cell's owner to workers through other entry hosts, and
+// the workers' answers back.
 //
-// The owner alone decides, and keeps all state. What costs it most is talking
-// to workers: a request of its own for each order and each look, over a
-// connection of its own. So it holds one stream to each of a few entry hosts,
-// its relays, on which orders and answers travel many to a frame. A relay
-// carries each order out as the owner would have done, and answers with what the
-// worker said. It decides nothing and remembers nothing that would be missed: if
-// a stream ends, what was under way has no answer, as after a lost connection to
-// the worker itself, and the owner settles it by another way.
+// The owner alone makes decisions and keeps state. Its largest cost is talking to workers: one
+// request for each order and each poll, over one connection for each worker. It therefore
+// holds one stream to each of a few entry hosts, its relays, and each frame on a stream
+// carries many orders or answers. A relay executes each order as the owner would have done and
+// returns the worker's answer. It makes no decisions and keeps no state whose loss matters: if
+// a stream ends, the orders in progress get no answer, as after a lost connection to the
+// worker itself, and the owner resolves them over another path.
 //
-// A stream is one HTTP request whose body and answer both go on; each is a
-// sequence of JSON values, one a frame. Both sides send a frame at least every
-// [heartbeatInterval], so that a connection that went silent is noticed.
+// A stream is one HTTP request whose request and response bodies stay open; each body is a
+// sequence of JSON values, one per frame. Both sides send a frame at least every
+// [heartbeatInterval], so that a connection that went silent is detected.
 package relay
 
 import (
@@ -23,39 +22,40 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Path is where a host takes streams.
+// Path is the URL path at which an entry host accepts streams.
 const Path = "/relay/stream"
 
-// Times of a stream.
+// Timeouts and intervals of a stream.
 const (
-	// heartbeatInterval is the time after which an empty frame is sent.
+	// heartbeatInterval is the time after which an empty frame is sent if there is nothing
+	// else to send.
 	heartbeatInterval = 400 * time.Millisecond
-	// idleTimeout is how long no frame may come before the stream counts as dead:
-	// three beats, and some processor time of a host that is short of it.
+	// idleTimeout is the longest time without a frame before the stream is considered dead:
+	// three heartbeats, plus scheduling delay on a host that is short of processor time.
 	idleTimeout = 1500 * time.Millisecond
-	// openTimeout is how long a stream may take to open: 4 to 13 ms were seen with
-	// 490 workers. A new owner has 1.7 s left of a lease of 6 s, the shortest there
-	// is, if its predecessor was replaced as late as can be; after a host that
-	// stands still another relay has to take over in that time.
+	// openTimeout bounds the opening of a stream, which took 4 to 13 ms with 490 workers. If
+	// its predecessor was replaced as late as possible, a new owner has 1.7 s left of the
+	// shortest lease, 6 s; within that time another relay has to take over from a host that is
+	// frozen.
 	openTimeout = 600 * time.Millisecond
-	// batchDelay is how long a frame waits for more after its first order or
-	// answer: less than the way to another data centre and back. While there is much
-	// to send it waits until minFrameInterval after the frame before: each frame costs both
-	// sides a call of the system and often a wake-up.
+	// batchDelay is how long a frame waits for more items after its first order or answer; it
+	// is less than the round trip to another data centre. Under load a frame is sent no sooner
+	// than minFrameInterval after the previous one, as each frame costs both sides a system
+	// call and often a wake-up.
 	batchDelay       = time.Millisecond
 	minFrameInterval = 6 * time.Millisecond
-	// defaultOrderTimeout is what most orders have to be answered, defaultPollTimeout what looks have
-	// besides their wait, and timeoutTolerance how much more or less counts as that: they are
-	// not sent then.
+	// defaultOrderTimeout is the timeout of most orders, defaultPollTimeout that of polls in
+	// addition to their wait. A timeout that differs from the default by no more than
+	// timeoutTolerance is left out of the order.
 	defaultOrderTimeout = 400 * time.Millisecond
 	defaultPollTimeout  = 600 * time.Millisecond
 	timeoutTolerance    = 30 * time.Millisecond
 )
 
-// kind says what an order is.
+// kind is the type of an order.
 type kind string
 
-// The kinds of orders.
+// Order types.
 const (
 	kindLaunch kind = "l"
 	kindHalt   kind = "h"
@@ -63,44 +63,46 @@
 	kindPoll   kind = "k"
 )
 
-// order is one order on its way to a relay. Fields that its kind does not have
-// are left out.
+// order is an order to a worker as sent to a relay. Fields that do not apply to its kind are
+// left out.
 type order struct {
-	// N is the order's number on the stream, under which it is answered.
+	// N is the sequence number of the order on the stream; the answer repeats it.
 	N int64 `json:"n"`
-	// Kind says which of the rest is there.
+	// Kind determines which of the other fields are set.
 	Kind kind `json:"k"`
-	// Worker numbers the worker on the stream; HostPort and Incarnation say which
-	// one it is, the first time.
+	// Worker is the number of the worker on the stream. HostPort and Incarnation identify the
+	// worker; they are sent only with its first order.
 	Worker      int                `json:"w"`
 	HostPort    string             `json:"addr,omitempty"`
 	Incarnation worker.Incarnation `json:"inc,omitzero"`
-	// Fence is the fencing token, if it is not the one of the order before to that
+	// Fence is the fencing token, left out if it equals that of the previous order to the same
 	// worker.
 	Fence int64 `json:"f,omitempty"`
-	// TimeoutMS is how long the answer may take, besides the wait of a look, if that
-	// is not as usual.
+	// TimeoutMS is the timeout of the answer in milliseconds, in addition to the wait of a
+	// poll; 0 stands for the default.
 	TimeoutMS int64 `json:"t,omitempty"`
-	// Task and Number are the attempt, counted from 0 here, as most are the first.
+	// Task and AttemptIndex identify the attempt. The index counts from 0, so that it is left
+	// out for first attempts, which are the most frequent.
 	Task         string `json:"id,omitempty"`
 	AttemptIndex int    `json:"a,omitempty"`
-	// Payload numbers the payload of a launch on the stream; Text has it, the first
-	// time.
+	// PayloadID is the number of a launch's payload on the stream. PayloadText is the payload
+	// itself, sent only the first time.
 	PayloadID   int    `json:"p,omitempty"`
 	PayloadText string `json:"text,omitempty"`
-	// Checkpoint is what to resume from.
+	// Checkpoint is the checkpoint from which to resume.
 	Checkpoint string `json:"c,omitempty"`
-	// LeaseUntilMS is the end of leases by the worker's clock.
+	// LeaseUntilMS is the end of the leases by the worker's clock, in milliseconds.
 	LeaseUntilMS int64 `json:"u,omitempty"`
-	// Percent is the pace.
+	// Percent is the pace of the attempt, in percent of full speed.
 	Percent int `json:"pc,omitempty"`
-	// Seen is the last end that the worker may forget, WaitMS how long a look may
-	// wait for another.
+	// AckedEnd is the number of the last ended attempt that the worker may discard. WaitMS is
+	// how long, in milliseconds, a poll may wait for another one to end.
 	AckedEnd int64 `json:"s,omitempty"`
 	WaitMS   int64 `json:"wait,omitempty"`
 }
 
-// withTimeout returns the order with the time that it has.
+// withTimeout returns the order with its timeout set to d, rounded to the default if it is
+// close to that.
 func (or order) withTimeout(d time.Duration) order {
 	d -= time.Duration(or.WaitMS) * time.Millisecond
 	or.TimeoutMS = 0
@@ -110,7 +112,7 @@
 	return or
 }
 
-// timeout returns the time that the order has.
+// timeout returns the time within which the order has to be answered, at most maxOrderTimeout.
 func (or order) timeout() time.Duration {
 	d := time.Duration(or.TimeoutMS) * time.Millisecond
 	if or.TimeoutMS == 0 {
@@ -126,53 +128,55 @@
 	return defaultOrderTimeout
 }
 
-// attempt is the attempt that the order is about.
+// attempt returns the attempt to which the order applies.
 func (or order) attempt() worker.Attempt {
 	return worker.Attempt{Task: or.Task, Number: or.AttemptIndex + 1}
 }
 
-// orders is a frame to a relay.
+// orderFrame is a frame from the owner to a relay.
 type orderFrame struct {
 	Orders []order `json:"o,omitempty"`
 }
 
-// answer is the answer to one order.
+// answer is a relay's answer to one order.
 type answer struct {
-	// N is the order's number.
+	// N is the sequence number of the order.
 	N int64 `json:"n"`
-	// Code is empty or the code of the error, Text its text.
+	// Code is the code of the error, or empty on success. Text is the text of the error.
 	Code code   `json:"e,omitempty"`
 	Text string `json:"text,omitempty"`
-	// Born is when the process started that answered, if another life was meant.
+	// Born is the start time of the process that answered, if it is not the incarnation to
+	// which the order was addressed.
 	Born int64 `json:"born,omitempty"`
-	// ClockMS is what the worker's clock read.
+	// ClockMS is the reading of the worker's clock, in milliseconds.
 	ClockMS int64 `json:"ms,omitempty"`
-	// Worker is the worker of a look, and Listed what that saw.
+	// Worker is the number of the worker that was polled, Diff the result of the poll.
 	Worker int       `json:"w,omitempty"`
 	Diff   *pollDiff `json:"l,omitempty"`
 }
 
-// answers is a frame of a relay.
+// answerFrame is a frame from a relay to the owner.
 type answerFrame struct {
 	Answers []answer `json:"a,omitempty"`
-	// Leaving is set once the relay's host is about to stop.
+	// Leaving is set when the relay's host is about to stop.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// code stands for an error on a stream.
+// code identifies an error on a stream.
 type code string
 
-// The codes of errors that are not a worker's.
+// Codes of errors that have no counterpart in codes.
 const (
-	// codeNoAnswer: the order may have been carried out, or may be yet.
+	// codeNoAnswer: the order may have been executed, or may still be.
 	codeNoAnswer code = "no-answer"
-	// codeNoPayload: the relay does not have the payload that a launch names.
+	// codeNoPayload: the relay does not have the payload to which a launch refers.
 	codeNoPayload code = "no-payload"
-	// codeOtherIncarnation: another life of the worker answered.
+	// codeOtherIncarnation: another incarnation of the worker answered.
 	codeOtherIncarnation code = "life"
 )
 
-// codes has the errors of workers that stay what they are over a stream.
+// codes maps codes to the worker errors that the owner's side restores, so that errors.Is
+// holds for them on both sides of a stream.
 var codes = []struct {
 	code code
 	err  error
@@ -188,7 +192,7 @@
 	{"broke-off", worker.ErrBrokeOff},
 }
 
-// withError returns the answer with an error.
+// withError returns the answer with the code and the text of err.
 func (an answer) withError(err error) answer {
 	an.Code, an.Text = codeOf(err), err.Error()
 	if le := (*worker.LifeError)(nil); errors.As(err, &le) {
@@ -197,33 +201,35 @@
 	return an
 }
 
-// codeOf returns the code of an error.
+// codeOf returns the code of err, or codeNoAnswer if it has none of its own.
 func codeOf(err error) code {
-	for _, known := range codes {
-		if errors.Is(err, known.err) {
-			return known.code
+	for _, ce := range codes {
+		if errors.Is(err, ce.err) {
+			return ce.code
 		}
 	}
 	return codeNoAnswer
 }
 
-// errNoPayload: the launch was not sent to the worker.
+// errNoPayload is returned if the relay lacks a launch's payload; the launch was not sent to
+// the worker.
 var errNoPayload = errors.New("relay does not have the payload")
 
-// asError returns the error that the answer to an order for a worker stands for.
-func (an answer) asError(via string, meant worker.Incarnation) error {
+// asError returns the error that the answer carries, or nil. The parameter via is the name of
+// the relay, expected the incarnation to which the order was addressed.
+func (an answer) asError(via string, expected worker.Incarnation) error {
 	switch an.Code {
 	case "":
 		return nil
 	case codeNoPayload:
 		return errNoPayload
 	case codeOtherIncarnation:
-		return fmt.Errorf("through %s: %w", via, &worker.LifeError{Meant: meant, Answered: worker.Incarnation{ID: meant.ID, Born: an.Born}})
+		return fmt.Errorf("through relay %s: %w", via, &worker.LifeError{Meant: expected, Answered: worker.Incarnation{ID: expected.ID, Born: an.Born}})
 	}
-	for _, known := range codes {
-		if an.Code == known.code {
-			return fmt.Errorf("through %s: %w", via, known.err)
+	for _, ce := range codes {
+		if an.Code == ce.code {
+			return fmt.Errorf("through relay %s: %w", via, ce.err)
 		}
 	}
-	return fmt.Errorf("through %s: %s", via, an.Text)
+	return fmt.Errorf("through relay %s: %s", via, an.Text)
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -16,26 +16,27 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Header fields of a stream's request: who opens it.
+// Header fields of the request that opens a stream; they identify the owner.
 const (
 	headerOwner = "Pepperhatch-Owner"
 	headerEpoch = "Pepperhatch-Epoch"
 )
 
-// Bounds on what a relay keeps for one stream.
+// Limits on the state that a relay keeps for one stream.
 const (
-	// maxPayloads is how many payloads it keeps, each of some thousand bytes; an
-	// owner is told if one it names is not there.
+	// maxPayloads is the maximum number of payloads, of a few kilobytes each. The owner gets
+	// codeNoPayload if it refers to one that was removed.
 	maxPayloads = 2000
-	// maxOrderTimeout bounds one order, whatever it says.
+	// maxOrderTimeout is the upper bound on the timeout of an order.
 	maxOrderTimeout = 5 * time.Second
 )
 
-// Server is the relay's side of streams. Set the fields, then use it as a handler.
+// Server is the relay's side of streams. Set the exported fields, then use it as an HTTP
+// handler.
 type Server struct {
-	// Agent talks to workers.
+	// Agent reaches workers from this host.
 	Agent worker.Agent
-	// Log gets streams that begin and end.
+	// Log receives messages on streams that start and end.
 	Log *slog.Logger
 
 	leaving atomic.Bool
@@ -43,31 +44,31 @@
 	streams map[*ownerStream]bool
 }
 
-// serving is one stream.
+// ownerStream is the stream of one owner.
 type ownerStream struct {
 	sv  *Server
 	ctx context.Context
-	// end ends the stream.
+	// end cancels ctx, which ends the stream.
 	end context.CancelFunc
 	out *outbox[answer]
 
-	// The rest is the reader's alone.
+	// The remaining fields are used only by the goroutine that reads the stream.
 	workers  map[int]*streamWorker
 	payloads map[int]string
 }
 
-// streamWorker is a worker as a stream knows it.
+// streamWorker is the state that a stream keeps on one worker.
 type streamWorker struct {
 	number int
 	addr   worker.Addr
-	// fence is that of the last order.
+	// fence is the fencing token of the last order.
 	fence int64
 
 	mu          sync.Mutex
 	diffEncoder diffEncoder
 }
 
-// Leave tells the owners that this host is about to stop.
+// Leave notifies the owners that this host is about to stop; new streams are refused.
 func (sv *Server) Leave() {
 	sv.leaving.Store(true)
 	sv.mu.Lock()
@@ -77,7 +78,7 @@
 	}
 }
 
-// ServeHTTP implements http.Handler: it serves one stream until that ends.
+// ServeHTTP implements http.Handler. It serves one stream until the stream ends.
 func (sv *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if sv.leaving.Load() {
 		http.Error(w, "this host is about to stop", http.StatusServiceUnavailable)
@@ -95,13 +96,13 @@
 	se := &ownerStream{sv: sv, ctx: ctx, end: cancel, out: newOutbox[answer](), workers: map[int]*streamWorker{}, payloads: map[int]string{}}
 	sv.register(se)
 	defer sv.unregister(se)
-	// The response may not be written once this method has returned.
+	// The response must not be written after this method has returned.
 	var writer sync.WaitGroup
 	defer writer.Wait()
 	defer cancel()
 	writer.Go(func() {
 		if err := se.write(w, rc); err != nil {
-			sv.Log.Info("stream of an owner cannot be written", "owner", owner, "err", err)
+			sv.Log.Info("cannot write to the stream of an owner", "owner", owner, "err", err)
 		}
 		cancel()
 		se.stopReading(rc)
@@ -140,22 +141,25 @@
 	})
 }
 
-// stopReading ends the wait for the next frame. The context must have ended.
+// stopReading interrupts the wait for the next frame. The stream's context must have ended
+// before the call.
 func (se *ownerStream) stopReading(rc *http.ResponseController) {
 	if err := rc.SetReadDeadline(time.Now()); err != nil && !errors.Is(err, net.ErrClosed) {
-		se.sv.Log.Warn("wait for a frame cannot be ended", "err", err)
+		se.sv.Log.Warn("cannot interrupt reading a stream", "err", err)
 	}
 }
 
-// maxReadStall is how much longer than a frame may take its reading may, for the time that the
-// process waits for a processor.
+// maxReadStall is by how much reading a frame may exceed the idle timeout, to allow for
+// scheduling delay of this process.
 const maxReadStall = time.Second
 
-// errStalled: the owner has given the stream up, and its orders with it.
+// errStalled is returned if this process did not run for so long that the owner has given up
+// the stream and the orders on it.
 var errStalled = errors.New("this process stood still")
 
-// read takes orders until the stream ends. It looks at the context after each change
-// of the deadline, lest it put off the one that [ownerStream.stopReading] sets.
+// read starts the orders it receives until the stream ends. It checks the context after each
+// change of the read deadline, as that may overwrite the deadline set by
+// [ownerStream.stopReading].
 func (se *ownerStream) read(body io.Reader, rc *http.ResponseController) error {
 	dec := json.NewDecoder(body)
 	for {
@@ -171,7 +175,7 @@
 			return fmt.Errorf("read frame: %w", err)
 		}
 		if err := se.ctx.Err(); err != nil {
-			return fmt.Errorf("stream was given up: %w", err)
+			return fmt.Errorf("stream closed: %w", err)
 		}
 		for _, or := range fr.Orders {
 			se.startOrder(or)
@@ -179,7 +183,7 @@
 	}
 }
 
-// take begins one order.
+// startOrder starts the execution of one order.
 func (se *ownerStream) startOrder(or order) {
 	re := se.workers[or.Worker]
 	if re == nil || or.HostPort != "" {
@@ -197,7 +201,7 @@
 	go se.execute(re, or)
 }
 
-// fill gives a launch its payload, and reports whether it is there.
+// loadPayload sets the payload of a launch, and reports whether the relay has it.
 func (se *ownerStream) loadPayload(or *order) bool {
 	if or.PayloadID == 0 {
 		return true
@@ -213,7 +217,7 @@
 	return true
 }
 
-// execute carries an order out and answers it.
+// execute sends an order to its worker and queues the answer.
 func (se *ownerStream) execute(re *streamWorker, or order) {
 	ctx, cancel := context.WithTimeout(se.ctx, or.timeout())
 	defer cancel()
@@ -232,14 +236,14 @@
 		se.poll(ctx, re, or)
 		return
 	default:
-		err = fmt.Errorf("%w: order of kind %q", worker.ErrMalformed, or.Kind)
+		err = fmt.Errorf("%w: unknown kind of order %q", worker.ErrMalformed, or.Kind)
 	}
 	an.ClockMS = ack.ClockMS
 	se.answer(an, err)
 }
 
-// look looks at a worker and answers with what is new. Differences go out in the
-// order in which they are made.
+// poll polls a worker and queues the difference from the previous poll. The lock ensures that
+// differences are sent in the order in which they are computed.
 func (se *ownerStream) poll(ctx context.Context, re *streamWorker, or order) {
 	lo := worker.Look{Fence: or.Fence, Seen: or.AckedEnd, LeaseUntilMS: or.LeaseUntilMS, Wait: time.Duration(or.WaitMS) * time.Millisecond}
 	si, err := se.sv.Agent.LookFunc(ctx, re.addr, lo)
@@ -259,12 +263,12 @@
 	se.enqueue(an)
 }
 
-// put has an answer be sent. If too many wait it ends the stream: what follows would
-// be differences to what the owner never had.
+// enqueue queues an answer. If the queue is full it ends the stream, as later answers would be
+// relative to one that the owner never received.
 func (se *ownerStream) enqueue(an answer) {
 	if se.out.put(an) || se.ctx.Err() != nil {
 		return
 	}
-	se.sv.Log.Warn("ending the stream of an owner, as too many answers wait", "order", an.N)
+	se.sv.Log.Warn("ending the stream of an owner: too many answers queued", "order", an.N)
 	se.end()
 }
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -18,8 +18,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin/linetest"
 )
 
-// slowOwner is an owner that sends frames on a stream and takes no answers until it
-// is told to.
+// slowOwner is an owner that sends frames on a stream and does not read answers until the test
+// does.
 type slowOwner struct {
 	t      *testing.T
 	relay  *Server
@@ -27,9 +27,9 @@
 	frames *json.Encoder
 }
 
-// tightBuffer bounds what the relay's kernel takes for a connection, in bytes, so that
-// few answers fill it.
-const tightBuffer = 64 << 10
+// smallBuffer is the kernel's send buffer for a connection of the relay, in bytes, so small
+// that few answers fill it.
+const smallBuffer = 64 << 10
 
 func newSlowOwner(t *testing.T) *slowOwner {
 	t.Helper()
@@ -37,7 +37,7 @@
 	hs := httptest.NewUnstartedServer(ow.relay)
 	hs.Config.ConnState = func(nc net.Conn, st http.ConnState) {
 		if st == http.StateNew {
-			qt.Check(t, nc.(*net.TCPConn).SetWriteBuffer(tightBuffer), qt.IsNil)
+			qt.Check(t, nc.(*net.TCPConn).SetWriteBuffer(smallBuffer), qt.IsNil)
 		}
 	}
 	hs.Start()
@@ -55,7 +55,7 @@
 	return ow
 }
 
-// flood sends more orders, all answered at once, than may wait for the owner.
+// flood sends twice as many orders as answers may be queued; all are answered at once.
 func (ow *slowOwner) flood() {
 	var fr orderFrame
 	for n := range 2 * maxOutboxItems {
@@ -64,17 +64,17 @@
 	qt.Assert(ow.t, ow.frames.Encode(fr), qt.IsNil)
 }
 
-// sendUntil sends frames until something is so.
+// sendUntil sends empty frames until ok returns true.
 func (ow *slowOwner) sendUntil(ok func() bool) {
 	for !ok() {
-		// What the relay no longer takes tells nothing: it still has to end.
+		// Write errors don't matter: the relay still has to end the stream.
 		_ = ow.frames.Encode(orderFrame{})
 		time.Sleep(heartbeatInterval / 8)
 	}
 }
 
-// given reports whether the relay has given the stream up.
-func (ow *slowOwner) given() bool {
+// gaveUp reports whether the relay has given up the stream.
+func (ow *slowOwner) gaveUp() bool {
 	ow.relay.mu.Lock()
 	defer ow.relay.mu.Unlock()
 	for se := range ow.relay.streams {
@@ -83,47 +83,44 @@
 	return true
 }
 
-// TestStreamGivenUp is the story of a relay that gives a stream up, and goes on with it.
+// TestFullQueueEndsStream guards against a relay that gives up a stream but keeps executing
+// the orders on it, so that workers obey orders and no answer comes back.
 //
-// What a user would see: workers obey an owner's orders, and no answer to any of them
-// comes back. Order of events: an owner takes answers slowly, so that too many wait; the
-// relay ends the stream's context, and its writer ends; but the reader, which the end of
-// the stream waits for, looks at no context: it waits for the next frame, which comes, as
-// the owner beats. Nobody but the owner ends the stream, by its own watchdog.
-//
-// Evidence: the log has "ending the stream of an owner", and not "no longer relaying".
-func TestStreamGivenUp(t *testing.T) {
+// An owner read answers slowly, so that too many were queued. The relay cancelled the stream's
+// context and its writer ended, but the reader did not check the context and kept receiving
+// frames, as the owner sends heartbeats. Only the owner's own watchdog ended the stream.
+func TestFullQueueEndsStream(t *testing.T) {
 	ow := newSlowOwner(t)
 	ow.flood()
-	linetest.Ends(t, "waiting until the stream is given up", func() { ow.sendUntil(ow.given) })
+	linetest.Ends(t, "wait until the relay gives up the stream", func() { ow.sendUntil(ow.gaveUp) })
 	go func() { _, _ = io.Copy(io.Discard, ow.conn) }()
-	linetest.Ends(t, "stream", func() { ow.sendUntil(func() bool { return !serves(ow.relay) }) })
+	linetest.Ends(t, "wait until the stream has ended", func() { ow.sendUntil(func() bool { return !servesStream(ow.relay) }) })
 }
 
-// TestOpenStreamsThatStall has the way to a relay stall while a stream is open: both
-// sides give it up, and the workers have another way.
-func TestOpenStreamsThatStall(t *testing.T) {
+// TestOpenStreamStalls stalls the connection to a relay while a stream is open: both sides
+// must give up the stream, and the workers must get another path.
+func TestOpenStreamStalls(t *testing.T) {
 	for _, st := range standin.Stalls {
 		t.Run(string(st), func(t *testing.T) {
 			t.Parallel()
 			nt := newNetwork(t, 2)
 			ad := nt.add()
-			_, err := nt.look(ad)
+			_, err := nt.poll(ad)
 			qt.Assert(t, err, qt.IsNil)
 			used := int(ad.Via[1] - '0')
 			qt.Assert(t, nt.lines[used].Stall(st), qt.IsNil)
 			t.Cleanup(nt.lines[used].Thaw)
-			nt.eventually("another relay is wanted", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
-			nt.eventually("the relay serves no stream", func() bool { return !serves(nt.relays[used]) })
+			nt.eventually("the worker is assigned another relay", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
+			nt.eventually("the relay serves no stream", func() bool { return !servesStream(nt.relays[used]) })
 			ad.Via = nt.pool.RelayFor("i-0", "a")
-			_, err = nt.look(ad)
+			_, err = nt.poll(ad)
 			qt.Assert(t, err, qt.IsNil)
 		})
 	}
 }
 
-// serves reports whether a relay serves a stream.
-func serves(sv *Server) bool {
+// servesStream reports whether a relay serves a stream.
+func servesStream(sv *Server) bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return len(sv.streams) > 0
--- a/internal/relay/stall_test.go
+++ b/internal/relay/stall_test.go
@@ -14,14 +14,14 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// stillBody gives one frame at a time, with a pause before each; no deadline cuts it short,
-// as none does while a process stands still.
-type stillBody struct {
+// stalledBody returns one frame at a time, after a pause before each. Deadlines do not
+// interrupt it, just as they don't while a process is suspended.
+type stalledBody struct {
 	frames []string
 	pause  time.Duration
 }
 
-func (sb *stillBody) Read(data []byte) (int, error) {
+func (sb *stalledBody) Read(data []byte) (int, error) {
 	time.Sleep(sb.pause)
 	if len(sb.frames) == 0 {
 		return 0, context.Canceled
@@ -31,13 +31,14 @@
 	return n, nil
 }
 
-// deadlines is a response whose deadlines can be set.
-type deadlines struct{ http.ResponseWriter }
+// noopDeadlines is a response writer that accepts read deadlines and ignores them.
+type noopDeadlines struct{ http.ResponseWriter }
 
-func (deadlines) SetReadDeadline(time.Time) error { return nil }
+func (noopDeadlines) SetReadDeadline(time.Time) error { return nil }
 
-// TestOrdersOfAStreamThatStoodStillAreNotCarriedOut has a relay wake with an order unread that its owner has given up.
-func TestOrdersOfAStreamThatStoodStillAreNotCarriedOut(t *testing.T) {
+// TestStalledRelayDropsOrders checks that a relay that resumes after its process was suspended
+// does not execute an unread order that its owner has given up.
+func TestStalledRelayDropsOrders(t *testing.T) {
 	for pause, want := range map[time.Duration]int32{heartbeatInterval: 2, 5 * time.Second: 0} {
 		synctest.Test(t, func(t *testing.T) {
 			var launches atomic.Int32
@@ -50,11 +51,11 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			se := &ownerStream{sv: sv, ctx: ctx, end: cancel, out: newOutbox[answer](), workers: map[int]*streamWorker{}, payloads: map[int]string{}}
-			body := &stillBody{pause: pause, frames: []string{
+			body := &stalledBody{pause: pause, frames: []string{
 				`{"o":[{"n":1,"k":"l","w":1,"addr":"10.0.0.1:80","inc":"i-0@5","f":1,"id":"t"}]}`,
 				`{"o":[{"n":2,"k":"l","w":1,"id":"u"}]}`,
 			}}
-			err := se.read(body, http.NewResponseController(deadlines{}))
+			err := se.read(body, http.NewResponseController(noopDeadlines{}))
 			qt.Check(t, err, qt.IsNotNil)
 			synctest.Wait()
 			qt.Check(t, launches.Load(), qt.Equals, want)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -17,53 +17,53 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// payloadRetention is how long an owner takes a relay to have a payload that it last
-// named so long ago.
+// payloadRetention is how long after its last use on a stream the owner assumes that the relay
+// still has a payload.
 const payloadRetention = 20 * time.Second
 
-// errStreamEnded: what was under way has no answer.
+// errStreamEnded is returned for orders in progress when the stream ends; they have no answer.
 var errStreamEnded = errors.New("stream to the relay has ended")
 
-// stream is the owner's side of one stream. Make one with [newStream], then call
+// stream is the owner's side of one stream. Create it with [newStream], then call
 // [stream.run].
 type stream struct {
-	// via names the relay, for errors; owner and epoch say who opens it.
+	// via is the name of the relay. owner and epoch identify the owner that opens the stream.
 	via   string
 	owner string
 	epoch int64
 	log   *slog.Logger
 	out   *outbox[order]
-	// openTimeout is how long it may take to open.
+	// openTimeout bounds the time until the stream is open.
 	openTimeout time.Duration
 	// onLeaving is called when the relay's host is about to stop.
 	onLeaving func()
 
 	mu       sync.Mutex
 	ended    bool
-	next     int64
+	lastN    int64
 	pending  map[int64]chan<- result
 	workers  map[worker.Addr]*workerRef
 	decoders map[int]*diffDecoder
-	// payloads are those that the relay should have, by their hash; named counts
-	// those there ever were.
+	// payloads are those that the relay is assumed to have, by hash. payloadCount is the
+	// number of payloads sent so far.
 	payloads     map[uint64]payloadRef
 	payloadCount int
 }
 
-// workerRef is a worker as a stream knows it: its number, and the fencing token of the
-// last order to it.
+// workerRef is the number of a worker on a stream, and the fencing token of the last order to
+// the worker.
 type workerRef struct {
 	number int
 	fence  int64
 }
 
-// named is a payload's number on a stream, and when it was last named there.
+// payloadRef is the number of a payload on a stream, and when it was last used there.
 type payloadRef struct {
 	number int
 	last   time.Time
 }
 
-// result is what became of an order.
+// result is the outcome of an order.
 type result struct {
 	an answer
 	si worker.Sight
@@ -71,6 +71,7 @@
 	err error
 }
 
+// newStream returns a stream to the relay via for the owner of an epoch.
 func newStream(via, owner string, epoch int64, log *slog.Logger) *stream {
 	return &stream{
 		via: via, owner: owner, epoch: epoch, log: log, out: newOutbox[order](), openTimeout: openTimeout,
@@ -78,25 +79,25 @@
 	}
 }
 
-// run opens the stream at addr, calls opened, and serves it until it ends.
+// run opens the stream at addr, calls opened, and serves the stream until it ends.
 func (st *stream) run(ctx context.Context, hc *http.Client, addr string, opened func()) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer st.failPending()
-	// The watchdog ends the stream if it does not open, or if no frame comes, for too
-	// long.
+	// The watchdog ends the stream if it does not open, or if no frame arrives, in time.
 	watchdog := time.AfterFunc(st.openTimeout, cancel)
 	defer watchdog.Stop()
 	body, in := io.Pipe()
-	// The client returns only once the request is written to its end, so the context
-	// has to end the body: a stream to a host that never answers would not end else. And
-	// once it has returned, its goroutine that writes still waits for that end.
+	// The client returns only once the request body has ended, so the end of the context has
+	// to close the body: otherwise a stream to a host that never answers would not end. After
+	// the client has returned, its goroutine that writes the request still waits for the end
+	// of the body.
 	closing := context.AfterFunc(ctx, func() { _ = in.Close() })
 	defer func() { _ = in.Close() }()
 	defer closing()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+Path, body)
 	if err != nil {
-		return fmt.Errorf("request for relay %s: %w", st.via, err)
+		return fmt.Errorf("create request to relay %s: %w", st.via, err)
 	}
 	req.Header.Set(headerOwner, st.owner)
 	req.Header.Set(headerEpoch, strconv.FormatInt(st.epoch, 10))
@@ -107,7 +108,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("open stream to relay %s: status %d", st.via, resp.StatusCode)
+		return fmt.Errorf("open stream to relay %s: unexpected status %d", st.via, resp.StatusCode)
 	}
 	watchdog.Reset(idleTimeout)
 	opened()
@@ -119,7 +120,7 @@
 	enc := json.NewEncoder(in)
 	err := st.out.sendLoop(ctx.Done(), func(list []order) error { return enc.Encode(orderFrame{Orders: list}) })
 	if err != nil && ctx.Err() == nil {
-		st.log.Info("stream to a relay cannot be written", "relay", st.via, "err", err)
+		st.log.Info("cannot write to the stream to a relay", "relay", st.via, "err", err)
 	}
 }
 
@@ -128,7 +129,7 @@
 	for {
 		var fr answerFrame
 		if err := dec.Decode(&fr); err != nil {
-			return fmt.Errorf("read frame of relay %s: %w", st.via, err)
+			return fmt.Errorf("read frame from relay %s: %w", st.via, err)
 		}
 		watchdog.Reset(idleTimeout)
 		for _, an := range fr.Answers {
@@ -140,8 +141,8 @@
 	}
 }
 
-// take hands an answer to who waits for it. Looks are put together also if
-// nobody does any more: later ones diffEncoder from them.
+// deliver passes an answer to the caller that waits for it. Poll results are decoded even if
+// no caller waits any more, as later ones are relative to them.
 func (st *stream) deliver(an answer) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -160,19 +161,19 @@
 	}
 }
 
-// end answers all that is under way with an error.
+// failPending completes all orders in progress with an error.
 func (st *stream) failPending() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.ended = true
 	for n, ch := range st.pending {
 		delete(st.pending, n)
-		ch <- result{err: fmt.Errorf("through %s: %w", st.via, errStreamEnded)}
+		ch <- result{err: fmt.Errorf("through relay %s: %w", st.via, errStreamEnded)}
 	}
 }
 
-// call sends an order and waits for its answer. It returns [worker.ErrNotSent] if
-// the order certainly does not get to the worker.
+// call sends an order and waits for its answer. It returns [worker.ErrNotSent] if the order
+// certainly does not reach the worker.
 func (st *stream) call(ctx context.Context, ad worker.Addr, or order) (result, error) {
 	ch := make(chan result, 1)
 	n, err := st.send(ctx, ad, or, ch)
@@ -187,11 +188,11 @@
 		return re, re.an.asError(st.via, ad.Incarnation)
 	case <-ctx.Done():
 		st.dropPending(n)
-		return result{}, fmt.Errorf("through %s: %w", st.via, ctx.Err())
+		return result{}, fmt.Errorf("through relay %s: %w", st.via, ctx.Err())
 	}
 }
 
-// send numbers an order and has it sent.
+// send numbers an order and queues it; its result is sent on ch. It returns the number.
 func (st *stream) send(ctx context.Context, ad worker.Addr, or order, ch chan<- result) (int64, error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -200,24 +201,24 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.ended {
-		return 0, fmt.Errorf("through %s: %w", st.via, worker.ErrNotSent)
+		return 0, fmt.Errorf("through relay %s: %w", st.via, worker.ErrNotSent)
 	}
-	st.next++
-	or.N = st.next
+	st.lastN++
+	or.N = st.lastN
 	or = or.withTimeout(time.Until(deadline))
 	st.setWorker(ad, &or)
 	if or.Kind == kindLaunch {
 		st.setPayload(&or)
 	}
 	if !st.out.put(or) {
-		return 0, fmt.Errorf("through %s, which has too much to do: %w", st.via, worker.ErrNotSent)
+		return 0, fmt.Errorf("through relay %s, whose queue of orders is full: %w", st.via, worker.ErrNotSent)
 	}
 	st.pending[or.N] = ch
 	return or.N, nil
 }
 
-// name says which worker the order is for, and leaves its fencing token out if that
-// is the last one.
+// setWorker sets the worker of an order, and leaves out its fencing token if that is the same
+// as in the previous order to the worker.
 func (st *stream) setWorker(ad worker.Addr, or *order) {
 	wr := st.workers[ad]
 	if wr == nil {
@@ -233,7 +234,8 @@
 	wr.fence = or.Fence
 }
 
-// shorten leaves the payload out that the relay has.
+// setPayload sets the number of a launch's payload, and leaves out its text if the relay has
+// it.
 func (st *stream) setPayload(or *order) {
 	if or.PayloadText == "" {
 		return
@@ -254,8 +256,8 @@
 	or.PayloadID = pr.number
 }
 
-// expirePayloads takes the relay not to have payloads that were not named for long,
-// or any, if all were.
+// expirePayloads removes payloads that were not used for payloadRetention, or all if too many
+// are left.
 func (st *stream) expirePayloads(now time.Time) {
 	for hash, pr := range st.payloads {
 		if now.Sub(pr.last) >= payloadRetention {
@@ -267,14 +269,14 @@
 	}
 }
 
-// lacks notes that the relay does not have a payload.
+// resetPayloads removes all payloads, after the relay has reported that one is missing.
 func (st *stream) resetPayloads() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	clear(st.payloads)
 }
 
-// forget has nobody wait for an order any more.
+// dropPending removes an order for whose answer no caller waits any more.
 func (st *stream) dropPending(n int64) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -21,54 +21,55 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// network is an owner's pool with relays over HTTP and a fleet of workers behind them.
+// network is an owner's pool with relays over HTTP, and a fleet of workers behind the relays.
 type network struct {
 	t     *testing.T
 	fleet standin.Fleet
 	pool  *Pool
-	// relays are the hosts, and lines the ways to them.
+	// relays are the relay hosts, lines the connections to them.
 	relays  []*Server
 	lines   []*standin.Line
 	members []registry.Member
 
 	mu      sync.Mutex
 	changes int
-	// streams counts those that were begun to open, by host.
+	// streams counts the attempts to open a stream, by host.
 	streams map[string]int
 }
 
-// countStreams counts the lines that say so.
-type countStreams struct {
+// streamCounter is a log handler that counts the messages on streams being opened.
+type streamCounter struct {
 	slog.Handler
 
 	nt *network
 }
 
-func (cs countStreams) Enabled(context.Context, slog.Level) bool { return true }
+func (sc streamCounter) Enabled(context.Context, slog.Level) bool { return true }
 
-func (cs countStreams) Handle(_ context.Context, rec slog.Record) error {
+func (sc streamCounter) Handle(_ context.Context, rec slog.Record) error {
 	if rec.Message != "opening a stream to a relay" {
 		return nil
 	}
 	rec.Attrs(func(at slog.Attr) bool {
-		cs.nt.mu.Lock()
-		defer cs.nt.mu.Unlock()
-		cs.nt.streams[at.Value.String()]++
+		sc.nt.mu.Lock()
+		defer sc.nt.mu.Unlock()
+		sc.nt.streams[at.Value.String()]++
 		return false
 	})
 	return nil
 }
 
-// newNetwork returns an owner with so many relays, each with room for all workers.
+// newNetwork returns an owner with the given number of relays, each with capacity for all
+// workers.
 func newNetwork(t *testing.T, relays int) *network {
 	t.Helper()
 	nt := &network{t: t, streams: map[string]int{}}
-	log := slog.New(countStreams{slog.DiscardHandler, nt})
+	log := slog.New(streamCounter{slog.DiscardHandler, nt})
 	nt.pool = &Pool{Self: "self", Cores: 0.001, Epoch: 1, HTTP: &http.Client{}, Direct: nt.fleet.Agent(), Log: log, ChangedFunc: nt.changed}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go nt.pool.Run(ctx)
-	nt.eventually("running", func() bool {
+	nt.eventually("the pool runs", func() bool {
 		nt.pool.mu.Lock()
 		defer nt.pool.mu.Unlock()
 		return nt.pool.ctx != nil
@@ -79,7 +80,7 @@
 	return nt
 }
 
-// addRelays adds relays that the pool does not know yet.
+// addRelays adds n relays that the pool does not know yet.
 func (nt *network) addRelays(n int) {
 	for range n {
 		i, sv := len(nt.relays), &Server{Agent: nt.fleet.Agent(), Log: nt.pool.Log}
@@ -95,15 +96,15 @@
 	}
 }
 
-// told is how often the owner was told of changes.
-func (nt *network) told() int {
+// notifications returns how often the owner was notified of changes.
+func (nt *network) notifications() int {
 	nt.mu.Lock()
 	defer nt.mu.Unlock()
 	return nt.changes
 }
 
-// opened is how many streams to a host were begun to open.
-func (nt *network) opened(name string) int {
+// streamsOpened returns how often opening a stream to a host was started.
+func (nt *network) streamsOpened(name string) int {
 	nt.mu.Lock()
 	defer nt.mu.Unlock()
 	return nt.streams[name]
@@ -123,10 +124,10 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	nt.t.Fatalf("not so in time: %s", what)
+	nt.t.Fatalf("condition not met in time: %s", what)
 }
 
-// add adds a worker and returns its address by the way the pool wants.
+// add adds a worker and returns its address with the relay that the pool assigns.
 func (nt *network) add() worker.Addr {
 	ad := worker.Addr{HostPort: "10.0.0.1:80", Incarnation: worker.Incarnation{ID: "i-0", Born: 1}}
 	nt.fleet.Add(&standin.FleetWorker{Addr: ad, Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}})
@@ -141,8 +142,9 @@
 	return nt.pool.assigner.usable(name)
 }
 
-// drop loses the stream to a host, if there is one, and lets the host be used at once.
-func (nt *network) drop(name string) {
+// loseStream reports the stream to a host, if there is one, as lost, and makes the host usable
+// again at once.
+func (nt *network) loseStream(name string) {
 	nt.pool.mu.Lock()
 	li := nt.pool.links[name]
 	var st *stream
@@ -158,33 +160,33 @@
 	delete(nt.pool.assigner.unavailable, name)
 }
 
-// endless has attempts run until they are stopped.
-func endless(worker.Attempt) (time.Duration, string) { return -1, "" }
+// runForever makes attempts run until they are stopped.
+func runForever(worker.Attempt) (time.Duration, string) { return -1, "" }
 
-func within() (context.Context, context.CancelFunc) {
+func testContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), 2*time.Second)
 }
 
 func (nt *network) launch(ad worker.Addr, task, payload string) error {
-	ctx, cancel := within()
+	ctx, cancel := testContext()
 	defer cancel()
 	at := worker.Attempt{Task: task, Number: 1}
 	_, err := nt.pool.Agent().LaunchFunc(ctx, ad, worker.Launch{Attempt: at, Payload: payload, Fence: 7, LeaseUntilMS: 1 << 40})
 	return err
 }
 
-func (nt *network) look(ad worker.Addr) (worker.Sight, error) {
-	ctx, cancel := within()
+func (nt *network) poll(ad worker.Addr) (worker.Sight, error) {
+	ctx, cancel := testContext()
 	defer cancel()
 	return nt.pool.Agent().LookFunc(ctx, ad, worker.Look{Fence: 7, LeaseUntilMS: 1 << 40})
 }
 
-func TestOrdersThroughARelay(t *testing.T) {
+func TestOrdersThroughRelay(t *testing.T) {
 	nt := newNetwork(t, 1)
-	nt.fleet.RunFunc = endless
+	nt.fleet.RunFunc = runForever
 	ad := nt.add()
 	payload := strings.Repeat("load the vans ", 50)
-	t.Run("launches carry their payload, also when it was sent before", func(t *testing.T) {
+	t.Run("launches carry their payload, even if it was sent before", func(t *testing.T) {
 		for _, task := range []string{"a", "b", "c"} {
 			qt.Assert(t, nt.launch(ad, task, payload), qt.IsNil)
 		}
@@ -207,11 +209,11 @@
 		qt.Assert(t, nt.launch(ad, "e", payload), qt.IsNil)
 		qt.Assert(t, nt.fleet.Runs()[4].Payload, qt.Equals, payload)
 	})
-	t.Run("looks see what runs and what ended", func(t *testing.T) {
-		si, err := nt.look(ad)
+	t.Run("polls list running and ended attempts", func(t *testing.T) {
+		si, err := nt.poll(ad)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, si.Running, qt.HasLen, 5)
-		ctx, cancel := within()
+		ctx, cancel := testContext()
 		defer cancel()
 		at := worker.Attempt{Task: "a", Number: 1}
 		_, err = nt.pool.Agent().PaceFunc(ctx, ad, worker.Pace{Attempt: at, Percent: 40, Fence: 7})
@@ -219,60 +221,60 @@
 		ack, err := nt.pool.Agent().HaltFunc(ctx, ad, worker.Halt{Attempt: at, Fence: 7})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, ack.ClockMS > 0, qt.IsTrue)
-		si, err = nt.look(ad)
+		si, err = nt.poll(ad)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, si.Running, qt.HasLen, 4)
 		qt.Assert(t, si.Ended, qt.HasLen, 1)
 		qt.Assert(t, si.Ended[0].Attempt, qt.Equals, at)
 		qt.Assert(t, si.Ended[0].How, qt.Equals, "stopped")
 	})
-	t.Run("errors stay what they are", func(t *testing.T) {
-		ctx, cancel := within()
+	t.Run("worker errors keep their identity", func(t *testing.T) {
+		ctx, cancel := testContext()
 		defer cancel()
 		_, err := nt.pool.Agent().LookFunc(ctx, ad, worker.Look{Fence: 3})
 		qt.Assert(t, errors.Is(err, worker.ErrFenced), qt.IsTrue, qt.Commentf("%v", err))
 		other := ad
 		other.Incarnation.ID = "i-9"
-		_, err = nt.look(other)
+		_, err = nt.poll(other)
 		qt.Assert(t, errors.Is(err, worker.ErrOtherLife), qt.IsTrue, qt.Commentf("%v", err))
 	})
 }
 
-func TestRelayIsLost(t *testing.T) {
+func TestRelayLost(t *testing.T) {
 	nt := newNetwork(t, 2)
-	nt.fleet.RunFunc = endless
+	nt.fleet.RunFunc = runForever
 	ad := nt.add()
-	_, err := nt.look(ad)
+	_, err := nt.poll(ad)
 	qt.Assert(t, err, qt.IsNil)
 	used := int(ad.Via[1] - '0')
 
-	t.Run("a connection that goes silent is noticed, and what was under way has no answer", func(t *testing.T) {
+	t.Run("a connection that goes silent is detected, and orders in progress get no answer", func(t *testing.T) {
 		qt.Assert(t, nt.lines[used].Silence() > 0, qt.IsTrue)
 		err := nt.launch(ad, "a", "x")
 		qt.Assert(t, err, qt.IsNotNil)
 		qt.Assert(t, errors.Is(err, worker.ErrNotSent), qt.IsFalse, qt.Commentf("%v", err))
-		nt.eventually("another relay is wanted", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
+		nt.eventually("the worker is assigned another relay", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
 	})
-	t.Run("orders by the old way are not sent", func(t *testing.T) {
+	t.Run("orders over the former path are not sent", func(t *testing.T) {
 		err := nt.launch(ad, "b", "x")
 		qt.Assert(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
 	})
-	t.Run("the other relay serves", func(t *testing.T) {
+	t.Run("the other relay is used", func(t *testing.T) {
 		ad.Via = nt.pool.RelayFor("i-0", "a")
-		si, err := nt.look(ad)
+		si, err := nt.poll(ad)
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, si.Running, qt.HasLen, 0)
 	})
 	t.Run("a relay that is about to stop is not used", func(t *testing.T) {
 		nt.relays[1-used].Leave()
-		nt.eventually("it is not wanted", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
+		nt.eventually("the worker is no longer assigned to it", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
 		nt.mu.Lock()
 		defer nt.mu.Unlock()
 		qt.Assert(t, nt.changes >= 2, qt.IsTrue)
 	})
 }
 
-func TestDirectWays(t *testing.T) {
+func TestDirectPath(t *testing.T) {
 	nt := newNetwork(t, 0+1)
 	ad := nt.add()
 	ad.Via = ""
@@ -282,8 +284,8 @@
 	qt.Assert(t, nt.pool.RelayFor("i-0", "a"), qt.Equals, "")
 }
 
-// TestDroppedWorkers has an owner forget most of its workers for a moment, and for good:
-// only the latter is a reason to reach the others directly.
+// TestDroppedWorkers has an owner drop most of its workers, first briefly and then for good.
+// Only the latter may make it reach the remaining workers directly.
 func TestDroppedWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var changes atomic.Int32
