--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,11 +1,11 @@
-// Package peer keeps each entry host informed of the others: who is there,
-// what load they have, which configuration is in force.
+// Package peer keeps each entry host informed of the others: which hosts there are, their
+// load, and the version of the configuration that is in force on them.
 //
-// Hosts greet each other directly, often within a data centre and seldom
-// between; a greeting is small and complete, so that a lost one costs
-// nothing. Being heard of here gives no rights: who owns what is for package
-// lease. A host is taken for live while it answers this host's greetings, not
-// while its own arrive, so that a cut in one direction counts as a cut.
+// Hosts send each other hello messages, frequently within a data centre and less often between
+// data centres. A message is small and contains the complete state, so that a lost one needs
+// no recovery. The state exchanged here grants no rights: ownership is decided by package
+// lease. A host counts as live while it answers this host's messages, not while its own
+// messages arrive, so that a network failure in one direction is treated as a failure.
 package peer
 
 import (
@@ -22,26 +22,28 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Hello is what a host says of itself.
+// Hello is the state that a host reports about itself.
 type Hello struct {
-	// ID names the process, DC its data centre.
+	// ID identifies the process. DC is the name of its data centre.
 	ID string `json:"id"`
 	DC string `json:"dc"`
-	// Addr is where peers reach it, CallerAddr where callers do.
+	// Addr is the address for peers, CallerAddr that for callers.
 	Addr       string `json:"addr"`
 	CallerAddr string `json:"caller_addr,omitempty"`
-	// ConfigVersion is the version in force there; -1 is none.
+	// ConfigVersion is the version of the configuration in force on the host, or -1 if there
+	// is none.
 	ConfigVersion int64 `json:"config_version"`
 	// Stopping is set during a planned stop.
 	Stopping bool `json:"stopping,omitempty"`
-	// Loads has the load of each service's pool.
+	// Loads holds the load of each service's pool, by service.
 	Loads map[string]route.Load `json:"loads,omitempty"`
-	// Shards and Cells are what it owns.
+	// Shards is the number of shards that the host owns, Cells the names of the cells that it
+	// owns.
 	Shards int      `json:"shards,omitempty"`
 	Cells  []string `json:"cells,omitempty"`
 }
 
-// Contact is where a host can be reached.
+// Contact is the identity and the address of a host.
 type Contact struct {
 	ID   string `json:"id"`
 	DC   string `json:"dc"`
@@ -50,74 +52,80 @@
 
 // Reply is the answer to a Hello.
 type Reply struct {
-	// Hello is the answering host's own.
+	// Hello is the state of the host that answers.
 	Hello Hello `json:"hello"`
-	// Others are hosts that it has heard of.
+	// Others are hosts that the answering host was in contact with recently.
 	Others []Contact `json:"others,omitempty"`
 }
 
-// The intervals of greetings, and how long a host is live after one that was
-// answered.
+// Intervals between hello messages, and how long a host counts as live after its last reply;
+// local stands for the same data centre, remote for other ones. A host is removed forgetAfter
+// its last reply, unless its address is in the settings.
 const (
-	nearEvery = 200 * time.Millisecond
-	farEvery  = time.Second
-	nearLive  = time.Second
-	farLive   = 4 * time.Second
-	forget    = time.Minute
-	// farHosts is how many hosts of each other data centre are greeted.
-	farHosts = 2
+	localInterval  = 200 * time.Millisecond
+	remoteInterval = time.Second
+	localTimeout   = time.Second
+	remoteTimeout  = 4 * time.Second
+	forgetAfter    = time.Minute
+	// remoteHostsPerDC is how many hosts of each other data centre receive messages from this
+	// one.
+	remoteHostsPerDC = 2
 )
 
-// Mesh greets the other entry hosts. Set the fields before Run.
+// Mesh exchanges hello messages with the other entry hosts. Set the exported fields before
+// calling Run.
 type Mesh struct {
-	// Self says what this host is to say now.
+	// Self returns the current state of this host.
 	Self func() Hello
-	// Seeds are addresses from the settings.
+	// Seeds are addresses of hosts from the settings.
 	Seeds []string
-	// Send greets the host at addr; [NewSend] makes one over HTTP.
+	// Send sends a hello message to the host at addr and returns the reply; [NewSend] returns
+	// an implementation over HTTP.
 	Send func(ctx context.Context, addr string, he Hello) (Reply, error)
-	// OnHello is called after each greeting that was answered; nil is not.
+	// OnHello, if not nil, is called with the state of each host that sent a message or
+	// replied to one.
 	OnHello func(Hello)
 
 	mu    sync.Mutex
-	known map[string]*contact
+	hosts map[string]*hostState
 	wake  chan struct{}
 }
 
-// contact is what is kept of an address.
-type contact struct {
+// hostState is what a Mesh knows about the host at an address.
+type hostState struct {
 	Contact
 
-	seed    bool
-	hello   Hello
-	heard   time.Time
-	tried   time.Time
-	learnt  time.Time
-	pending bool
+	seed      bool
+	hello     Hello
+	lastReply time.Time
+	lastSent  time.Time
+	added     time.Time
+	pending   bool
 }
 
-// NewSend returns a Send over HTTP with JSON.
+// NewSend returns a function for [Mesh.Send] that uses JSON over HTTP.
 func NewSend(cl *http.Client) func(context.Context, string, Hello) (Reply, error) {
 	return func(ctx context.Context, addr string, he Hello) (Reply, error) {
 		re, err := wire.Post[Hello, Reply](ctx, cl, "http://"+addr+"/peer/hello", he)
 		if err != nil {
-			return re, fmt.Errorf("greet %s: %w", addr, err)
+			return re, fmt.Errorf("send hello to %s: %w", addr, err)
 		}
 		return re, nil
 	}
 }
 
-// Receive answers another host's greeting.
+// Receive handles a hello message from another host and returns the reply.
 func (me *Mesh) Receive(he Hello) Reply {
 	me.mu.Lock()
-	me.learn(Contact{ID: he.ID, DC: he.DC, Addr: he.Addr})
-	if co := me.known[he.Addr]; co != nil && co.hello.ID == he.ID && !co.heard.IsZero() {
-		// News travels with either greeting; liveness only with our own.
+	me.addHost(Contact{ID: he.ID, DC: he.DC, Addr: he.Addr})
+	if co := me.hosts[he.Addr]; co != nil && co.hello.ID == he.ID && !co.lastReply.IsZero() {
+		// The state is taken from messages in either direction, liveness only from replies to
+		// this host's messages.
 		co.hello = he
 	}
-	others := make([]Contact, 0, len(me.known))
-	for _, co := range me.known {
-		if time.Since(co.heard) < forget && co.Addr != he.Addr {
+	others := make([]Contact, 0, len(me.hosts))
+	for _, co := range me.hosts {
+		if time.Since(co.lastReply) < forgetAfter && co.Addr != he.Addr {
 			others = append(others, co.Contact)
 		}
 	}
@@ -128,48 +136,50 @@
 	return Reply{Hello: me.Self(), Others: others}
 }
 
-// learn enters an address. A new process at a known one starts anew.
-func (me *Mesh) learn(co Contact) {
+// addHost adds an address. A new process at a known address replaces the former one, unless
+// that has replied within remoteTimeout.
+func (me *Mesh) addHost(co Contact) {
 	if co.Addr == "" {
 		return
 	}
-	if me.known == nil {
-		me.known = map[string]*contact{}
+	if me.hosts == nil {
+		me.hosts = map[string]*hostState{}
 	}
-	old := me.known[co.Addr]
+	old := me.hosts[co.Addr]
 	if old != nil && (old.ID == co.ID || co.ID == "") {
 		return
 	}
-	if old != nil && old.ID != "" && time.Since(old.heard) < farLive {
+	if old != nil && old.ID != "" && time.Since(old.lastReply) < remoteTimeout {
 		return
 	}
-	me.known[co.Addr] = &contact{Contact: co, seed: old != nil && old.seed, learnt: time.Now()}
+	me.hosts[co.Addr] = &hostState{Contact: co, seed: old != nil && old.seed, added: time.Now()}
 }
 
-// Run greets until ctx ends.
+// Run sends hello messages until ctx ends.
 func (me *Mesh) Run(ctx context.Context) {
 	me.mu.Lock()
 	for _, addr := range me.Seeds {
-		me.learn(Contact{Addr: addr})
-		me.known[addr].seed = true
+		me.addHost(Contact{Addr: addr})
+		me.hosts[addr].seed = true
 	}
 	me.wake = make(chan struct{}, 1)
 	me.mu.Unlock()
-	ti := time.NewTicker(nearEvery)
+	ti := time.NewTicker(localInterval)
 	defer ti.Stop()
 	for {
-		me.greetDue(ctx, false)
+		me.sendDue(ctx, false)
 		select {
 		case <-ctx.Done():
 			return
 		case <-me.wake:
-			me.greetDue(ctx, true)
+			me.sendDue(ctx, true)
 		case <-ti.C:
 		}
 	}
 }
 
-// SendAll has everyone greeted now, for news that should not wait.
+// SendAll triggers a message to every host that this one sends to, without waiting for the
+// interval, for changes that should spread quickly. It has no effect before Run.
 func (me *Mesh) SendAll() {
 	select {
 	case me.wake <- struct{}{}:
@@ -177,57 +187,62 @@
 	}
 }
 
-func (me *Mesh) greetDue(ctx context.Context, all bool) {
+// sendDue sends a message to each host whose interval has passed, or to all if all is set,
+// except hosts whose reply is pending. It removes hosts without recent contact.
+func (me *Mesh) sendDue(ctx context.Context, all bool) {
 	self := me.Self()
 	me.mu.Lock()
 	defer me.mu.Unlock()
-	far := me.farChosen(self)
+	remote := me.remoteTargets(self)
 	now := time.Now()
-	for addr, co := range me.known {
+	for addr, co := range me.hosts {
 		if addr == self.Addr || (co.ID == self.ID && co.ID != "") {
 			continue
 		}
-		if !co.seed && now.Sub(co.heard) > forget && now.Sub(co.learnt) > forget {
-			delete(me.known, addr)
+		if !co.seed && now.Sub(co.lastReply) > forgetAfter && now.Sub(co.added) > forgetAfter {
+			delete(me.hosts, addr)
 			continue
 		}
-		every := nearEvery
+		every := localInterval
 		if co.DC != self.DC {
-			every = farEvery
+			every = remoteInterval
 		}
-		due := now.Sub(co.tried) >= every-nearEvery/4
-		wanted := co.DC == self.DC || co.ID == "" || far[co.ID]
+		due := now.Sub(co.lastSent) >= every-localInterval/4
+		wanted := co.DC == self.DC || co.ID == "" || remote[co.ID]
 		if co.pending || !wanted || (!due && !all) {
 			continue
 		}
-		co.pending, co.tried = true, now
-		go me.greet(ctx, addr, self, every)
+		co.pending, co.lastSent = true, now
+		go me.sendHello(ctx, addr, self, every)
 	}
 }
 
-// farChosen returns the hosts of other data centres that this one greets.
-func (me *Mesh) farChosen(self Hello) map[string]bool {
+// remoteTargets returns the ids of the hosts in other data centres to which this host sends
+// messages.
+func (me *Mesh) remoteTargets(self Hello) map[string]bool {
 	byDC := map[string][]string{}
-	for _, co := range me.known {
+	for _, co := range me.hosts {
 		if co.DC != self.DC && co.ID != "" {
 			byDC[co.DC] = append(byDC[co.DC], co.ID)
 		}
 	}
 	chosen := map[string]bool{}
 	for _, ids := range byDC {
-		for _, id := range spread.Preferred(self.ID, ids, farHosts) {
+		for _, id := range spread.Preferred(self.ID, ids, remoteHostsPerDC) {
 			chosen[id] = true
 		}
 	}
 	return chosen
 }
 
-func (me *Mesh) greet(ctx context.Context, addr string, self Hello, every time.Duration) {
-	ctx, cancel := context.WithTimeout(ctx, max(every, 2*nearEvery))
+// sendHello sends one message and records the reply. The interval of messages bounds the wait
+// for it.
+func (me *Mesh) sendHello(ctx context.Context, addr string, self Hello, every time.Duration) {
+	ctx, cancel := context.WithTimeout(ctx, max(every, 2*localInterval))
 	defer cancel()
 	re, err := me.Send(ctx, addr, self)
 	me.mu.Lock()
-	co := me.known[addr]
+	co := me.hosts[addr]
 	if co != nil {
 		co.pending = false
 	}
@@ -236,9 +251,9 @@
 		return
 	}
 	co.Contact = Contact{ID: re.Hello.ID, DC: re.Hello.DC, Addr: addr}
-	co.hello, co.heard = re.Hello, time.Now()
+	co.hello, co.lastReply = re.Hello, time.Now()
 	for _, other := range re.Others {
-		me.learn(other)
+		me.addHost(other)
 	}
 	me.mu.Unlock()
 	if me.OnHello != nil {
@@ -246,18 +261,18 @@
 	}
 }
 
-// Live returns the hosts that answered lately, in order of id.
+// Live returns the state of the hosts that replied recently, ordered by id.
 func (me *Mesh) Live() []Hello {
 	self := me.Self()
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	var live []Hello
-	for _, co := range me.known {
-		limit := nearLive
+	for _, co := range me.hosts {
+		limit := localTimeout
 		if co.DC != self.DC {
-			limit = farLive
+			limit = remoteTimeout
 		}
-		if !co.heard.IsZero() && time.Since(co.heard) < limit && co.hello.ID != self.ID {
+		if !co.lastReply.IsZero() && time.Since(co.lastReply) < limit && co.hello.ID != self.ID {
 			live = append(live, co.hello)
 		}
 	}
@@ -265,12 +280,12 @@
 	return live
 }
 
-// All returns every host heard of lately, live or not, in order of id.
+// All returns all known hosts, live or not, ordered by id.
 func (me *Mesh) All() []Contact {
 	me.mu.Lock()
 	defer me.mu.Unlock()
 	var all []Contact
-	for _, co := range me.known {
+	for _, co := range me.hosts {
 		if co.ID != "" {
 			all = append(all, co.Contact)
 		}
--- a/internal/peer/stall_test.go
+++ b/internal/peer/stall_test.go
@@ -10,7 +10,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-func TestPeersThatStandStill(t *testing.T) {
+func TestSendToStalledPeer(t *testing.T) {
 	me := &Mesh{Self: func() Hello { return Hello{ID: "a", Addr: "a"} }}
 	hs := httptest.NewServer(wire.Handle(func(_ context.Context, he Hello) (Reply, error) { return me.Receive(he), nil }))
 	t.Cleanup(hs.Close)
--- a/internal/relay/assigner.go
+++ b/internal/relay/assigner.go
@@ -76,14 +76,14 @@
 	if as.assigned == nil {
 		as.assigned, as.load, as.direct = map[string]string{}, map[string]int{}, map[string]bool{}
 	}
-	was, ok := as.assigned[incarnation]
-	if ok && as.usable(was) && !as.canRebalance(was, dataCentre) {
-		return was
+	prev, ok := as.assigned[incarnation]
+	if ok && as.usable(prev) && !as.canRebalance(prev, dataCentre) {
+		return prev
 	}
 	as.unassign(incarnation)
 	via := as.pickRelay(dataCentre)
 	if via == "" {
-		via = as.fallbackRelay(was, dataCentre)
+		via = as.fallbackRelay(prev, dataCentre)
 	} else {
 		as.noRelaySince = time.Time{}
 	}
@@ -101,7 +101,7 @@
 // or while the limit on directly reached workers allows it. Half of the limit is kept for
 // workers in the owner's own data centre, as the whole data centre may be cut off from the
 // others.
-func (as *assigner) fallbackRelay(was, dataCentre string) string {
+func (as *assigner) fallbackRelay(prev, dataCentre string) string {
 	other := as.firstOther()
 	limit := as.directLimit(time.Now())
 	if own := as.members[as.self].DataCentre; own != "" && own != dataCentre {
@@ -110,7 +110,7 @@
 	if other == "" || len(as.direct) < limit {
 		return ""
 	}
-	return cmp.Or(was, other)
+	return cmp.Or(prev, other)
 }
 
 // directLimit returns the maximum number of workers that the owner reaches directly while no
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -19,8 +19,8 @@
 
 // Timeouts and delays of relays.
 const (
-	// openWait is how long an order waits for a stream to open; another entry host is about 3
-	// ms away.
+	// openWait is how long an order waits for a stream to open; another entry host is about
+	// 3 ms away.
 	openWait = 250 * time.Millisecond
 	// initialRetryDelay and maxRetryDelay bound the backoff before a stream to a host is
 	// opened again after the previous one ended.
@@ -28,7 +28,7 @@
 	maxRetryDelay     = 30 * time.Second
 	// noRelayRetryDelay is the largest delay while no host may relay: it is then more likely
 	// that the owner's own link is saturated than that all hosts are unavailable, and most
-	// workers wait.
+	// workers wait for a relay.
 	noRelayRetryDelay = 400 * time.Millisecond
 	// stableAfter is how long a stream must have been open for the backoff to start over.
 	stableAfter = 10 * time.Second
@@ -109,9 +109,9 @@
 		po.assigner.members = map[string]registry.Member{}
 	}
 	for _, me := range listed {
-		was, ok := known[me.Name]
+		prev, ok := known[me.Name]
 		po.assigner.members[me.Name] = me
-		if !ok || was.Process != me.Process {
+		if !ok || prev.Process != me.Process {
 			delete(po.assigner.unavailable, me.Name)
 			po.avoidFormerOwner(me)
 		}
@@ -142,7 +142,7 @@
 func (po *Pool) SetWorkers(listed, removed []string, whole bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	was := po.assigner.needsRelays(len(po.workers))
+	before := po.assigner.needsRelays(len(po.workers))
 	if whole || po.workers == nil {
 		po.workers = map[string]bool{}
 	}
@@ -154,7 +154,7 @@
 		delete(po.workers, incarnation)
 	}
 	po.expireDropped()
-	if po.assigner.needsRelays(len(po.workers)) != was {
+	if po.assigner.needsRelays(len(po.workers)) != before {
 		po.notifyChanged()
 	}
 }
@@ -322,7 +322,7 @@
 
 // streamLost excludes a host from relaying until it answers again, and schedules the next
 // attempt to open a stream.
-func (po *Pool) streamLost(li *link, st *stream, why error) {
+func (po *Pool) streamLost(li *link, st *stream, reason error) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	if li.st != st || po.ctx.Err() != nil {
@@ -339,10 +339,10 @@
 			po.notifyDirectLimit()
 		}
 		go po.retryHost(li.name, delay)
-		po.Log.Info("relay still not used", "relay", li.name, "away", delay, "why", why)
+		po.Log.Info("relay still not used", "relay", li.name, "away", delay, "why", reason)
 		return
 	}
-	po.Log.Warn("relay not used for a while", "relay", li.name, "workers", po.assigner.load[li.name], "away", delay, "why", why)
+	po.Log.Warn("relay not used for a while", "relay", li.name, "workers", po.assigner.load[li.name], "away", delay, "why", reason)
 	po.Metrics.Add(telemetry.RelaysLost, 1)
 	po.assigner.markUnavailable(li.name)
 	if po.assigner.noneUsable() {
@@ -355,11 +355,11 @@
 
 // notifyDirectLimit calls ChangedFunc if the limit on directly reached workers has grown.
 func (po *Pool) notifyDirectLimit() {
-	most := po.assigner.directLimit(time.Now())
-	if most > po.reportedDirectLimit {
+	limit := po.assigner.directLimit(time.Now())
+	if limit > po.reportedDirectLimit {
 		po.notifyChanged()
 	}
-	po.reportedDirectLimit = most
+	po.reportedDirectLimit = limit
 }
 
 // retryAll opens streams to all unavailable hosts after noRelayRetryDelay.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -101,8 +101,8 @@
 	WaitMS   int64 `json:"wait,omitempty"`
 }
 
-// withTimeout returns the order with its timeout set to d, rounded to the default if it is
-// close to that.
+// withTimeout returns the order with a total timeout of d, wait included; a timeout close to
+// the default is left out.
 func (or order) withTimeout(d time.Duration) order {
 	d -= time.Duration(or.WaitMS) * time.Millisecond
 	or.TimeoutMS = 0
@@ -121,6 +121,7 @@
 	return min(d+time.Duration(or.WaitMS)*time.Millisecond, maxOrderTimeout)
 }
 
+// defaultTimeout returns the timeout that is left out of the order, without the wait of a poll.
 func (or order) defaultTimeout() time.Duration {
 	if or.Kind == kindPoll {
 		return defaultPollTimeout
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -64,8 +64,8 @@
 	// fence is the fencing token of the last order.
 	fence int64
 
-	mu          sync.Mutex
-	diffEncoder diffEncoder
+	mu      sync.Mutex
+	encoder diffEncoder
 }
 
 // Leave notifies the owners that this host is about to stop; new streams are refused.
@@ -185,20 +185,20 @@
 
 // startOrder starts the execution of one order.
 func (se *ownerStream) startOrder(or order) {
-	re := se.workers[or.Worker]
-	if re == nil || or.HostPort != "" {
-		re = &streamWorker{number: or.Worker, addr: worker.Addr{HostPort: or.HostPort, Incarnation: or.Incarnation}}
-		se.workers[or.Worker] = re
+	sw := se.workers[or.Worker]
+	if sw == nil || or.HostPort != "" {
+		sw = &streamWorker{number: or.Worker, addr: worker.Addr{HostPort: or.HostPort, Incarnation: or.Incarnation}}
+		se.workers[or.Worker] = sw
 	}
 	if or.Fence == 0 {
-		or.Fence = re.fence
+		or.Fence = sw.fence
 	}
-	re.fence = or.Fence
+	sw.fence = or.Fence
 	if or.Kind == kindLaunch && !se.loadPayload(&or) {
 		se.enqueue(answer{N: or.N, Code: codeNoPayload})
 		return
 	}
-	go se.execute(re, or)
+	go se.execute(sw, or)
 }
 
 // loadPayload sets the payload of a launch, and reports whether the relay has it.
@@ -218,7 +218,7 @@
 }
 
 // execute sends an order to its worker and queues the answer.
-func (se *ownerStream) execute(re *streamWorker, or order) {
+func (se *ownerStream) execute(sw *streamWorker, or order) {
 	ctx, cancel := context.WithTimeout(se.ctx, or.timeout())
 	defer cancel()
 	an := answer{N: or.N}
@@ -227,13 +227,13 @@
 	var err error
 	switch or.Kind {
 	case kindLaunch:
-		ack, err = ag.LaunchFunc(ctx, re.addr, worker.Launch{Attempt: at, Payload: or.PayloadText, Checkpoint: or.Checkpoint, Fence: or.Fence, LeaseUntilMS: or.LeaseUntilMS})
+		ack, err = ag.LaunchFunc(ctx, sw.addr, worker.Launch{Attempt: at, Payload: or.PayloadText, Checkpoint: or.Checkpoint, Fence: or.Fence, LeaseUntilMS: or.LeaseUntilMS})
 	case kindHalt:
-		ack, err = ag.HaltFunc(ctx, re.addr, worker.Halt{Attempt: at, Fence: or.Fence})
+		ack, err = ag.HaltFunc(ctx, sw.addr, worker.Halt{Attempt: at, Fence: or.Fence})
 	case kindPace:
-		ack, err = ag.PaceFunc(ctx, re.addr, worker.Pace{Attempt: at, Percent: or.Percent, Fence: or.Fence})
+		ack, err = ag.PaceFunc(ctx, sw.addr, worker.Pace{Attempt: at, Percent: or.Percent, Fence: or.Fence})
 	case kindPoll:
-		se.poll(ctx, re, or)
+		se.poll(ctx, sw, or)
 		return
 	default:
 		err = fmt.Errorf("%w: unknown kind of order %q", worker.ErrMalformed, or.Kind)
@@ -244,16 +244,16 @@
 
 // poll polls a worker and queues the difference from the previous poll. The lock ensures that
 // differences are sent in the order in which they are computed.
-func (se *ownerStream) poll(ctx context.Context, re *streamWorker, or order) {
+func (se *ownerStream) poll(ctx context.Context, sw *streamWorker, or order) {
 	lo := worker.Look{Fence: or.Fence, Seen: or.AckedEnd, LeaseUntilMS: or.LeaseUntilMS, Wait: time.Duration(or.WaitMS) * time.Millisecond}
-	si, err := se.sv.Agent.LookFunc(ctx, re.addr, lo)
+	si, err := se.sv.Agent.LookFunc(ctx, sw.addr, lo)
 	if err != nil {
 		se.answer(answer{N: or.N}, err)
 		return
 	}
-	re.mu.Lock()
-	defer re.mu.Unlock()
-	se.answer(answer{N: or.N, ClockMS: si.ClockMS, Worker: re.number, Diff: re.diffEncoder.encode(si, time.Now())}, nil)
+	sw.mu.Lock()
+	defer sw.mu.Unlock()
+	se.answer(answer{N: or.N, ClockMS: si.ClockMS, Worker: sw.number, Diff: sw.encoder.encode(si, time.Now())}, nil)
 }
 
 func (se *ownerStream) answer(an answer, err error) {
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -92,9 +92,9 @@
 func TestFullQueueEndsStream(t *testing.T) {
 	ow := newSlowOwner(t)
 	ow.flood()
-	linetest.Ends(t, "wait until the relay gives up the stream", func() { ow.sendUntil(ow.gaveUp) })
+	linetest.Ends(t, "waiting until the relay gives up the stream", func() { ow.sendUntil(ow.gaveUp) })
 	go func() { _, _ = io.Copy(io.Discard, ow.conn) }()
-	linetest.Ends(t, "wait until the stream has ended", func() { ow.sendUntil(func() bool { return !servesStream(ow.relay) }) })
+	linetest.Ends(t, "stream", func() { ow.sendUntil(func() bool { return !servesStream(ow.relay) }) })
 }
 
 // TestOpenStreamStalls stalls the connection to a relay while a stream is open: both sides
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go nt.pool.Run(ctx)
-	nt.eventually("the pool runs", func() bool {
+	nt.eventually("running", func() bool {
 		nt.pool.mu.Lock()
 		defer nt.pool.mu.Unlock()
 		return nt.pool.ctx != nil
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,5 +1,5 @@
-// Package spread divides things evenly among hosts, the same way on every
-// host that knows the same names and without a word between them.
+// Package spread assigns items evenly to hosts. The result depends only on the names, so that
+// all hosts that know the same names agree without communication.
 package spread
 
 import (
@@ -9,44 +9,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// AssignEvenly gives each item a host. It is rendezvous hashing with a bound: no host
-// gets more than its even share, rounded up, and an item whose first choice
-// is full goes to its next. A host that comes or goes moves about its share of
-// items and few more. Without the bound, 17 items over 3 hosts can split as
-// unevenly as 9, 5 and 3.
+// AssignEvenly returns the host of each item, by rendezvous hashing with a bound: no host gets
+// more than its even share, rounded up, and an item whose preferred host is full goes to the
+// next one in its order of preference. Adding or removing a host moves about its share of the
+// items and few others. Without the bound, 17 items on 3 hosts can be split as unevenly as 9,
+// 5 and 3. The result is empty if there are no hosts.
 func AssignEvenly(items, hosts []string) map[string]string {
-	given := make(map[string]string, len(items))
+	assigned := make(map[string]string, len(items))
 	if len(hosts) == 0 {
-		return given
+		return assigned
 	}
-	most := (len(items) + len(hosts) - 1) / len(hosts)
+	limit := (len(items) + len(hosts) - 1) / len(hosts)
 	count := map[string]int{}
 	for _, ch := range choices(items, hosts) {
-		if given[ch.item] == "" && count[ch.host] < most {
-			given[ch.item] = ch.host
+		if assigned[ch.item] == "" && count[ch.host] < limit {
+			assigned[ch.item] = ch.host
 			count[ch.host]++
 		}
 	}
-	return given
+	return assigned
 }
 
-// Preferred returns the first n hosts by preference for the item.
+// Preferred returns the first n hosts in the item's order of preference, or all hosts if there
+// are fewer.
 func Preferred(item string, hosts []string, n int) []string {
 	chs := choices([]string{item}, hosts)
-	first := make([]string, 0, n)
+	preferred := make([]string, 0, n)
 	for _, ch := range chs[:min(n, len(chs))] {
-		first = append(first, ch.host)
+		preferred = append(preferred, ch.host)
 	}
-	return first
+	return preferred
 }
 
+// choice is a pair of an item and a host; a higher score is preferred.
 type choice struct {
 	item, host string
 	score      uint64
 }
 
-// choices returns all pairs, best first, in an order that depends on the
-// names alone.
+// choices returns all pairs of item and host, best first, in an order that depends only on the
+// names.
 func choices(items, hosts []string) []choice {
 	all := make([]choice, 0, len(items)*len(hosts))
 	for _, it := range items {
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -18,36 +18,36 @@
 	return all
 }
 
-// TestEven checks that every item has a host, that no host has more than its
-// share, and that the order of the names does not matter.
-func TestEven(t *testing.T) {
+// TestAssignEvenly checks that every item has a host, that no host has more than its share,
+// and that the result does not depend on the order of the names.
+func TestAssignEvenly(t *testing.T) {
 	proptest.Check(t, proptest.Size{}, func(rt *rapid.T) {
 		items := names("i", rapid.IntRange(0, 60).Draw(rt, "items"))
 		hosts := names("h", rapid.IntRange(1, 9).Draw(rt, "hosts"))
-		given := AssignEvenly(items, hosts)
+		assigned := AssignEvenly(items, hosts)
 		count := map[string]int{}
 		for _, it := range items {
-			count[given[it]]++
+			count[assigned[it]]++
 		}
 		if count[""] > 0 {
 			rt.Fatalf("%d items have no host", count[""])
 		}
-		most := (len(items) + len(hosts) - 1) / len(hosts)
+		limit := (len(items) + len(hosts) - 1) / len(hosts)
 		for ho, n := range count {
-			if n > most {
-				rt.Fatalf("%s has %d of %d", ho, n, len(items))
+			if n > limit {
+				rt.Fatalf("host %s has %d of %d items", ho, n, len(items))
 			}
 		}
-		again := AssignEvenly(rapid.Permutation(items).Draw(rt, "items again"), rapid.Permutation(hosts).Draw(rt, "hosts again"))
+		permuted := AssignEvenly(rapid.Permutation(items).Draw(rt, "permuted items"), rapid.Permutation(hosts).Draw(rt, "permuted hosts"))
 		for _, it := range items {
-			if again[it] != given[it] {
-				rt.Fatalf("%s: %s and %s", it, given[it], again[it])
+			if permuted[it] != assigned[it] {
+				rt.Fatalf("item %s: host %s, and %s with the names in another order", it, assigned[it], permuted[it])
 			}
 		}
 	})
 }
 
-func TestFewItemsMove(t *testing.T) {
+func TestRemovedHostMovesFewItems(t *testing.T) {
 	items, hosts := names("i", 300), names("h", 6)
 	before, after := AssignEvenly(items, hosts), AssignEvenly(items, hosts[:5])
 	moved := 0
@@ -56,8 +56,8 @@
 			moved++
 		}
 	}
-	// 50 have to move; of the others few may.
-	qt.Assert(t, moved <= 75, qt.IsTrue, qt.Commentf("%d others moved", moved))
+	// The 50 items of the removed host have to move; only few others may.
+	qt.Assert(t, moved <= 75, qt.IsTrue, qt.Commentf("%d other items moved", moved))
 }
 
 func TestNoHosts(t *testing.T) {
