--- a/internal/relay/codes_test.go
+++ b/internal/relay/codes_test.go
@@ -27,7 +27,7 @@
 
 func TestOtherIncarnationKeepsStartTime(t *testing.T) {
 	meant := worker.Incarnation{ID: "i-0", Born: 5}
-	an := answer{}.withError(fmt.Errorf("look: %w", worker.CheckLife(meant, 9)))
+	an := answer{}.withError(fmt.Errorf("poll: %w", worker.CheckLife(meant, 9)))
 	var le *worker.LifeError
 	qt.Assert(t, errors.As(an.asError("r0", meant), &le), qt.IsTrue)
 	qt.Check(t, *le, qt.Equals, worker.LifeError{Meant: meant, Answered: worker.Incarnation{ID: "i-0", Born: 9}})
--- a/internal/relay/polldiff_test.go
+++ b/internal/relay/polldiff_test.go
@@ -18,20 +18,20 @@
 
 // diffModel is a worker whose poll results are encoded as differences.
 type diffModel struct {
-	rt          *rapid.T
-	diffEncoder diffEncoder
-	diffDecoder diffDecoder
-	now         time.Time
-	running     map[worker.Attempt]worker.RunningAttempt
-	ended       []worker.EndedAttempt
-	next        int
-	ends        int64
+	rt      *rapid.T
+	encoder diffEncoder
+	decoder diffDecoder
+	now     time.Time
+	running map[worker.Attempt]worker.RunningAttempt
+	ended   []worker.EndedAttempt
+	next    int
+	ends    int64
 }
 
 // step makes a random change to the attempts that the worker lists, or advances the clock.
 func (dm *diffModel) step() {
 	names := slices.SortedFunc(maps.Keys(dm.running), func(a, b worker.Attempt) int { return strings.Compare(a.Task, b.Task) })
-	switch what := rapid.SampledFrom([]string{"start", "start", "work", "end", "forget", "time"}).Draw(dm.rt, "act"); {
+	switch what := rapid.SampledFrom([]string{"start", "start", "work", "end", "forget", "time"}).Draw(dm.rt, "step"); {
 	case what == "start":
 		dm.next++
 		at := worker.Attempt{Task: fmt.Sprintf("t%d", dm.next), Number: rapid.IntRange(1, 3).Draw(dm.rt, "number")}
@@ -61,15 +61,15 @@
 		dm.now = dm.now.Add(minUpdateInterval)
 	}
 	si := worker.Sight{ClockMS: 7, Running: slices.Collect(maps.Values(dm.running)), Ended: dm.ended}
-	data, err := json.Marshal(dm.diffEncoder.encode(si, dm.now))
+	data, err := json.Marshal(dm.encoder.encode(si, dm.now))
 	if err != nil {
 		dm.rt.Fatal(err)
 	}
-	var li pollDiff
-	if err := json.Unmarshal(data, &li); err != nil {
+	var pd pollDiff
+	if err := json.Unmarshal(data, &pd); err != nil {
 		dm.rt.Fatal(err)
 	}
-	return dm.diffDecoder.decode(&li, 7)
+	return dm.decoder.decode(&pd, 7)
 }
 
 // TestDiffsReproducePolls checks, for random sequences of changes, that decoded polls list the
@@ -77,12 +77,12 @@
 func TestDiffsReproducePolls(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
 		dm := &diffModel{rt: rt, now: time.Unix(100, 0), running: map[worker.Attempt]worker.RunningAttempt{}}
-		for range rapid.IntRange(1, 40).Draw(rt, "acts") {
+		for range rapid.IntRange(1, 40).Draw(rt, "steps") {
 			dm.step()
-			if !rapid.Bool().Draw(rt, "look") {
+			if !rapid.Bool().Draw(rt, "poll") {
 				continue
 			}
-			full := rapid.Bool().Draw(rt, "whole")
+			full := rapid.Bool().Draw(rt, "full")
 			checkPoll(rt, dm, dm.poll(full), full)
 		}
 	})
