--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -16,75 +16,76 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Header fields of a stream's request: who opens it.
+// Header fields of the request that opens a stream; they identify the owner.
 const (
 	headerOwner = "Pepperhatch-Owner"
 	headerEpoch = "Pepperhatch-Epoch"
 )
 
-// Bounds on what a relay keeps for one stream.
+// Limits on the state that a relay keeps for one stream.
 const (
-	// payloadsMost is how many payloads it keeps, each of some thousand bytes; an
-	// owner is told if one it names is not there.
-	payloadsMost = 2000
-	// timeoutMost bounds one order, whatever it says.
-	timeoutMost = 5 * time.Second
+	// maxPayloads is the maximum number of payloads, of a few kilobytes each. The owner gets
+	// codeNoPayload if it refers to one that was removed.
+	maxPayloads = 2000
+	// maxOrderTimeout is the upper bound on the timeout of an order.
+	maxOrderTimeout = 5 * time.Second
 )
 
-// Server is the relay's side of streams. Set the fields, then use it as a handler.
+// Server is the relay's side of streams. Set the exported fields, then use it as an HTTP
+// handler.
 type Server struct {
-	// Agent talks to workers.
+	// Agent reaches workers from this host.
 	Agent worker.Agent
-	// Log gets streams that begin and end.
+	// Log receives messages on streams that start and end.
 	Log *slog.Logger
 
 	leaving atomic.Bool
 	mu      sync.Mutex
-	open    map[*serving]bool
+	streams map[*ownerStream]bool
 }
 
-// serving is one stream.
-type serving struct {
+// ownerStream is the stream of one owner.
+type ownerStream struct {
 	sv  *Server
 	ctx context.Context
-	// end ends the stream.
+	// end cancels ctx, which ends the stream.
 	end context.CancelFunc
 	out *outbox[answer]
 
-	// The rest is the reader's alone.
-	workers  map[int]*reached
+	// The remaining fields are used only by the goroutine that reads the stream.
+	workers  map[int]*streamWorker
 	payloads map[int]string
 }
 
-// reached is a worker as a stream knows it.
-type reached struct {
+// streamWorker is the state that a stream keeps on one worker.
+type streamWorker struct {
 	number int
 	addr   worker.Addr
-	// fence is that of the last order.
+	// fence is the fencing token of the last order.
 	fence int64
 
-	mu     sync.Mutex
-	differ differ
+	mu      sync.Mutex
+	encoder diffEncoder
 }
 
-// Leave tells the owners that this host is about to stop.
+// Leave notifies the owners that this host is about to stop; new streams are refused.
 func (sv *Server) Leave() {
 	sv.leaving.Store(true)
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	for se := range sv.open {
+	for se := range sv.streams {
 		se.out.put(answer{})
 	}
 }
 
-// ServeHTTP implements http.Handler: it serves one stream until that ends.
+// ServeHTTP implements http.Handler. It serves one stream until the stream ends.
 func (sv *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if sv.leaving.Load() {
 		http.Error(w, "this host is about to stop", http.StatusServiceUnavailable)
 		return
 	}
 	rc := http.NewResponseController(w)
-	if err := errors.Join(rc.EnableFullDuplex(), rc.SetReadDeadline(time.Now().Add(silentMost))); err != nil {
+	if err := errors.Join(rc.EnableFullDuplex(), rc.SetReadDeadline(time.Now().Add(idleTimeout))); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
@@ -92,16 +93,16 @@
 	owner, epoch := r.Header.Get(headerOwner), r.Header.Get(headerEpoch)
 	sv.Log.Info("relaying for an owner", "owner", owner, "epoch", epoch)
 	ctx, cancel := context.WithCancel(r.Context())
-	se := &serving{sv: sv, ctx: ctx, end: cancel, out: newOutbox[answer](), workers: map[int]*reached{}, payloads: map[int]string{}}
-	sv.enter(se)
-	defer sv.drop(se)
-	// The response may not be written once this method has returned.
+	se := &ownerStream{sv: sv, ctx: ctx, end: cancel, out: newOutbox[answer](), workers: map[int]*streamWorker{}, payloads: map[int]string{}}
+	sv.register(se)
+	defer sv.unregister(se)
+	// The response must not be written after this method has returned.
 	var writer sync.WaitGroup
 	defer writer.Wait()
 	defer cancel()
 	writer.Go(func() {
 		if err := se.write(w, rc); err != nil {
-			sv.Log.Info("stream of an owner cannot be written", "owner", owner, "err", err)
+			sv.Log.Info("cannot write to the stream of an owner", "owner", owner, "err", err)
 		}
 		cancel()
 		se.stopReading(rc)
@@ -110,111 +111,114 @@
 	sv.Log.Info("no longer relaying for an owner", "owner", owner, "epoch", epoch, "workers", len(se.workers), "err", err)
 }
 
-func (sv *Server) enter(se *serving) {
+func (sv *Server) register(se *ownerStream) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if sv.open == nil {
-		sv.open = map[*serving]bool{}
+	if sv.streams == nil {
+		sv.streams = map[*ownerStream]bool{}
 	}
-	sv.open[se] = true
+	sv.streams[se] = true
 }
 
-func (sv *Server) drop(se *serving) {
+func (sv *Server) unregister(se *ownerStream) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	delete(sv.open, se)
+	delete(sv.streams, se)
 }
 
 // write sends answers until the stream ends.
-func (se *serving) write(w io.Writer, rc *http.ResponseController) error {
+func (se *ownerStream) write(w io.Writer, rc *http.ResponseController) error {
 	enc := json.NewEncoder(w)
 	if err := rc.Flush(); err != nil {
 		return err
 	}
-	return se.out.pump(se.ctx.Done(), func(list []answer) error {
-		fr := answers{Answers: list, Leaving: se.sv.leaving.Load()}
-		if err := errors.Join(rc.SetWriteDeadline(time.Now().Add(silentMost)), enc.Encode(fr)); err != nil {
+	return se.out.sendLoop(se.ctx.Done(), func(list []answer) error {
+		fr := answerFrame{Answers: list, Leaving: se.sv.leaving.Load()}
+		if err := errors.Join(rc.SetWriteDeadline(time.Now().Add(idleTimeout)), enc.Encode(fr)); err != nil {
 			return fmt.Errorf("write frame: %w", err)
 		}
 		return rc.Flush()
 	})
 }
 
-// stopReading ends the wait for the next frame. The context must have ended.
-func (se *serving) stopReading(rc *http.ResponseController) {
+// stopReading interrupts the wait for the next frame. The stream's context must have ended
+// before the call.
+func (se *ownerStream) stopReading(rc *http.ResponseController) {
 	if err := rc.SetReadDeadline(time.Now()); err != nil && !errors.Is(err, net.ErrClosed) {
-		se.sv.Log.Warn("wait for a frame cannot be ended", "err", err)
+		se.sv.Log.Warn("cannot interrupt reading a stream", "err", err)
 	}
 }
 
-// stillMost is how much longer than a frame may take its reading may, for the time that the
-// process waits for a processor.
-const stillMost = time.Second
+// maxReadStall is by how much reading a frame may exceed the idle timeout, to allow for
+// scheduling delay of this process.
+const maxReadStall = time.Second
 
-// errStoodStill: the owner has given the stream up, and its orders with it.
-var errStoodStill = errors.New("this process stood still")
+// errStalled is returned if this process did not run for so long that the owner has given up
+// the stream and the orders on it.
+var errStalled = errors.New("this process stood still")
 
-// read takes orders until the stream ends. It looks at the context after each change
-// of the deadline, lest it put off the one that [serving.stopReading] sets.
-func (se *serving) read(body io.Reader, rc *http.ResponseController) error {
+// read starts the orders it receives until the stream ends. It checks the context after each
+// change of the read deadline, as that may overwrite the deadline set by
+// [ownerStream.stopReading].
+func (se *ownerStream) read(body io.Reader, rc *http.ResponseController) error {
 	dec := json.NewDecoder(body)
 	for {
 		asked := time.Now()
-		var fr orders
+		var fr orderFrame
 		if err := dec.Decode(&fr); err != nil {
 			return fmt.Errorf("read frame: %w", err)
 		}
-		if took := time.Since(asked); took > silentMost+stillMost {
-			return fmt.Errorf("read frame: %w for %v", errStoodStill, took)
+		if took := time.Since(asked); took > idleTimeout+maxReadStall {
+			return fmt.Errorf("read frame: %w for %v", errStalled, took)
 		}
-		if err := rc.SetReadDeadline(time.Now().Add(silentMost)); err != nil {
+		if err := rc.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return fmt.Errorf("read frame: %w", err)
 		}
 		if err := se.ctx.Err(); err != nil {
-			return fmt.Errorf("stream was given up: %w", err)
+			return fmt.Errorf("stream closed: %w", err)
 		}
 		for _, or := range fr.Orders {
-			se.take(or)
+			se.startOrder(or)
 		}
 	}
 }
 
-// take begins one order.
-func (se *serving) take(or order) {
-	re := se.workers[or.Worker]
-	if re == nil || or.HostPort != "" {
-		re = &reached{number: or.Worker, addr: worker.Addr{HostPort: or.HostPort, Incarnation: or.Incarnation}}
-		se.workers[or.Worker] = re
+// startOrder starts the execution of one order.
+func (se *ownerStream) startOrder(or order) {
+	sw := se.workers[or.Worker]
+	if sw == nil || or.HostPort != "" {
+		sw = &streamWorker{number: or.Worker, addr: worker.Addr{HostPort: or.HostPort, Incarnation: or.Incarnation}}
+		se.workers[or.Worker] = sw
 	}
 	if or.Fence == 0 {
-		or.Fence = re.fence
+		or.Fence = sw.fence
 	}
-	re.fence = or.Fence
-	if or.Kind == kindLaunch && !se.fill(&or) {
-		se.put(answer{N: or.N, Code: codeNoPayload})
+	sw.fence = or.Fence
+	if or.Kind == kindLaunch && !se.loadPayload(&or) {
+		se.enqueue(answer{N: or.N, Code: codeNoPayload})
 		return
 	}
-	go se.carryOut(re, or)
+	go se.execute(sw, or)
 }
 
-// fill gives a launch its payload, and reports whether it is there.
-func (se *serving) fill(or *order) bool {
-	if or.Payload == 0 {
+// loadPayload sets the payload of a launch, and reports whether the relay has it.
+func (se *ownerStream) loadPayload(or *order) bool {
+	if or.PayloadID == 0 {
 		return true
 	}
-	if or.Text == "" {
-		or.Text = se.payloads[or.Payload]
-		return or.Text != ""
+	if or.PayloadText == "" {
+		or.PayloadText = se.payloads[or.PayloadID]
+		return or.PayloadText != ""
 	}
-	if len(se.payloads) >= payloadsMost {
+	if len(se.payloads) >= maxPayloads {
 		clear(se.payloads)
 	}
-	se.payloads[or.Payload] = or.Text
+	se.payloads[or.PayloadID] = or.PayloadText
 	return true
 }
 
-// carryOut carries an order out and answers it.
-func (se *serving) carryOut(re *reached, or order) {
+// execute sends an order to its worker and queues the answer.
+func (se *ownerStream) execute(sw *streamWorker, or order) {
 	ctx, cancel := context.WithTimeout(se.ctx, or.timeout())
 	defer cancel()
 	an := answer{N: or.N}
@@ -223,48 +227,48 @@
 	var err error
 	switch or.Kind {
 	case kindLaunch:
-		ack, err = ag.LaunchFunc(ctx, re.addr, worker.Launch{Attempt: at, Payload: or.Text, Checkpoint: or.Checkpoint, Fence: or.Fence, LeaseUntilMS: or.LeaseUntilMS})
+		ack, err = ag.LaunchFunc(ctx, sw.addr, worker.Launch{Attempt: at, Payload: or.PayloadText, Checkpoint: or.Checkpoint, Fence: or.Fence, LeaseUntilMS: or.LeaseUntilMS})
 	case kindHalt:
-		ack, err = ag.HaltFunc(ctx, re.addr, worker.Halt{Attempt: at, Fence: or.Fence})
+		ack, err = ag.HaltFunc(ctx, sw.addr, worker.Halt{Attempt: at, Fence: or.Fence})
 	case kindPace:
-		ack, err = ag.PaceFunc(ctx, re.addr, worker.Pace{Attempt: at, Percent: or.Percent, Fence: or.Fence})
-	case kindLook:
-		se.look(ctx, re, or)
+		ack, err = ag.PaceFunc(ctx, sw.addr, worker.Pace{Attempt: at, Percent: or.Percent, Fence: or.Fence})
+	case kindPoll:
+		se.poll(ctx, sw, or)
 		return
 	default:
-		err = fmt.Errorf("%w: order of kind %q", worker.ErrMalformed, or.Kind)
+		err = fmt.Errorf("%w: unknown kind of order %q", worker.ErrMalformed, or.Kind)
 	}
 	an.ClockMS = ack.ClockMS
 	se.answer(an, err)
 }
 
-// look looks at a worker and answers with what is new. Differences go out in the
-// order in which they are made.
-func (se *serving) look(ctx context.Context, re *reached, or order) {
-	lo := worker.Poll{Fence: or.Fence, AckedEnd: or.Seen, LeaseUntilMS: or.LeaseUntilMS, Wait: time.Duration(or.WaitMS) * time.Millisecond}
-	si, err := se.sv.Agent.PollFunc(ctx, re.addr, lo)
+// poll polls a worker and queues the difference from the previous poll. The lock ensures that
+// differences are sent in the order in which they are computed.
+func (se *ownerStream) poll(ctx context.Context, sw *streamWorker, or order) {
+	lo := worker.Poll{Fence: or.Fence, AckedEnd: or.AckedEnd, LeaseUntilMS: or.LeaseUntilMS, Wait: time.Duration(or.WaitMS) * time.Millisecond}
+	si, err := se.sv.Agent.PollFunc(ctx, sw.addr, lo)
 	if err != nil {
 		se.answer(answer{N: or.N}, err)
 		return
 	}
-	re.mu.Lock()
-	defer re.mu.Unlock()
-	se.answer(answer{N: or.N, ClockMS: si.ClockMS, Worker: re.number, Listed: re.differ.diff(si, time.Now())}, nil)
+	sw.mu.Lock()
+	defer sw.mu.Unlock()
+	se.answer(answer{N: or.N, ClockMS: si.ClockMS, Worker: sw.number, Diff: sw.encoder.encode(si, time.Now())}, nil)
 }
 
-func (se *serving) answer(an answer, err error) {
+func (se *ownerStream) answer(an answer, err error) {
 	if err != nil {
 		an = an.withError(err)
 	}
-	se.put(an)
+	se.enqueue(an)
 }
 
-// put has an answer be sent. If too many wait it ends the stream: what follows would
-// be differences to what the owner never had.
-func (se *serving) put(an answer) {
+// enqueue queues an answer. If the queue is full it ends the stream, as later answers would be
+// relative to one that the owner never received.
+func (se *ownerStream) enqueue(an answer) {
 	if se.out.put(an) || se.ctx.Err() != nil {
 		return
 	}
-	se.sv.Log.Warn("ending the stream of an owner, as too many answers wait", "order", an.N)
+	se.sv.Log.Warn("ending the stream of an owner: too many answers queued", "order", an.N)
 	se.end()
 }
