--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -4,8 +4,8 @@
 
 // The default budget: one retry for ten requests, and some to begin with.
 const (
-	defaultRatio = 0.1
-	budgetMost   = 20.0
+	defaultRetryRatio = 0.1
+	maxBudget         = 20.0
 )
 
 // Budget bounds retries by a part of the requests served, so that retries
@@ -14,29 +14,29 @@
 	// Ratio is the retries earned by one request; zero means 0.1.
 	Ratio float64
 
-	mu    sync.Mutex
-	spent float64
+	mu   sync.Mutex
+	used float64
 }
 
 // Earn notes a request that arrived.
-func (bu *Budget) Earn() {
+func (bu *Budget) Deposit() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	ratio := bu.Ratio
 	if ratio == 0 {
-		ratio = defaultRatio
+		ratio = defaultRetryRatio
 	}
-	bu.spent = max(0, bu.spent-ratio)
+	bu.used = max(0, bu.used-ratio)
 }
 
 // Spend takes one retry, if there is one.
-func (bu *Budget) Spend() bool {
+func (bu *Budget) TryWithdraw() bool {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
-	if bu.spent+1 > budgetMost {
+	if bu.used+1 > maxBudget {
 		return false
 	}
-	bu.spent++
+	bu.used++
 	return true
 }
 
--- a/internal/route/compare_test.go
+++ b/internal/route/compare_test.go
@@ -34,14 +34,14 @@
 	trialSlots   = 8
 	trialMean    = 20 * time.Millisecond
 	trialSigma   = 0.5
-	trialWarm    = 2 * time.Second
+	trialWarmUp  = 2 * time.Second
 	trialBatch   = 0.3
 	latDeadline  = 500 * time.Millisecond
 	batDeadline  = 30 * time.Second
 )
 
 // way is a way for three entry hosts to share the runners.
-type way struct {
+type strategy struct {
 	name string
 	// hosts is the number of entry hosts.
 	hosts int
@@ -57,7 +57,7 @@
 	noHedge bool
 }
 
-func powerOfTwo(free []Member, busy func(string) int) Member {
+func pickPowerOfTwo(free []Member, busy func(string) int) Member {
 	a, b := free[rand.IntN(len(free))], free[rand.IntN(len(free))]
 	if busy(b.ID) < busy(a.ID) {
 		return b
@@ -65,16 +65,16 @@
 	return a
 }
 
-func randomOne(free []Member, _ func(string) int) Member { return free[rand.IntN(len(free))] }
+func pickRandom(free []Member, _ func(string) int) Member { return free[rand.IntN(len(free))] }
 
-var ways = []way{
+var strategies = []strategy{
 	{name: "ideal: one shared queue", hosts: 1, subsets: true, slots: trialSlots},
 	{name: "subsets, spill", hosts: 3, subsets: true, spill: true, slots: trialSlots},
 	{name: "subsets, spill, no hedge", hosts: 3, subsets: true, spill: true, slots: trialSlots, noHedge: true},
 	{name: "subsets, no spill", hosts: 3, subsets: true, slots: trialSlots},
 	{name: "all, least outstanding", hosts: 3, slots: trialSlots},
-	{name: "all, power of two", hosts: 3, slots: trialSlots, pick: powerOfTwo},
-	{name: "all, random", hosts: 3, slots: trialSlots, pick: randomOne},
+	{name: "all, power of two", hosts: 3, slots: trialSlots, pick: pickPowerOfTwo},
+	{name: "all, random", hosts: 3, slots: trialSlots, pick: pickRandom},
 	{name: "all, 3 slots each", hosts: 3, slots: 3},
 }
 
@@ -85,9 +85,9 @@
 	load float64
 	// slow, gone and hang are runners that are so; gone and hang from the
 	// middle on.
-	slow, gone, hang int
+	slow, down, hung int
 	// herd arrivals come at once every two seconds, on top.
-	herd int
+	burst int
 }
 
 var trialLoads = []trialLoad{
@@ -96,142 +96,142 @@
 	{name: "95%", load: 0.95},
 	{name: "120%", load: 1.2},
 	{name: "70%, one runner 5x slow", load: 0.7, slow: 1},
-	{name: "60%, rack of 5 gone", load: 0.6, gone: 5},
-	{name: "60%, one runner hangs", load: 0.6, hang: 1},
-	{name: "50%, herds of 400", load: 0.5, herd: 400},
+	{name: "60%, rack of 5 gone", load: 0.6, down: 5},
+	{name: "60%, one runner hangs", load: 0.6, hung: 1},
+	{name: "50%, herds of 400", load: 0.5, burst: 400},
 }
 
 // tally is what came of a trial.
-type tally struct {
+type trialStats struct {
 	mu       sync.Mutex
 	lat      *hdrhistogram.Histogram
 	sent     [2]int
-	good     [2]int
-	late     int
+	answered [2]int
+	unknown  int
 	attempts int
 	reasons  map[reason.Reason]int
 }
 
-func (ta *tally) note(req Request, res Result, took time.Duration) {
-	ta.mu.Lock()
-	defer ta.mu.Unlock()
-	ta.sent[req.Class]++
-	ta.attempts += res.Attempts
+func (ts *trialStats) record(req Request, res Result, took time.Duration) {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	ts.sent[req.Class]++
+	ts.attempts += res.Attempts
 	switch res.Outcome {
 	case Answered:
-		ta.good[req.Class]++
+		ts.answered[req.Class]++
 		if req.Class == runner.LatencyCritical {
-			_ = ta.lat.RecordValue(took.Microseconds())
+			_ = ts.lat.RecordValue(took.Microseconds())
 		}
 	case Unknown:
-		ta.late++
+		ts.unknown++
 		fallthrough
 	default:
-		ta.reasons[res.Reason]++
+		ts.reasons[res.Reason]++
 	}
 }
 
 // trialWorld is a way under a load.
-type trialWorld struct {
+type trialCluster struct {
 	fr    *fakeRunners
 	hosts map[string]*Router
 	names []string
 }
 
-func newTrialWorld(wa way) *trialWorld {
-	tw := &trialWorld{fr: newFakeRunners(trialMean, trialSigma, trialSlots), hosts: map[string]*Router{}, names: ids("e", wa.hosts)}
+func newTrialCluster(st strategy) *trialCluster {
+	tc := &trialCluster{fr: newFakeRunners(trialMean, trialSigma, trialSlots), hosts: map[string]*Router{}, names: ids("e", st.hosts)}
 	runners := ids("r", trialRunners)
-	primary := spread.Even(runners, tw.names)
-	for _, name := range tw.names {
+	primary := spread.Even(runners, tc.names)
+	for _, name := range tc.names {
 		own := runners
-		if wa.subsets {
+		if st.subsets {
 			own = slices.DeleteFunc(slices.Clone(runners), func(id string) bool { return primary[id] != name })
 		}
-		ro := newRouterWith(tw.fr, own, wa)
-		ro.Forward = forwardTo(tw.hosts)
-		tw.hosts[name] = ro
+		ro := newRouterWith(tc.fr, own, st)
+		ro.Forward = forwardTo(tc.hosts)
+		tc.hosts[name] = ro
 	}
-	return tw
+	return tc
 }
 
-func newRouterWith(fr *fakeRunners, own []string, wa way) *Router {
+func newRouterWith(fr *fakeRunners, own []string, st strategy) *Router {
 	slots := fr.slots
-	fr.slots = wa.slots
+	fr.slots = st.slots
 	ro := newRouter(fr, own)
 	fr.slots = slots
-	ro.NoHedge = wa.noHedge
-	ro.pools["s"].Pick = wa.pick
+	ro.NoHedge = st.noHedge
+	ro.pools["s"].Pick = st.pick
 	return ro
 }
 
 // gossip tells hosts of each other's load, as old as package peer has it.
-func (tw *trialWorld) gossip(ctx context.Context, spill bool) {
+func (tc *trialCluster) exchangeLoads(ctx context.Context, spill bool) {
 	for ctx.Err() == nil {
 		loads := map[string]map[string]Load{}
-		for name, ro := range tw.hosts {
+		for name, ro := range tc.hosts {
 			loads[name] = ro.Loads()
 		}
 		time.Sleep(200 * time.Millisecond)
-		for name, ro := range tw.hosts {
-			near := map[string]map[string]Load{}
+		for name, ro := range tc.hosts {
+			sameDC := map[string]map[string]Load{}
 			for other, lo := range loads {
 				if other != name && spill {
-					near[other] = lo
+					sameDC[other] = lo
 				}
 			}
-			ro.SetPeers(near, nil)
+			ro.SetPeers(sameDC, nil)
 			ro.Registry.Changed()
 		}
 	}
 }
 
-func (tw *trialWorld) do(ta *tally, n int, wg *sync.WaitGroup, counted bool) {
+func (tc *trialCluster) do(ts *trialStats, n int, wg *sync.WaitGroup, counted bool) {
 	class, left := runner.LatencyCritical, latDeadline
 	if rand.Float64() < trialBatch {
 		class, left = runner.Batch, batDeadline
 	}
-	req, ro := request(n, class, left), tw.hosts[tw.names[rand.IntN(len(tw.names))]]
+	req, ro := request(n, class, left), tc.hosts[tc.names[rand.IntN(len(tc.names))]]
 	wg.Go(func() {
 		begun := time.Now()
 		res := ro.Do(context.Background(), req)
 		if counted {
-			ta.note(req, res, time.Since(begun))
+			ts.record(req, res, time.Since(begun))
 		}
 	})
 }
 
 // runTrial runs a load on a way, in virtual time.
-func runTrial(wa way, tl trialLoad, span time.Duration) *tally {
-	ta := &tally{lat: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), reasons: map[reason.Reason]int{}}
-	tw := newTrialWorld(wa)
+func runTrial(st strategy, tl trialLoad, span time.Duration) *trialStats {
+	ts := &trialStats{lat: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), reasons: map[reason.Reason]int{}}
+	tc := newTrialCluster(st)
 	runners := ids("r", trialRunners)
 	for _, id := range runners[:tl.slow] {
-		tw.fr.slow[id] = 5
+		tc.fr.slow[id] = 5
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var background sync.WaitGroup
 	defer background.Wait()
 	defer cancel()
-	background.Go(func() { tw.gossip(ctx, wa.spill) })
+	background.Go(func() { tc.exchangeLoads(ctx, st.spill) })
 	rate := tl.load * trialRunners * trialSlots / trialMean.Seconds()
 	var wg sync.WaitGroup
-	begun, next, herd := time.Now(), time.Now(), time.Now().Add(trialWarm)
-	for n := 0; next.Sub(begun) < span+trialWarm; n++ {
+	begun, next, burst := time.Now(), time.Now(), time.Now().Add(trialWarmUp)
+	for n := 0; next.Sub(begun) < span+trialWarmUp; n++ {
 		time.Sleep(time.Until(next))
 		at := next.Sub(begun)
-		if at > trialWarm+span/2 {
-			tw.fr.mu.Lock()
+		if at > trialWarmUp+span/2 {
+			tc.fr.mu.Lock()
 			for i, id := range runners {
-				tw.fr.gone[id] = i < tl.gone
-				tw.fr.hang[id] = i < tl.hang
+				tc.fr.down[id] = i < tl.down
+				tc.fr.hung[id] = i < tl.hung
 			}
-			tw.fr.mu.Unlock()
+			tc.fr.mu.Unlock()
 		}
-		tw.do(ta, n, &wg, at > trialWarm)
-		if tl.herd > 0 && next.After(herd) {
-			herd = herd.Add(2 * time.Second)
-			for i := range tl.herd {
-				tw.do(ta, 1_000_000+n*1000+i, &wg, true)
+		tc.do(ts, n, &wg, at > trialWarmUp)
+		if tl.burst > 0 && next.After(burst) {
+			burst = burst.Add(2 * time.Second)
+			for i := range tl.burst {
+				tc.do(ts, 1_000_000+n*1000+i, &wg, true)
 			}
 		}
 		next = next.Add(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
@@ -239,22 +239,22 @@
 	wg.Wait()
 	// Slower attempts of hedged requests come to their end.
 	time.Sleep(time.Minute)
-	return ta
+	return ts
 }
 
 // row is a line of the comparison.
-func (ta *tally) row(wa way, tl trialLoad, span time.Duration) string {
-	at := func(q float64) float64 { return float64(ta.lat.ValueAtQuantile(q)) / 1000 }
-	sent := ta.sent[0] + ta.sent[1]
+func (ts *trialStats) row(st strategy, tl trialLoad, span time.Duration) string {
+	at := func(q float64) float64 { return float64(ts.lat.ValueAtQuantile(q)) / 1000 }
+	sent := ts.sent[0] + ts.sent[1]
 	capacity := float64(trialRunners*trialSlots) / trialMean.Seconds() * span.Seconds()
 	return fmt.Sprintf("%s\t%s\t%.1f\t%.1f\t%.1f\t%.2f%%\t%.2f%%\t%.1f%%\t%.2f\t%.3f\t%v",
-		tl.name, wa.name, at(50), at(99), at(99.9),
-		100*float64(ta.good[0])/float64(max(1, ta.sent[0])), 100*float64(ta.good[1])/float64(max(1, ta.sent[1])),
-		100*float64(ta.good[0]+ta.good[1])/capacity, 1000*float64(ta.late)/float64(max(1, sent)),
-		float64(ta.attempts)/float64(max(1, sent)), ta.reasons)
+		tl.name, st.name, at(50), at(99), at(99.9),
+		100*float64(ts.answered[0])/float64(max(1, ts.sent[0])), 100*float64(ts.answered[1])/float64(max(1, ts.sent[1])),
+		100*float64(ts.answered[0]+ts.answered[1])/capacity, 1000*float64(ts.unknown)/float64(max(1, sent)),
+		float64(ts.attempts)/float64(max(1, sent)), ts.reasons)
 }
 
-const compareHead = "LOAD\tWAY\tP50\tP99\tP99.9\tLATENCY-CRITICAL ANSWERED\tBATCH ANSWERED\tGOODPUT/CAPACITY\tLATE PER 1,000\tATTEMPTS\tREASONS"
+const compareHeader = "LOAD\tWAY\tP50\tP99\tP99.9\tLATENCY-CRITICAL ANSWERED\tBATCH ANSWERED\tGOODPUT/CAPACITY\tLATE PER 1,000\tATTEMPTS\tREASONS"
 
 // TestCompare prints the comparison behind docs/DESIGN.md with -compare; on
 // its own it runs the way chosen against the ideal once, and checks what does
@@ -263,21 +263,21 @@
 	c := qt.New(t)
 	if !*compare {
 		synctest.Test(t, func(t *testing.T) {
-			ta := runTrial(ways[1], trialLoads[3], time.Second)
-			qt.New(t).Assert(ta.good[0] > ta.sent[0]/2, qt.IsTrue)
-			qt.New(t).Assert(ta.good[1] > 0, qt.IsTrue, qt.Commentf("batch starved"))
+			ts := runTrial(strategies[1], trialLoads[3], time.Second)
+			qt.New(t).Assert(ts.answered[0] > ts.sent[0]/2, qt.IsTrue)
+			qt.New(t).Assert(ts.answered[1] > 0, qt.IsTrue, qt.Commentf("batch starved"))
 		})
 		return
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	_, _ = fmt.Fprintln(out, compareHead)
+	_, _ = fmt.Fprintln(out, compareHeader)
 	for _, tl := range trialLoads {
 		if !strings.HasPrefix(tl.name, *compareLoad) {
 			continue
 		}
-		for _, wa := range ways {
+		for _, st := range strategies {
 			synctest.Test(t, func(*testing.T) {
-				_, _ = fmt.Fprintln(out, runTrial(wa, tl, *compareFor).row(wa, tl, *compareFor))
+				_, _ = fmt.Fprintln(out, runTrial(st, tl, *compareFor).row(st, tl, *compareFor))
 			})
 		}
 	}
--- a/internal/route/load.go
+++ b/internal/route/load.go
@@ -9,20 +9,20 @@
 // evenOut works out how much batch to pass to peers in this data centre whose
 // queues are shorter, slot for slot. Without it a host with fewer runners than
 // the others refuses batch for which they have time.
-func (po *Pool) evenOut() {
+func (po *Pool) balanceBatch() {
 	slots := po.slots()
 	if slots == 0 {
 		return
 	}
 	own := float64(len(po.queue.heaps[runner.Batch])) / float64(slots)
-	for peer, lo := range po.near {
+	for peer, lo := range po.sameDC {
 		if lo.Slots == 0 {
 			continue
 		}
 		gap := own - float64(lo.Waiting)/float64(lo.Slots)
-		if gap > evenFrom {
-			lo.even = int(gap * float64(lo.Slots) / evenPart)
-			po.near[peer] = lo
+		if gap > balanceThreshold {
+			lo.balance = int(gap * float64(lo.Slots) / balanceDivisor)
+			po.sameDC[peer] = lo
 		}
 	}
 }
@@ -30,8 +30,8 @@
 // evenFrom is the difference of waiters for one slot from which batch is
 // passed on, evenPart the part of the difference passed on at a time.
 const (
-	evenFrom = 1.0
-	evenPart = 8
+	balanceThreshold = 1.0
+	balanceDivisor   = 8
 )
 
 // Load is what a pool tells its peers.
@@ -40,7 +40,7 @@
 	Free int `json:"free"`
 	// Yield is how many latency-critical requests it can take all the same,
 	// until it says so again: slots that would go to batch next.
-	Yield int `json:"yield,omitempty"`
+	BatchTurns int `json:"yield,omitempty"`
 	// Waiting is the number of waiters.
 	Waiting int `json:"waiting"`
 	// Slots is the number of slots.
@@ -48,7 +48,7 @@
 
 	// even is how many batch requests to pass to the peer to even out the
 	// queues; the pool that is told the load works it out.
-	even int
+	balance int
 }
 
 // Load returns the pool's load.
@@ -57,7 +57,7 @@
 	defer po.mu.Unlock()
 	lo := Load{Waiting: po.queue.len()}
 	for _, ms := range po.members {
-		if ms.gone {
+		if ms.removed {
 			continue
 		}
 		lo.Slots += ms.limit()
@@ -65,7 +65,7 @@
 	}
 	lo.Free = max(0, lo.Free-lo.Waiting)
 	if len(po.queue.heaps[runner.Batch]) > 0 {
-		lo.Yield = po.surplus()
+		lo.BatchTurns = po.batchSurplus()
 	}
 	return lo
 }
@@ -75,77 +75,77 @@
 // instead. The slots of a service do not divide evenly among hosts, so that
 // one host can have more latency-critical work than slots while the others
 // serve batch.
-func (po *Pool) surplus() int {
-	if time.Since(po.window) < yieldWindow {
-		return po.yield
+func (po *Pool) batchSurplus() int {
+	if time.Since(po.surplusSince) < surplusWindow {
+		return po.lastSurplus
 	}
 	turns := po.queue.turns
-	po.yield = turns[runner.Batch]
+	po.lastSurplus = turns[runner.Batch]
 	if po.policy.BatchEvery > 0 {
-		po.yield -= (turns[runner.LatencyCritical] + turns[runner.Batch]) / po.policy.BatchEvery
+		po.lastSurplus -= (turns[runner.LatencyCritical] + turns[runner.Batch]) / po.policy.BatchEvery
 	}
-	po.yield = max(0, po.yield)
+	po.lastSurplus = max(0, po.lastSurplus)
 	po.queue.turns = [2]int{}
-	po.window = time.Now()
-	return po.yield
+	po.surplusSince = time.Now()
+	return po.lastSurplus
 }
 
 const (
 	// yieldWindow is about the time between greetings of peers.
-	yieldWindow = 200 * time.Millisecond
+	surplusWindow = 200 * time.Millisecond
 	// yieldFrom is the part of the own slots that must wait in
 	// latency-critical requests before the offer is taken. Fewer have their
 	// turn soon, at the cost of batch here and not at a peer.
-	yieldFrom = 8
+	batchTurnDivisor = 8
 )
 
 // left returns how many requests of a kind the peer can take.
-func (lo Load) left(ki kind) int {
-	switch ki {
-	case yielding:
-		return lo.Free + lo.Yield
-	case evening:
-		return lo.Free + lo.even
+func (lo Load) available(sk spillKind) int {
+	switch sk {
+	case spillBatchTurns:
+		return lo.Free + lo.BatchTurns
+	case spillBalance:
+		return lo.Free + lo.balance
 	}
 	return lo.Free
 }
 
 // kind says what a waiter may ask of a peer besides free slots.
-type kind int
+type spillKind int
 
 const (
 	// plain waiters take free slots only.
-	plain kind = iota
+	spillFree spillKind = iota
 	// yielding ones take turns of the peer's batch.
-	yielding
+	spillBatchTurns
 	// evening ones take places in the peer's queue, which is shorter.
-	evening
+	spillBalance
 )
 
 // less returns the load after one more request was passed to the peer.
-func (lo Load) less(ki kind) Load {
+func (lo Load) afterSpill(sk spillKind) Load {
 	switch {
 	case lo.Free > 0:
 		lo.Free--
-	case ki == yielding:
-		lo.Yield--
+	case sk == spillBatchTurns:
+		lo.BatchTurns--
 	default:
-		lo.even--
+		lo.balance--
 	}
 	return lo
 }
 
 func (po *Pool) peerHasSlot() bool {
-	return mostLeft(po.near, yielding) != "" || mostLeft(po.far, yielding) != ""
+	return mostAvailable(po.sameDC, spillBatchTurns) != "" || mostAvailable(po.otherDCs, spillBatchTurns) != ""
 }
 
 // mostLeft returns the peer that can take the most requests, or "".
-func mostLeft(peers map[string]Load, ki kind) string {
+func mostAvailable(peers map[string]Load, sk spillKind) string {
 	best, most := "", 0
 	for peer, lo := range peers {
-		left := lo.left(ki)
-		if left > most || (left == most && left > 0 && peer < best) {
-			best, most = peer, left
+		available := lo.available(sk)
+		if available > most || (available == most && available > 0 && peer < best) {
+			best, most = peer, available
 		}
 	}
 	return best
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -27,20 +27,20 @@
 	mu   sync.Mutex
 	busy map[string]int
 	slow map[string]float64
-	gone map[string]bool
-	hang map[string]bool
+	down map[string]bool
+	hung map[string]bool
 	runs map[string]int
 }
 
 func newFakeRunners(mean time.Duration, sigma float64, slots int) *fakeRunners {
 	return &fakeRunners{
 		mean: mean, sigma: sigma, slots: slots, busy: map[string]int{}, slow: map[string]float64{},
-		gone: map[string]bool{}, hang: map[string]bool{}, runs: map[string]int{},
+		down: map[string]bool{}, hung: map[string]bool{}, runs: map[string]int{},
 	}
 }
 
 // connectTime is what a refusal takes.
-const connectTime = 200 * time.Microsecond
+const refusalTime = 200 * time.Microsecond
 
 func (fr *fakeRunners) client() runner.Client {
 	return runner.Client{RunFunc: fr.run}
@@ -48,25 +48,25 @@
 
 func (fr *fakeRunners) run(ctx context.Context, addr string, req runner.Request) (runner.Answer, error) {
 	fr.mu.Lock()
-	gone, full, hang := fr.gone[addr], fr.busy[addr] >= fr.slots, fr.hang[addr]
-	if gone || full {
+	down, full, hung := fr.down[addr], fr.busy[addr] >= fr.slots, fr.hung[addr]
+	if down || full {
 		fr.mu.Unlock()
-		time.Sleep(connectTime)
-		if gone {
+		time.Sleep(refusalTime)
+		if down {
 			return runner.Answer{}, &runner.NotRunError{Step: "connect", Peer: addr, Err: errRefused}
 		}
 		return runner.Answer{}, &runner.NotRunError{Step: "run", Peer: addr, Reason: runner.ReasonFull}
 	}
 	fr.busy[addr]++
 	fr.runs[req.ID]++
-	took := fr.draw(addr)
+	took := fr.serviceTime(addr)
 	fr.mu.Unlock()
 	defer func() {
 		fr.mu.Lock()
 		fr.busy[addr]--
 		fr.mu.Unlock()
 	}()
-	if hang {
+	if hung {
 		<-ctx.Done()
 		return runner.Answer{}, &runner.UnknownError{Step: "await answer", Peer: addr, Err: ctx.Err()}
 	}
@@ -80,7 +80,7 @@
 }
 
 // draw returns a log-normal service time.
-func (fr *fakeRunners) draw(addr string) time.Duration {
+func (fr *fakeRunners) serviceTime(addr string) time.Duration {
 	factor := max(1, fr.slow[addr])
 	if fr.sigma == 0 {
 		return time.Duration(float64(fr.mean) * factor)
@@ -102,7 +102,7 @@
 }
 
 // listed returns the platform's list for runners of one service.
-func listed(runners []string, slots int) []store.Host {
+func hostList(runners []string, slots int) []store.Host {
 	hosts := make([]store.Host, 0, len(runners))
 	for _, id := range runners {
 		hosts = append(hosts, store.Host{
@@ -130,7 +130,7 @@
 	}
 	ro.Registry = reg
 	ro.SetPolicy(Policy{QueueLimit: 1024, BatchEvery: 8})
-	reg.SetList(listed(runners, fr.slots))
+	reg.SetList(hostList(runners, fr.slots))
 	reg.Changed = refresh
 	refresh()
 	return ro
@@ -144,15 +144,15 @@
 }
 
 // linkTime is the time of one way to a peer.
-const linkTime = 500 * time.Microsecond
+const peerDelay = 500 * time.Microsecond
 
 // forwardTo passes requests to routers by name.
 func forwardTo(routers map[string]*Router) func(context.Context, string, Request) Result {
 	return func(ctx context.Context, peer string, req Request) Result {
-		time.Sleep(linkTime)
+		time.Sleep(peerDelay)
 		req.Local = true
 		res := routers[peer].Do(ctx, req)
-		time.Sleep(linkTime)
+		time.Sleep(peerDelay)
 		if ctx.Err() != nil && res.Outcome == Answered {
 			return Result{Outcome: Unknown, Reason: reason.PeerLost, Attempts: res.Attempts}
 		}
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -45,20 +45,20 @@
 	policy  Policy
 	members map[string]*memberState
 	queue   classQueue
-	times   Times
+	times   ServiceTimes
 	// yield is the surplus of the window before the one begun at window.
-	yield  int
-	window time.Time
+	lastSurplus  int
+	surplusSince time.Time
 	// near and far have what peers in this data centre, and in others, are
 	// said to have left.
-	near, far map[string]Load
+	sameDC, otherDCs map[string]Load
 }
 
 type memberState struct {
 	Member
 
-	busy int
-	gone bool
+	busy    int
+	removed bool
 }
 
 // Grant is one slot.
@@ -92,7 +92,7 @@
 	for _, me := range members {
 		listed[me.ID] = true
 		if ms := po.members[me.ID]; ms != nil {
-			ms.Member, ms.gone = me, false
+			ms.Member, ms.removed = me, false
 			continue
 		}
 		po.members[me.ID] = &memberState{Member: me}
@@ -101,7 +101,7 @@
 		if listed[id] {
 			continue
 		}
-		ms.gone = true
+		ms.removed = true
 		if ms.busy == 0 {
 			delete(po.members, id)
 		}
@@ -112,11 +112,11 @@
 // SetPeers tells what each peer is said to have left; near are in this data
 // centre, far elsewhere. The pool keeps the maps, and takes from them what it
 // passes on.
-func (po *Pool) SetPeers(near, far map[string]Load) {
+func (po *Pool) SetPeers(sameDC, otherDCs map[string]Load) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.near, po.far = near, far
-	po.evenOut()
+	po.sameDC, po.otherDCs = sameDC, otherDCs
+	po.balanceBatch()
 	po.dispatch()
 }
 
@@ -138,7 +138,7 @@
 }
 
 // Ask is a request for a slot.
-type Ask struct {
+type SlotRequest struct {
 	// Class, Method and Deadline are the request's.
 	Class    runner.Class
 	Method   string
@@ -160,11 +160,11 @@
 
 // Acquire takes a slot, waiting for one as long as the deadline allows. It
 // returns a grant, or the peer that is to serve the request, or a refusal.
-func (po *Pool) Acquire(ctx context.Context, ask Ask) (*Grant, string, Refusal) {
+func (po *Pool) Acquire(ctx context.Context, sr SlotRequest) (*Grant, string, Refusal) {
 	po.mu.Lock()
 	wa := &waiter{
-		class: ask.Class, deadline: ask.Deadline, needs: po.times.Needs(ask.Method),
-		avoid: ask.Avoid, local: ask.Local, got: make(chan turn, 1), index: -1,
+		class: sr.Class, deadline: sr.Deadline, minTime: po.times.Tail(sr.Method),
+		avoid: sr.Avoid, local: sr.Local, assigned: make(chan assignment, 1), index: -1,
 	}
 	if refuse := po.admit(wa); refuse != reason.None {
 		re := Refusal{Reason: refuse, RetryAfter: po.drainTime()}
@@ -179,14 +179,14 @@
 
 // TryAcquire takes a slot of an own runner not tried before, if one is free
 // and nobody waits.
-func (po *Pool) TryAcquire(ask Ask) *Grant {
+func (po *Pool) TryAcquire(sr SlotRequest) *Grant {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	if po.queue.len() > 0 {
 		return nil
 	}
-	ms := po.free(&waiter{class: ask.Class, avoid: ask.Avoid})
-	if ms == nil || ask.Avoid[ms.ID] {
+	ms := po.freeMember(&waiter{class: sr.Class, avoid: sr.Avoid})
+	if ms == nil || sr.Avoid[ms.ID] {
 		return nil
 	}
 	ms.busy++
@@ -195,19 +195,19 @@
 
 // hedgeAfter returns the time after which an answer is later than nearly all;
 // 0 if that is not known.
-func (po *Pool) hedgeAfter(method string) time.Duration {
+func (po *Pool) hedgeDelay(method string) time.Duration {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	return po.times.Needs(method)
+	return po.times.Tail(method)
 }
 
 func (po *Pool) await(ctx context.Context, wa *waiter) (*Grant, string, Refusal) {
-	ti := time.NewTimer(time.Until(wa.deadline.Add(-wa.needs)))
+	ti := time.NewTimer(time.Until(wa.deadline.Add(-wa.minTime)))
 	defer ti.Stop()
 	why := reason.Expired
 	select {
-	case tu := <-wa.got:
-		return po.answerTurn(tu)
+	case as := <-wa.assigned:
+		return po.assignmentResult(as)
 	case <-ctx.Done():
 		why = reason.CallerGone
 	case <-ti.C:
@@ -218,18 +218,18 @@
 	po.mu.Unlock()
 	if !removed {
 		// A turn came in the same moment; it is used, not lost.
-		return po.answerTurn(<-wa.got)
+		return po.assignmentResult(<-wa.assigned)
 	}
 	return nil, "", re
 }
 
-func (po *Pool) answerTurn(tu turn) (*Grant, string, Refusal) {
-	if tu.refuse == reason.None {
-		return tu.grant, tu.peer, Refusal{}
+func (po *Pool) assignmentResult(as assignment) (*Grant, string, Refusal) {
+	if as.refuse == reason.None {
+		return as.grant, as.peer, Refusal{}
 	}
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	return nil, "", Refusal{Reason: tu.refuse, RetryAfter: po.drainTime()}
+	return nil, "", Refusal{Reason: as.refuse, RetryAfter: po.drainTime()}
 }
 
 // admit says whether a waiter may queue: there is a runner at all, room in
@@ -240,18 +240,18 @@
 		return reason.NoRunner
 	}
 	left := time.Until(wa.deadline)
-	if left < wa.needs {
+	if left < wa.minTime {
 		return reason.TooLate
 	}
 	if po.queue.len() == 0 {
 		return reason.None
 	}
-	if po.policy.QueueLimit > 0 && po.queue.len() >= po.policy.QueueLimit && !po.displace(wa.class) {
+	if po.policy.QueueLimit > 0 && po.queue.len() >= po.policy.QueueLimit && !po.evictBatchWaiter(wa.class) {
 		return reason.QueueFull
 	}
 	ahead := po.queue.ahead(wa.class, wa.deadline)
 	wait := po.times.Mean() * time.Duration(ahead) / time.Duration(max(1, slots))
-	if wait+wa.needs > left {
+	if wait+wa.minTime > left {
 		return reason.TooLate
 	}
 	return reason.None
@@ -259,7 +259,7 @@
 
 // displace makes room in a full queue for a latency-critical waiter: the batch
 // waiter whose deadline is last is refused in its place.
-func (po *Pool) displace(class runner.Class) bool {
+func (po *Pool) evictBatchWaiter(class runner.Class) bool {
 	batch := po.queue.heaps[runner.Batch]
 	if class == runner.Batch || len(batch) == 0 {
 		return false
@@ -271,14 +271,14 @@
 		}
 	}
 	po.queue.remove(last)
-	last.got <- turn{refuse: reason.QueueFull}
+	last.assigned <- assignment{refuse: reason.QueueFull}
 	return true
 }
 
 func (po *Pool) slots() int {
 	n := 0
 	for _, ms := range po.members {
-		if !ms.gone {
+		if !ms.removed {
 			n += ms.limit()
 		}
 	}
@@ -303,50 +303,50 @@
 			return
 		}
 		wa := po.queue.heaps[class][0]
-		if time.Until(wa.deadline) < wa.needs {
+		if time.Until(wa.deadline) < wa.minTime {
 			heap.Pop(&po.queue.heaps[class])
-			wa.got <- turn{refuse: reason.Expired}
+			wa.assigned <- assignment{refuse: reason.Expired}
 			continue
 		}
-		tu, ok := po.turnFor(wa)
+		as, ok := po.assign(wa)
 		if !ok {
 			return
 		}
 		heap.Pop(&po.queue.heaps[class])
-		po.queue.took(class)
-		wa.got <- tu
+		po.queue.recordTurn(class)
+		wa.assigned <- as
 	}
 }
 
-func (po *Pool) turnFor(wa *waiter) (turn, bool) {
-	if ms := po.free(wa); ms != nil {
+func (po *Pool) assign(wa *waiter) (assignment, bool) {
+	if ms := po.freeMember(wa); ms != nil {
 		ms.busy++
-		return turn{grant: &Grant{Runner: ms.Member, pool: po, state: ms}}, true
+		return assignment{grant: &Grant{Runner: ms.Member, pool: po, state: ms}}, true
 	}
 	if wa.local {
-		return turn{}, false
+		return assignment{}, false
 	}
-	ki := evening
+	sk := spillBalance
 	if wa.class == runner.LatencyCritical {
-		ki = plain
-		if len(po.queue.heaps[wa.class]) > po.slots()/yieldFrom {
-			ki = yielding
+		sk = spillFree
+		if len(po.queue.heaps[wa.class]) > po.slots()/batchTurnDivisor {
+			sk = spillBatchTurns
 		}
 	}
-	for _, peers := range []map[string]Load{po.near, po.far} {
-		if peer := mostLeft(peers, ki); peer != "" {
-			peers[peer] = peers[peer].less(ki)
-			return turn{peer: peer}, true
+	for _, peers := range []map[string]Load{po.sameDC, po.otherDCs} {
+		if peer := mostAvailable(peers, sk); peer != "" {
+			peers[peer] = peers[peer].afterSpill(sk)
+			return assignment{peer: peer}, true
 		}
 	}
-	return turn{}, false
+	return assignment{}, false
 }
 
 // free returns the member to use, or nil if none has a free slot that suits.
-func (po *Pool) free(wa *waiter) *memberState {
+func (po *Pool) freeMember(wa *waiter) *memberState {
 	var fit, slow, tried []Member
 	for _, ms := range po.members {
-		if ms.gone || ms.busy >= ms.limit() {
+		if ms.removed || ms.busy >= ms.limit() {
 			continue
 		}
 		switch {
@@ -394,7 +394,7 @@
 		po.mu.Lock()
 		defer po.mu.Unlock()
 		gr.state.busy--
-		if gr.state.gone && gr.state.busy == 0 && po.members[gr.Runner.ID] == gr.state {
+		if gr.state.removed && gr.state.busy == 0 && po.members[gr.Runner.ID] == gr.state {
 			delete(po.members, gr.Runner.ID)
 		}
 		if ev == upstream.Answered {
--- a/internal/route/queue.go
+++ b/internal/route/queue.go
@@ -13,7 +13,7 @@
 	class    runner.Class
 	deadline time.Time
 	// needs is the time that must be left when a runner gets the request.
-	needs time.Duration
+	minTime time.Duration
 	// avoid are runners tried before.
 	avoid map[string]bool
 	// local keeps the request from being passed to a peer.
@@ -21,11 +21,11 @@
 	seq   uint64
 	index int
 	// got has the outcome: a grant, a peer to go to, or a refusal.
-	got chan turn
+	assigned chan assignment
 }
 
 // turn is what a waiter is told.
-type turn struct {
+type assignment struct {
 	grant  *Grant
 	peer   string
 	refuse reason.Reason
@@ -125,7 +125,7 @@
 }
 
 // took notes a turn taken by a class.
-func (cq *classQueue) took(class runner.Class) {
+func (cq *classQueue) recordTurn(class runner.Class) {
 	if class == runner.Batch {
 		cq.sinceBatch = 0
 		cq.turns[class]++
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -74,7 +74,7 @@
 
 // fullHold is how long a slot is left alone after its runner said that it
 // was full.
-const fullHold = 10 * time.Millisecond
+const fullCooldown = 10 * time.Millisecond
 
 // Router serves requests. Set the fields before use; make no copies.
 type Router struct {
@@ -142,11 +142,11 @@
 
 // SetPeers tells what each peer said of its load, per service; near are in
 // this data centre, far elsewhere.
-func (ro *Router) SetPeers(near, far map[string]map[string]Load) {
+func (ro *Router) SetPeers(sameDC, otherDCs map[string]map[string]Load) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	for service, po := range ro.pools {
-		po.SetPeers(loadsOf(near, service), loadsOf(far, service))
+		po.SetPeers(loadsOf(sameDC, service), loadsOf(otherDCs, service))
 	}
 }
 
@@ -179,32 +179,32 @@
 		return NotRunResult(reason.NoRunner, minRetryAfter)
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
-	ro.Budget.Earn()
-	tr := &trial{ro: ro, po: po, req: req, cancel: cancel, ask: Ask{
+	ro.Budget.Deposit()
+	ex := &execution{ro: ro, po: po, req: req, cancel: cancel, slotReq: SlotRequest{
 		Class: req.Class, Method: req.Method, Deadline: req.Deadline, Local: req.Local,
 	}}
-	res := tr.serve(ctx)
-	if !tr.outlived {
+	res := ex.serve(ctx)
+	if !ex.hedgeRunning {
 		cancel()
 	}
 	return res
 }
 
 // trial is one request on its way.
-type trial struct {
-	ro     *Router
-	po     *Pool
-	req    Request
-	ask    Ask
-	cancel context.CancelFunc
+type execution struct {
+	ro      *Router
+	po      *Pool
+	req     Request
+	slotReq SlotRequest
+	cancel  context.CancelFunc
 	// outlived is set if a slower attempt goes on after the request's end,
 	// so that its slot is counted for as long as it is in use.
-	outlived bool
+	hedgeRunning bool
 	// sent counts runners sent the request, passed counts peers asked.
-	sent   int
-	passed int
+	sent      int
+	forwarded int
 	// maybe is set once an attempt may have run.
-	maybe bool
+	mayHaveRun bool
 }
 
 // attempt is what came of one attempt.
@@ -212,54 +212,54 @@
 	Result
 
 	// retry is the reason to count if it is tried again; empty forbids it.
-	retry reason.Reason
+	retryReason reason.Reason
 	// free attempts cost nothing of the budget: a refusal at once by a
 	// runner that is full or leaving.
-	free bool
+	unbudgeted bool
 }
 
-func (tr *trial) serve(ctx context.Context) Result {
+func (ex *execution) serve(ctx context.Context) Result {
 	for {
-		gr, peer, refusal := tr.po.Acquire(ctx, tr.ask)
+		gr, peer, refusal := ex.po.Acquire(ctx, ex.slotReq)
 		if refusal.Reason != reason.None {
-			return tr.end(NotRunResult(refusal.Reason, refusal.RetryAfter))
+			return ex.finish(NotRunResult(refusal.Reason, refusal.RetryAfter))
 		}
 		var at attempt
 		if peer != "" {
-			at = tr.pass(ctx, peer)
+			at = ex.forward(ctx, peer)
 		} else {
-			at = tr.run(ctx, gr)
+			at = ex.run(ctx, gr)
 		}
 		if at.Outcome == Answered {
-			return tr.end(at.Result)
+			return ex.finish(at.Result)
 		}
-		tr.maybe = tr.maybe || at.Outcome == Unknown
-		if final, stop := tr.stop(ctx, at); stop {
+		ex.mayHaveRun = ex.mayHaveRun || at.Outcome == Unknown
+		if final, isFinal := ex.isFinal(ctx, at); isFinal {
 			return final
 		}
-		tr.ro.Metrics.Retried(at.retry)
+		ex.ro.Metrics.Retried(at.retryReason)
 	}
 }
 
 // stop says whether the request ends with this attempt.
-func (tr *trial) stop(ctx context.Context, at attempt) (Result, bool) {
+func (ex *execution) isFinal(ctx context.Context, at attempt) (Result, bool) {
 	switch {
-	case at.retry == reason.None, tr.req.Once && tr.maybe, ctx.Err() != nil:
-		return tr.end(at.Result), true
-	case tr.sent >= maxAttempts:
+	case at.retryReason == reason.None, ex.req.Once && ex.mayHaveRun, ctx.Err() != nil:
+		return ex.finish(at.Result), true
+	case ex.sent >= maxAttempts:
 		at.Reason = reason.AllRefused
-		return tr.end(at.Result), true
-	case !at.free && !tr.ro.Budget.Spend():
+		return ex.finish(at.Result), true
+	case !at.unbudgeted && !ex.ro.Budget.TryWithdraw():
 		at.Reason = reason.RetryBudget
-		return tr.end(at.Result), true
+		return ex.finish(at.Result), true
 	}
 	return Result{}, false
 }
 
 // end makes the final word of the last result.
-func (tr *trial) end(res Result) Result {
-	res.Attempts = tr.sent
-	if res.Outcome == NotRun && tr.maybe {
+func (ex *execution) finish(res Result) Result {
+	res.Attempts = ex.sent
+	if res.Outcome == NotRun && ex.mayHaveRun {
 		res.Outcome = Unknown
 	}
 	if res.Outcome != Answered && res.RetryAfter == 0 {
@@ -270,17 +270,17 @@
 
 // pass has a peer serve the request. A peer that refuses is asked no more
 // than twice, so that requests do not wander.
-func (tr *trial) pass(ctx context.Context, peer string) attempt {
-	tr.ro.Metrics.Add(telemetry.Spills, 1, "to", peer)
-	res := tr.ro.Forward(ctx, peer, tr.req)
-	tr.sent += res.Attempts
-	tr.passed++
-	if tr.passed >= 2 {
-		tr.ask.Local = true
+func (ex *execution) forward(ctx context.Context, peer string) attempt {
+	ex.ro.Metrics.Add(telemetry.Spills, 1, "to", peer)
+	res := ex.ro.Forward(ctx, peer, ex.req)
+	ex.sent += res.Attempts
+	ex.forwarded++
+	if ex.forwarded >= 2 {
+		ex.slotReq.Local = true
 	}
-	at := attempt{Result: res, retry: reason.RetryPeer, free: res.Outcome == NotRun}
+	at := attempt{Result: res, retryReason: reason.RetryPeer, unbudgeted: res.Outcome == NotRun}
 	if res.Reason == reason.Expired || res.Reason == reason.TooLate {
-		at.retry = reason.None
+		at.retryReason = reason.None
 	}
 	return at
 }
@@ -289,16 +289,16 @@
 // takes longer than nearly all do, a request that may run twice is sent to a
 // second runner, if one is free and the budget for retries allows, and the
 // first answer counts.
-func (tr *trial) run(ctx context.Context, gr *Grant) attempt {
-	after := tr.po.hedgeAfter(tr.req.Method)
-	if tr.ro.NoHedge || tr.req.Once || after == 0 {
-		tr.sending(gr)
-		return tr.send(ctx, gr)
+func (ex *execution) run(ctx context.Context, gr *Grant) attempt {
+	after := ex.po.hedgeDelay(ex.req.Method)
+	if ex.ro.NoHedge || ex.req.Once || after == 0 {
+		ex.recordAttempt(gr)
+		return ex.send(ctx, gr)
 	}
 	results := make(chan attempt, 2)
 	launch := func(gr *Grant) {
-		tr.sending(gr)
-		go func() { results <- tr.send(ctx, gr) }()
+		ex.recordAttempt(gr)
+		go func() { results <- ex.send(ctx, gr) }()
 	}
 	launch(gr)
 	ti := time.NewTimer(after)
@@ -308,27 +308,27 @@
 		return at
 	case <-ti.C:
 	}
-	second := tr.po.TryAcquire(tr.ask)
+	second := ex.po.TryAcquire(ex.slotReq)
 	if second == nil {
 		return <-results
 	}
-	if !tr.ro.Budget.Spend() {
-		second.Release(tr.req.Method, upstream.Full, 0)
+	if !ex.ro.Budget.TryWithdraw() {
+		second.Release(ex.req.Method, upstream.Full, 0)
 		return <-results
 	}
-	tr.ro.Metrics.Retried(reason.RetryHedge)
+	ex.ro.Metrics.Retried(reason.RetryHedge)
 	launch(second)
-	return tr.better(<-results, results)
+	return ex.firstAnswer(<-results, results)
 }
 
 // better returns the first attempt if it was answered, or else waits for the
 // second. An attempt that may have run outweighs one that did not.
-func (tr *trial) better(first attempt, rest <-chan attempt) attempt {
+func (ex *execution) firstAnswer(first attempt, rest <-chan attempt) attempt {
 	if first.Outcome == Answered {
-		tr.outlived = true
+		ex.hedgeRunning = true
 		go func() {
 			<-rest
-			tr.cancel()
+			ex.cancel()
 		}()
 		return first
 	}
@@ -340,29 +340,29 @@
 }
 
 // sending notes that a runner is sent the request.
-func (tr *trial) sending(gr *Grant) {
-	tr.sent++
-	tr.ro.Metrics.Add(telemetry.Attempts, 1)
-	if tr.ask.Avoid == nil {
-		tr.ask.Avoid = map[string]bool{}
+func (ex *execution) recordAttempt(gr *Grant) {
+	ex.sent++
+	ex.ro.Metrics.Add(telemetry.Attempts, 1)
+	if ex.slotReq.Avoid == nil {
+		ex.slotReq.Avoid = map[string]bool{}
 	}
-	tr.ask.Avoid[gr.Runner.ID] = true
+	ex.slotReq.Avoid[gr.Runner.ID] = true
 }
 
 // send makes one attempt, and gives the slot back when it has ended.
-func (tr *trial) send(ctx context.Context, gr *Grant) attempt {
+func (ex *execution) send(ctx context.Context, gr *Grant) attempt {
 	begun := time.Now()
-	ans, err := tr.ro.Runners.RunFunc(ctx, gr.Runner.Addr, tr.req.Request)
+	ans, err := ex.ro.Runners.RunFunc(ctx, gr.Runner.Addr, ex.req.Request)
 	took := time.Since(begun)
-	at, ev := judge(ctx, err)
-	tr.ro.report(gr.Runner.ID, ev, took)
+	at, ev := classify(ctx, err)
+	ex.ro.report(gr.Runner.ID, ev, took)
 	if ans.Leaving && ev != upstream.SaidLeaving {
-		tr.ro.report(gr.Runner.ID, upstream.SaidLeaving, 0)
+		ex.ro.report(gr.Runner.ID, upstream.SaidLeaving, 0)
 	}
 	if ev == upstream.Full {
-		time.AfterFunc(fullHold, func() { gr.Release(tr.req.Method, ev, took) })
+		time.AfterFunc(fullCooldown, func() { gr.Release(ex.req.Method, ev, took) })
 	} else {
-		gr.Release(tr.req.Method, ev, took)
+		gr.Release(ex.req.Method, ev, took)
 	}
 	at.Body = ans.Body
 	at.Runner = gr.Runner.ID
@@ -377,18 +377,18 @@
 
 // judge turns what the client returned into the outcome of the attempt and
 // the evidence on the runner.
-func judge(ctx context.Context, err error) (attempt, upstream.Evidence) {
+func classify(ctx context.Context, err error) (attempt, upstream.Evidence) {
 	if err == nil {
 		return attempt{Result: Result{Outcome: Answered}}, upstream.Answered
 	}
 	var notRun *runner.NotRunError
 	if errors.As(err, &notRun) {
-		return judgeNotRun(ctx, notRun)
+		return classifyNotRun(ctx, notRun)
 	}
-	lost := attempt{Result: Result{Outcome: Unknown, Reason: reason.AnswerLost}, retry: reason.RetryLost}
+	lost := attempt{Result: Result{Outcome: Unknown, Reason: reason.AnswerLost}, retryReason: reason.RetryLost}
 	switch {
 	case errors.Is(err, runner.ErrForeignAnswer), errors.Is(err, runner.ErrNoStatus), errors.Is(err, runner.ErrNoEndMark):
-		lost.retry = reason.RetryForeign
+		lost.retryReason = reason.RetryForeign
 		return lost, upstream.Wrong
 	case ctx.Err() != nil:
 		return lost, upstream.GaveUp
@@ -396,23 +396,23 @@
 	return lost, upstream.Lost
 }
 
-func judgeNotRun(ctx context.Context, err *runner.NotRunError) (attempt, upstream.Evidence) {
+func classifyNotRun(ctx context.Context, err *runner.NotRunError) (attempt, upstream.Evidence) {
 	at := attempt{Result: Result{Outcome: NotRun, Reason: reason.AllRefused}}
 	switch err.Reason {
 	case runner.ReasonFull:
-		at.retry, at.free = reason.RetryFull, true
+		at.retryReason, at.unbudgeted = reason.RetryFull, true
 		return at, upstream.Full
 	case runner.ReasonLeaving:
-		at.retry, at.free = reason.RetryLeaving, true
+		at.retryReason, at.unbudgeted = reason.RetryLeaving, true
 		return at, upstream.SaidLeaving
 	case "":
-		at.retry = reason.RetryConnect
+		at.retryReason = reason.RetryConnect
 		if ctx.Err() != nil {
 			at.Reason = reason.Expired
 			return at, upstream.GaveUp
 		}
 		return at, upstream.Unreached
 	}
-	at.retry = reason.RetryRefused
+	at.retryReason = reason.RetryRefused
 	return at, upstream.Refused
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -18,13 +18,13 @@
 )
 
 // inBubble runs a test on a clock that moves only when all wait.
-func inBubble(t *testing.T, fn func(c *qt.C)) {
+func withFakeClock(t *testing.T, fn func(c *qt.C)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { fn(qt.New(t)) })
 }
 
 // scripted returns a client whose n-th attempt ends as the script says.
-func scripted(script ...error) (runner.Client, *int) {
+func scriptedClient(script ...error) (runner.Client, *int) {
 	sent := 0
 	return runner.Client{RunFunc: func(_ context.Context, _ string, req runner.Request) (runner.Answer, error) {
 		err := script[min(sent, len(script)-1)]
@@ -39,7 +39,7 @@
 	errFull    = &runner.NotRunError{Step: "run", Peer: "r", Reason: runner.ReasonFull}
 )
 
-func routerOf(cl runner.Client, members ...Member) *Router {
+func newFixedRouter(cl runner.Client, members ...Member) *Router {
 	ro := &Router{Runners: cl}
 	ro.SetPolicy(Policy{QueueLimit: 100, BatchEvery: 8})
 	ro.SetMembers(map[string][]Member{"s": members})
@@ -65,9 +65,9 @@
 		{"all refuse", false, []error{errNotRun}, NotRun, reason.AllRefused, maxAttempts},
 	} {
 		t.Run(te.name, func(t *testing.T) {
-			inBubble(t, func(c *qt.C) {
-				cl, sent := scripted(te.script...)
-				ro := routerOf(cl, member("a", 8), member("b", 8))
+			withFakeClock(t, func(c *qt.C) {
+				cl, sent := scriptedClient(te.script...)
+				ro := newFixedRouter(cl, member("a", 8), member("b", 8))
 				req := request(1, runner.LatencyCritical, time.Second)
 				req.Once = te.once
 				begun := time.Now()
@@ -87,36 +87,36 @@
 
 // TestMarkedRunsOnce drives marked requests against any script of failures,
 // and checks that none is sent again once it may have run.
-func TestMarkedRunsOnce(t *testing.T) {
+func TestRunOnceNotRetriedAfterUnknown(t *testing.T) {
 	proptest.Check(t, proptest.Size{}, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.SampledFrom([]error{nil, errNotRun, errUnknown, errFull}), 1, 8).Draw(rt, "script")
 		script = append(script, nil)
 		synctest.Test(t, func(*testing.T) {
-			cl, sent := scripted(script...)
-			ro := routerOf(cl, member("a", 8), member("b", 8), member("c", 8))
+			cl, sent := scriptedClient(script...)
+			ro := newFixedRouter(cl, member("a", 8), member("b", 8), member("c", 8))
 			req := request(1, runner.LatencyCritical, time.Minute)
 			req.Once = true
 			res := ro.Do(context.Background(), req)
-			maybe := 0
+			possible := 0
 			for _, err := range script[:*sent] {
 				if err == nil || errors.Is(err, errUnknown) {
-					maybe++
+					possible++
 				}
 			}
-			if maybe > 1 || (res.Outcome == NotRun && maybe > 0) {
-				rt.Errorf("%v: may have run %d times, said %s", script[:*sent], maybe, res.Outcome)
+			if possible > 1 || (res.Outcome == NotRun && possible > 0) {
+				rt.Errorf("%v: may have run %d times, said %s", script[:*sent], possible, res.Outcome)
 			}
 			time.Sleep(time.Second)
 		})
 	})
 }
 
-func TestHalfTheRunnersGone(t *testing.T) {
-	inBubble(t, func(c *qt.C) {
+func TestHalfTheRunnersUnreachable(t *testing.T) {
+	withFakeClock(t, func(c *qt.C) {
 		fr := newFakeRunners(10*time.Millisecond, 0.5, 8)
 		ro := newRouter(fr, ids("r", 10))
 		for _, id := range ids("r", 5) {
-			fr.gone[id] = true
+			fr.down[id] = true
 		}
 		var wg sync.WaitGroup
 		var mu sync.Mutex
@@ -142,38 +142,38 @@
 }
 
 func TestRetriesStayInBudget(t *testing.T) {
-	inBubble(t, func(c *qt.C) {
-		cl, sent := scripted(errNotRun)
-		ro := routerOf(cl, member("a", 8), member("b", 8))
+	withFakeClock(t, func(c *qt.C) {
+		cl, sent := scriptedClient(errNotRun)
+		ro := newFixedRouter(cl, member("a", 8), member("b", 8))
 		const requests = 1000
 		for n := range requests {
 			ro.Do(context.Background(), request(n, runner.LatencyCritical, time.Second))
 		}
-		c.Assert(*sent <= requests+requests/10+int(budgetMost), qt.IsTrue, qt.Commentf("%d sent", *sent))
+		c.Assert(*sent <= requests+requests/10+int(maxBudget), qt.IsTrue, qt.Commentf("%d sent", *sent))
 	})
 }
 
 // blocker is a client whose runs last until they are let go.
-func blocker() (runner.Client, chan struct{}) {
-	gate := make(chan struct{})
+func blockingClient() (runner.Client, chan struct{}) {
+	unblock := make(chan struct{})
 	return runner.Client{RunFunc: func(context.Context, string, runner.Request) (runner.Answer, error) {
-		<-gate
+		<-unblock
 		return runner.Answer{}, nil
-	}}, gate
+	}}, unblock
 }
 
 func TestQueue(t *testing.T) {
 	t.Run("earliest deadline first, and batch is not starved", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
+		withFakeClock(t, func(c *qt.C) {
 			po := NewPool(Policy{QueueLimit: 100, BatchEvery: 4})
 			po.SetMembers([]Member{member("a", 1)})
-			gr, _, _ := po.Acquire(context.Background(), Ask{Deadline: time.Now().Add(time.Minute)})
+			gr, _, _ := po.Acquire(context.Background(), SlotRequest{Deadline: time.Now().Add(time.Minute)})
 			var mu sync.Mutex
 			var order []string
 			for i := range 8 {
-				go take(po, &mu, &order, fmt.Sprintf("l%d", i), runner.LatencyCritical, time.Duration(20-i)*time.Second)
+				go acquireAndRelease(po, &mu, &order, fmt.Sprintf("l%d", i), runner.LatencyCritical, time.Duration(20-i)*time.Second)
 			}
-			go take(po, &mu, &order, "b", runner.Batch, time.Hour)
+			go acquireAndRelease(po, &mu, &order, "b", runner.Batch, time.Hour)
 			synctest.Wait()
 			gr.Release("m", 0, 0)
 			synctest.Wait()
@@ -181,9 +181,9 @@
 		})
 	})
 	t.Run("a full queue refuses at once, and batch makes way", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
-			cl, gate := blocker()
-			ro := routerOf(cl, member("a", 1))
+		withFakeClock(t, func(c *qt.C) {
+			cl, unblock := blockingClient()
+			ro := newFixedRouter(cl, member("a", 1))
 			ro.SetPolicy(Policy{QueueLimit: 1, BatchEvery: 8})
 			do := func(n int, class runner.Class) chan Result {
 				result := make(chan Result, 1)
@@ -199,16 +199,16 @@
 			c.Assert(res.Outcome, qt.Equals, NotRun)
 			res = ro.Do(context.Background(), request(4, runner.LatencyCritical, time.Minute))
 			c.Assert(res.Reason, qt.Equals, reason.QueueFull)
-			close(gate)
+			close(unblock)
 			c.Assert((<-running).Outcome, qt.Equals, Answered)
 			c.Assert((<-waiting).Outcome, qt.Equals, Answered)
 		})
 	})
 	t.Run("what cannot be in time is refused at once", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
+		withFakeClock(t, func(c *qt.C) {
 			fr := newFakeRunners(100*time.Millisecond, 0, 1)
 			ro := newRouter(fr, ids("r", 1))
-			for n := range 2 * timesFew {
+			for n := range 2 * minSamples {
 				ro.Do(context.Background(), request(n, runner.LatencyCritical, time.Second))
 			}
 			begun := time.Now()
@@ -219,17 +219,17 @@
 		})
 	})
 	t.Run("no runner", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
-			cl, _ := scripted(nil)
-			res := routerOf(cl).Do(context.Background(), request(1, runner.LatencyCritical, time.Second))
+		withFakeClock(t, func(c *qt.C) {
+			cl, _ := scriptedClient(nil)
+			res := newFixedRouter(cl).Do(context.Background(), request(1, runner.LatencyCritical, time.Second))
 			c.Assert(res.Reason, qt.Equals, reason.NoRunner)
 			c.Assert(res.Outcome, qt.Equals, NotRun)
 		})
 	})
 }
 
-func take(po *Pool, mu *sync.Mutex, order *[]string, name string, class runner.Class, left time.Duration) {
-	gr, _, _ := po.Acquire(context.Background(), Ask{Class: class, Deadline: time.Now().Add(left)})
+func acquireAndRelease(po *Pool, mu *sync.Mutex, order *[]string, name string, class runner.Class, left time.Duration) {
+	gr, _, _ := po.Acquire(context.Background(), SlotRequest{Class: class, Deadline: time.Now().Add(left)})
 	mu.Lock()
 	*order = append(*order, name)
 	mu.Unlock()
@@ -237,8 +237,8 @@
 }
 
 func BenchmarkDo(b *testing.B) {
-	cl, _ := scripted(nil)
-	ro := routerOf(cl, member("a", 8), member("b", 8), member("c", 8))
+	cl, _ := scriptedClient(nil)
+	ro := newFixedRouter(cl, member("a", 8), member("b", 8), member("c", 8))
 	b.ReportAllocs()
 	for n := range b.N {
 		ro.Do(context.Background(), request(n, runner.LatencyCritical, time.Second))
--- a/internal/route/times.go
+++ b/internal/route/times.go
@@ -9,39 +9,39 @@
 const (
 	// timesMax and timesDigits shape the histograms: 1 microsecond to a
 	// minute with two digits, about 40 KB each.
-	timesMax    = int64(time.Minute / time.Microsecond)
-	timesDigits = 2
+	maxMicros       = int64(time.Minute / time.Microsecond)
+	histogramDigits = 2
 	// timesMethods bounds the methods learnt apart; more share one entry.
-	timesMethods = 16
+	maxMethods = 16
 	// timesWindow is how many answers make a window, after which the oldest
 	// half is forgotten.
-	timesWindow = 2000
+	windowSamples = 2000
 	// timesFew is how many answers must be known before a quantile is used.
-	timesFew = 100
+	minSamples = 100
 	// needQuantile is the service time, in percent, that must be left for a
 	// request to be given to a runner. What is over it may come late, so it
 	// is set for less than one late answer in 1,000, the deadline being the
 	// tightest possible for every request.
-	needQuantile = 99.9
+	tailQuantile = 99.9
 	meanWeight   = 0.05
 	otherMethods = "other"
 )
 
 // Times learns service times per method. The zero value knows none, and then
 // estimates are zero: nothing is refused on a guess.
-type Times struct {
+type ServiceTimes struct {
 	methods map[string]*methodTimes
 	mean    float64
 }
 
 type methodTimes struct {
 	older, newer *hdrhistogram.Histogram
-	needs        time.Duration
+	tail         time.Duration
 	count        int
 }
 
 // Add takes the time of one answer.
-func (ti *Times) Add(method string, took time.Duration) {
+func (ti *ServiceTimes) Add(method string, took time.Duration) {
 	if ti.methods == nil {
 		ti.methods = map[string]*methodTimes{}
 	}
@@ -52,9 +52,9 @@
 	ti.method(method).add(took)
 }
 
-func (ti *Times) method(name string) *methodTimes {
+func (ti *ServiceTimes) method(name string) *methodTimes {
 	mt := ti.methods[name]
-	if mt == nil && len(ti.methods) >= timesMethods {
+	if mt == nil && len(ti.methods) >= maxMethods {
 		name = otherMethods
 		mt = ti.methods[name]
 	}
@@ -66,17 +66,17 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, timesMax, timesDigits)
+	return hdrhistogram.New(1, maxMicros, histogramDigits)
 }
 
 func (mt *methodTimes) add(took time.Duration) {
-	_ = mt.newer.RecordValue(min(timesMax, max(1, took.Microseconds())))
+	_ = mt.newer.RecordValue(min(maxMicros, max(1, took.Microseconds())))
 	mt.count++
-	if mt.count >= timesFew && mt.count%timesFew == 0 {
-		q := max(mt.newer.ValueAtQuantile(needQuantile), mt.older.ValueAtQuantile(needQuantile))
-		mt.needs = time.Duration(q) * time.Microsecond
+	if mt.count >= minSamples && mt.count%minSamples == 0 {
+		q := max(mt.newer.ValueAtQuantile(tailQuantile), mt.older.ValueAtQuantile(tailQuantile))
+		mt.tail = time.Duration(q) * time.Microsecond
 	}
-	if mt.newer.TotalCount() >= timesWindow {
+	if mt.newer.TotalCount() >= windowSamples {
 		mt.older, mt.newer = mt.newer, mt.older
 		mt.newer.Reset()
 	}
@@ -84,7 +84,7 @@
 
 // Needs returns the time that a request of the method needs, to be in time
 // nearly always; 0 if too little is known.
-func (ti *Times) Needs(method string) time.Duration {
+func (ti *ServiceTimes) Tail(method string) time.Duration {
 	mt := ti.methods[method]
 	if mt == nil {
 		mt = ti.methods[otherMethods]
@@ -92,10 +92,10 @@
 	if mt == nil {
 		return 0
 	}
-	return mt.needs
+	return mt.tail
 }
 
 // Mean returns the mean time over all methods; 0 if none is known.
-func (ti *Times) Mean() time.Duration {
+func (ti *ServiceTimes) Mean() time.Duration {
 	return time.Duration(ti.mean * float64(time.Second))
 }
