--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -90,7 +90,7 @@
 func (ho *Host) applyConfig(doc config.Doc) {
 	ho.router.SetPolicy(route.Policy{QueueLimit: doc.Int(config.QueueLimit), BatchEvery: doc.Int(config.BatchEvery)})
 	ho.router.Budget.SetRatio(doc.Float(config.RetryRatio))
-	ho.registry.SetMaxAside(doc.Float(config.MaxAside))
+	ho.registry.SetQuarantineLimit(doc.Float(config.MaxAside))
 	ho.log.Info("configuration in force", "version", doc.Version)
 }
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -356,8 +356,8 @@
 	took := time.Since(begun)
 	at, ev := classify(ctx, err)
 	ex.ro.report(gr.Runner.ID, ev, took)
-	if ans.Leaving && ev != upstream.SaidLeaving {
-		ex.ro.report(gr.Runner.ID, upstream.SaidLeaving, 0)
+	if ans.Leaving && ev != upstream.ReportedLeaving {
+		ex.ro.report(gr.Runner.ID, upstream.ReportedLeaving, 0)
 	}
 	if ev == upstream.Full {
 		time.AfterFunc(fullCooldown, func() { gr.Release(ex.req.Method, ev, took) })
@@ -389,11 +389,11 @@
 	switch {
 	case errors.Is(err, runner.ErrForeignAnswer), errors.Is(err, runner.ErrNoStatus), errors.Is(err, runner.ErrNoEndMark):
 		lost.retryReason = reason.RetryForeign
-		return lost, upstream.Wrong
+		return lost, upstream.InvalidAnswer
 	case ctx.Err() != nil:
-		return lost, upstream.GaveUp
+		return lost, upstream.Abandoned
 	}
-	return lost, upstream.Lost
+	return lost, upstream.AnswerLost
 }
 
 func classifyNotRun(ctx context.Context, err *runner.NotRunError) (attempt, upstream.Evidence) {
@@ -404,14 +404,14 @@
 		return at, upstream.Full
 	case runner.ReasonLeaving:
 		at.retryReason, at.unbudgeted = reason.RetryLeaving, true
-		return at, upstream.SaidLeaving
+		return at, upstream.ReportedLeaving
 	case "":
 		at.retryReason = reason.RetryConnect
 		if ctx.Err() != nil {
 			at.Reason = reason.Expired
-			return at, upstream.GaveUp
+			return at, upstream.Abandoned
 		}
-		return at, upstream.Unreached
+		return at, upstream.Unreachable
 	}
 	at.retryReason = reason.RetryRefused
 	return at, upstream.Refused
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -28,7 +28,7 @@
 	// Leaving runners get no new work.
 	Leaving State = "leaving"
 	// Aside runners get none for a while, on evidence.
-	Aside State = "aside"
+	Quarantined State = "aside"
 	// Probing runners get one request at a time.
 	Probing State = "probing"
 )
@@ -43,30 +43,30 @@
 	// Full: refused, because its slots were in use. It says nothing.
 	Full
 	// SaidLeaving: the runner takes no new work.
-	SaidLeaving
+	ReportedLeaving
 	// Refused: refused for a reason of the runner's own.
 	Refused
 	// Unreached: no connection.
-	Unreached
+	Unreachable
 	// Lost: no whole answer.
-	Lost
+	AnswerLost
 	// Wrong: an answer that was not one.
-	Wrong
+	InvalidAnswer
 	// GaveUp: the deadline passed or the caller left; it says little.
-	GaveUp
+	Abandoned
 )
 
 // The policy's numbers.
 const (
-	badInARow     = 3
-	asideFirst    = time.Second
-	asideMost     = 30 * time.Second
-	probesToLive  = 3
-	leavingHold   = 30 * time.Second
-	slowFactor    = 3
-	slowSamples   = 20
-	latencyWeight = 0.1
-	gaveUpInARow  = 5
+	failureLimit      = 3
+	minQuarantineTime = time.Second
+	maxQuarantineTime = 30 * time.Second
+	probesRequired    = 3
+	leavingHold       = 30 * time.Second
+	slowFactor        = 3
+	slowSamples       = 20
+	latencyWeight     = 0.1
+	abandonLimit      = 5
 )
 
 // Runner is a runner as it is known now.
@@ -82,16 +82,16 @@
 
 // record is what is kept of a runner.
 type record struct {
-	host      store.Host
-	leftUntil time.Time
-	bad       int
-	gaveUp    int
-	asides    int
-	asideTill time.Time
-	probing   bool
-	probesOK  int
-	latency   float64
-	samples   int
+	host             store.Host
+	leavingUntil     time.Time
+	failures         int
+	abandoned        int
+	quarantines      int
+	quarantinedUntil time.Time
+	probing          bool
+	probesOK         int
+	latency          float64
+	samples          int
 }
 
 // Registry keeps runners. The zero value is empty and ready.
@@ -103,18 +103,18 @@
 	recs map[string]*record
 	// maxAside is the part of a service's runners in a data centre that may
 	// be aside at a time.
-	maxAside float64
+	quarantineLimit float64
 }
 
 // defaultMaxAside holds until another is set.
-const defaultMaxAside = 0.5
+const defaultQuarantineLimit = 0.5
 
 // SetMaxAside changes the part of a service's runners in a data centre that
 // may be aside at a time; zero means a half.
-func (re *Registry) SetMaxAside(part float64) {
+func (re *Registry) SetQuarantineLimit(fraction float64) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	re.maxAside = part
+	re.quarantineLimit = fraction
 }
 
 // SetList takes the platform's list of runners.
@@ -159,7 +159,7 @@
 	changed := false
 	if rec != nil {
 		before := rec.state(time.Now())
-		re.judge(rec, ev, took)
+		re.evaluate(rec, ev, took)
 		changed = rec.state(time.Now()) != before
 	}
 	re.mu.Unlock()
@@ -168,33 +168,33 @@
 	}
 }
 
-func (re *Registry) judge(rec *record, ev Evidence, took time.Duration) {
+func (re *Registry) evaluate(rec *record, ev Evidence, took time.Duration) {
 	now := time.Now()
 	switch ev {
 	case Answered:
-		rec.good(took)
+		rec.recordAnswer(took)
 	case Full:
-	case SaidLeaving:
-		rec.leftUntil = now.Add(leavingHold)
+	case ReportedLeaving:
+		rec.leavingUntil = now.Add(leavingHold)
 		rec.probing = true
 		rec.probesOK = 0
-	case GaveUp:
+	case Abandoned:
 		// A hanging runner shows only so; a slow caller shows the same once.
-		rec.gaveUp++
-		if rec.gaveUp >= gaveUpInARow || rec.probing {
-			re.setAside(rec, now)
+		rec.abandoned++
+		if rec.abandoned >= abandonLimit || rec.probing {
+			re.quarantine(rec, now)
 		}
-	case Refused, Unreached, Lost, Wrong:
-		rec.bad++
-		if rec.bad >= badInARow || rec.probing {
-			re.setAside(rec, now)
+	case Refused, Unreachable, AnswerLost, InvalidAnswer:
+		rec.failures++
+		if rec.failures >= failureLimit || rec.probing {
+			re.quarantine(rec, now)
 		}
 	}
 }
 
-func (rec *record) good(took time.Duration) {
-	rec.bad = 0
-	rec.gaveUp = 0
+func (rec *record) recordAnswer(took time.Duration) {
+	rec.failures = 0
+	rec.abandoned = 0
 	rec.samples++
 	if rec.samples == 1 {
 		rec.latency = took.Seconds()
@@ -204,52 +204,52 @@
 		return
 	}
 	rec.probesOK++
-	if rec.probesOK >= probesToLive {
+	if rec.probesOK >= probesRequired {
 		rec.probing = false
-		rec.asides = 0
+		rec.quarantines = 0
 	}
 }
 
 // setAside takes a runner out for a while, unless too many are out already.
-func (re *Registry) setAside(rec *record, now time.Time) {
-	if !rec.probing && !re.mayAside(rec, now) {
+func (re *Registry) quarantine(rec *record, now time.Time) {
+	if !rec.probing && !re.mayQuarantine(rec, now) {
 		return
 	}
-	pause := asideFirst << min(rec.asides, 10)
-	rec.asideTill = now.Add(min(pause, asideMost))
-	rec.asides++
+	duration := minQuarantineTime << min(rec.quarantines, 10)
+	rec.quarantinedUntil = now.Add(min(duration, maxQuarantineTime))
+	rec.quarantines++
 	rec.probing = true
 	rec.probesOK = 0
-	rec.bad = 0
-	rec.gaveUp = 0
+	rec.failures = 0
+	rec.abandoned = 0
 }
 
-func (re *Registry) mayAside(rec *record, now time.Time) bool {
-	all, out := 0, 0
+func (re *Registry) mayQuarantine(rec *record, now time.Time) bool {
+	all, unavailable := 0, 0
 	for _, other := range re.recs {
 		if other.host.Service != rec.host.Service || other.host.DC != rec.host.DC {
 			continue
 		}
 		all++
 		if other.probing || other.state(now) == Leaving {
-			out++
+			unavailable++
 		}
 	}
-	limit := re.maxAside
+	limit := re.quarantineLimit
 	if limit == 0 {
-		limit = defaultMaxAside
+		limit = defaultQuarantineLimit
 	}
-	return float64(out+1) <= limit*float64(all)
+	return float64(unavailable+1) <= limit*float64(all)
 }
 
 // state returns the state at a moment. A runner that said it is leaving and
 // is still listed as live is tried again after a hold, as a probe.
 func (rec *record) state(now time.Time) State {
 	switch {
-	case rec.host.State == store.HostLeaving, now.Before(rec.leftUntil):
+	case rec.host.State == store.HostLeaving, now.Before(rec.leavingUntil):
 		return Leaving
-	case now.Before(rec.asideTill):
-		return Aside
+	case now.Before(rec.quarantinedUntil):
+		return Quarantined
 	case rec.probing:
 		return Probing
 	}
@@ -261,10 +261,10 @@
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	now := time.Now()
-	usual := re.usualLatency()
+	median := re.medianLatency()
 	runners := make([]Runner, 0, len(re.recs))
 	for _, rec := range re.recs {
-		slow := rec.samples >= slowSamples && rec.latency > slowFactor*usual[rec.host.Service]
+		slow := rec.samples >= slowSamples && rec.latency > slowFactor*median[rec.host.Service]
 		runners = append(runners, Runner{Host: rec.host, State: rec.state(now), Slow: slow})
 	}
 	slices.SortFunc(runners, func(a, b Runner) int { return cmp.Compare(a.ID, b.ID) })
@@ -272,17 +272,17 @@
 }
 
 // usualLatency returns each service's median of its runners' latencies.
-func (re *Registry) usualLatency() map[string]float64 {
+func (re *Registry) medianLatency() map[string]float64 {
 	all := map[string][]float64{}
 	for _, rec := range re.recs {
 		if rec.samples >= slowSamples {
 			all[rec.host.Service] = append(all[rec.host.Service], rec.latency)
 		}
 	}
-	usual := map[string]float64{}
+	median := map[string]float64{}
 	for service, lats := range all {
 		slices.Sort(lats)
-		usual[service] = lats[(len(lats)-1)/2]
+		median[service] = lats[(len(lats)-1)/2]
 	}
-	return usual
+	return median
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -11,7 +11,7 @@
 )
 
 // rig is a registry of ten runners.
-func newRig() (*Registry, []store.Host) {
+func newTestRegistry() (*Registry, []store.Host) {
 	var hosts []store.Host
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
 		hosts = append(hosts, store.Host{ID: id, Addr: id, Kind: store.KindRunner, DC: "dc", Service: "s", State: store.HostLive})
@@ -42,15 +42,15 @@
 	}
 }
 
-func inBubble(t *testing.T, fn func(c *qt.C)) {
+func withFakeClock(t *testing.T, fn func(c *qt.C)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { fn(qt.New(t)) })
 }
 
 func TestLeaving(t *testing.T) {
 	t.Run("by the list", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
-			re, hosts := newRig()
+		withFakeClock(t, func(c *qt.C) {
+			re, hosts := newTestRegistry()
 			hosts[0].State = store.HostLeaving
 			re.SetList(hosts)
 			assertState(c, re, Leaving)
@@ -59,72 +59,72 @@
 		})
 	})
 	t.Run("by its own word, against a list that says live", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
-			re, hosts := newRig()
-			re.Report("a", SaidLeaving, 0)
+		withFakeClock(t, func(c *qt.C) {
+			re, hosts := newTestRegistry()
+			re.Report("a", ReportedLeaving, 0)
 			assertState(c, re, Leaving)
 			re.SetList(hosts)
 			assertState(c, re, Leaving)
 			time.Sleep(leavingHold + time.Second)
 			assertState(c, re, Probing)
-			report(re, "a", Answered, probesToLive)
+			report(re, "a", Answered, probesRequired)
 			assertState(c, re, Live)
 		})
 	})
 }
 
-func TestSetAside(t *testing.T) {
+func TestQuarantine(t *testing.T) {
 	for _, te := range []struct {
 		name string
 		ev   Evidence
 		n    int
 	}{
-		{"unreached", Unreached, badInARow},
-		{"lost", Lost, badInARow},
-		{"wrong", Wrong, badInARow},
-		{"refuses all", Refused, badInARow},
-		{"hangs", GaveUp, gaveUpInARow},
+		{"unreached", Unreachable, failureLimit},
+		{"lost", AnswerLost, failureLimit},
+		{"wrong", InvalidAnswer, failureLimit},
+		{"refuses all", Refused, failureLimit},
+		{"hangs", Abandoned, abandonLimit},
 	} {
 		t.Run(te.name, func(t *testing.T) {
-			inBubble(t, func(c *qt.C) {
-				re, _ := newRig()
+			withFakeClock(t, func(c *qt.C) {
+				re, _ := newTestRegistry()
 				report(re, "a", te.ev, te.n-1)
 				assertState(c, re, Live)
 				report(re, "a", te.ev, 1)
-				assertState(c, re, Aside)
-				time.Sleep(asideFirst)
+				assertState(c, re, Quarantined)
+				time.Sleep(minQuarantineTime)
 				assertState(c, re, Probing)
 				report(re, "a", te.ev, 1)
-				assertState(c, re, Aside)
-				time.Sleep(asideFirst)
-				assertState(c, re, Aside)
-				time.Sleep(asideFirst)
-				report(re, "a", Answered, probesToLive)
+				assertState(c, re, Quarantined)
+				time.Sleep(minQuarantineTime)
+				assertState(c, re, Quarantined)
+				time.Sleep(minQuarantineTime)
+				report(re, "a", Answered, probesRequired)
 				assertState(c, re, Live)
 			})
 		})
 	}
 	t.Run("a success in between starts the count anew", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
-			re, _ := newRig()
-			report(re, "a", Lost, badInARow-1)
+		withFakeClock(t, func(c *qt.C) {
+			re, _ := newTestRegistry()
+			report(re, "a", AnswerLost, failureLimit-1)
 			report(re, "a", Answered, 1)
-			report(re, "a", Lost, badInARow-1)
+			report(re, "a", AnswerLost, failureLimit-1)
 			assertState(c, re, Live)
 		})
 	})
 	t.Run("full says nothing", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
-			re, _ := newRig()
+		withFakeClock(t, func(c *qt.C) {
+			re, _ := newTestRegistry()
 			report(re, "a", Full, 100)
 			assertState(c, re, Live)
 		})
 	})
 	t.Run("never more than half", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
-			re, _ := newRig()
+		withFakeClock(t, func(c *qt.C) {
+			re, _ := newTestRegistry()
 			for _, ru := range re.Runners() {
-				report(re, ru.ID, Lost, 2*badInARow)
+				report(re, ru.ID, AnswerLost, 2*failureLimit)
 			}
 			live := 0
 			for _, ru := range re.Runners() {
@@ -136,9 +136,9 @@
 		})
 	})
 	t.Run("a new address is a new process", func(t *testing.T) {
-		inBubble(t, func(c *qt.C) {
-			re, hosts := newRig()
-			report(re, "a", Lost, badInARow)
+		withFakeClock(t, func(c *qt.C) {
+			re, hosts := newTestRegistry()
+			report(re, "a", AnswerLost, failureLimit)
 			hosts[0].Addr = "elsewhere"
 			re.SetList(hosts)
 			assertState(c, re, Live)
@@ -148,7 +148,7 @@
 
 func TestSlow(t *testing.T) {
 	c := qt.New(t)
-	re, _ := newRig()
+	re, _ := newTestRegistry()
 	for _, ru := range re.Runners() {
 		took := 10 * time.Millisecond
 		if ru.ID == "a" {
