--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -111,7 +111,7 @@
 	ho.relay = &session.Relay{
 		Runners: clients, List: ho.registry.Runners, DC: ho.set.DC,
 		MaxSessions: ho.set.MaxSessions, PerRunner: ho.set.RunnerSessions,
-		Patience: sessionPatience, Metrics: ho.metrics,
+		RunnerWait: sessionPatience, Metrics: ho.metrics,
 	}
 	ho.config = &config.Store{Table: ho.table, Apply: ho.applyConfig}
 	rules := claim.DefaultRules
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -75,7 +75,7 @@
 	list := []upstream.Runner{{Host: store.Host{ID: "r", Service: "s"}, State: upstream.Live}}
 	wd.relay = &session.Relay{
 		Runners: runner.Client{SessionFunc: fe.session}, List: func() []upstream.Runner { return list },
-		MaxSessions: 8, PerRunner: 8, Patience: linetest.EndsWithin, Metrics: me,
+		MaxSessions: 8, PerRunner: 8, RunnerWait: linetest.EndsWithin, Metrics: me,
 	}
 	ha := wd.callerHandler()
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -28,7 +28,7 @@
 )
 
 // maxToken bounds a token in bytes.
-const maxToken = 64 << 10
+const maxTokenBytes = 64 << 10
 
 // position is where a session is; a token is one in writing.
 //
@@ -50,7 +50,7 @@
 
 func parseToken(token string) (position, error) {
 	var po position
-	if len(token) > maxToken {
+	if len(token) > maxTokenBytes {
 		return po, errors.New("token too long")
 	}
 	data, err := base64.RawURLEncoding.DecodeString(token)
@@ -67,7 +67,7 @@
 }
 
 // with returns the position after an event.
-func (po position) with(ev runner.SessionEvent, runnerID string) position {
+func (po position) after(ev runner.SessionEvent, runnerID string) position {
 	po.Seq, po.State, po.Runner = ev.Seq, ev.State, runnerID
 	return po
 }
@@ -106,7 +106,7 @@
 // Error implements error.
 func (err *Error) Error() string { return "session: " + string(err.Reason) }
 
-const sessionRetryIn = time.Second
+const retryDelay = time.Second
 
 // errNoRunner is the error of finding no runner for a session.
 var errNoRunner = errors.New("no runner takes the session")
@@ -124,15 +124,15 @@
 	MaxSessions int
 	PerRunner   int
 	// Patience is how long a session waits for a runner.
-	Patience time.Duration
+	RunnerWait time.Duration
 	// Metrics counts.
 	Metrics *telemetry.Metrics
 
-	mu       sync.Mutex
-	count    int
-	load     map[string]int
-	stopping chan struct{}
-	stopped  bool
+	mu             sync.Mutex
+	count          int
+	runnerSessions map[string]int
+	stopping       chan struct{}
+	stopped        bool
 }
 
 // Count returns the sessions served now.
@@ -172,16 +172,16 @@
 			return &Error{Reason: reason.SessionToken}
 		}
 	}
-	stopping, why := re.enter()
+	stopping, why := re.admit()
 	if why != reason.None {
-		return &Error{Reason: why, RetryAfter: sessionRetryIn}
+		return &Error{Reason: why, RetryAfter: retryDelay}
 	}
-	defer re.leave()
-	se := &served{re: re, po: po, send: send, stopping: stopping}
+	defer re.release()
+	se := &activeSession{re: re, po: po, send: send, stopping: stopping}
 	return se.serve(ctx)
 }
 
-func (re *Relay) enter() (<-chan struct{}, reason.Reason) {
+func (re *Relay) admit() (<-chan struct{}, reason.Reason) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	if re.stopped {
@@ -194,7 +194,7 @@
 	return re.stopChan(), reason.None
 }
 
-func (re *Relay) leave() {
+func (re *Relay) release() {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	re.count--
@@ -203,48 +203,48 @@
 // choose returns the runner to use and takes one of its places: the one that
 // has the session, if it may get work, or else the one with the fewest, own
 // data centre first.
-func (re *Relay) choose(po position, avoid string) (upstream.Runner, bool) {
+func (re *Relay) acquireRunner(po position, avoid string) (upstream.Runner, bool) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	var best upstream.Runner
 	found := false
 	for _, ru := range re.List() {
-		if ru.Service != po.Service || ru.State != upstream.Live || re.load[ru.ID] >= re.PerRunner || ru.ID == avoid {
+		if ru.Service != po.Service || ru.State != upstream.Live || re.runnerSessions[ru.ID] >= re.PerRunner || ru.ID == avoid {
 			continue
 		}
 		if ru.ID == po.Runner {
 			best, found = ru, true
 			break
 		}
-		if !found || re.better(ru, best) {
+		if !found || re.preferred(ru, best) {
 			best, found = ru, true
 		}
 	}
 	if !found {
 		return best, false
 	}
-	if re.load == nil {
-		re.load = map[string]int{}
+	if re.runnerSessions == nil {
+		re.runnerSessions = map[string]int{}
 	}
-	re.load[best.ID]++
+	re.runnerSessions[best.ID]++
 	return best, true
 }
 
-func (re *Relay) better(a, b upstream.Runner) bool {
+func (re *Relay) preferred(a, b upstream.Runner) bool {
 	if (a.DC == re.DC) != (b.DC == re.DC) {
 		return a.DC == re.DC
 	}
-	return re.load[a.ID] < re.load[b.ID]
+	return re.runnerSessions[a.ID] < re.runnerSessions[b.ID]
 }
 
-func (re *Relay) giveBack(id string) {
+func (re *Relay) releaseRunner(id string) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	re.load[id]--
+	re.runnerSessions[id]--
 }
 
 // served is one session being served.
-type served struct {
+type activeSession struct {
 	re       *Relay
 	po       position
 	send     func(Event) error
@@ -259,11 +259,11 @@
 
 func (err *callerError) Error() string { return "pass event on: " + err.err.Error() }
 
-func (se *served) serve(ctx context.Context) error {
+func (se *activeSession) serve(ctx context.Context) error {
 	bo := backoff.NewExponentialBackOff()
 	bo.InitialInterval = 10 * time.Millisecond
 	bo.MaxInterval = 500 * time.Millisecond
-	lastGood := time.Now()
+	lastProgress := time.Now()
 	for {
 		before := se.po.Seq
 		err := se.stream(ctx)
@@ -274,19 +274,19 @@
 		case ctx.Err() != nil, errors.As(err, &caller):
 			return fmt.Errorf("session %s: %w", se.po.ID, err)
 		case se.po.Seq != before:
-			lastGood = time.Now()
+			lastProgress = time.Now()
 			bo.Reset()
-		case time.Since(lastGood) > se.re.Patience:
-			return &Error{Reason: reason.SessionNoHost, RetryAfter: sessionRetryIn}
+		case time.Since(lastProgress) > se.re.RunnerWait:
+			return &Error{Reason: reason.SessionNoHost, RetryAfter: retryDelay}
 		}
-		if !se.pause(ctx, bo.NextBackOff()) {
+		if !se.wait(ctx, bo.NextBackOff()) {
 			return se.sendMoved()
 		}
 	}
 }
 
 // pause waits before the next runner is tried; false if the host stops.
-func (se *served) pause(ctx context.Context, d time.Duration) bool {
+func (se *activeSession) wait(ctx context.Context, d time.Duration) bool {
 	ti := time.NewTimer(d)
 	defer ti.Stop()
 	select {
@@ -299,7 +299,7 @@
 	}
 }
 
-func (se *served) sendMoved() error {
+func (se *activeSession) sendMoved() error {
 	err := se.send(Event{SessionID: se.po.ID, Seq: se.po.Seq, Token: se.po.token(), Moved: true})
 	if err != nil {
 		return &callerError{err: err}
@@ -309,16 +309,16 @@
 
 // stream passes on the events of one runner until it ends, and returns nil if
 // the host stops.
-func (se *served) stream(ctx context.Context) error {
-	ru, ok := se.re.choose(se.po, se.avoid)
+func (se *activeSession) stream(ctx context.Context) error {
+	ru, ok := se.re.acquireRunner(se.po, se.avoid)
 	if !ok && se.avoid != "" {
 		se.avoid = ""
-		ru, ok = se.re.choose(se.po, "")
+		ru, ok = se.re.acquireRunner(se.po, "")
 	}
 	if !ok {
 		return errNoRunner
 	}
-	defer se.re.giveBack(ru.ID)
+	defer se.re.releaseRunner(ru.ID)
 	if se.po.Runner != "" && se.po.Runner != ru.ID {
 		se.re.Metrics.Add(telemetry.SessionMoves, 1, "why", "runner")
 	}
@@ -340,10 +340,10 @@
 		stop()
 	}()
 	// A runner that is silent for too long is taken for lost.
-	quiet := time.AfterFunc(maxQuiet, stop)
-	defer quiet.Stop()
-	err = se.pump(func() (runner.SessionEvent, error) {
-		quiet.Reset(maxQuiet)
+	idle := time.AfterFunc(maxIdle, stop)
+	defer idle.Stop()
+	err = se.forward(func() (runner.SessionEvent, error) {
+		idle.Reset(maxIdle)
 		return next()
 	}, ru.ID)
 	if se.isStopping() {
@@ -353,7 +353,7 @@
 	return err
 }
 
-func (se *served) isStopping() bool {
+func (se *activeSession) isStopping() bool {
 	select {
 	case <-se.stopping:
 		return true
@@ -364,7 +364,7 @@
 
 // maxQuiet is how long a stream may be silent; runners send an empty event
 // at least every second.
-const maxQuiet = 4 * time.Second
+const maxIdle = 4 * time.Second
 
 // Errors of a runner's stream.
 var (
@@ -373,7 +373,7 @@
 )
 
 // pump passes events on in order, each once.
-func (se *served) pump(next func() (runner.SessionEvent, error), runnerID string) error {
+func (se *activeSession) forward(next func() (runner.SessionEvent, error), runnerID string) error {
 	for {
 		ev, err := next()
 		switch {
@@ -386,7 +386,7 @@
 		case ev.Seq != se.po.Seq+1:
 			return errGap
 		}
-		se.po = se.po.with(ev, runnerID)
+		se.po = se.po.after(ev, runnerID)
 		se.avoid = ""
 		if err := se.send(Event{SessionID: se.po.ID, Seq: ev.Seq, Body: ev.Body, Token: se.po.token()}); err != nil {
 			return &callerError{err: err}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -20,27 +20,27 @@
 )
 
 // act is what a fake runner's stream does next.
-type act int
+type action int
 
 const (
-	actEvent act = iota
+	actEvent action = iota
 	actRepeat
 	actSkip
-	actAlive
+	actKeepalive
 	actMoved
 	actLost
 	actRefuse
-	actSilent
-	acts
+	actStall
+	actionCount
 )
 
 // fakeStreams opens streams that do what the script says; after it, events.
 type fakeStreams struct {
-	script []act
+	script []action
 	opened int
 }
 
-func (fs *fakeStreams) next() act {
+func (fs *fakeStreams) next() action {
 	if len(fs.script) == 0 {
 		return actEvent
 	}
@@ -67,13 +67,13 @@
 		case actSkip:
 			seq += 2
 			return event(), nil
-		case actAlive:
+		case actKeepalive:
 			return runner.SessionEvent{}, nil
 		case actMoved:
 			return runner.SessionEvent{Moved: true}, nil
 		case actLost, actRefuse:
 			return runner.SessionEvent{}, io.ErrUnexpectedEOF
-		case actSilent:
+		case actStall:
 			<-ctx.Done()
 			return runner.SessionEvent{}, io.ErrUnexpectedEOF
 		}
@@ -98,46 +98,46 @@
 			}
 			return list
 		},
-		MaxSessions: 2, PerRunner: 2, Patience: 10 * time.Second,
+		MaxSessions: 2, PerRunner: 2, RunnerWait: 10 * time.Second,
 	}
 }
 
-var errEnough = errors.New("enough")
+var errDone = errors.New("enough")
 
 // TestNoGapNoDouble drives a session over runners that leave, are lost,
 // repeat, skip, fall silent and refuse, and over entry hosts that stop.
-func TestNoGapNoDouble(t *testing.T) {
+func TestEventsInOrderOnce(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
-		script := rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(acts)-1), func(n int) act { return act(n) }), 0, 30).Draw(rt, "script")
+		script := rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(actionCount)-1), func(n int) action { return action(n) }), 0, 30).Draw(rt, "script")
 		stops := rapid.SliceOfN(rapid.IntRange(0, 300), 0, 3).Draw(rt, "stops")
-		var broken error
+		var violation error
 		synctest.Test(t, func(*testing.T) {
-			broken = follow(&fakeStreams{script: script}, stops)
+			violation = consume(&fakeStreams{script: script}, stops)
 		})
-		if broken != nil {
-			rt.Fatal(broken)
+		if violation != nil {
+			rt.Fatal(violation)
 		}
 	})
 }
 
 // mostTime is more than any script needs; a stream that is never given up for
 // silent takes for ever.
-const mostTime = 20 * time.Minute
+const maxTestTime = 20 * time.Minute
 
 // follow reads 20 events, from a new entry host after each stop and refusal.
-func follow(fs *fakeStreams, stops []int) error {
-	token, last := "", uint64(0)
+func consume(fs *fakeStreams, stops []int) error {
+	token, lastSeq := "", uint64(0)
 	begun := time.Now()
 	for {
-		if time.Since(begun) > mostTime {
-			return fmt.Errorf("still %d events after %v", last, mostTime)
+		if time.Since(begun) > maxTestTime {
+			return fmt.Errorf("still %d events after %v", lastSeq, maxTestTime)
 		}
 		re := newRelay(fs, "a", "b", "c")
 		if len(stops) > 0 {
-			wait := time.Duration(stops[0]) * time.Millisecond
+			stopAfter := time.Duration(stops[0]) * time.Millisecond
 			stops = stops[1:]
 			go func() {
-				time.Sleep(wait)
+				time.Sleep(stopAfter)
 				re.Stop()
 			}()
 		}
@@ -146,12 +146,12 @@
 			if ev.Moved {
 				return nil
 			}
-			if ev.Seq != last+1 || string(ev.Body) != fmt.Sprintf("t/%d", ev.Seq) {
-				return fmt.Errorf("event %d %q after %d", ev.Seq, ev.Body, last)
+			if ev.Seq != lastSeq+1 || string(ev.Body) != fmt.Sprintf("t/%d", ev.Seq) {
+				return fmt.Errorf("event %d %q after %d", ev.Seq, ev.Body, lastSeq)
 			}
-			last = ev.Seq
-			if last == 20 {
-				return errEnough
+			lastSeq = ev.Seq
+			if lastSeq == 20 {
+				return errDone
 			}
 			return nil
 		})
@@ -160,7 +160,7 @@
 		switch {
 		case errors.As(err, &refused) && (refused.Reason == reason.SessionNoHost || refused.Reason == reason.Stopping):
 			// The caller comes back with its token.
-		case errors.As(err, &caller) && errors.Is(caller.err, errEnough):
+		case errors.As(err, &caller) && errors.Is(caller.err, errDone):
 			time.Sleep(time.Minute)
 			return nil
 		case err != nil:
@@ -172,7 +172,7 @@
 func TestRefusals(t *testing.T) {
 	serve := func(re *Relay, req Request) reason.Reason {
 		var refused *Error
-		err := re.Serve(context.Background(), req, func(Event) error { return errEnough })
+		err := re.Serve(context.Background(), req, func(Event) error { return errDone })
 		if errors.As(err, &refused) {
 			return refused.Reason
 		}
--- a/internal/session/stall_test.go
+++ b/internal/session/stall_test.go
@@ -17,11 +17,11 @@
 )
 
 // eventsEnough is after how many events a stream goes on.
-const eventsEnough = 50
+const eventsAfterStall = 50
 
 // TestRunnerThatStandsStill has the runner of a session stall while its stream is
 // open: the session goes on with another one, or with the same if its events come.
-func TestRunnerThatStandsStill(t *testing.T) {
+func TestStalledRunner(t *testing.T) {
 	for _, st := range standin.Stalls {
 		t.Run(string(st), func(t *testing.T) {
 			t.Parallel()
@@ -35,7 +35,7 @@
 			}
 			re := &Relay{
 				Runners: runner.NewClient(runner.Limits{}), List: func() []upstream.Runner { return list },
-				MaxSessions: 2, PerRunner: 2, Patience: linetest.EndsWithin,
+				MaxSessions: 2, PerRunner: 2, RunnerWait: linetest.EndsWithin,
 			}
 			used := ""
 			linetest.Ends(t, "session", func() {
@@ -47,13 +47,13 @@
 					case used == "":
 						used = po.Runner
 						return lines[used].Stall(st)
-					case po.Runner != used, st == standin.LoseRequests && ev.Seq > eventsEnough:
-						return errEnough
+					case po.Runner != used, st == standin.LoseRequests && ev.Seq > eventsAfterStall:
+						return errDone
 					}
 					return nil
 				})
 				var caller *callerError
-				qt.Check(t, errors.As(err, &caller) && errors.Is(caller.err, errEnough), qt.IsTrue, qt.Commentf("%v", err))
+				qt.Check(t, errors.As(err, &caller) && errors.Is(caller.err, errDone), qt.IsTrue, qt.Commentf("%v", err))
 			})
 		})
 	}
