--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -39,12 +39,12 @@
 	// differ.
 	Skew time.Duration
 	// Most bounds the ids that one owner remembers.
-	Most int
+	MaxIDs int
 }
 
 // DefaultRules let a caller repeat an id for ten minutes. An entry takes
 // about 200 bytes, so that memory stays under 20 MB.
-var DefaultRules = Rules{Window: 10 * time.Minute, Skew: 2 * time.Second, Most: 100_000}
+var DefaultRules = Rules{Window: 10 * time.Minute, Skew: 2 * time.Second, MaxIDs: 100_000}
 
 // ID is the id of a request marked run-once: a UUIDv7, and after an @ the
 // data centre that is to vouch for it, if the caller chose one.
@@ -52,7 +52,7 @@
 	// Text is the whole id; ids differ if their texts do.
 	Text string
 	// Made is when it was made, by the caller's clock.
-	Made time.Time
+	CreatedAt time.Time
 	// Home is the data centre chosen; empty leaves it to [ID.HomeIn].
 	Home string
 }
@@ -74,7 +74,7 @@
 		return ID{}, fmt.Errorf("id %q: %w", text, ErrMalformed)
 	}
 	sec, nsec := uid.Time().UnixTime()
-	return ID{Text: text, Made: time.Unix(sec, nsec), Home: home}, nil
+	return ID{Text: text, CreatedAt: time.Unix(sec, nsec), Home: home}, nil
 }
 
 // NewID returns a new id that the data centre is to vouch for.
@@ -116,11 +116,11 @@
 	ID string `json:"id"`
 	// Sending names this sending of the request. The same sending may ask
 	// again, after an answer lost, and gets the same verdict.
-	Sending string `json:"sending"`
+	Submission string `json:"sending"`
 }
 
 // Verdict is an owner's word on an id.
-type Verdict struct {
+type Decision struct {
 	// Granted lets the sending through.
 	Granted bool `json:"granted"`
 	// Reason says why not.
@@ -130,8 +130,8 @@
 // ReleaseRequest tells the owner that a sending certainly did not run.
 type ReleaseRequest struct {
 	// ID and Sending name it.
-	ID      string `json:"id"`
-	Sending string `json:"sending"`
+	ID         string `json:"id"`
+	Submission string `json:"sending"`
 }
 
 // Handover carries an owner's memory of a shard to the next owner.
@@ -142,7 +142,7 @@
 	Epoch int64 `json:"epoch"`
 	// VouchesFrom is the time from which the giver could vouch, in Unix
 	// milliseconds.
-	VouchesFrom int64 `json:"vouches_from"`
+	CompleteFrom int64 `json:"vouches_from"`
 	// Taken maps ids to the sendings let through.
 	Taken map[string]string `json:"taken"`
 }
@@ -165,61 +165,61 @@
 type shard struct {
 	begun lease.OwnershipStart
 	// vouches is the time from which all ids let through are remembered.
-	vouches time.Time
-	taken   map[string]entry
+	completeFrom time.Time
+	taken        map[string]entry
 }
 
 type entry struct {
-	sending string
-	made    time.Time
+	submission string
+	createdAt  time.Time
 	// free is set once the sending is known not to have run.
-	free bool
+	released bool
 }
 
 // Take lets an id through, once.
-func (le *Ledger) Take(req TakeRequest) Verdict {
+func (le *Ledger) Take(req TakeRequest) Decision {
 	id, err := Parse(req.ID)
 	if err != nil {
-		return Verdict{Reason: reason.IDMalformed}
+		return Decision{Reason: reason.IDMalformed}
 	}
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	sh := le.shard(id.Shard())
 	if sh == nil {
-		return Verdict{Reason: reason.ClaimAway}
+		return Decision{Reason: reason.ClaimAway}
 	}
-	en, known := sh.taken[id.Text]
-	if known && !en.free {
-		return Verdict{Granted: en.sending == req.Sending, Reason: takenReason(en, req)}
+	en, recorded := sh.taken[id.Text]
+	if recorded && !en.released {
+		return Decision{Granted: en.submission == req.Submission, Reason: conflictReason(en, req)}
 	}
-	if why := le.check(sh, id, known); why != reason.None {
-		return Verdict{Reason: why}
+	if why := le.checkAdmissible(sh, id, recorded); why != reason.None {
+		return Decision{Reason: why}
 	}
-	if !known {
+	if !recorded {
 		le.count++
 	}
-	sh.taken[id.Text] = entry{sending: req.Sending, made: id.Made}
-	return Verdict{Granted: true}
+	sh.taken[id.Text] = entry{submission: req.Submission, createdAt: id.CreatedAt}
+	return Decision{Granted: true}
 }
 
-func takenReason(en entry, req TakeRequest) reason.Reason {
-	if en.sending == req.Sending {
+func conflictReason(en entry, req TakeRequest) reason.Reason {
+	if en.submission == req.Submission {
 		return reason.None
 	}
 	return reason.ClaimTaken
 }
 
 // check says whether an id that is not held may be let through.
-func (le *Ledger) check(sh *shard, id ID, known bool) reason.Reason {
+func (le *Ledger) checkAdmissible(sh *shard, id ID, recorded bool) reason.Reason {
 	now := time.Now()
 	switch {
-	case id.Made.After(now.Add(le.Rules.Skew)):
+	case id.CreatedAt.After(now.Add(le.Rules.Skew)):
 		return reason.IDMalformed
-	case now.Sub(id.Made) > le.Rules.Window:
+	case now.Sub(id.CreatedAt) > le.Rules.Window:
 		return reason.IDStale
-	case !known && id.Made.Before(sh.vouches.Add(le.Rules.Skew)):
+	case !recorded && id.CreatedAt.Before(sh.completeFrom.Add(le.Rules.Skew)):
 		return reason.ClaimBefore
-	case !known && le.count >= le.Rules.Most && !le.prune(now):
+	case !recorded && le.count >= le.Rules.MaxIDs && !le.prune(now):
 		return reason.ClaimFull
 	}
 	return reason.None
@@ -232,12 +232,12 @@
 	if !le.Owns(resource) {
 		return nil
 	}
-	return le.memory(resource, begun)
+	return le.tenureShard(resource, begun)
 }
 
 // memory returns the memory of a tenure. It is that of the giver if the shard
 // was handed over with the tenure's first assignment, and else begins empty.
-func (le *Ledger) memory(resource string, begun lease.OwnershipStart) *shard {
+func (le *Ledger) tenureShard(resource string, begun lease.OwnershipStart) *shard {
 	sh := le.shards[resource]
 	if sh != nil && sh.begun == begun {
 		return sh
@@ -245,11 +245,11 @@
 	if le.shards == nil {
 		le.shards = map[string]*shard{}
 	}
-	next := &shard{begun: begun, vouches: begun.At, taken: map[string]entry{}}
+	next := &shard{begun: begun, completeFrom: begun.At, taken: map[string]entry{}}
 	if sh != nil {
 		le.count -= len(sh.taken)
 		if sh.begun == (lease.OwnershipStart{Epoch: begun.Epoch}) {
-			next.vouches, next.taken = sh.vouches, sh.taken
+			next.completeFrom, next.taken = sh.completeFrom, sh.taken
 			le.count += len(sh.taken)
 		}
 	}
@@ -260,16 +260,16 @@
 // prune forgets ids too old to be let through again, by any owner's clock. It
 // reports whether there is room.
 func (le *Ledger) prune(now time.Time) bool {
-	keep := le.Rules.Window + 2*le.Rules.Skew
+	retention := le.Rules.Window + 2*le.Rules.Skew
 	for _, sh := range le.shards {
 		for text, en := range sh.taken {
-			if now.Sub(en.made) > keep {
+			if now.Sub(en.createdAt) > retention {
 				delete(sh.taken, text)
 				le.count--
 			}
 		}
 	}
-	return le.count < le.Rules.Most
+	return le.count < le.Rules.MaxIDs
 }
 
 // Release notes that a sending let through certainly did not run, so that its
@@ -286,8 +286,8 @@
 		return
 	}
 	en, ok := sh.taken[id.Text]
-	if ok && en.sending == req.Sending {
-		en.free = true
+	if ok && en.submission == req.Submission {
+		en.released = true
 		sh.taken[id.Text] = en
 	}
 }
@@ -297,12 +297,12 @@
 func (le *Ledger) Export(resource string, since lease.OwnershipStart, epoch int64) Handover {
 	le.mu.Lock()
 	defer le.mu.Unlock()
-	sh := le.memory(resource, since)
+	sh := le.tenureShard(resource, since)
 	// Rounded up: the time may only grow on its way.
-	ho := Handover{Resource: resource, Epoch: epoch, VouchesFrom: sh.vouches.UnixMilli() + 1, Taken: map[string]string{}}
+	ho := Handover{Resource: resource, Epoch: epoch, CompleteFrom: sh.completeFrom.UnixMilli() + 1, Taken: map[string]string{}}
 	for text, en := range sh.taken {
-		if !en.free {
-			ho.Taken[text] = en.sending
+		if !en.released {
+			ho.Taken[text] = en.submission
 		}
 	}
 	return ho
@@ -324,13 +324,13 @@
 		le.count -= len(sh.taken)
 	}
 	sh := &shard{
-		begun:   lease.OwnershipStart{Epoch: ho.Epoch + 1},
-		vouches: time.UnixMilli(ho.VouchesFrom),
-		taken:   make(map[string]entry, len(ho.Taken)),
+		begun:        lease.OwnershipStart{Epoch: ho.Epoch + 1},
+		completeFrom: time.UnixMilli(ho.CompleteFrom),
+		taken:        make(map[string]entry, len(ho.Taken)),
 	}
-	for text, sending := range ho.Taken {
+	for text, submission := range ho.Taken {
 		if id, err := Parse(text); err == nil {
-			sh.taken[text] = entry{sending: sending, made: id.Made}
+			sh.taken[text] = entry{submission: submission, createdAt: id.CreatedAt}
 		}
 	}
 	if le.shards == nil {
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -22,7 +22,7 @@
 	for _, text := range []string{NewID(""), NewID("burnaby-hall")} {
 		id, err := Parse(text)
 		c.Assert(err, qt.IsNil)
-		c.Assert(time.Since(id.Made) < time.Minute, qt.IsTrue)
+		c.Assert(time.Since(id.CreatedAt) < time.Minute, qt.IsTrue)
 		c.Assert(id.HomeIn([]string{"a", "b"}), qt.Not(qt.Equals), "")
 	}
 	for _, text := range []string{"", "x", "0190e8a1", "6ba7b810-9dad-11d1-80b4-00c04fd430c8", "{" + NewID("") + "}"} {
@@ -53,72 +53,72 @@
 // follows the rules of package lease: the old owner's tenure ends before the
 // new one's begins.
 type model struct {
-	rt     *rapid.T
-	hosts  []*modelHost
-	owner  int
-	epoch  int64
-	ids    []string
-	let    map[string]map[string]bool
-	freed  map[string]bool
-	sendNo int
+	rt          *rapid.T
+	hosts       []*modelHost
+	owner       int
+	epoch       int64
+	ids         []string
+	admitted    map[string]map[string]bool
+	notRun      map[string]bool
+	submissions int
 	// broken is set once the promise was broken.
-	broken string
+	violation string
 	// stale is a handover kept back, to arrive late.
-	stale []Handover
+	delayed []Handover
 }
 
 func (mo *model) check() {
-	for id, sendings := range mo.let {
+	for id, sendings := range mo.admitted {
 		ran := 0
-		for se := range sendings {
-			if !mo.freed[se] {
+		for sub := range sendings {
+			if !mo.notRun[sub] {
 				ran++
 			}
 		}
 		if ran > 1 {
-			mo.broken = fmt.Sprintf("id %s was let through %d times", id, ran)
+			mo.violation = fmt.Sprintf("id %s was let through %d times", id, ran)
 		}
 	}
 }
 
 // take asks any host, owner or not.
 func (mo *model) take(id string) {
-	mo.sendNo++
-	se := fmt.Sprintf("s%d", mo.sendNo)
-	via := rapid.IntRange(0, len(mo.hosts)-1).Draw(mo.rt, "host")
-	ver := mo.hosts[via].le.Take(TakeRequest{ID: id, Sending: se})
-	if !ver.Granted {
+	mo.submissions++
+	sub := fmt.Sprintf("s%d", mo.submissions)
+	hostIndex := rapid.IntRange(0, len(mo.hosts)-1).Draw(mo.rt, "host")
+	dec := mo.hosts[hostIndex].le.Take(TakeRequest{ID: id, Submission: sub})
+	if !dec.Granted {
 		return
 	}
-	if mo.let[id] == nil {
-		mo.let[id] = map[string]bool{}
+	if mo.admitted[id] == nil {
+		mo.admitted[id] = map[string]bool{}
 	}
-	mo.let[id][se] = true
+	mo.admitted[id][sub] = true
 	if rapid.Bool().Draw(mo.rt, "not run") {
 		// The sending did not run; the owner hears of it, or it is lost.
-		mo.freed[se] = true
+		mo.notRun[sub] = true
 		if rapid.Bool().Draw(mo.rt, "release arrives") {
-			mo.hosts[via].le.Release(ReleaseRequest{ID: id, Sending: se})
+			mo.hosts[hostIndex].le.Release(ReleaseRequest{ID: id, Submission: sub})
 		}
 	}
 }
 
 // change ends the owner's tenure and begins another's.
-func (mo *model) change(agreed bool) {
+func (mo *model) changeOwner(handover bool) {
 	old := mo.hosts[mo.owner]
 	next := (mo.owner + rapid.IntRange(1, len(mo.hosts)-1).Draw(mo.rt, "next owner")) % len(mo.hosts)
 	old.owns = false
-	if agreed {
+	if handover {
 		for _, re := range Resources() {
 			ho := old.le.Export(re, old.since, mo.epoch)
 			if rapid.IntRange(0, 9).Draw(mo.rt, "handover") == 0 {
-				mo.stale = append(mo.stale, ho)
+				mo.delayed = append(mo.delayed, ho)
 				continue
 			}
 			mo.hosts[next].le.Import(ho)
 		}
 	}
-	if agreed && rapid.Bool().Draw(mo.rt, "nothing came of it") {
+	if handover && rapid.Bool().Draw(mo.rt, "nothing came of it") {
 		// The write found another assignment, in which the owner goes on.
 		mo.epoch++
 		old.owns = true
@@ -136,7 +136,7 @@
 
 // moreChecks is how many sequences rapid tries: the faults found so far took
 // up to some hundred.
-const moreChecks = 1500
+const modelChecks = 1500
 
 // actions are what can happen in the model.
 func (mo *model) actions() map[string]func(*rapid.T) {
@@ -157,22 +157,22 @@
 			}
 			mo.take(mo.ids[len(mo.ids)-1])
 		},
-		"takeover": func(*rapid.T) { mo.change(false) },
-		"handover": func(*rapid.T) { mo.change(true) },
+		"takeover": func(*rapid.T) { mo.changeOwner(false) },
+		"handover": func(*rapid.T) { mo.changeOwner(true) },
 		"late handover": func(rt *rapid.T) {
-			if len(mo.stale) == 0 {
+			if len(mo.delayed) == 0 {
 				rt.Skip("none")
 			}
-			mo.hosts[rapid.IntRange(0, 2).Draw(rt, "to")].le.Import(mo.stale[0])
-			mo.stale = mo.stale[1:]
+			mo.hosts[rapid.IntRange(0, 2).Draw(rt, "to")].le.Import(mo.delayed[0])
+			mo.delayed = mo.delayed[1:]
 		},
 		"late handover to an owner that gives away": func(rt *rapid.T) {
-			if len(mo.stale) == 0 {
+			if len(mo.delayed) == 0 {
 				rt.Skip("none")
 			}
 			owner := mo.hosts[mo.owner]
 			owner.owns = false
-			owner.le.Import(mo.stale[0])
+			owner.le.Import(mo.delayed[0])
 			owner.owns = true
 		},
 		"wait": func(rt *rapid.T) {
@@ -185,17 +185,17 @@
 // TestAtMostOnce drives ledgers through changes of owner, restarts, lost
 // messages and repeated ids, and checks that no id is let through twice.
 func TestAtMostOnce(t *testing.T) {
-	proptest.Check(t, proptest.Size{Checks: moreChecks}, func(rt *rapid.T) {
+	proptest.Check(t, proptest.Size{Checks: modelChecks}, func(rt *rapid.T) {
 		var mo *model
 		// A failure inside would end the bubble before rapid hears of it.
 		defer func() {
-			if mo != nil && mo.broken != "" {
-				rt.Fatal(mo.broken)
+			if mo != nil && mo.violation != "" {
+				rt.Fatal(mo.violation)
 			}
 		}()
 		proptest.InBubble(t, func() {
-			rules := Rules{Window: 20 * time.Second, Skew: time.Second, Most: 1000}
-			mo = &model{rt: rt, epoch: 1, let: map[string]map[string]bool{}, freed: map[string]bool{}}
+			rules := Rules{Window: 20 * time.Second, Skew: time.Second, MaxIDs: 1000}
+			mo = &model{rt: rt, epoch: 1, admitted: map[string]map[string]bool{}, notRun: map[string]bool{}}
 			for range 3 {
 				mo.hosts = append(mo.hosts, newModelHost(rules))
 			}
@@ -212,7 +212,7 @@
 	return fmt.Sprintf("%08x-%04x-7000-8000-%012x", at.UnixMilli()>>16, at.UnixMilli()&0xffff, n)
 }
 
-func owning() *Ledger {
+func newOwningLedger() *Ledger {
 	return &Ledger{
 		Owns: func(string) bool { return true },
 		Since: func(string) lease.OwnershipStart {
@@ -222,37 +222,37 @@
 	}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestTake(t *testing.T) {
 	c := qt.New(t)
 	begun := lease.OwnershipStart{At: time.Now().Add(-time.Hour), Epoch: 1}
-	le := owning()
+	le := newOwningLedger()
 	le.Since = func(string) lease.OwnershipStart { return begun }
 	id := NewID("")
-	c.Assert(le.Take(TakeRequest{ID: id, Sending: "a"}).Granted, qt.IsTrue)
-	c.Assert(le.Take(TakeRequest{ID: id, Sending: "a"}).Granted, qt.IsTrue)
-	c.Assert(le.Take(TakeRequest{ID: id, Sending: "b"}).Reason, qt.Equals, reason.ClaimTaken)
-	le.Release(ReleaseRequest{ID: id, Sending: "b"})
-	c.Assert(le.Take(TakeRequest{ID: id, Sending: "b"}).Reason, qt.Equals, reason.ClaimTaken)
-	le.Release(ReleaseRequest{ID: id, Sending: "a"})
-	c.Assert(le.Take(TakeRequest{ID: id, Sending: "b"}).Granted, qt.IsTrue)
+	c.Assert(le.Take(TakeRequest{ID: id, Submission: "a"}).Granted, qt.IsTrue)
+	c.Assert(le.Take(TakeRequest{ID: id, Submission: "a"}).Granted, qt.IsTrue)
+	c.Assert(le.Take(TakeRequest{ID: id, Submission: "b"}).Reason, qt.Equals, reason.ClaimTaken)
+	le.Release(ReleaseRequest{ID: id, Submission: "b"})
+	c.Assert(le.Take(TakeRequest{ID: id, Submission: "b"}).Reason, qt.Equals, reason.ClaimTaken)
+	le.Release(ReleaseRequest{ID: id, Submission: "a"})
+	c.Assert(le.Take(TakeRequest{ID: id, Submission: "b"}).Granted, qt.IsTrue)
 	old := idMadeAt(time.Now().Add(-DefaultRules.Window-time.Second), 1)
-	c.Assert(le.Take(TakeRequest{ID: old, Sending: "a"}).Reason, qt.Equals, reason.IDStale)
+	c.Assert(le.Take(TakeRequest{ID: old, Submission: "a"}).Reason, qt.Equals, reason.IDStale)
 	begun = lease.OwnershipStart{At: time.Now(), Epoch: 2}
-	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimBefore)
+	c.Assert(le.Take(TakeRequest{ID: NewID(""), Submission: "a"}).Reason, qt.Equals, reason.ClaimBefore)
 	le.Owns = func(string) bool { return false }
-	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimAway)
+	c.Assert(le.Take(TakeRequest{ID: NewID(""), Submission: "a"}).Reason, qt.Equals, reason.ClaimAway)
 }
 
 func TestMemoryIsBounded(t *testing.T) {
 	c := qt.New(t)
-	le := owning()
+	le := newOwningLedger()
 	begun := le.Since("")
 	le.Since = func(string) lease.OwnershipStart { return begun }
-	le.Rules.Most = 10
+	le.Rules.MaxIDs = 10
 	for range 10 {
-		c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Granted, qt.IsTrue)
+		c.Assert(le.Take(TakeRequest{ID: NewID(""), Submission: "a"}).Granted, qt.IsTrue)
 	}
-	c.Assert(le.Take(TakeRequest{ID: NewID(""), Sending: "a"}).Reason, qt.Equals, reason.ClaimFull)
+	c.Assert(le.Take(TakeRequest{ID: NewID(""), Submission: "a"}).Reason, qt.Equals, reason.ClaimFull)
 }
 
 // TestGuard checks the final word for each verdict and each loss.
@@ -260,7 +260,7 @@
 	errLost := errors.New("lost")
 	for _, te := range []struct {
 		name     string
-		verdict  Verdict
+		decision Decision
 		err      error
 		res      route.Result
 		outcome  route.Outcome
@@ -268,14 +268,14 @@
 		ran      int
 		released int
 	}{
-		{"granted", Verdict{Granted: true}, nil, route.Result{Outcome: route.Answered}, route.Answered, reason.None, 1, 0},
-		{"granted, not run", Verdict{Granted: true}, nil, route.NotRunResult(reason.NoRunner, 1), route.NotRun, reason.NoRunner, 1, 1},
-		{"granted, unknown", Verdict{Granted: true}, nil, route.Result{Outcome: route.Unknown, Reason: reason.AnswerLost}, route.Unknown, reason.AnswerLost, 1, 0},
-		{"taken", Verdict{Reason: reason.ClaimTaken}, nil, route.Result{}, route.Unknown, reason.ClaimTaken, 0, 0},
-		{"before tenure", Verdict{Reason: reason.ClaimBefore}, nil, route.Result{}, route.Unknown, reason.ClaimBefore, 0, 0},
-		{"owner away", Verdict{}, errLost, route.Result{}, route.Unknown, reason.ClaimAway, 0, 0},
-		{"not the owner", Verdict{Reason: reason.ClaimAway}, nil, route.Result{}, route.Unknown, reason.ClaimAway, 0, 0},
-		{"memory full", Verdict{Reason: reason.ClaimFull}, nil, route.Result{}, route.NotRun, reason.ClaimFull, 0, 0},
+		{"granted", Decision{Granted: true}, nil, route.Result{Outcome: route.Answered}, route.Answered, reason.None, 1, 0},
+		{"granted, not run", Decision{Granted: true}, nil, route.NotRunResult(reason.NoRunner, 1), route.NotRun, reason.NoRunner, 1, 1},
+		{"granted, unknown", Decision{Granted: true}, nil, route.Result{Outcome: route.Unknown, Reason: reason.AnswerLost}, route.Unknown, reason.AnswerLost, 1, 0},
+		{"taken", Decision{Reason: reason.ClaimTaken}, nil, route.Result{}, route.Unknown, reason.ClaimTaken, 0, 0},
+		{"before tenure", Decision{Reason: reason.ClaimBefore}, nil, route.Result{}, route.Unknown, reason.ClaimBefore, 0, 0},
+		{"owner away", Decision{}, errLost, route.Result{}, route.Unknown, reason.ClaimAway, 0, 0},
+		{"not the owner", Decision{Reason: reason.ClaimAway}, nil, route.Result{}, route.Unknown, reason.ClaimAway, 0, 0},
+		{"memory full", Decision{Reason: reason.ClaimFull}, nil, route.Result{}, route.NotRun, reason.ClaimFull, 0, 0},
 	} {
 		t.Run(te.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -283,7 +283,7 @@
 				ran, released := 0, 0
 				gu := &Guard{
 					DCs:     []string{"a"},
-					Take:    func(context.Context, string, string, TakeRequest) (Verdict, error) { return te.verdict, te.err },
+					Take:    func(context.Context, string, string, TakeRequest) (Decision, error) { return te.decision, te.err },
 					Release: func(string, string, ReleaseRequest) { released++ },
 				}
 				res := gu.Do(context.Background(), NewID(""), func(context.Context) route.Result {
@@ -302,20 +302,20 @@
 // TestHandedOnUnused is a counterexample from a planned stop: a shard given
 // to a host that gave it on before any id was asked for lost what it vouched
 // for, and ids made before were unknown.
-func TestHandedOnUnused(t *testing.T) {
+func TestHandoverOfUnusedShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		first, second, third := newModelHost(DefaultRules), newModelHost(DefaultRules), newModelHost(DefaultRules)
 		first.owns, first.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 1}
 		time.Sleep(time.Minute)
-		made := idMadeAt(time.Now(), 1)
-		id, err := Parse(made)
+		createdAt := idMadeAt(time.Now(), 1)
+		id, err := Parse(createdAt)
 		c.Assert(err, qt.IsNil)
 		second.le.Import(first.le.Export(id.Shard(), first.since, 1))
 		second.since = lease.OwnershipStart{At: time.Now(), Epoch: 2}
 		third.le.Import(second.le.Export(id.Shard(), second.since, 2))
 		third.owns, third.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 3}
-		c.Assert(third.le.Take(TakeRequest{ID: made, Sending: "a"}).Granted, qt.IsTrue)
+		c.Assert(third.le.Take(TakeRequest{ID: createdAt, Submission: "a"}).Granted, qt.IsTrue)
 	})
 }
 
@@ -325,17 +325,17 @@
 func TestLateHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		former, now := newModelHost(DefaultRules), newModelHost(DefaultRules)
-		former.owns, former.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 1}
+		oldOwner, newOwner := newModelHost(DefaultRules), newModelHost(DefaultRules)
+		oldOwner.owns, oldOwner.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 1}
 		time.Sleep(time.Minute)
 		id, err := Parse(idMadeAt(time.Now(), 1))
 		c.Assert(err, qt.IsNil)
-		ho := former.le.Export(id.Shard(), former.since, 1)
-		now.owns, now.since = true, lease.OwnershipStart{At: time.Now().Add(-5 * time.Second), Epoch: 2}
-		c.Assert(now.le.Take(TakeRequest{ID: id.Text, Sending: "a"}).Granted, qt.IsTrue)
-		now.owns = false
-		now.le.Import(ho)
-		now.owns = true
-		c.Assert(now.le.Take(TakeRequest{ID: id.Text, Sending: "b"}).Reason, qt.Equals, reason.ClaimTaken)
+		ho := oldOwner.le.Export(id.Shard(), oldOwner.since, 1)
+		newOwner.owns, newOwner.since = true, lease.OwnershipStart{At: time.Now().Add(-5 * time.Second), Epoch: 2}
+		c.Assert(newOwner.le.Take(TakeRequest{ID: id.Text, Submission: "a"}).Granted, qt.IsTrue)
+		newOwner.owns = false
+		newOwner.le.Import(ho)
+		newOwner.owns = true
+		c.Assert(newOwner.le.Take(TakeRequest{ID: id.Text, Submission: "b"}).Reason, qt.Equals, reason.ClaimTaken)
 	})
 }
--- a/internal/claim/guard.go
+++ b/internal/claim/guard.go
@@ -18,16 +18,16 @@
 	DCs []string
 	// Take asks the owner of the shard in a data centre. An error says that
 	// no verdict came.
-	Take func(ctx context.Context, dc, resource string, req TakeRequest) (Verdict, error)
+	Take func(ctx context.Context, dc, resource string, req TakeRequest) (Decision, error)
 	// Release tells that owner of a sending that did not run. It may fail.
 	Release func(dc, resource string, req ReleaseRequest)
 }
 
 // The numbers of asking an owner.
 const (
-	takeAttempt  = 500 * time.Millisecond
-	takeTotal    = 1500 * time.Millisecond
-	claimRetryIn = 2 * time.Second
+	takeAttemptTimeout = 500 * time.Millisecond
+	takeTimeout        = 1500 * time.Millisecond
+	claimRetryDelay    = 2 * time.Second
 )
 
 // Do runs a request if its id is let through, and says what is known.
@@ -37,13 +37,13 @@
 		return route.NotRunResult(reason.IDMalformed, 0)
 	}
 	home := id.HomeIn(gu.DCs)
-	req := TakeRequest{ID: text, Sending: uuid.NewString()}
-	ver, err := gu.take(ctx, home, id.Shard(), req)
+	req := TakeRequest{ID: text, Submission: uuid.NewString()}
+	dec, err := gu.take(ctx, home, id.Shard(), req)
 	if err != nil {
-		return unvouched(reason.ClaimAway)
+		return unknownResult(reason.ClaimAway)
 	}
-	if !ver.Granted {
-		return refused(ver.Reason)
+	if !dec.Granted {
+		return refusalResult(dec.Reason)
 	}
 	res := run(ctx)
 	if res.Outcome == route.NotRun {
@@ -54,16 +54,16 @@
 
 // take asks until there is a verdict or time is up. An owner that is no
 // longer one is asked for again: another may be known by then.
-func (gu *Guard) take(ctx context.Context, home, shard string, req TakeRequest) (Verdict, error) {
-	return backoff.Retry(ctx, func() (Verdict, error) {
-		actx, cancel := context.WithTimeout(ctx, takeAttempt)
+func (gu *Guard) take(ctx context.Context, home, shard string, req TakeRequest) (Decision, error) {
+	return backoff.Retry(ctx, func() (Decision, error) {
+		actx, cancel := context.WithTimeout(ctx, takeAttemptTimeout)
 		defer cancel()
-		ver, err := gu.Take(actx, home, shard, req)
-		if err == nil && ver.Reason == reason.ClaimAway {
+		dec, err := gu.Take(actx, home, shard, req)
+		if err == nil && dec.Reason == reason.ClaimAway {
 			err = errNotOwner
 		}
-		return ver, err
-	}, backoff.WithBackOff(takeBackOff()), backoff.WithMaxElapsedTime(takeTotal))
+		return dec, err
+	}, backoff.WithBackOff(takeBackOff()), backoff.WithMaxElapsedTime(takeTimeout))
 }
 
 func takeBackOff() backoff.BackOff {
@@ -74,18 +74,18 @@
 
 // refused turns a verdict into the final word. Where the id may have been let
 // through before, what became of it is not known here.
-func refused(why reason.Reason) route.Result {
+func refusalResult(why reason.Reason) route.Result {
 	switch why {
 	case reason.IDMalformed, reason.ClaimFull:
 		// Neither was ever let through: the one cannot be, and of the other
 		// the owner has full memory.
-		return route.NotRunResult(why, claimRetryIn)
+		return route.NotRunResult(why, claimRetryDelay)
 	case reason.IDStale, reason.ClaimTaken:
 		return route.Result{Outcome: route.Unknown, Reason: why}
 	}
-	return unvouched(why)
+	return unknownResult(why)
 }
 
-func unvouched(why reason.Reason) route.Result {
-	return route.Result{Outcome: route.Unknown, Reason: why, RetryAfter: claimRetryIn}
+func unknownResult(why reason.Reason) route.Result {
+	return route.Result{Outcome: route.Unknown, Reason: why, RetryAfter: claimRetryDelay}
 }
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -115,7 +115,7 @@
 	}
 	ho.config = &config.Store{Table: ho.table, Apply: ho.applyConfig}
 	rules := claim.DefaultRules
-	rules.Most = ho.set.MaxClaims
+	rules.MaxIDs = ho.set.MaxClaims
 	ho.ledger = &claim.Ledger{
 		Owns:  func(re string) bool { ke := ho.keeper.Load(); return ke != nil && ke.Owns(re) },
 		Since: func(re string) lease.OwnershipStart { return ho.since(re) },
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -175,31 +175,31 @@
 var errNoOwner = errors.New("owner not known")
 
 // takeClaim asks the owner of an id's shard, in whichever data centre.
-func (ho *Host) takeClaim(ctx context.Context, dc, resource string, req claim.TakeRequest) (claim.Verdict, error) {
+func (ho *Host) takeClaim(ctx context.Context, dc, resource string, req claim.TakeRequest) (claim.Decision, error) {
 	msg := claimMessage[claim.TakeRequest]{Resource: resource, Message: req}
 	if dc == ho.set.DC {
 		return ho.serveTake(ctx, msg)
 	}
 	addr, err := ho.anyHostIn(dc)
 	if err != nil {
-		return claim.Verdict{}, err
+		return claim.Decision{}, err
 	}
-	return wire.Post[claimMessage[claim.TakeRequest], claim.Verdict](ctx, ho.web, "http://"+addr+pathTake, msg)
+	return wire.Post[claimMessage[claim.TakeRequest], claim.Decision](ctx, ho.web, "http://"+addr+pathTake, msg)
 }
 
 // serveTake answers for an own shard, and passes others on once.
-func (ho *Host) serveTake(ctx context.Context, msg claimMessage[claim.TakeRequest]) (claim.Verdict, error) {
+func (ho *Host) serveTake(ctx context.Context, msg claimMessage[claim.TakeRequest]) (claim.Decision, error) {
 	addr, own, err := ho.ownerOf(msg.Resource)
 	switch {
 	case own:
 		return ho.ledger.Take(msg.Message), nil
 	case err != nil:
-		return claim.Verdict{}, err
+		return claim.Decision{}, err
 	case msg.Passed:
-		return claim.Verdict{Reason: reason.ClaimAway}, nil
+		return claim.Decision{Reason: reason.ClaimAway}, nil
 	}
 	msg.Passed = true
-	return wire.Post[claimMessage[claim.TakeRequest], claim.Verdict](ctx, ho.web, "http://"+addr+pathTake, msg)
+	return wire.Post[claimMessage[claim.TakeRequest], claim.Decision](ctx, ho.web, "http://"+addr+pathTake, msg)
 }
 
 // releaseTime bounds the telling of a release. If it is lost, the id stays
