--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -19,16 +19,16 @@
 	After time.Duration
 }
 
-type key struct{}
+type contextKey struct{}
 
 // With has requests be doubled. It is for requests only that may be carried out more
 // than once.
-func With(ctx context.Context, po Policy) context.Context {
-	return context.WithValue(ctx, key{}, po)
+func NewContext(ctx context.Context, po Policy) context.Context {
+	return context.WithValue(ctx, contextKey{}, po)
 }
 
 // Of returns the policy of a request, if it has one.
-func Of(ctx context.Context) (Policy, bool) {
-	po, ok := ctx.Value(key{}).(Policy)
+func FromContext(ctx context.Context) (Policy, bool) {
+	po, ok := ctx.Value(contextKey{}).(Policy)
 	return po, ok
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -387,7 +387,7 @@
 	}
 	lost := attempt{Result: Result{Outcome: Unknown, Reason: reason.AnswerLost}, retryReason: reason.RetryLost}
 	switch {
-	case errors.Is(err, runner.ErrForeignAnswer), errors.Is(err, runner.ErrNoStatus), errors.Is(err, runner.ErrNoEndMark):
+	case errors.Is(err, runner.ErrIDMismatch), errors.Is(err, runner.ErrNoStatus), errors.Is(err, runner.ErrNoFraming):
 		lost.retryReason = reason.RetryForeign
 		return lost, upstream.InvalidAnswer
 	case ctx.Err() != nil:
--- a/internal/runner/client.go
+++ b/internal/runner/client.go
@@ -16,7 +16,7 @@
 )
 
 // MaxAnswer bounds an answer in bytes.
-const MaxAnswer = 4 << 20
+const MaxAnswerBytes = 4 << 20
 
 // NotRunError says that the request certainly did not run.
 type NotRunError struct {
@@ -60,10 +60,10 @@
 
 // Causes of an [UnknownError] that lie in the reply.
 var (
-	ErrForeignAnswer = errors.New("answer is for another request")
-	ErrNoEndMark     = errors.New("answer has neither length nor end mark")
-	ErrNoStatus      = errors.New("answer says neither done nor refused")
-	ErrAnswerTooBig  = errors.New("answer is too large")
+	ErrIDMismatch     = errors.New("answer is for another request")
+	ErrNoFraming      = errors.New("answer has neither length nor end mark")
+	ErrNoStatus       = errors.New("answer says neither done nor refused")
+	ErrAnswerTooLarge = errors.New("answer is too large")
 )
 
 // Client talks to runners. Make one with [NewClient]; a test replaces the
@@ -81,23 +81,23 @@
 	// ConnsPerRunner bounds connections for requests to one runner.
 	ConnsPerRunner int
 	// Dial bounds the time to connect.
-	Dial time.Duration
+	DialTimeout time.Duration
 }
 
 const (
-	defaultConns = 20
-	defaultDial  = 500 * time.Millisecond
-	idleConnTime = 30 * time.Second
-	sessionHead  = 2 * time.Second
+	defaultConnsPerRunner = 20
+	defaultDialTimeout    = 500 * time.Millisecond
+	idleConnTimeout       = 30 * time.Second
+	sessionHeaderTimeout  = 2 * time.Second
 )
 
 // NewClient returns a client over net/http. Zero limits take defaults.
 func NewClient(lim Limits) Client {
 	if lim.ConnsPerRunner == 0 {
-		lim.ConnsPerRunner = defaultConns
+		lim.ConnsPerRunner = defaultConnsPerRunner
 	}
-	if lim.Dial == 0 {
-		lim.Dial = defaultDial
+	if lim.DialTimeout == 0 {
+		lim.DialTimeout = defaultDialTimeout
 	}
 	runs := transport(lim)
 	sessions := transport(lim)
@@ -115,7 +115,7 @@
 // RoundTrip alone), asks for no compression, and whose connections count the
 // bytes written.
 func transport(lim Limits) *http.Transport {
-	di := &net.Dialer{Timeout: lim.Dial}
+	di := &net.Dialer{Timeout: lim.DialTimeout}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, err := di.DialContext(ctx, network, addr)
@@ -126,7 +126,7 @@
 		},
 		MaxConnsPerHost:     lim.ConnsPerRunner,
 		MaxIdleConnsPerHost: lim.ConnsPerRunner,
-		IdleConnTimeout:     idleConnTime,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 }
@@ -146,50 +146,50 @@
 }
 
 // wireState watches one exchange from the moment it has a connection.
-type wireState struct {
-	conn   atomic.Pointer[countingConn]
-	before atomic.Int64
-	conns  atomic.Int64
+type exchangeState struct {
+	conn          atomic.Pointer[countingConn]
+	writtenBefore atomic.Int64
+	conns         atomic.Int64
 }
 
-func (ws *wireState) trace() *httptrace.ClientTrace {
+func (es *exchangeState) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		cc, _ := info.Conn.(*countingConn)
 		if cc != nil {
-			ws.before.Store(cc.written.Load())
+			es.writtenBefore.Store(cc.written.Load())
 		}
-		ws.conn.Store(cc)
-		ws.conns.Add(1)
+		es.conn.Store(cc)
+		es.conns.Add(1)
 	}}
 }
 
 // untouched reports whether no byte of the request left. net/http takes a
 // second connection only after the first took none of the request, so that
 // the last connection is the one that counts.
-func (ws *wireState) untouched() bool {
-	if ws.conns.Load() == 0 {
+func (es *exchangeState) nothingSent() bool {
+	if es.conns.Load() == 0 {
 		return true
 	}
-	cc := ws.conn.Load()
-	return cc != nil && cc.written.Load() == ws.before.Load()
+	cc := es.conn.Load()
+	return cc != nil && cc.written.Load() == es.writtenBefore.Load()
 }
 
 // onceBody is a request body that net/http cannot rewind: without GetBody it
 // never sends a request again of which it has read any.
-type onceBody struct{ rd *bytes.Reader }
+type nonReplayableBody struct{ rd *bytes.Reader }
 
-func (ob onceBody) Read(data []byte) (int, error) { return ob.rd.Read(data) }
-func (ob onceBody) Close() error                  { return nil }
+func (nb nonReplayableBody) Read(data []byte) (int, error) { return nb.rd.Read(data) }
+func (nb nonReplayableBody) Close() error                  { return nil }
 
 func run(ctx context.Context, tr http.RoundTripper, addr string, req Request) (Answer, error) {
-	ws := &wireState{}
-	hreq, err := newRequest(httptrace.WithClientTrace(ctx, ws.trace()), addr, "/run", req.Body)
+	es := &exchangeState{}
+	hreq, err := newRequest(httptrace.WithClientTrace(ctx, es.trace()), addr, "/run", req.Body)
 	if err != nil {
 		return Answer{}, &NotRunError{Step: "build request", Peer: addr, Err: err}
 	}
 	setHeaders(hreq.Header, req)
 	hresp, err := tr.RoundTrip(hreq)
-	if err != nil && ws.untouched() {
+	if err != nil && es.nothingSent() {
 		return Answer{}, &NotRunError{Step: "connect", Peer: addr, Err: err}
 	}
 	if err != nil {
@@ -206,7 +206,7 @@
 	}
 	// POST without an Idempotency-Key header is not replayable in the eyes
 	// of net/http, and a body without GetBody cannot be sent again.
-	hreq.Body = onceBody{rd: bytes.NewReader(body)}
+	hreq.Body = nonReplayableBody{rd: bytes.NewReader(body)}
 	hreq.ContentLength = int64(len(body))
 	if len(body) == 0 {
 		hreq.Body = http.NoBody
@@ -231,10 +231,10 @@
 	}
 	chunked := len(hresp.TransferEncoding) > 0 && hresp.TransferEncoding[0] == "chunked"
 	if hresp.ContentLength < 0 && !chunked {
-		return unknown(ErrNoEndMark)
+		return unknown(ErrNoFraming)
 	}
 	if hresp.Header.Get(HeaderID) != id {
-		return unknown(ErrForeignAnswer)
+		return unknown(ErrIDMismatch)
 	}
 	body, err := readBody(hresp)
 	if err != nil {
@@ -245,12 +245,12 @@
 	case StatusDone:
 		return Answer{Body: body, Leaving: leaving}, nil
 	case StatusRefused:
-		return Answer{Leaving: leaving}, &NotRunError{Step: "run", Peer: addr, Reason: refusal(hresp.Header)}
+		return Answer{Leaving: leaving}, &NotRunError{Step: "run", Peer: addr, Reason: refusalReason(hresp.Header)}
 	}
 	return unknown(ErrNoStatus)
 }
 
-func refusal(hd http.Header) string {
+func refusalReason(hd http.Header) string {
 	if reason := hd.Get(HeaderReason); reason != "" {
 		return reason
 	}
@@ -258,17 +258,17 @@
 }
 
 func readBody(hresp *http.Response) ([]byte, error) {
-	if hresp.ContentLength > MaxAnswer {
-		return nil, ErrAnswerTooBig
+	if hresp.ContentLength > MaxAnswerBytes {
+		return nil, ErrAnswerTooLarge
 	}
 	if hresp.ContentLength >= 0 {
 		body := make([]byte, hresp.ContentLength)
 		_, err := io.ReadFull(hresp.Body, body)
 		return body, err
 	}
-	body, err := io.ReadAll(io.LimitReader(hresp.Body, MaxAnswer+1))
-	if err == nil && len(body) > MaxAnswer {
-		err = ErrAnswerTooBig
+	body, err := io.ReadAll(io.LimitReader(hresp.Body, MaxAnswerBytes+1))
+	if err == nil && len(body) > MaxAnswerBytes {
+		err = ErrAnswerTooLarge
 	}
 	return body, err
 }
@@ -285,7 +285,7 @@
 		return nil, nil, err
 	}
 	// The head must come in time; the stream then has no end.
-	head := time.AfterFunc(sessionHead, cancel)
+	head := time.AfterFunc(sessionHeaderTimeout, cancel)
 	hresp, err := tr.RoundTrip(hreq)
 	head.Stop()
 	if err != nil {
@@ -298,7 +298,7 @@
 	}
 	if hresp.StatusCode != http.StatusOK {
 		stop()
-		return nil, nil, &NotRunError{Step: "open session", Peer: addr, Reason: refusal(hresp.Header)}
+		return nil, nil, &NotRunError{Step: "open session", Peer: addr, Reason: refusalReason(hresp.Header)}
 	}
 	dec := json.NewDecoder(hresp.Body)
 	next := func() (SessionEvent, error) {
--- a/internal/runner/client_test.go
+++ b/internal/runner/client_test.go
@@ -21,34 +21,34 @@
 )
 
 // rig is a stand-in runner with a client of its own.
-type rig struct {
+type runnerHarness struct {
 	ru   *standin.Runner
 	srv  *httptest.Server
 	cl   runner.Client
 	next int
 }
 
-func newRig(tb testing.TB) *rig {
+func newRunnerHarness(tb testing.TB) *runnerHarness {
 	tb.Helper()
 	ru := standin.NewRunner(standin.RunnerSettings{ID: "r1"})
 	srv := httptest.NewServer(ru.Handler())
 	tb.Cleanup(srv.Close)
-	return &rig{ru: ru, srv: srv, cl: runner.NewClient(runner.Limits{})}
+	return &runnerHarness{ru: ru, srv: srv, cl: runner.NewClient(runner.Limits{})}
 }
 
-func (ri *rig) addr() string { return strings.TrimPrefix(ri.srv.URL, "http://") }
+func (rh *runnerHarness) addr() string { return strings.TrimPrefix(rh.srv.URL, "http://") }
 
 // run sends a request with an id of its own and returns the id.
-func (ri *rig) run(ctx context.Context, body []byte) (string, runner.Answer, error) {
-	ri.next++
-	id := fmt.Sprintf("id%d", ri.next)
-	ans, err := ri.cl.RunFunc(ctx, ri.addr(), runner.Request{ID: id, Service: "s", Body: body, Deadline: time.Now().Add(time.Minute)})
+func (rh *runnerHarness) run(ctx context.Context, body []byte) (string, runner.Answer, error) {
+	rh.next++
+	id := fmt.Sprintf("id%d", rh.next)
+	ans, err := rh.cl.RunFunc(ctx, rh.addr(), runner.Request{ID: id, Service: "s", Body: body, Deadline: time.Now().Add(time.Minute)})
 	return id, ans, err
 }
 
-func (ri *rig) runs(id string) int {
+func (rh *runnerHarness) runs(id string) int {
 	n := 0
-	for _, run := range ri.ru.Log() {
+	for _, run := range rh.ru.Log() {
 		if run.ID == id {
 			n++
 		}
@@ -76,67 +76,67 @@
 	ctx := context.Background()
 	for _, mode := range []standin.Mode{standin.ModeCloseUnread, standin.ModeCloseRead, standin.ModeCloseRun, standin.ModeCut, standin.ModeWrong, standin.ModeForeign} {
 		c.Run(string(mode), func(c *qt.C) {
-			ri := newRig(c)
+			rh := newRunnerHarness(c)
 			// The second goes over a connection that is kept, where net/http
 			// is quickest to try again.
 			for range 2 {
-				ri.ru.Gate.Set(standin.Fault{})
-				_, _, err := ri.run(ctx, []byte("x"))
+				rh.ru.Gate.Set(standin.Fault{})
+				_, _, err := rh.run(ctx, []byte("x"))
 				c.Assert(err, qt.IsNil)
-				ri.ru.Gate.Set(standin.Fault{Mode: mode})
-				id, _, err := ri.run(ctx, []byte("x"))
+				rh.ru.Gate.Set(standin.Fault{Mode: mode})
+				id, _, err := rh.run(ctx, []byte("x"))
 				assertUnknown(c, err)
-				c.Assert(ri.runs(id) <= 1, qt.IsTrue)
+				c.Assert(rh.runs(id) <= 1, qt.IsTrue)
 			}
 		})
 	}
 	c.Run("refused", func(c *qt.C) {
-		ri := newRig(c)
-		ri.ru.Gate.Set(standin.Fault{Mode: standin.ModeRefuse})
-		_, _, err := ri.run(ctx, nil)
+		rh := newRunnerHarness(c)
+		rh.ru.Gate.Set(standin.Fault{Mode: standin.ModeRefuse})
+		_, _, err := rh.run(ctx, nil)
 		assertNotRun(c, err, "refuse")
 	})
 	c.Run("leaving", func(c *qt.C) {
-		ri := newRig(c)
-		ri.ru.Order(standin.RunnerOrder{Leave: true})
-		_, _, err := ri.run(ctx, nil)
+		rh := newRunnerHarness(c)
+		rh.ru.Order(standin.RunnerOrder{Leave: true})
+		_, _, err := rh.run(ctx, nil)
 		assertNotRun(c, err, runner.ReasonLeaving)
 	})
 	c.Run("nobody there", func(c *qt.C) {
-		ri := newRig(c)
-		ri.srv.Close()
-		_, _, err := ri.run(ctx, nil)
+		rh := newRunnerHarness(c)
+		rh.srv.Close()
+		_, _, err := rh.run(ctx, nil)
 		assertNotRun(c, err, "")
 	})
 }
 
 // TestOutcomesAreTrue sends requests under any sequence of faults and checks
 // every outcome against the runner's log.
-func TestOutcomesAreTrue(t *testing.T) {
+func TestOutcomesMatchRunnerLog(t *testing.T) {
 	modes := []standin.Mode{
 		standin.ModeOK, standin.ModeRefuse, standin.ModeWrong, standin.ModeForeign, standin.ModeCut,
 		standin.ModeCloseUnread, standin.ModeCloseRead, standin.ModeCloseRun, standin.ModeHang,
 	}
 	proptest.Check(t, proptest.Size{}, func(rt *rapid.T) {
-		ri := newRig(t)
-		defer ri.srv.Close()
+		rh := newRunnerHarness(t)
+		defer rh.srv.Close()
 		for range rapid.IntRange(1, 12).Draw(rt, "requests") {
 			mode := rapid.SampledFrom(modes).Draw(rt, "mode")
 			body := bytes.Repeat([]byte("b"), rapid.SampledFrom([]int{0, 1, 100, 100_000}).Draw(rt, "size"))
-			ri.ru.Gate.Set(standin.Fault{Mode: mode})
+			rh.ru.Gate.Set(standin.Fault{Mode: mode})
 			if rapid.Bool().Draw(rt, "close idle") {
-				ri.srv.CloseClientConnections()
+				rh.srv.CloseClientConnections()
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
-			id, ans, err := ri.run(ctx, body)
+			id, ans, err := rh.run(ctx, body)
 			cancel()
-			checkOutcome(rt, ri, id, body, ans, err)
+			checkOutcome(rt, rh, id, body, ans, err)
 		}
 	})
 }
 
-func checkOutcome(rt *rapid.T, ri *rig, id string, body []byte, ans runner.Answer, err error) {
-	runs := ri.runs(id)
+func checkOutcome(rt *rapid.T, rh *runnerHarness, id string, body []byte, ans runner.Answer, err error) {
+	runs := rh.runs(id)
 	var notRun *runner.NotRunError
 	switch {
 	case runs > 1:
--- a/internal/runner/stall_test.go
+++ b/internal/runner/stall_test.go
@@ -11,7 +11,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin/linetest"
 )
 
-func TestRunnerThatStandsStill(t *testing.T) {
+func TestStalledRunner(t *testing.T) {
 	ru := standin.NewRunner(standin.RunnerSettings{ID: "r1", Slots: 20, Tick: 10 * time.Millisecond})
 	hs := httptest.NewServer(ru.Handler())
 	t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -108,7 +108,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	sent := time.Now()
-	ctx = hedge.With(ctx, hedge.Policy{After: pageDouble})
+	ctx = hedge.NewContext(ctx, hedge.Policy{After: pageDouble})
 	reply, err := pg.tbl.ReadFunc(ctx, ReadRequest{Prefix: pg.prefix, After: after, Limit: pg.limit})
 	return reply, time.Since(sent), err
 }
--- a/internal/transport/spare_test.go
+++ b/internal/transport/spare_test.go
@@ -125,7 +125,7 @@
 				}()
 				hc := NewClientOver(pi, 2)
 				defer hc.CloseIdleConnections()
-				ctx := hedge.With(t.Context(), hedge.Policy{After: 800 * time.Millisecond})
+				ctx := hedge.NewContext(t.Context(), hedge.Policy{After: 800 * time.Millisecond})
 				req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+pi.Addr().String(), nil)
 				qt.Assert(t, err, qt.IsNil)
 				resp, err := hc.Do(req)
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -73,7 +73,7 @@
 
 // RoundTrip implements http.RoundTripper.
 func (ro *roundTripper) RoundTrip(req *http.Request) (*http.Response, error) {
-	po, ok := hedge.Of(req.Context())
+	po, ok := hedge.FromContext(req.Context())
 	if !ok {
 		return ro.once(ro.Transport, req)
 	}
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -199,7 +199,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, waitMost+wa.patient(answerGrace))
 	defer cancel()
-	ctx = hedge.With(ctx, hedge.Policy{Wait: waitMost, After: doubleAfter})
+	ctx = hedge.NewContext(ctx, hedge.Policy{Wait: waitMost, After: doubleAfter})
 	reply, err := wa.Table.FeedFunc(ctx, store.FeedRequest{Prefix: wa.Name, After: wa.version, WaitMS: waitMost.Milliseconds()})
 	if err != nil {
 		return err
