--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -2,23 +2,24 @@
 
 import "sync"
 
-// The default budget: one retry for ten requests, and some to begin with.
+// Defaults of a retry budget: one retry per ten requests, and a burst of 20.
 const (
 	defaultRetryRatio = 0.1
 	maxBudget         = 20.0
 )
 
-// Budget bounds retries by a part of the requests served, so that retries
-// never become the load. The zero value is full.
+// Budget limits retries to a fraction of the requests served, so that retries
+// cannot multiply the load during an outage. The zero value has the full burst
+// available. It is safe for concurrent use.
 type Budget struct {
-	// Ratio is the retries earned by one request; zero means 0.1.
+	// Ratio is the number of retries that one request earns; zero means 0.1.
 	Ratio float64
 
 	mu   sync.Mutex
 	used float64
 }
 
-// Earn notes a request that arrived.
+// Deposit credits the budget for one incoming request.
 func (bu *Budget) Deposit() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
@@ -29,7 +30,8 @@
 	bu.used = max(0, bu.used-ratio)
 }
 
-// Spend takes one retry, if there is one.
+// TryWithdraw takes one retry from the budget and reports whether one was
+// available.
 func (bu *Budget) TryWithdraw() bool {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
@@ -40,7 +42,7 @@
 	return true
 }
 
-// SetRatio changes the ratio.
+// SetRatio sets the number of retries that one request earns.
 func (bu *Budget) SetRatio(ratio float64) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
--- a/internal/route/compare_test.go
+++ b/internal/route/compare_test.go
@@ -23,12 +23,12 @@
 )
 
 var (
-	compare     = flag.Bool("compare", false, "print the whole comparison of ways to share runners")
-	compareLoad = flag.String("compare-load", "", "compare only under loads whose name starts so")
+	compare     = flag.Bool("compare", false, "print the full comparison of strategies to share runners")
+	compareLoad = flag.String("compare-load", "", "compare only under loads whose name has this prefix")
 	compareFor  = flag.Duration("compare-for", 10*time.Second, "virtual time of each trial")
 )
 
-// Sizes of one data centre of a user of today.
+// The simulated data centre and its load.
 const (
 	trialRunners = 17
 	trialSlots   = 8
@@ -40,20 +40,21 @@
 	batDeadline  = 30 * time.Second
 )
 
-// way is a way for three entry hosts to share the runners.
+// strategy is a way for entry hosts to share the runners.
 type strategy struct {
 	name string
 	// hosts is the number of entry hosts.
 	hosts int
-	// subsets gives each runner to one host; otherwise all have all.
+	// subsets gives each runner to one host; otherwise every host uses all.
 	subsets bool
-	// spill lets peers serve what finds no free slot.
+	// spill lets a peer serve a request that finds no free slot.
 	spill bool
-	// slots is how many requests one host has on a runner at most.
+	// slots is the maximum number of concurrent requests of one host on a
+	// runner.
 	slots int
-	// pick replaces the choice of the least busy.
+	// pick replaces the choice of the runner with the fewest requests.
 	pick func(free []Member, busy func(string) int) Member
-	// noHedge turns hedging off.
+	// noHedge disables hedging.
 	noHedge bool
 }
 
@@ -78,15 +79,16 @@
 	{name: "all, 3 slots each", hosts: 3, slots: 3},
 }
 
-// trialLoad is a load to put on a way.
+// trialLoad is a load to run on a strategy.
 type trialLoad struct {
 	name string
-	// load is the part of capacity that arrives.
+	// load is the arrival rate as a fraction of the capacity.
 	load float64
-	// slow, gone and hang are runners that are so; gone and hang from the
-	// middle on.
+	// slow, down and hung are numbers of runners in that state; down and hung
+	// apply from the middle of the trial on.
 	slow, down, hung int
-	// herd arrivals come at once every two seconds, on top.
+	// burst is the number of additional requests that arrive at once every two
+	// seconds.
 	burst int
 }
 
@@ -96,12 +98,12 @@
 	{name: "95%", load: 0.95},
 	{name: "120%", load: 1.2},
 	{name: "70%, one runner 5x slow", load: 0.7, slow: 1},
-	{name: "60%, rack of 5 gone", load: 0.6, down: 5},
+	{name: "60%, rack of 5 down", load: 0.6, down: 5},
 	{name: "60%, one runner hangs", load: 0.6, hung: 1},
-	{name: "50%, herds of 400", load: 0.5, burst: 400},
+	{name: "50%, bursts of 400", load: 0.5, burst: 400},
 }
 
-// tally is what came of a trial.
+// trialStats counts the results of a trial.
 type trialStats struct {
 	mu       sync.Mutex
 	lat      *hdrhistogram.Histogram
@@ -131,7 +133,7 @@
 	}
 }
 
-// trialWorld is a way under a load.
+// trialCluster is a set of entry hosts that share the runners by one strategy.
 type trialCluster struct {
 	fr    *fakeRunners
 	hosts map[string]*Router
@@ -164,7 +166,8 @@
 	return ro
 }
 
-// gossip tells hosts of each other's load, as old as package peer has it.
+// exchangeLoads reports the hosts' loads to each other with the delay that
+// package peer has.
 func (tc *trialCluster) exchangeLoads(ctx context.Context, spill bool) {
 	for ctx.Err() == nil {
 		loads := map[string]map[string]Load{}
@@ -200,7 +203,7 @@
 	})
 }
 
-// runTrial runs a load on a way, in virtual time.
+// runTrial runs a load on a strategy, in virtual time.
 func runTrial(st strategy, tl trialLoad, span time.Duration) *trialStats {
 	ts := &trialStats{lat: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3), reasons: map[reason.Reason]int{}}
 	tc := newTrialCluster(st)
@@ -237,12 +240,12 @@
 		next = next.Add(time.Duration(rand.ExpFloat64() / rate * float64(time.Second)))
 	}
 	wg.Wait()
-	// Slower attempts of hedged requests come to their end.
+	// Waits for the slower attempts of hedged requests.
 	time.Sleep(time.Minute)
 	return ts
 }
 
-// row is a line of the comparison.
+// row formats the results as a line of the comparison.
 func (ts *trialStats) row(st strategy, tl trialLoad, span time.Duration) string {
 	at := func(q float64) float64 { return float64(ts.lat.ValueAtQuantile(q)) / 1000 }
 	sent := ts.sent[0] + ts.sent[1]
@@ -254,11 +257,12 @@
 		float64(ts.attempts)/float64(max(1, sent)), ts.reasons)
 }
 
-const compareHeader = "LOAD\tWAY\tP50\tP99\tP99.9\tLATENCY-CRITICAL ANSWERED\tBATCH ANSWERED\tGOODPUT/CAPACITY\tLATE PER 1,000\tATTEMPTS\tREASONS"
+const compareHeader = "LOAD\tSTRATEGY\tP50\tP99\tP99.9\tLATENCY-CRITICAL ANSWERED\tBATCH ANSWERED\tGOODPUT/CAPACITY\tUNKNOWN PER 1,000\tATTEMPTS\tREASONS"
 
-// TestCompare prints the comparison behind docs/DESIGN.md with -compare; on
-// its own it runs the way chosen against the ideal once, and checks what does
-// not depend on chance.
+// TestCompare prints the comparison of docs/DESIGN.md with -compare. By default
+// it runs the chosen strategy once at 120% load and checks only what does not
+// depend on chance: most latency-critical requests are answered and batch is
+// not starved.
 func TestCompare(t *testing.T) {
 	c := qt.New(t)
 	if !*compare {
--- a/internal/route/load.go
+++ b/internal/route/load.go
@@ -6,9 +6,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/runner"
 )
 
-// evenOut works out how much batch to pass to peers in this data centre whose
-// queues are shorter, slot for slot. Without it a host with fewer runners than
-// the others refuses batch for which they have time.
+// balanceBatch computes how many batch requests to forward to each peer in this
+// data centre whose queue is shorter per slot. Without it a host with fewer
+// runners than its peers refuses batch requests that the peers have time for.
 func (po *Pool) balanceBatch() {
 	slots := po.slots()
 	if slots == 0 {
@@ -27,31 +27,33 @@
 	}
 }
 
-// evenFrom is the difference of waiters for one slot from which batch is
-// passed on, evenPart the part of the difference passed on at a time.
+// balanceThreshold is the difference in waiting batch requests per slot above
+// which batch is forwarded; balanceDivisor is the fraction (1/8) of the
+// difference forwarded per exchange of loads.
 const (
 	balanceThreshold = 1.0
 	balanceDivisor   = 8
 )
 
-// Load is what a pool tells its peers.
+// Load is the load of one service that an entry host reports to its peers.
 type Load struct {
-	// Free is the number of free slots, less the waiters.
+	// Free is the number of free slots minus the number of waiters, at least 0.
 	Free int `json:"free"`
-	// Yield is how many latency-critical requests it can take all the same,
-	// until it says so again: slots that would go to batch next.
+	// BatchTurns is the number of latency-critical requests that can be served
+	// before the next report in addition to Free, on slots that batch would get
+	// next.
 	BatchTurns int `json:"yield,omitempty"`
-	// Waiting is the number of waiters.
+	// Waiting is the number of waiters in both classes.
 	Waiting int `json:"waiting"`
-	// Slots is the number of slots.
+	// Slots is the number of slots of all runners of this host.
 	Slots int `json:"slots"`
 
-	// even is how many batch requests to pass to the peer to even out the
-	// queues; the pool that is told the load works it out.
+	// balance is the number of batch requests to forward to the peer to even
+	// out the queues. It is computed by the receiver of the load and not sent.
 	balance int
 }
 
-// Load returns the pool's load.
+// Load returns the pool's current load.
 func (po *Pool) Load() Load {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -70,11 +72,10 @@
 	return lo
 }
 
-// surplus returns the turns that batch had in the last window beyond its
+// batchSurplus returns the turns that batch had in the last window beyond its
 // minimum share: that many can go to latency-critical requests of peers
-// instead. The slots of a service do not divide evenly among hosts, so that
-// one host can have more latency-critical work than slots while the others
-// serve batch.
+// instead. The slots of a service do not divide evenly among hosts, so one host
+// can have more latency-critical work than slots while the others serve batch.
 func (po *Pool) batchSurplus() int {
 	if time.Since(po.surplusSince) < surplusWindow {
 		return po.lastSurplus
@@ -91,15 +92,16 @@
 }
 
 const (
-	// yieldWindow is about the time between greetings of peers.
+	// surplusWindow is about the interval between exchanges of loads with
+	// peers.
 	surplusWindow = 200 * time.Millisecond
-	// yieldFrom is the part of the own slots that must wait in
-	// latency-critical requests before the offer is taken. Fewer have their
-	// turn soon, at the cost of batch here and not at a peer.
+	// batchTurnDivisor: more than 1/8 as many latency-critical requests as own
+	// slots must wait before the batch turns of a peer are used. Fewer waiters
+	// get a slot soon here, at the cost of local batch rather than a peer's.
 	batchTurnDivisor = 8
 )
 
-// left returns how many requests of a kind the peer can take.
+// available returns how many requests of a spill kind the peer can take.
 func (lo Load) available(sk spillKind) int {
 	switch sk {
 	case spillBatchTurns:
@@ -110,19 +112,19 @@
 	return lo.Free
 }
 
-// kind says what a waiter may ask of a peer besides free slots.
+// spillKind says which resources of a peer a waiter may use besides free slots.
 type spillKind int
 
 const (
-	// plain waiters take free slots only.
+	// spillFree uses free slots only.
 	spillFree spillKind = iota
-	// yielding ones take turns of the peer's batch.
+	// spillBatchTurns also uses turns that the peer would give to batch.
 	spillBatchTurns
-	// evening ones take places in the peer's queue, which is shorter.
+	// spillBalance also uses places in the peer's shorter queue.
 	spillBalance
 )
 
-// less returns the load after one more request was passed to the peer.
+// afterSpill returns the load after one more request was forwarded to the peer.
 func (lo Load) afterSpill(sk spillKind) Load {
 	switch {
 	case lo.Free > 0:
@@ -139,7 +141,8 @@
 	return mostAvailable(po.sameDC, spillBatchTurns) != "" || mostAvailable(po.otherDCs, spillBatchTurns) != ""
 }
 
-// mostLeft returns the peer that can take the most requests, or "".
+// mostAvailable returns the peer that can take the most requests, or "" if no
+// peer can take any. Ties go to the lower name.
 func mostAvailable(peers map[string]Load, sk spillKind) string {
 	best, most := "", 0
 	for peer, lo := range peers {
--- a/internal/route/model_test.go
+++ b/internal/route/model_test.go
@@ -15,10 +15,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// errRefused is the error of a runner that is gone.
+// errRefused is the error of connecting to a runner that is down.
 var errRefused = errors.New("connection refused")
 
-// fakeRunners are runners in one process, on the clock of a test's bubble.
+// fakeRunners simulates runners on the fake clock of a test.
 type fakeRunners struct {
 	mean  time.Duration
 	sigma float64
@@ -39,7 +39,7 @@
 	}
 }
 
-// connectTime is what a refusal takes.
+// refusalTime is the delay until a refusal arrives.
 const refusalTime = 200 * time.Microsecond
 
 func (fr *fakeRunners) client() runner.Client {
@@ -70,8 +70,8 @@
 		<-ctx.Done()
 		return runner.Answer{}, &runner.UnknownError{Step: "await answer", Peer: addr, Err: ctx.Err()}
 	}
-	// A runner works to the end, also for a caller that left; its slot is
-	// free only then.
+	// A runner finishes the request even if the caller has left; only then is
+	// its slot free.
 	time.Sleep(took)
 	if ctx.Err() != nil {
 		return runner.Answer{}, &runner.UnknownError{Step: "await answer", Peer: addr, Err: ctx.Err()}
@@ -79,7 +79,7 @@
 	return runner.Answer{Body: []byte(req.ID)}, nil
 }
 
-// draw returns a log-normal service time.
+// serviceTime samples a log-normal service time.
 func (fr *fakeRunners) serviceTime(addr string) time.Duration {
 	factor := max(1, fr.slow[addr])
 	if fr.sigma == 0 {
@@ -88,7 +88,7 @@
 	return time.Duration(float64(fr.mean) * factor * math.Exp(fr.sigma*rand.NormFloat64()-fr.sigma*fr.sigma/2))
 }
 
-// member returns a pool's member for a runner.
+// member returns the pool member for a runner.
 func member(id string, slots int) Member {
 	return Member{ID: id, Addr: id, Slots: slots}
 }
@@ -101,7 +101,7 @@
 	return all
 }
 
-// listed returns the platform's list for runners of one service.
+// hostList returns the platform's list for the runners of one service.
 func hostList(runners []string, slots int) []store.Host {
 	hosts := make([]store.Host, 0, len(runners))
 	for _, id := range runners {
@@ -112,8 +112,8 @@
 	return hosts
 }
 
-// newRouter returns a router over runners, with a registry that sets them
-// aside on evidence.
+// newRouter returns a router over the runners, with a registry that quarantines
+// runners that fail.
 func newRouter(fr *fakeRunners, runners []string) *Router {
 	ro := &Router{Runners: fr.client()}
 	reg := &upstream.Registry{}
@@ -136,17 +136,17 @@
 	return ro
 }
 
-// request returns a request of the service with an id of its own.
+// request returns a request of the service with an id made from n.
 func request(n int, class runner.Class, left time.Duration) Request {
 	return Request{Request: runner.Request{
 		ID: fmt.Sprintf("id%d", n), Service: "s", Method: "m", Class: class, Deadline: time.Now().Add(left),
 	}}
 }
 
-// linkTime is the time of one way to a peer.
+// peerDelay is the network delay to a peer, one way.
 const peerDelay = 500 * time.Microsecond
 
-// forwardTo passes requests to routers by name.
+// forwardTo forwards requests to routers by name.
 func forwardTo(routers map[string]*Router) func(context.Context, string, Request) Result {
 	return func(ctx context.Context, peer string, req Request) Result {
 		time.Sleep(peerDelay)
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -14,31 +14,34 @@
 
 // Member is one runner of a pool.
 type Member struct {
-	// ID and Addr name the runner.
+	// ID is the runner's id and Addr its host:port.
 	ID   string
 	Addr string
-	// Slots is how many requests it may have at a time.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Probing limits it to one request at a time.
+	// Probing limits the runner to one concurrent request.
 	Probing bool
-	// Slow keeps latency-critical requests away while others are free.
+	// Slow excludes the runner from latency-critical requests while others have
+	// a free slot.
 	Slow bool
 }
 
-// Policy has a pool's numbers.
+// Policy holds the queueing parameters of a pool.
 type Policy struct {
-	// QueueLimit bounds the waiters.
+	// QueueLimit is the maximum number of waiters; zero means no limit.
 	QueueLimit int
-	// BatchEvery gives batch one turn in so many while it waits.
+	// BatchEvery gives batch one of every BatchEvery turns while it waits; zero
+	// gives it a turn only when no latency-critical request waits.
 	BatchEvery int
 }
 
-// Pool hands out the slots of a service's runners. It knows every request
-// that it let onto a runner, binds a waiter to a runner only when a slot is
-// free, and refuses at once what cannot be done in time.
+// Pool assigns the slots of one service's runners to requests. It tracks every
+// request in flight on its runners, assigns a waiter to a runner only when a
+// slot is free, and refuses at once requests that cannot meet their deadline.
 type Pool struct {
-	// Pick chooses among members with a free slot; nil takes the one with
-	// the fewest requests. It gets each one's requests in flight.
+	// Pick chooses among members with a free slot; nil takes the one with the
+	// fewest requests in flight. busy returns the requests in flight on a
+	// member.
 	Pick func(free []Member, busy func(id string) int) Member
 
 	mu      sync.Mutex
@@ -46,11 +49,12 @@
 	members map[string]*memberState
 	queue   classQueue
 	times   ServiceTimes
-	// yield is the surplus of the window before the one begun at window.
+	// lastSurplus is the surplus of batch turns in the window before the one
+	// that began at surplusSince.
 	lastSurplus  int
 	surplusSince time.Time
-	// near and far have what peers in this data centre, and in others, are
-	// said to have left.
+	// sameDC and otherDCs hold the remaining load that peers in this data
+	// centre and in others can take, by peer name.
 	sameDC, otherDCs map[string]Load
 }
 
@@ -61,9 +65,9 @@
 	removed bool
 }
 
-// Grant is one slot.
+// Grant is a slot held by one request until it is released.
 type Grant struct {
-	// Runner is whose slot it is.
+	// Runner is the runner that the slot belongs to.
 	Runner Member
 
 	pool  *Pool
@@ -71,12 +75,12 @@
 	once  sync.Once
 }
 
-// NewPool returns an empty pool.
+// NewPool returns a pool without members.
 func NewPool(pol Policy) *Pool {
 	return &Pool{policy: pol, members: map[string]*memberState{}}
 }
 
-// SetPolicy changes the numbers.
+// SetPolicy replaces the policy; it applies to later decisions.
 func (po *Pool) SetPolicy(pol Policy) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -84,7 +88,7 @@
 }
 
 // SetMembers replaces the runners. Requests in flight on a runner that is no
-// longer a member go on, and are counted if it comes back.
+// longer a member continue, and are counted again if it returns.
 func (po *Pool) SetMembers(members []Member) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -109,9 +113,9 @@
 	po.dispatch()
 }
 
-// SetPeers tells what each peer is said to have left; near are in this data
-// centre, far elsewhere. The pool keeps the maps, and takes from them what it
-// passes on.
+// SetPeers sets the load reported by each peer in this data centre and in
+// others. The pool keeps the maps and deducts from them the requests it
+// forwards.
 func (po *Pool) SetPeers(sameDC, otherDCs map[string]Load) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -120,7 +124,7 @@
 	po.dispatch()
 }
 
-// Busy returns the requests in flight on a runner.
+// Busy returns the number of requests in flight on a runner.
 func (po *Pool) Busy(id string) int {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -137,29 +141,30 @@
 	return ms.Slots
 }
 
-// Ask is a request for a slot.
+// SlotRequest describes a request that needs a slot.
 type SlotRequest struct {
-	// Class, Method and Deadline are the request's.
+	// Class, Method and Deadline are those of the request.
 	Class    runner.Class
 	Method   string
 	Deadline time.Time
-	// Avoid are runners tried before; they are taken only if nothing else
-	// is left.
+	// Avoid holds the ids of runners tried before; they are used only if no
+	// other runner has a free slot.
 	Avoid map[string]bool
-	// Local keeps the request from being passed to a peer.
+	// Local prevents the request from being forwarded to a peer.
 	Local bool
 }
 
-// Refusal says that no slot was to be had.
+// Refusal says why no slot was granted.
 type Refusal struct {
-	// Reason says why.
+	// Reason is the cause; [reason.None] means that there is no refusal.
 	Reason reason.Reason
-	// RetryAfter says when to come back.
+	// RetryAfter is the delay after which to try again.
 	RetryAfter time.Duration
 }
 
 // Acquire takes a slot, waiting for one as long as the deadline allows. It
-// returns a grant, or the peer that is to serve the request, or a refusal.
+// returns a grant, or the name of the peer that is to serve the request, or a
+// refusal.
 func (po *Pool) Acquire(ctx context.Context, sr SlotRequest) (*Grant, string, Refusal) {
 	po.mu.Lock()
 	wa := &waiter{
@@ -177,8 +182,8 @@
 	return po.await(ctx, wa)
 }
 
-// TryAcquire takes a slot of an own runner not tried before, if one is free
-// and nobody waits.
+// TryAcquire takes a slot of an own runner that was not tried before. It
+// returns nil if none is free or if requests are queued.
 func (po *Pool) TryAcquire(sr SlotRequest) *Grant {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -193,8 +198,8 @@
 	return &Grant{Runner: ms.Member, pool: po, state: ms}
 }
 
-// hedgeAfter returns the time after which an answer is later than nearly all;
-// 0 if that is not known.
+// hedgeDelay returns the time within which 99.9 percent of answers arrive; 0 if
+// it is not known.
 func (po *Pool) hedgeDelay(method string) time.Duration {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -217,7 +222,8 @@
 	re := Refusal{Reason: why, RetryAfter: po.drainTime()}
 	po.mu.Unlock()
 	if !removed {
-		// A turn came in the same moment; it is used, not lost.
+		// A slot was assigned at the same moment; it must be used or it would
+		// leak.
 		return po.assignmentResult(<-wa.assigned)
 	}
 	return nil, "", re
@@ -232,8 +238,8 @@
 	return nil, "", Refusal{Reason: as.refuse, RetryAfter: po.drainTime()}
 }
 
-// admit says whether a waiter may queue: there is a runner at all, room in
-// the queue, and a chance to be in time.
+// admit decides whether a waiter may queue: there must be a runner, space in
+// the queue, and enough time to meet the deadline.
 func (po *Pool) admit(wa *waiter) reason.Reason {
 	slots := po.slots()
 	if slots == 0 && (wa.local || !po.peerHasSlot()) {
@@ -257,8 +263,8 @@
 	return reason.None
 }
 
-// displace makes room in a full queue for a latency-critical waiter: the batch
-// waiter whose deadline is last is refused in its place.
+// evictBatchWaiter frees a place in a full queue for a latency-critical waiter
+// by refusing the batch waiter with the latest deadline.
 func (po *Pool) evictBatchWaiter(class runner.Class) bool {
 	batch := po.queue.heaps[runner.Batch]
 	if class == runner.Batch || len(batch) == 0 {
@@ -285,16 +291,16 @@
 	return n
 }
 
-// minRetryAfter keeps refused callers from coming back at once.
+// minRetryAfter prevents refused callers from retrying immediately.
 const minRetryAfter = 50 * time.Millisecond
 
-// drainTime estimates when the queue of now is served.
+// drainTime estimates how long it takes to serve the current queue.
 func (po *Pool) drainTime() time.Duration {
 	wait := po.times.Mean() * time.Duration(po.queue.len()+1) / time.Duration(max(1, po.slots()))
 	return max(minRetryAfter, wait)
 }
 
-// dispatch gives turns as long as there is a waiter and a free slot, here or
+// dispatch assigns slots as long as there is a waiter and a free slot, here or
 // at a peer.
 func (po *Pool) dispatch() {
 	for {
@@ -342,7 +348,8 @@
 	return assignment{}, false
 }
 
-// free returns the member to use, or nil if none has a free slot that suits.
+// freeMember returns the member to use, or nil if none has a free slot. Slow
+// members and those tried before are used only if there is no other.
 func (po *Pool) freeMember(wa *waiter) *memberState {
 	var fit, slow, tried []Member
 	for _, ms := range po.members {
@@ -386,8 +393,9 @@
 	return best
 }
 
-// Release gives the slot back. Evidence and time are of the request that had
-// it; the time counts if it was answered.
+// Release returns the slot. ev is the result of the request that held it; took
+// counts towards the service times only if the request was answered. Further
+// calls have no effect.
 func (gr *Grant) Release(method string, ev upstream.Evidence, took time.Duration) {
 	gr.once.Do(func() {
 		po := gr.pool
--- a/internal/route/queue.go
+++ b/internal/route/queue.go
@@ -12,19 +12,21 @@
 type waiter struct {
 	class    runner.Class
 	deadline time.Time
-	// needs is the time that must be left when a runner gets the request.
+	// minTime is the time that must be left before the deadline when a runner
+	// gets the request.
 	minTime time.Duration
-	// avoid are runners tried before.
+	// avoid holds the ids of runners tried before.
 	avoid map[string]bool
-	// local keeps the request from being passed to a peer.
+	// local prevents the request from being forwarded to a peer.
 	local bool
 	seq   uint64
 	index int
-	// got has the outcome: a grant, a peer to go to, or a refusal.
+	// assigned receives the outcome: a grant, a peer or a refusal. It has a
+	// buffer of one so that the sender never blocks.
 	assigned chan assignment
 }
 
-// turn is what a waiter is told.
+// assignment is the outcome for a waiter; exactly one field is set.
 type assignment struct {
 	grant  *Grant
 	peer   string
@@ -67,14 +69,14 @@
 }
 
 // classQueue has one heap per class. Latency-critical waiters go first, but
-// of every so many turns batch gets one while it waits, so that it never
+// batch gets one of every batchEvery turns while it waits, so that it never
 // starves.
 type classQueue struct {
 	heaps [2]deadlineHeap
 	seq   uint64
-	// sinceBatch counts turns since batch had one.
+	// sinceBatch counts the turns since the last one for batch.
 	sinceBatch int
-	// turns counts turns of each class while batch waits.
+	// turns counts the turns of each class while batch waits.
 	turns [2]int
 }
 
@@ -96,7 +98,7 @@
 	return len(cq.heaps[0]) + len(cq.heaps[1])
 }
 
-// ahead returns how many waiters would go before one of the class and
+// ahead returns how many waiters would be served before one of the class and
 // deadline.
 func (cq *classQueue) ahead(class runner.Class, deadline time.Time) int {
 	n := 0
@@ -111,8 +113,8 @@
 	return n
 }
 
-// next returns the class whose turn it is. batchEvery is how many turns make
-// one for batch.
+// next returns the class that gets the next turn; false if no one waits. Batch
+// gets one of every batchEvery turns.
 func (cq *classQueue) next(batchEvery int) (runner.Class, bool) {
 	lat, bat := len(cq.heaps[runner.LatencyCritical]) > 0, len(cq.heaps[runner.Batch]) > 0
 	switch {
@@ -124,7 +126,7 @@
 	return runner.LatencyCritical, true
 }
 
-// took notes a turn taken by a class.
+// recordTurn records that a class was served.
 func (cq *classQueue) recordTurn(class runner.Class) {
 	if class == runner.Batch {
 		cq.sinceBatch = 0
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,16 +1,17 @@
-// Package route takes a request from its arrival to its final word: which
-// runner, when, how often, and what is known at the end.
+// Package route serves a request from its arrival to its final result: it
+// selects the runner and the time, retries and hedges attempts, and reports
+// what is known about the request at the end.
 //
-// Each runner has one primary entry host in its data centre, which alone
-// sends it work and so knows its load exactly ([Subsets]). A request waits in
-// the [Pool] of its entry host and is bound to a runner only when a slot is
-// free; when a peer has free slots and this host has none, the peer serves
-// it. A request ends as answered, not run or unknown. Not run is said only if
-// every attempt certainly did not run; a request marked run-once is tried
-// again only after such an attempt.
+// Each runner has one primary entry host in its data centre (see package
+// spread), which alone sends it requests and therefore knows its load exactly.
+// A request waits in the [Pool] of its entry host and is assigned to a runner
+// only when a slot is free; if a peer has free slots and this host has none,
+// the peer serves it. A request ends as answered, not run or unknown. It ends
+// as not run only if no attempt can have run; a request marked run-once is
+// retried only after such an attempt.
 //
-// The package holds nothing back: what is given up is told at once, with when
-// to come back.
+// A request that cannot be served in time is refused as soon as that is known,
+// with a delay after which to retry.
 package route
 
 import (
@@ -25,72 +26,75 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// Outcome says what is known of a request at its end.
+// Outcome is what is known about a request at its end.
 type Outcome string
 
-// The outcomes.
+// Possible outcomes.
 const (
-	// Answered: the answer is whole and the request's own.
+	// Answered: the answer is complete and belongs to the request.
 	Answered Outcome = "answered"
-	// NotRun: no runner ran the request.
+	// NotRun: no runner executed the request.
 	NotRun Outcome = "not-run"
-	// Unknown: a runner may have run it.
+	// Unknown: a runner may have executed the request.
 	Unknown Outcome = "unknown"
 )
 
-// Request is one request to serve.
+// Request is a request to serve.
 type Request struct {
 	runner.Request
 
 	// Once marks a request that must run at most once.
 	Once bool
-	// Local keeps it from being passed to a peer.
+	// Local prevents the request from being forwarded to a peer.
 	Local bool
 }
 
-// Result is the final word on a request.
+// Result is the final result of a request.
 type Result struct {
-	// Outcome says what is known.
+	// Outcome is what is known about the request.
 	Outcome Outcome `json:"outcome"`
 	// Reason says why it was not answered.
 	Reason reason.Reason `json:"reason,omitempty"`
-	// RetryAfter says when to come back; zero: do not.
+	// RetryAfter is the delay after which to retry; zero means that a retry
+	// cannot succeed.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 	// Body is the answer.
 	Body []byte `json:"body,omitempty"`
-	// Runner answered.
+	// Runner is the id of the runner that answered.
 	Runner string `json:"runner,omitempty"`
-	// Attempts counts the runners that were sent the request.
+	// Attempts is the number of times the request was sent to a runner.
 	Attempts int `json:"attempts"`
 }
 
-// NotRunResult is the result of a request refused before any attempt.
+// NotRunResult returns the result of a request refused before any attempt.
 func NotRunResult(why reason.Reason, retryAfter time.Duration) Result {
 	return Result{Outcome: NotRun, Reason: why, RetryAfter: retryAfter}
 }
 
-// maxAttempts bounds the runners tried for one request.
+// maxAttempts limits the runners tried for one request.
 const maxAttempts = 6
 
-// fullHold is how long a slot is left alone after its runner said that it
-// was full.
+// fullCooldown is how long a slot stays unused after its runner refused a
+// request because it was full.
 const fullCooldown = 10 * time.Millisecond
 
-// Router serves requests. Set the fields before use; make no copies.
+// Router serves the requests of all services. Set the exported fields before
+// use; it must not be copied.
 type Router struct {
-	// Runners talks to runners.
+	// Runners sends requests to runners.
 	Runners runner.Client
-	// Registry gets the evidence.
+	// Registry receives the result of each attempt as evidence on the runner;
+	// it may be nil.
 	Registry *upstream.Registry
-	// Forward passes a request to a peer, to be served there.
+	// Forward passes a request to a peer that is to serve it.
 	Forward func(ctx context.Context, peer string, req Request) Result
-	// Metrics counts; nil does not.
+	// Metrics may be nil.
 	Metrics *telemetry.Metrics
-	// Budget bounds retries.
+	// Budget limits retries and hedged attempts.
 	Budget Budget
-	// NoHedge turns hedging off.
+	// NoHedge disables hedging.
 	NoHedge bool
-	// NewPool makes a service's pool; nil takes [NewPool].
+	// NewPool creates the pool of a service; nil means [NewPool].
 	NewPool func(Policy) *Pool
 
 	mu     sync.Mutex
@@ -98,14 +102,14 @@
 	pools  map[string]*Pool
 }
 
-// Pool returns the pool of a service, or nil.
+// Pool returns the pool of a service, or nil if the service is not known.
 func (ro *Router) Pool(service string) *Pool {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	return ro.pools[service]
 }
 
-// SetPolicy changes the numbers of all pools.
+// SetPolicy replaces the policy of all pools.
 func (ro *Router) SetPolicy(pol Policy) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -115,8 +119,8 @@
 	}
 }
 
-// SetMembers replaces the runners of all services. A service that is left
-// out keeps an empty pool, so that its name stays known.
+// SetMembers replaces the runners of all services. A service that is missing
+// keeps an empty pool, so that it stays known.
 func (ro *Router) SetMembers(members map[string][]Member) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -140,8 +144,8 @@
 	return NewPool(ro.policy)
 }
 
-// SetPeers tells what each peer said of its load, per service; near are in
-// this data centre, far elsewhere.
+// SetPeers sets the load of each service reported by each peer in this data
+// centre and in others, by peer name and service.
 func (ro *Router) SetPeers(sameDC, otherDCs map[string]map[string]Load) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -150,7 +154,7 @@
 	}
 }
 
-// loadsOf returns the load of one service at each peer that has it.
+// loadsOf returns the load of one service at each peer that has the service.
 func loadsOf(peers map[string]map[string]Load, service string) map[string]Load {
 	loads := map[string]Load{}
 	for peer, all := range peers {
@@ -161,7 +165,7 @@
 	return loads
 }
 
-// Loads returns the load of every service.
+// Loads returns the load of each service.
 func (ro *Router) Loads() map[string]Load {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -190,31 +194,33 @@
 	return res
 }
 
-// trial is one request on its way.
+// execution is the state of one request being served.
 type execution struct {
 	ro      *Router
 	po      *Pool
 	req     Request
 	slotReq SlotRequest
 	cancel  context.CancelFunc
-	// outlived is set if a slower attempt goes on after the request's end,
-	// so that its slot is counted for as long as it is in use.
+	// hedgeRunning is set if the slower attempt of a hedged request is still
+	// running when the request ends, so that its slot counts as busy until it
+	// has ended.
 	hedgeRunning bool
-	// sent counts runners sent the request, passed counts peers asked.
+	// sent counts attempts at runners, forwarded counts peers asked.
 	sent      int
 	forwarded int
-	// maybe is set once an attempt may have run.
+	// mayHaveRun is set once an attempt may have run.
 	mayHaveRun bool
 }
 
-// attempt is what came of one attempt.
+// attempt is the result of one attempt.
 type attempt struct {
 	Result
 
-	// retry is the reason to count if it is tried again; empty forbids it.
+	// retryReason is the reason counted for a retry; [reason.None] forbids a
+	// retry.
 	retryReason reason.Reason
-	// free attempts cost nothing of the budget: a refusal at once by a
-	// runner that is full or leaving.
+	// unbudgeted attempts cost nothing of the retry budget: immediate refusals
+	// by a runner that is full or leaving, or by a peer.
 	unbudgeted bool
 }
 
@@ -241,7 +247,8 @@
 	}
 }
 
-// stop says whether the request ends with this attempt.
+// isFinal reports whether the request ends with this attempt, and with which
+// result.
 func (ex *execution) isFinal(ctx context.Context, at attempt) (Result, bool) {
 	switch {
 	case at.retryReason == reason.None, ex.req.Once && ex.mayHaveRun, ctx.Err() != nil:
@@ -256,7 +263,7 @@
 	return Result{}, false
 }
 
-// end makes the final word of the last result.
+// finish completes the last result with what is known of all attempts.
 func (ex *execution) finish(res Result) Result {
 	res.Attempts = ex.sent
 	if res.Outcome == NotRun && ex.mayHaveRun {
@@ -268,8 +275,8 @@
 	return res
 }
 
-// pass has a peer serve the request. A peer that refuses is asked no more
-// than twice, so that requests do not wander.
+// forward has a peer serve the request. After two peers the request stays
+// local, so that it is not passed around endlessly.
 func (ex *execution) forward(ctx context.Context, peer string) attempt {
 	ex.ro.Metrics.Add(telemetry.Spills, 1, "to", peer)
 	res := ex.ro.Forward(ctx, peer, ex.req)
@@ -286,9 +293,9 @@
 }
 
 // run sends the request to the runner whose slot was granted. If the answer
-// takes longer than nearly all do, a request that may run twice is sent to a
-// second runner, if one is free and the budget for retries allows, and the
-// first answer counts.
+// takes longer than 99.9 percent of answers, a request that may run twice is
+// also sent to a second runner, provided that one is free and the retry budget
+// allows it. The first answer counts.
 func (ex *execution) run(ctx context.Context, gr *Grant) attempt {
 	after := ex.po.hedgeDelay(ex.req.Method)
 	if ex.ro.NoHedge || ex.req.Once || after == 0 {
@@ -321,8 +328,9 @@
 	return ex.firstAnswer(<-results, results)
 }
 
-// better returns the first attempt if it was answered, or else waits for the
-// second. An attempt that may have run outweighs one that did not.
+// firstAnswered returns the first attempt if it was answered, and otherwise
+// waits for the second. An attempt that may have run takes precedence over one
+// that did not.
 func (ex *execution) firstAnswer(first attempt, rest <-chan attempt) attempt {
 	if first.Outcome == Answered {
 		ex.hedgeRunning = true
@@ -339,7 +347,7 @@
 	return second
 }
 
-// sending notes that a runner is sent the request.
+// recordAttempt counts an attempt at a runner, which later attempts avoid.
 func (ex *execution) recordAttempt(gr *Grant) {
 	ex.sent++
 	ex.ro.Metrics.Add(telemetry.Attempts, 1)
@@ -349,7 +357,7 @@
 	ex.slotReq.Avoid[gr.Runner.ID] = true
 }
 
-// send makes one attempt, and gives the slot back when it has ended.
+// send makes one attempt and releases its slot afterwards.
 func (ex *execution) send(ctx context.Context, gr *Grant) attempt {
 	begun := time.Now()
 	ans, err := ex.ro.Runners.RunFunc(ctx, gr.Runner.Addr, ex.req.Request)
@@ -375,8 +383,8 @@
 	}
 }
 
-// judge turns what the client returned into the outcome of the attempt and
-// the evidence on the runner.
+// classify derives the outcome of an attempt and the evidence on its runner
+// from the error of the client.
 func classify(ctx context.Context, err error) (attempt, upstream.Evidence) {
 	if err == nil {
 		return attempt{Result: Result{Outcome: Answered}}, upstream.Answered
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -17,13 +17,15 @@
 	"github.com/pepperhatch/pepperhatch/internal/runner"
 )
 
-// inBubble runs a test on a clock that moves only when all wait.
+// withFakeClock runs a test on a fake clock that advances only when all
+// goroutines are blocked.
 func withFakeClock(t *testing.T, fn func(c *qt.C)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { fn(qt.New(t)) })
 }
 
-// scripted returns a client whose n-th attempt ends as the script says.
+// scriptedClient returns a client whose n-th attempt ends with the n-th error
+// of the script, and the number of attempts.
 func scriptedClient(script ...error) (runner.Client, *int) {
 	sent := 0
 	return runner.Client{RunFunc: func(_ context.Context, _ string, req runner.Request) (runner.Answer, error) {
@@ -56,12 +58,12 @@
 		sent    int
 	}{
 		{"answered", false, []error{nil}, Answered, reason.None, 1},
-		{"tried again after not run", false, []error{errNotRun, nil}, Answered, reason.None, 2},
-		{"tried again after unknown", false, []error{errUnknown, nil}, Answered, reason.None, 2},
-		{"marked: tried again after not run", true, []error{errNotRun, nil}, Answered, reason.None, 2},
-		{"marked: never after unknown", true, []error{errUnknown, nil}, Unknown, reason.AnswerLost, 1},
-		{"marked: unknown after not run", true, []error{errNotRun, errUnknown, nil}, Unknown, reason.AnswerLost, 2},
-		{"unknown is not forgotten", false, []error{errUnknown, errNotRun}, Unknown, reason.AllRefused, maxAttempts},
+		{"retried after not run", false, []error{errNotRun, nil}, Answered, reason.None, 2},
+		{"retried after unknown", false, []error{errUnknown, nil}, Answered, reason.None, 2},
+		{"run-once: retried after not run", true, []error{errNotRun, nil}, Answered, reason.None, 2},
+		{"run-once: not retried after unknown", true, []error{errUnknown, nil}, Unknown, reason.AnswerLost, 1},
+		{"run-once: unknown after not run", true, []error{errNotRun, errUnknown, nil}, Unknown, reason.AnswerLost, 2},
+		{"unknown outcome is kept after a later refusal", false, []error{errUnknown, errNotRun}, Unknown, reason.AllRefused, maxAttempts},
 		{"all refuse", false, []error{errNotRun}, NotRun, reason.AllRefused, maxAttempts},
 	} {
 		t.Run(te.name, func(t *testing.T) {
@@ -76,7 +78,8 @@
 				c.Assert(res.Reason, qt.Equals, te.why)
 				c.Assert(*sent, qt.Equals, te.sent)
 				c.Assert(res.Attempts, qt.Equals, te.sent)
-				// The final word comes at once, with when to come back.
+				// The result comes without delay, and with a delay for the
+				// retry.
 				c.Assert(time.Since(begun), qt.Equals, time.Duration(0))
 				c.Assert(res.Outcome == Answered || res.RetryAfter > 0, qt.IsTrue)
 				time.Sleep(time.Second)
@@ -85,8 +88,9 @@
 	}
 }
 
-// TestMarkedRunsOnce drives marked requests against any script of failures,
-// and checks that none is sent again once it may have run.
+// TestRunOnceNotRetriedAfterUnknown runs run-once requests against random
+// sequences of failures and checks that none is sent again once it may have
+// run.
 func TestRunOnceNotRetriedAfterUnknown(t *testing.T) {
 	proptest.Check(t, proptest.Size{}, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.SampledFrom([]error{nil, errNotRun, errUnknown, errFull}), 1, 8).Draw(rt, "script")
@@ -104,7 +108,7 @@
 				}
 			}
 			if possible > 1 || (res.Outcome == NotRun && possible > 0) {
-				rt.Errorf("%v: may have run %d times, said %s", script[:*sent], possible, res.Outcome)
+				rt.Errorf("script %v: may have run %d times, outcome %s", script[:*sent], possible, res.Outcome)
 			}
 			time.Sleep(time.Second)
 		})
@@ -153,7 +157,8 @@
 	})
 }
 
-// blocker is a client whose runs last until they are let go.
+// blockingClient returns a client whose requests block until the channel is
+// closed.
 func blockingClient() (runner.Client, chan struct{}) {
 	unblock := make(chan struct{})
 	return runner.Client{RunFunc: func(context.Context, string, runner.Request) (runner.Answer, error) {
@@ -180,7 +185,7 @@
 			c.Assert(order, qt.DeepEquals, []string{"l7", "l6", "l5", "b", "l4", "l3", "l2", "l1", "l0"})
 		})
 	})
-	t.Run("a full queue refuses at once, and batch makes way", func(t *testing.T) {
+	t.Run("a full queue refuses at once and evicts batch", func(t *testing.T) {
 		withFakeClock(t, func(c *qt.C) {
 			cl, unblock := blockingClient()
 			ro := newFixedRouter(cl, member("a", 1))
@@ -204,7 +209,7 @@
 			c.Assert((<-waiting).Outcome, qt.Equals, Answered)
 		})
 	})
-	t.Run("what cannot be in time is refused at once", func(t *testing.T) {
+	t.Run("a request that cannot meet its deadline is refused at once", func(t *testing.T) {
 		withFakeClock(t, func(c *qt.C) {
 			fr := newFakeRunners(100*time.Millisecond, 0, 1)
 			ro := newRouter(fr, ids("r", 1))
--- a/internal/route/times.go
+++ b/internal/route/times.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// timesMax and timesDigits shape the histograms: 1 microsecond to a
-	// minute with two digits, about 40 KB each.
+	// maxMicros and histogramDigits define the histograms: 1 microsecond to one
+	// minute with two significant digits, about 40 KB each.
 	maxMicros       = int64(time.Minute / time.Microsecond)
 	histogramDigits = 2
-	// timesMethods bounds the methods learnt apart; more share one entry.
+	// maxMethods limits the methods with their own entry; the others share one.
 	maxMethods = 16
-	// timesWindow is how many answers make a window, after which the oldest
-	// half is forgotten.
+	// windowSamples is the number of answers in a window; a full window
+	// replaces the one before, whose answers are dropped.
 	windowSamples = 2000
-	// timesFew is how many answers must be known before a quantile is used.
+	// minSamples is the number of answers needed before a quantile is used.
 	minSamples = 100
-	// needQuantile is the service time, in percent, that must be left for a
-	// request to be given to a runner. What is over it may come late, so it
-	// is set for less than one late answer in 1,000, the deadline being the
-	// tightest possible for every request.
+	// tailQuantile is the percentile of the service time that must be left
+	// before the deadline when a runner gets a request. Requests that take
+	// longer may be late; 99.9 gives less than one late answer in 1,000 even if
+	// every request has the tightest possible deadline.
 	tailQuantile = 99.9
 	meanWeight   = 0.05
 	otherMethods = "other"
 )
 
-// Times learns service times per method. The zero value knows none, and then
-// estimates are zero: nothing is refused on a guess.
+// ServiceTimes estimates service times per method. The zero value has no
+// samples, and its estimates are zero, so that no request is refused without
+// data.
 type ServiceTimes struct {
 	methods map[string]*methodTimes
 	mean    float64
@@ -40,7 +41,7 @@
 	count        int
 }
 
-// Add takes the time of one answer.
+// Add records the service time of one answer.
 func (ti *ServiceTimes) Add(method string, took time.Duration) {
 	if ti.methods == nil {
 		ti.methods = map[string]*methodTimes{}
@@ -82,8 +83,8 @@
 	}
 }
 
-// Needs returns the time that a request of the method needs, to be in time
-// nearly always; 0 if too little is known.
+// Tail returns the 99.9th percentile of the method's service time; 0 if there
+// are too few samples.
 func (ti *ServiceTimes) Tail(method string) time.Duration {
 	mt := ti.methods[method]
 	if mt == nil {
@@ -95,7 +96,7 @@
 	return mt.tail
 }
 
-// Mean returns the mean time over all methods; 0 if none is known.
+// Mean returns the moving average over all methods; 0 without samples.
 func (ti *ServiceTimes) Mean() time.Duration {
 	return time.Duration(ti.mean * float64(time.Second))
 }
