--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -1,6 +1,9 @@
-// Package hedge says of a call that it may be sent once more while it has no answer.
-// Who makes the call knows whether that does harm and how long an answer takes;
-// package transport carries it out.
+// Package hedge marks an idempotent request for hedging: a request without an
+// answer is sent again on a new connection, and the first answer counts.
+//
+// The policy travels in the context, since only the caller knows whether the
+// request may be executed twice and how long an answer takes; package transport
+// carries it out.
 package hedge
 
 import (
@@ -8,26 +11,26 @@
 	"time"
 )
 
-// Policy says when a request that has no answer yet is sent once more on a new
-// connection, beside those that wait. The first that is answered counts.
+// Policy says when a request without an answer is sent again on a new
+// connection, in addition to those in flight. The first answer counts.
 type Policy struct {
-	// Wait is how long the peer was asked to wait with its answer.
+	// Wait is how long the peer was asked to delay its answer (long polling).
 	Wait time.Duration
-	// After is how much longer an answer may take before the request is doubled. Each
-	// further one is sent after twice the time of the one before, so that over a link
-	// that is full a request does not add much to what fills it.
+	// After is how much longer than Wait an answer may take before the request
+	// is sent again. The interval doubles for each further copy, so that
+	// hedging adds little load to a saturated link.
 	After time.Duration
 }
 
 type contextKey struct{}
 
-// With has requests be doubled. It is for requests only that may be carried out more
-// than once.
+// NewContext returns a context whose requests are hedged. Use it only for
+// requests that may be executed more than once.
 func NewContext(ctx context.Context, po Policy) context.Context {
 	return context.WithValue(ctx, contextKey{}, po)
 }
 
-// Of returns the policy of a request, if it has one.
+// FromContext returns the policy of a request, if it has one.
 func FromContext(ctx context.Context) (Policy, bool) {
 	po, ok := ctx.Value(contextKey{}).(Policy)
 	return po, ok
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,12 +1,12 @@
-// Package session relays long-lived sessions from runners to callers, and
-// moves them without a gap or a double.
+// Package session relays long-lived sessions from runners to callers, and moves
+// them to other runners and entry hosts without losing or repeating an event.
 //
-// Nothing of a session is kept by the system. Each event carries a token with
-// the session's number so far and the runner's own state after that event, so
-// that the caller holds all that is needed to go on, at any entry host and
-// with any runner of the service. A session moves when its runner leaves or is
-// lost (this package goes on with another runner, from the last event passed
-// on) and when its entry host stops (the caller is told to resume elsewhere).
+// The system stores no session state. Each event carries a token with the
+// number of the event and the runner's state after it, so that the caller can
+// resume at any entry host and with any runner of the service. When a runner
+// leaves or is lost, this package continues the session with another runner
+// from the last event sent to the caller. When the entry host stops, it asks
+// the caller to resume at another one.
 package session
 
 import (
@@ -27,13 +27,13 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// maxToken bounds a token in bytes.
+// maxTokenBytes limits the length of a token.
 const maxTokenBytes = 64 << 10
 
-// position is where a session is; a token is one in writing.
+// position is the state of a session after an event; a token is its encoding.
 //
 // TODO: tokens are not signed, since entry hosts share no key yet. A caller
-// that forges one can only go on with a session whose state it makes up.
+// that forges one can only resume a session whose state it has made up.
 type position struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
@@ -51,81 +51,83 @@
 func parseToken(token string) (position, error) {
 	var po position
 	if len(token) > maxTokenBytes {
-		return po, errors.New("token too long")
+		return po, errors.New("token exceeds the maximum length")
 	}
 	data, err := base64.RawURLEncoding.DecodeString(token)
 	if err != nil {
-		return po, fmt.Errorf("token: %w", err)
+		return po, fmt.Errorf("decode token: %w", err)
 	}
 	if err := json.Unmarshal(data, &po); err != nil {
-		return po, fmt.Errorf("token: %w", err)
+		return po, fmt.Errorf("decode token: %w", err)
 	}
 	if po.ID == "" || po.Service == "" {
-		return po, errors.New("token names no session")
+		return po, errors.New("token contains no session id or service")
 	}
 	return po, nil
 }
 
-// with returns the position after an event.
+// after returns the position after an event.
 func (po position) after(ev runner.SessionEvent, runnerID string) position {
 	po.Seq, po.State, po.Runner = ev.Seq, ev.State, runnerID
 	return po
 }
 
-// Event is what a caller gets.
+// Event is one event sent to the caller.
 type Event struct {
-	// SessionID names the session.
+	// SessionID identifies the session.
 	SessionID string
 	// Seq numbers events from 1.
 	Seq uint64
-	// Body is the event.
+	// Body is the event's content.
 	Body []byte
-	// Token resumes after it.
+	// Token resumes the session after this event.
 	Token string
-	// Moved is set if the caller is to resume elsewhere; there is no event.
+	// Moved asks the caller to resume at another entry host; Body is empty
+	// then.
 	Moved bool
 }
 
-// Request opens a session, or resumes one.
+// Request opens a session or resumes one.
 type Request struct {
-	// Service and Topic open one.
+	// Service and Topic open a new session.
 	Service string
 	Topic   string
-	// Token resumes one.
+	// Token resumes a session; Service and Topic are then ignored.
 	Token string
 }
 
-// Error says why a session cannot be served here.
+// Error says why a session cannot be served.
 type Error struct {
-	// Reason says why.
+	// Reason is the cause.
 	Reason reason.Reason
-	// RetryAfter says when to come back.
+	// RetryAfter is the delay after which to retry; zero means that a retry
+	// cannot succeed.
 	RetryAfter time.Duration
 }
 
 // Error implements error.
-func (err *Error) Error() string { return "session: " + string(err.Reason) }
+func (err *Error) Error() string { return "session refused: " + string(err.Reason) }
 
 const retryDelay = time.Second
 
-// errNoRunner is the error of finding no runner for a session.
-var errNoRunner = errors.New("no runner takes the session")
+// errNoRunner says that no live runner of the service has a free session slot.
+var errNoRunner = errors.New("no live runner with a free session slot")
 
-// Relay relays sessions. Set the fields before use.
+// Relay relays sessions. Set the exported fields before use.
 type Relay struct {
-	// Runners talks to runners.
+	// Runners opens sessions at runners.
 	Runners runner.Client
-	// List returns all runners known.
+	// List returns all known runners.
 	List func() []upstream.Runner
-	// DC is preferred for new sessions.
+	// DC is the data centre whose runners are preferred.
 	DC string
-	// MaxSessions bounds the sessions at a time; PerRunner those of one
-	// runner, and with them its connections.
+	// MaxSessions limits concurrent sessions; PerRunner those of one runner,
+	// and thereby the connections to it.
 	MaxSessions int
 	PerRunner   int
-	// Patience is how long a session waits for a runner.
+	// RunnerWait is how long a session waits for a runner before it fails.
 	RunnerWait time.Duration
-	// Metrics counts.
+	// Metrics may be nil.
 	Metrics *telemetry.Metrics
 
 	mu             sync.Mutex
@@ -135,15 +137,15 @@
 	stopped        bool
 }
 
-// Count returns the sessions served now.
+// Count returns the number of sessions being served.
 func (re *Relay) Count() int {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	return re.count
 }
 
-// Stop tells the callers of all sessions to resume elsewhere, and takes no
-// more.
+// Stop asks the callers of all sessions to resume at another entry host, and
+// refuses new sessions.
 func (re *Relay) Stop() {
 	re.mu.Lock()
 	defer re.mu.Unlock()
@@ -153,7 +155,7 @@
 	}
 }
 
-// stopChan returns the channel closed by Stop.
+// stopChan returns the channel closed by Stop. The caller holds the lock.
 func (re *Relay) stopChan() chan struct{} {
 	if re.stopping == nil {
 		re.stopping = make(chan struct{})
@@ -162,7 +164,7 @@
 }
 
 // Serve relays one session until ctx ends, the host stops, or no runner takes
-// it. Send passes an event to the caller.
+// it. send passes an event to the caller; its error ends the session.
 func (re *Relay) Serve(ctx context.Context, req Request, send func(Event) error) error {
 	po := position{ID: uuid.NewString(), Service: req.Service, Topic: req.Topic}
 	if req.Token != "" {
@@ -200,9 +202,9 @@
 	re.count--
 }
 
-// choose returns the runner to use and takes one of its places: the one that
-// has the session, if it may get work, or else the one with the fewest, own
-// data centre first.
+// acquireRunner selects a runner and counts the session there: the runner that
+// already has the session, if it is live, or else the one with the fewest
+// sessions, preferring the own data centre.
 func (re *Relay) acquireRunner(po position, avoid string) (upstream.Runner, bool) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
@@ -243,21 +245,21 @@
 	re.runnerSessions[id]--
 }
 
-// served is one session being served.
+// activeSession is one session being served.
 type activeSession struct {
 	re       *Relay
 	po       position
 	send     func(Event) error
 	stopping <-chan struct{}
-	// avoid is the runner that was just left; taken again only if it is the
-	// only one.
+	// avoid is the runner used last, if it sent no event since; it is used
+	// again only if there is no other.
 	avoid string
 }
 
-// callerError wraps an error of passing an event on.
+// callerError wraps an error of sending an event to the caller.
 type callerError struct{ err error }
 
-func (err *callerError) Error() string { return "pass event on: " + err.err.Error() }
+func (err *callerError) Error() string { return "send event to caller: " + err.err.Error() }
 
 func (se *activeSession) serve(ctx context.Context) error {
 	bo := backoff.NewExponentialBackOff()
@@ -285,7 +287,7 @@
 	}
 }
 
-// pause waits before the next runner is tried; false if the host stops.
+// wait delays the next attempt; it returns false if the host stops.
 func (se *activeSession) wait(ctx context.Context, d time.Duration) bool {
 	ti := time.NewTimer(d)
 	defer ti.Stop()
@@ -307,8 +309,8 @@
 	return nil
 }
 
-// stream passes on the events of one runner until it ends, and returns nil if
-// the host stops.
+// stream relays the events of one runner until its stream ends. It returns nil
+// if the host stops.
 func (se *activeSession) stream(ctx context.Context) error {
 	ru, ok := se.re.acquireRunner(se.po, se.avoid)
 	if !ok && se.avoid != "" {
@@ -329,7 +331,7 @@
 	if err != nil {
 		return err
 	}
-	// Stopping ends the read; what was read before is passed on first.
+	// Stopping ends the read; events read before it are still sent.
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() {
@@ -339,7 +341,7 @@
 		}
 		stop()
 	}()
-	// A runner that is silent for too long is taken for lost.
+	// A runner that sends nothing for maxIdle is treated as lost.
 	idle := time.AfterFunc(maxIdle, stop)
 	defer idle.Stop()
 	err = se.forward(func() (runner.SessionEvent, error) {
@@ -362,17 +364,18 @@
 	}
 }
 
-// maxQuiet is how long a stream may be silent; runners send an empty event
-// at least every second.
+// maxIdle limits the time without an event; runners send an empty event at
+// least every second.
 const maxIdle = 4 * time.Second
 
-// Errors of a runner's stream.
+// Errors that end a runner's stream.
 var (
 	errMoved = errors.New("runner is leaving")
-	errGap   = errors.New("runner left out an event")
+	errGap   = errors.New("runner skipped an event")
 )
 
-// pump passes events on in order, each once.
+// forward sends events to the caller in order, each once: it skips repeated
+// events and fails on a gap.
 func (se *activeSession) forward(next func() (runner.SessionEvent, error), runnerID string) error {
 	for {
 		ev, err := next()
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -19,7 +19,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// act is what a fake runner's stream does next.
+// action is what a fake runner's stream does next.
 type action int
 
 const (
@@ -34,7 +34,8 @@
 	actionCount
 )
 
-// fakeStreams opens streams that do what the script says; after it, events.
+// fakeStreams opens streams that follow the script and send events after its
+// end.
 type fakeStreams struct {
 	script []action
 	opened int
@@ -102,10 +103,11 @@
 	}
 }
 
-var errDone = errors.New("enough")
+var errDone = errors.New("all events received")
 
-// TestNoGapNoDouble drives a session over runners that leave, are lost,
-// repeat, skip, fall silent and refuse, and over entry hosts that stop.
+// TestEventsInOrderOnce runs a session over runners that leave, are lost,
+// repeat or skip events, stall and refuse, and over entry hosts that stop. It
+// guards against lost and repeated events.
 func TestEventsInOrderOnce(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(actionCount)-1), func(n int) action { return action(n) }), 0, 30).Draw(rt, "script")
@@ -120,17 +122,18 @@
 	})
 }
 
-// mostTime is more than any script needs; a stream that is never given up for
-// silent takes for ever.
+// maxTestTime is more virtual time than any script needs; a session whose
+// stalled stream is never given up would run forever.
 const maxTestTime = 20 * time.Minute
 
-// follow reads 20 events, from a new entry host after each stop and refusal.
+// consume reads 20 events, through a new entry host after each stop and
+// refusal.
 func consume(fs *fakeStreams, stops []int) error {
 	token, lastSeq := "", uint64(0)
 	begun := time.Now()
 	for {
 		if time.Since(begun) > maxTestTime {
-			return fmt.Errorf("still %d events after %v", lastSeq, maxTestTime)
+			return fmt.Errorf("only %d events after %v", lastSeq, maxTestTime)
 		}
 		re := newRelay(fs, "a", "b", "c")
 		if len(stops) > 0 {
@@ -159,7 +162,7 @@
 		var refused *Error
 		switch {
 		case errors.As(err, &refused) && (refused.Reason == reason.SessionNoHost || refused.Reason == reason.Stopping):
-			// The caller comes back with its token.
+			// The caller resumes with its token.
 		case errors.As(err, &caller) && errors.Is(caller.err, errDone):
 			time.Sleep(time.Minute)
 			return nil
@@ -184,8 +187,8 @@
 		req  Request
 		want reason.Reason
 	}{
-		{"token that is none", newRelay(&fakeStreams{}, "a"), Request{Token: "%%%"}, reason.SessionToken},
-		{"token of nothing", newRelay(&fakeStreams{}, "a"), Request{Token: position{}.token()}, reason.SessionToken},
+		{"invalid token", newRelay(&fakeStreams{}, "a"), Request{Token: "%%%"}, reason.SessionToken},
+		{"token without a session", newRelay(&fakeStreams{}, "a"), Request{Token: position{}.token()}, reason.SessionToken},
 		{"no runner", newRelay(&fakeStreams{}), Request{Service: "s"}, reason.SessionNoHost},
 		{"served", newRelay(&fakeStreams{}, "a"), Request{Service: "s"}, reason.None},
 	} {
--- a/internal/session/stall_test.go
+++ b/internal/session/stall_test.go
@@ -16,11 +16,13 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// eventsEnough is after how many events a stream goes on.
+// eventsAfterStall is the number of events after which a stream counts as
+// continuing.
 const eventsAfterStall = 50
 
-// TestRunnerThatStandsStill has the runner of a session stall while its stream is
-// open: the session goes on with another one, or with the same if its events come.
+// TestStalledRunner stalls the runner of a session while its stream is open:
+// the session must continue with another runner, or with the same one if its
+// events still arrive.
 func TestStalledRunner(t *testing.T) {
 	for _, st := range standin.Stalls {
 		t.Run(string(st), func(t *testing.T) {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,12 +1,13 @@
-// Package upstream knows which runners may get work.
+// Package upstream decides which runners may get requests.
 //
-// Three sources speak of a runner: the platform's list, which lags and may be
-// away; the runner's own word, on its answers; and the evidence of requests
-// sent to it. The first to say "leaving" is believed. A runner whose requests
-// fail is set aside on evidence, for longer each time, and let back in one
-// request at a time; never are more than a part of a service's runners aside,
-// since then the fault is likely elsewhere. A list that cannot be read
-// changes nothing.
+// It combines three sources: the platform's list, which is delayed and may be
+// unavailable; the runner's own statement in its answers that it is leaving;
+// and the results of requests sent to it. A runner is leaving as soon as one
+// source says so. A runner whose requests fail is quarantined, twice as long
+// each time, and then gets one request at a time until enough have succeeded.
+// At most a fraction of a service's runners is quarantined at a time: if more
+// fail, the cause is probably not the runners. The list keeps its last content
+// while the platform cannot be read.
 package upstream
 
 import (
@@ -18,45 +19,48 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// State says whether a runner may get work.
+// State says whether a runner may get requests.
 type State string
 
-// The states.
+// Possible states.
 const (
-	// Live runners get work.
+	// Live runners get requests.
 	Live State = "live"
-	// Leaving runners get no new work.
+	// Leaving runners get no new requests.
 	Leaving State = "leaving"
-	// Aside runners get none for a while, on evidence.
+	// Quarantined runners get no requests for a limited time because their
+	// requests failed.
 	Quarantined State = "aside"
-	// Probing runners get one request at a time.
+	// Probing runners get one request at a time after a quarantine.
 	Probing State = "probing"
 )
 
-// Evidence is what came of one request sent to a runner.
+// Evidence is the result of one request sent to a runner.
 type Evidence int
 
-// The kinds of evidence.
+// Possible results.
 const (
-	// Answered: a whole answer came.
+	// Answered: a complete answer arrived.
 	Answered Evidence = iota
-	// Full: refused, because its slots were in use. It says nothing.
+	// Full: refused because all slots are in use; no sign of a fault.
 	Full
-	// SaidLeaving: the runner takes no new work.
+	// ReportedLeaving: the runner takes no new requests.
 	ReportedLeaving
-	// Refused: refused for a reason of the runner's own.
+	// Refused: refused for another reason given by the runner.
 	Refused
-	// Unreached: no connection.
+	// Unreachable: the connection could not be made.
 	Unreachable
-	// Lost: no whole answer.
+	// AnswerLost: no complete answer arrived.
 	AnswerLost
-	// Wrong: an answer that was not one.
+	// InvalidAnswer: the answer violates the protocol or belongs to another
+	// request.
 	InvalidAnswer
-	// GaveUp: the deadline passed or the caller left; it says little.
+	// Abandoned: the deadline passed or the caller left; weak evidence, as the
+	// cause may be the caller.
 	Abandoned
 )
 
-// The policy's numbers.
+// Parameters of quarantine and of the detection of slow runners.
 const (
 	failureLimit      = 3
 	minQuarantineTime = time.Second
@@ -69,18 +73,18 @@
 	abandonLimit      = 5
 )
 
-// Runner is a runner as it is known now.
+// Runner is a runner with its current state.
 type Runner struct {
 	store.Host
 
-	// State says whether it may get work.
+	// State says whether it may get requests.
 	State State
-	// Slow is set while its answers take several times as long as those of
-	// the service's other runners.
+	// Slow is set while its answers take more than slowFactor times the median
+	// latency of the service's runners.
 	Slow bool
 }
 
-// record is what is kept of a runner.
+// record is the state kept for a runner.
 type record struct {
 	host             store.Host
 	leavingUntil     time.Time
@@ -94,30 +98,32 @@
 	samples          int
 }
 
-// Registry keeps runners. The zero value is empty and ready.
+// Registry tracks the state of runners. The zero value is empty and ready for
+// use; it is safe for concurrent use.
 type Registry struct {
-	// Changed is called, unlocked, after a runner's state may have changed.
+	// Changed is called without the lock held after a runner's state may have
+	// changed.
 	Changed func()
 
 	mu   sync.Mutex
 	recs map[string]*record
-	// maxAside is the part of a service's runners in a data centre that may
-	// be aside at a time.
+	// quarantineLimit is the fraction of a service's runners in a data centre
+	// that may be quarantined at a time; zero means the default.
 	quarantineLimit float64
 }
 
-// defaultMaxAside holds until another is set.
+// defaultQuarantineLimit applies until SetQuarantineLimit is called.
 const defaultQuarantineLimit = 0.5
 
-// SetMaxAside changes the part of a service's runners in a data centre that
-// may be aside at a time; zero means a half.
+// SetQuarantineLimit sets the fraction of a service's runners in a data centre
+// that may be quarantined at a time; zero means a half.
 func (re *Registry) SetQuarantineLimit(fraction float64) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	re.quarantineLimit = fraction
 }
 
-// SetList takes the platform's list of runners.
+// SetList replaces the list of runners; hosts of other kinds are ignored.
 func (re *Registry) SetList(hosts []store.Host) {
 	re.mu.Lock()
 	if re.recs == nil {
@@ -130,7 +136,8 @@
 		}
 		listed[ho.ID] = true
 		rec := re.recs[ho.ID]
-		// A new address is a new process: what was known of the old is void.
+		// A new address is a new process: the record of the old one no longer
+		// applies.
 		if rec == nil || rec.host.Addr != ho.Addr {
 			rec = &record{}
 			re.recs[ho.ID] = rec
@@ -152,7 +159,8 @@
 	}
 }
 
-// Report takes the evidence of one request. Took is the time of an answer.
+// Report records the result of one request; took is the service time of an
+// answer. Unknown ids are ignored.
 func (re *Registry) Report(id string, ev Evidence, took time.Duration) {
 	re.mu.Lock()
 	rec := re.recs[id]
@@ -179,7 +187,8 @@
 		rec.probing = true
 		rec.probesOK = 0
 	case Abandoned:
-		// A hanging runner shows only so; a slow caller shows the same once.
+		// A runner that hangs shows only in repeated abandoned requests; a
+		// single one may be due to the caller.
 		rec.abandoned++
 		if rec.abandoned >= abandonLimit || rec.probing {
 			re.quarantine(rec, now)
@@ -210,7 +219,8 @@
 	}
 }
 
-// setAside takes a runner out for a while, unless too many are out already.
+// quarantine excludes a runner for a limited time, unless the quarantine limit
+// has been reached.
 func (re *Registry) quarantine(rec *record, now time.Time) {
 	if !rec.probing && !re.mayQuarantine(rec, now) {
 		return
@@ -242,8 +252,8 @@
 	return float64(unavailable+1) <= limit*float64(all)
 }
 
-// state returns the state at a moment. A runner that said it is leaving and
-// is still listed as live is tried again after a hold, as a probe.
+// state returns the state at a given time. A runner that reported that it is
+// leaving and is still listed as live is probed after leavingHold.
 func (rec *record) state(now time.Time) State {
 	switch {
 	case rec.host.State == store.HostLeaving, now.Before(rec.leavingUntil):
@@ -256,7 +266,7 @@
 	return Live
 }
 
-// Runners returns all runners in order of id.
+// Runners returns all runners ordered by id.
 func (re *Registry) Runners() []Runner {
 	re.mu.Lock()
 	defer re.mu.Unlock()
@@ -271,7 +281,8 @@
 	return runners
 }
 
-// usualLatency returns each service's median of its runners' latencies.
+// medianLatency returns the median of the runners' latencies, in seconds, for
+// each service.
 func (re *Registry) medianLatency() map[string]float64 {
 	all := map[string][]float64{}
 	for _, rec := range re.recs {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -10,7 +10,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// rig is a registry of ten runners.
+// newTestRegistry returns a registry of ten live runners and their list.
 func newTestRegistry() (*Registry, []store.Host) {
 	var hosts []store.Host
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"} {
@@ -48,7 +48,7 @@
 }
 
 func TestLeaving(t *testing.T) {
-	t.Run("by the list", func(t *testing.T) {
+	t.Run("reported by the list", func(t *testing.T) {
 		withFakeClock(t, func(c *qt.C) {
 			re, hosts := newTestRegistry()
 			hosts[0].State = store.HostLeaving
@@ -58,7 +58,7 @@
 			assertState(c, re, "gone")
 		})
 	})
-	t.Run("by its own word, against a list that says live", func(t *testing.T) {
+	t.Run("reported by the runner, while the list says live", func(t *testing.T) {
 		withFakeClock(t, func(c *qt.C) {
 			re, hosts := newTestRegistry()
 			re.Report("a", ReportedLeaving, 0)
@@ -79,10 +79,10 @@
 		ev   Evidence
 		n    int
 	}{
-		{"unreached", Unreachable, failureLimit},
-		{"lost", AnswerLost, failureLimit},
+		{"unreachable", Unreachable, failureLimit},
+		{"answer lost", AnswerLost, failureLimit},
 		{"wrong", InvalidAnswer, failureLimit},
-		{"refuses all", Refused, failureLimit},
+		{"refuses all requests", Refused, failureLimit},
 		{"hangs", Abandoned, abandonLimit},
 	} {
 		t.Run(te.name, func(t *testing.T) {
@@ -104,7 +104,7 @@
 			})
 		})
 	}
-	t.Run("a success in between starts the count anew", func(t *testing.T) {
+	t.Run("a success in between resets the count", func(t *testing.T) {
 		withFakeClock(t, func(c *qt.C) {
 			re, _ := newTestRegistry()
 			report(re, "a", AnswerLost, failureLimit-1)
@@ -113,14 +113,14 @@
 			assertState(c, re, Live)
 		})
 	})
-	t.Run("full says nothing", func(t *testing.T) {
+	t.Run("full is not a failure", func(t *testing.T) {
 		withFakeClock(t, func(c *qt.C) {
 			re, _ := newTestRegistry()
 			report(re, "a", Full, 100)
 			assertState(c, re, Live)
 		})
 	})
-	t.Run("never more than half", func(t *testing.T) {
+	t.Run("never more than half are quarantined", func(t *testing.T) {
 		withFakeClock(t, func(c *qt.C) {
 			re, _ := newTestRegistry()
 			for _, ru := range re.Runners() {
@@ -135,7 +135,7 @@
 			c.Assert(live, qt.Equals, 5)
 		})
 	})
-	t.Run("a new address is a new process", func(t *testing.T) {
+	t.Run("a new address clears the record", func(t *testing.T) {
 		withFakeClock(t, func(c *qt.C) {
 			re, hosts := newTestRegistry()
 			report(re, "a", AnswerLost, failureLimit)
