--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,15 +1,17 @@
-// Package claim keeps requests marked run-once from running twice, whichever
-// entry hosts they are sent through and however often.
+// Package claim ensures that a request marked run-once runs at most once,
+// whichever entry hosts it is sent through and however often.
 //
-// Ids fall into shards. The entry host that owns a shard remembers the ids it
-// has let through, and lets none through twice. Nothing is written to the
-// table for a request. What is remembered is lost with the owner, and a new
-// owner cannot vouch for ids made before its tenure, so those are answered
-// "unknown" and not run; an id tells when it was made. Ids made after the
-// tenure began were never let through by a former owner, whose tenure had
-// ended, provided that clocks differ by less than [Rules.Skew].
+// Ids are divided into shards. The entry host that owns a shard records the ids
+// it has admitted, and admits each once. Requests cause no writes to the table.
+// The records are lost with the owner, and a new owner does not know which of
+// the ids created before its tenure were admitted, so it answers "unknown" for
+// them without running the request; the creation time is part of an id. A
+// former owner cannot have admitted ids created after the tenure began, because
+// its own tenure had ended by then, provided that clocks differ by less than
+// [Rules.Skew].
 //
-// An owner that gives a shard away by agreement hands its memory over first.
+// An owner that gives up a shard in a planned handover first sends its records
+// to the next owner.
 package claim
 
 import (
@@ -28,42 +30,42 @@
 	"github.com/pepperhatch/pepperhatch/internal/spread"
 )
 
-// Shards is the number of id shards of a data centre.
+// Shards is the number of id shards per data centre.
 const Shards = 24
 
-// Rules has the lengths of time and the bounds; all entry hosts use the same.
+// Rules holds the time limits and bounds; all entry hosts must use the same.
 type Rules struct {
-	// Window is how long after an id was made it may be let through.
+	// Window is how long after its creation an id may be admitted.
 	Window time.Duration
-	// Skew is the most by which wall clocks of callers and entry hosts
-	// differ.
+	// Skew is the maximum difference between the wall clocks of callers and
+	// entry hosts.
 	Skew time.Duration
-	// Most bounds the ids that one owner remembers.
+	// MaxIDs limits the ids that one owner records.
 	MaxIDs int
 }
 
-// DefaultRules let a caller repeat an id for ten minutes. An entry takes
-// about 200 bytes, so that memory stays under 20 MB.
+// DefaultRules let a caller repeat an id for ten minutes. A record takes about
+// 200 bytes, so that memory stays below 20 MB.
 var DefaultRules = Rules{Window: 10 * time.Minute, Skew: 2 * time.Second, MaxIDs: 100_000}
 
-// ID is the id of a request marked run-once: a UUIDv7, and after an @ the
-// data centre that is to vouch for it, if the caller chose one.
+// ID is the id of a run-once request: a UUIDv7, optionally followed by @ and
+// the data centre that records it.
 type ID struct {
-	// Text is the whole id; ids differ if their texts do.
+	// Text is the complete id; ids are equal if their texts are.
 	Text string
-	// Made is when it was made, by the caller's clock.
+	// CreatedAt is the time in the UUIDv7, by the caller's clock.
 	CreatedAt time.Time
-	// Home is the data centre chosen; empty leaves it to [ID.HomeIn].
+	// Home is the data centre in the id; if empty, [ID.HomeIn] selects one.
 	Home string
 }
 
-// ErrMalformed is returned for an id that is not of the form.
+// ErrMalformed is returned for an id that has not the required form.
 var ErrMalformed = errors.New("not a UUIDv7 with an optional @data-centre")
 
-// errNotOwner is the error of asking a host that does not own the shard.
-var errNotOwner = errors.New("not the shard's owner")
+// errNotOwner says that the host asked does not own the shard.
+var errNotOwner = errors.New("host does not own the shard")
 
-// Parse reads an id.
+// Parse parses an id; its errors wrap [ErrMalformed].
 func Parse(text string) (ID, error) {
 	head, home, _ := strings.Cut(text, "@")
 	uid, err := uuid.Parse(head)
@@ -77,7 +79,8 @@
 	return ID{Text: text, CreatedAt: time.Unix(sec, nsec), Home: home}, nil
 }
 
-// NewID returns a new id that the data centre is to vouch for.
+// NewID returns a new id recorded by the given data centre; with an empty one
+// it is selected by [ID.HomeIn].
 func NewID(home string) string {
 	uid := uuid.Must(uuid.NewV7()).String()
 	if home == "" {
@@ -86,7 +89,8 @@
 	return uid + "@" + home
 }
 
-// HomeIn returns the data centre that vouches for the id.
+// HomeIn returns the data centre that records the id: the one in the id, or
+// else one of dcs selected by a hash of the id.
 func (id ID) HomeIn(dcs []string) string {
 	if id.Home != "" || len(dcs) == 0 {
 		return id.Home
@@ -94,14 +98,14 @@
 	return spread.First(id.Text, dcs, 1)[0]
 }
 
-// Shard returns the resource that the id falls into.
+// Shard returns the name of the id's shard, a resource with an owner.
 func (id ID) Shard() string {
 	return shardName(int(xxhash.Sum64String(id.Text) % Shards))
 }
 
 func shardName(n int) string { return "ids/" + strconv.Itoa(n) }
 
-// Resources returns all id shards of a data centre.
+// Resources returns the names of all id shards of a data centre.
 func Resources() []string {
 	res := make([]string, Shards)
 	for n := range res {
@@ -110,50 +114,51 @@
 	return res
 }
 
-// TakeRequest asks an owner to let an id through.
+// TakeRequest asks the owner of a shard to admit an id.
 type TakeRequest struct {
-	// ID is the id's text.
+	// ID is the text of the id.
 	ID string `json:"id"`
-	// Sending names this sending of the request. The same sending may ask
-	// again, after an answer lost, and gets the same verdict.
+	// Submission identifies one submission of the request. The same submission
+	// may ask again after a lost answer and gets the same decision.
 	Submission string `json:"sending"`
 }
 
-// Verdict is an owner's word on an id.
+// Decision is the owner's decision on an id.
 type Decision struct {
-	// Granted lets the sending through.
+	// Granted allows the submission to run.
 	Granted bool `json:"granted"`
-	// Reason says why not.
+	// Reason says why it is not allowed to run.
 	Reason reason.Reason `json:"reason,omitempty"`
 }
 
-// ReleaseRequest tells the owner that a sending certainly did not run.
+// ReleaseRequest informs the owner that a submission has not run.
 type ReleaseRequest struct {
-	// ID and Sending name it.
+	// ID and Submission identify it.
 	ID         string `json:"id"`
 	Submission string `json:"sending"`
 }
 
-// Handover carries an owner's memory of a shard to the next owner.
+// Handover carries the records of a shard to the next owner.
 type Handover struct {
-	// Resource is the shard.
+	// Resource is the name of the shard.
 	Resource string `json:"resource"`
-	// Epoch is that of the last assignment in which the giver owned it.
+	// Epoch is that of the last assignment in which the sender owned it.
 	Epoch int64 `json:"epoch"`
-	// VouchesFrom is the time from which the giver could vouch, in Unix
-	// milliseconds.
+	// CompleteFrom is the creation time from which the sender's records are
+	// complete, in Unix milliseconds.
 	CompleteFrom int64 `json:"vouches_from"`
-	// Taken maps ids to the sendings let through.
+	// Taken maps admitted ids to their submissions.
 	Taken map[string]string `json:"taken"`
 }
 
-// Ledger is an owner's memory. Set the fields before use.
+// Ledger holds the records of an owner. Set the exported fields before use; it
+// is safe for concurrent use.
 type Ledger struct {
-	// Owns reports whether this host owns a shard at this moment.
+	// Owns reports whether this host owns a shard at the moment.
 	Owns func(resource string) bool
-	// Since says when it began to.
+	// Since returns the start of the current or last tenure.
 	Since func(resource string) lease.OwnershipStart
-	// Rules has the bounds.
+	// Rules holds the time limits and bounds.
 	Rules Rules
 
 	mu     sync.Mutex
@@ -161,10 +166,11 @@
 	count  int
 }
 
-// shard is the memory of one tenure of one shard.
+// shard holds the records of one tenure of one shard.
 type shard struct {
 	begun lease.OwnershipStart
-	// vouches is the time from which all ids let through are remembered.
+	// completeFrom is the creation time from which all admitted ids are
+	// recorded.
 	completeFrom time.Time
 	taken        map[string]entry
 }
@@ -172,11 +178,12 @@
 type entry struct {
 	submission string
 	createdAt  time.Time
-	// free is set once the sending is known not to have run.
+	// released is set once the submission is known not to have run.
 	released bool
 }
 
-// Take lets an id through, once.
+// Take admits an id once. It is denied to any further submission until the
+// first is released.
 func (le *Ledger) Take(req TakeRequest) Decision {
 	id, err := Parse(req.ID)
 	if err != nil {
@@ -209,7 +216,7 @@
 	return reason.ClaimTaken
 }
 
-// check says whether an id that is not held may be let through.
+// checkAdmissible checks an id that is not recorded, or that was released.
 func (le *Ledger) checkAdmissible(sh *shard, id ID, recorded bool) reason.Reason {
 	now := time.Now()
 	switch {
@@ -225,8 +232,8 @@
 	return reason.None
 }
 
-// shard returns the memory of the present tenure, or nil if the shard is not
-// owned. A tenure that began anew starts with no memory.
+// shard returns the records of the current tenure, or nil if the shard is not
+// owned.
 func (le *Ledger) shard(resource string) *shard {
 	begun := le.Since(resource)
 	if !le.Owns(resource) {
@@ -235,8 +242,9 @@
 	return le.tenureShard(resource, begun)
 }
 
-// memory returns the memory of a tenure. It is that of the giver if the shard
-// was handed over with the tenure's first assignment, and else begins empty.
+// tenureShard returns the records of a tenure. They are those of the former
+// owner if the shard was handed over for the tenure's first assignment, and
+// otherwise start empty.
 func (le *Ledger) tenureShard(resource string, begun lease.OwnershipStart) *shard {
 	sh := le.shards[resource]
 	if sh != nil && sh.begun == begun {
@@ -257,8 +265,8 @@
 	return next
 }
 
-// prune forgets ids too old to be let through again, by any owner's clock. It
-// reports whether there is room.
+// prune drops ids too old to be admitted again by the clock of any owner. It
+// reports whether there is space for another id.
 func (le *Ledger) prune(now time.Time) bool {
 	retention := le.Rules.Window + 2*le.Rules.Skew
 	for _, sh := range le.shards {
@@ -272,8 +280,8 @@
 	return le.count < le.Rules.MaxIDs
 }
 
-// Release notes that a sending let through certainly did not run, so that its
-// id may be let through again.
+// Release records that an admitted submission has not run, so that its id may
+// be admitted again.
 func (le *Ledger) Release(req ReleaseRequest) {
 	id, err := Parse(req.ID)
 	if err != nil {
@@ -292,13 +300,14 @@
 	}
 }
 
-// Export returns the memory of a shard that this host has ceased to act on,
-// for the owner in the assignment that follows epoch.
+// Export returns the records of a shard that this host has stopped serving, for
+// the owner in the assignment that follows epoch.
 func (le *Ledger) Export(resource string, since lease.OwnershipStart, epoch int64) Handover {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	sh := le.tenureShard(resource, since)
-	// Rounded up: the time may only grow on its way.
+	// Rounded up to the next millisecond: an earlier time would claim records
+	// that do not exist.
 	ho := Handover{Resource: resource, Epoch: epoch, CompleteFrom: sh.completeFrom.UnixMilli() + 1, Taken: map[string]string{}}
 	for text, en := range sh.taken {
 		if !en.released {
@@ -308,17 +317,18 @@
 	return ho
 }
 
-// Import takes the memory of a shard that this host is to own from the
-// assignment after the giver's last. It counts only if the tenure begins with
-// that very assignment: after any other, the giver may have let through more.
+// Import adopts the records of a shard that this host is to own from the
+// assignment after the sender's last one. They apply only if the tenure begins
+// with exactly that assignment: after any other, the sender may have admitted
+// more ids.
 func (le *Ledger) Import(ho Handover) {
 	le.mu.Lock()
 	defer le.mu.Unlock()
 	if sh := le.shards[ho.Resource]; sh != nil {
 		owned := !sh.begun.At.IsZero()
 		if sh.begun.Epoch > ho.Epoch || (owned && sh.begun.Epoch == ho.Epoch) {
-			// Late: the memory here is of that tenure already, or a later one,
-			// or this host is the giver itself.
+			// A late handover: the records here belong to that tenure or a
+			// later one, or this host is the sender itself.
 			return
 		}
 		le.count -= len(sh.taken)
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// host is one entry host of the model: a ledger, what it believes it owns,
-// and a clock that may be off.
+// modelHost is one entry host of the model: a ledger and the tenure that the
+// host believes to have.
 type modelHost struct {
 	le    *Ledger
 	owns  bool
@@ -49,9 +49,9 @@
 	return mh
 }
 
-// model is three entry hosts that own all shards in turn. A change of owner
-// follows the rules of package lease: the old owner's tenure ends before the
-// new one's begins.
+// model is three entry hosts that own all shards in turn. Changes of owner
+// follow the rules of package lease: the old owner's tenure ends before the new
+// one's begins.
 type model struct {
 	rt          *rapid.T
 	hosts       []*modelHost
@@ -61,9 +61,9 @@
 	admitted    map[string]map[string]bool
 	notRun      map[string]bool
 	submissions int
-	// broken is set once the promise was broken.
+	// violation describes an id that was admitted more than once.
 	violation string
-	// stale is a handover kept back, to arrive late.
+	// delayed holds handovers that arrive late.
 	delayed []Handover
 }
 
@@ -76,12 +76,12 @@
 			}
 		}
 		if ran > 1 {
-			mo.violation = fmt.Sprintf("id %s was let through %d times", id, ran)
+			mo.violation = fmt.Sprintf("id %s was admitted %d times", id, ran)
 		}
 	}
 }
 
-// take asks any host, owner or not.
+// take submits an id to any host, owner or not.
 func (mo *model) take(id string) {
 	mo.submissions++
 	sub := fmt.Sprintf("s%d", mo.submissions)
@@ -95,7 +95,8 @@
 	}
 	mo.admitted[id][sub] = true
 	if rapid.Bool().Draw(mo.rt, "not run") {
-		// The sending did not run; the owner hears of it, or it is lost.
+		// The submission did not run; its release may reach the owner or be
+		// lost.
 		mo.notRun[sub] = true
 		if rapid.Bool().Draw(mo.rt, "release arrives") {
 			mo.hosts[hostIndex].le.Release(ReleaseRequest{ID: id, Submission: sub})
@@ -103,7 +104,8 @@
 	}
 }
 
-// change ends the owner's tenure and begins another's.
+// changeOwner ends the owner's tenure and begins that of another host, with or
+// without a handover.
 func (mo *model) changeOwner(handover bool) {
 	old := mo.hosts[mo.owner]
 	next := (mo.owner + rapid.IntRange(1, len(mo.hosts)-1).Draw(mo.rt, "next owner")) % len(mo.hosts)
@@ -118,8 +120,9 @@
 			mo.hosts[next].le.Import(ho)
 		}
 	}
-	if handover && rapid.Bool().Draw(mo.rt, "nothing came of it") {
-		// The write found another assignment, in which the owner goes on.
+	if handover && rapid.Bool().Draw(mo.rt, "assignment not written") {
+		// The assignment was not written, as another one came first, in which
+		// the owner stays.
 		mo.epoch++
 		old.owns = true
 		return
@@ -134,15 +137,16 @@
 	mo.hosts[next].since = lease.OwnershipStart{At: time.Now(), Epoch: mo.epoch}
 }
 
-// moreChecks is how many sequences rapid tries: the faults found so far took
-// up to some hundred.
+// modelChecks is the number of sequences that rapid tries: known faults needed
+// up to several hundred.
 const modelChecks = 1500
 
-// actions are what can happen in the model.
+// actions returns the events of the model; the one without a name is the check
+// that rapid runs after each.
 func (mo *model) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"new id": func(*rapid.T) {
-			mo.ids = append(mo.ids, idMadeAt(time.Now().Add(-time.Duration(rapid.IntRange(-900, 900).Draw(mo.rt, "skew"))*time.Millisecond), len(mo.ids)))
+			mo.ids = append(mo.ids, idCreatedAt(time.Now().Add(-time.Duration(rapid.IntRange(-900, 900).Draw(mo.rt, "skew"))*time.Millisecond), len(mo.ids)))
 			mo.take(mo.ids[len(mo.ids)-1])
 		},
 		"repeat": func(rt *rapid.T) {
@@ -166,7 +170,7 @@
 			mo.hosts[rapid.IntRange(0, 2).Draw(rt, "to")].le.Import(mo.delayed[0])
 			mo.delayed = mo.delayed[1:]
 		},
-		"late handover to an owner that gives away": func(rt *rapid.T) {
+		"late handover to an owner that passes on the shard": func(rt *rapid.T) {
 			if len(mo.delayed) == 0 {
 				rt.Skip("none")
 			}
@@ -182,12 +186,13 @@
 	}
 }
 
-// TestAtMostOnce drives ledgers through changes of owner, restarts, lost
-// messages and repeated ids, and checks that no id is let through twice.
+// TestAtMostOnce runs ledgers through changes of owner, restarts, lost messages
+// and repeated ids, and checks that no id is admitted twice.
 func TestAtMostOnce(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: modelChecks}, func(rt *rapid.T) {
 		var mo *model
-		// A failure inside would end the bubble before rapid hears of it.
+		// A failure reported inside would end the fake-clock test before rapid
+		// records it.
 		defer func() {
 			if mo != nil && mo.violation != "" {
 				rt.Fatal(mo.violation)
@@ -207,8 +212,8 @@
 	})
 }
 
-// idMadeAt returns an id made at a time, the same for the same number.
-func idMadeAt(at time.Time, n int) string {
+// idCreatedAt returns an id created at a time; the same n gives the same id.
+func idCreatedAt(at time.Time, n int) string {
 	return fmt.Sprintf("%08x-%04x-7000-8000-%012x", at.UnixMilli()>>16, at.UnixMilli()&0xffff, n)
 }
 
@@ -235,7 +240,7 @@
 	c.Assert(le.Take(TakeRequest{ID: id, Submission: "b"}).Reason, qt.Equals, reason.ClaimTaken)
 	le.Release(ReleaseRequest{ID: id, Submission: "a"})
 	c.Assert(le.Take(TakeRequest{ID: id, Submission: "b"}).Granted, qt.IsTrue)
-	old := idMadeAt(time.Now().Add(-DefaultRules.Window-time.Second), 1)
+	old := idCreatedAt(time.Now().Add(-DefaultRules.Window-time.Second), 1)
 	c.Assert(le.Take(TakeRequest{ID: old, Submission: "a"}).Reason, qt.Equals, reason.IDStale)
 	begun = lease.OwnershipStart{At: time.Now(), Epoch: 2}
 	c.Assert(le.Take(TakeRequest{ID: NewID(""), Submission: "a"}).Reason, qt.Equals, reason.ClaimBefore)
@@ -255,7 +260,7 @@
 	c.Assert(le.Take(TakeRequest{ID: NewID(""), Submission: "a"}).Reason, qt.Equals, reason.ClaimFull)
 }
 
-// TestGuard checks the final word for each verdict and each loss.
+// TestGuard checks the result for each decision and for a lost answer.
 func TestGuard(t *testing.T) {
 	errLost := errors.New("lost")
 	for _, te := range []struct {
@@ -299,36 +304,36 @@
 	}
 }
 
-// TestHandedOnUnused is a counterexample from a planned stop: a shard given
-// to a host that gave it on before any id was asked for lost what it vouched
-// for, and ids made before were unknown.
+// TestHandoverOfUnusedShard guards against a fault in planned stops: a host
+// that passed on a shard before any id was submitted dropped the records it had
+// received, so that older ids were answered as unknown.
 func TestHandoverOfUnusedShard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		first, second, third := newModelHost(DefaultRules), newModelHost(DefaultRules), newModelHost(DefaultRules)
 		first.owns, first.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 1}
 		time.Sleep(time.Minute)
-		createdAt := idMadeAt(time.Now(), 1)
-		id, err := Parse(createdAt)
+		text := idCreatedAt(time.Now(), 1)
+		id, err := Parse(text)
 		c.Assert(err, qt.IsNil)
 		second.le.Import(first.le.Export(id.Shard(), first.since, 1))
 		second.since = lease.OwnershipStart{At: time.Now(), Epoch: 2}
 		third.le.Import(second.le.Export(id.Shard(), second.since, 2))
 		third.owns, third.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 3}
-		c.Assert(third.le.Take(TakeRequest{ID: createdAt, Submission: "a"}).Granted, qt.IsTrue)
+		c.Assert(third.le.Take(TakeRequest{ID: text, Submission: "a"}).Granted, qt.IsTrue)
 	})
 }
 
-// TestLateHandover is a counterexample that the model led to: a handover that
-// arrives late, while its receiver is about to give the shard away itself,
-// took the place of what the receiver had let through meanwhile.
+// TestLateHandover guards against a handover that arrives late, while its
+// receiver is about to pass on the shard, and replaces what the receiver has
+// admitted since.
 func TestLateHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		oldOwner, newOwner := newModelHost(DefaultRules), newModelHost(DefaultRules)
 		oldOwner.owns, oldOwner.since = true, lease.OwnershipStart{At: time.Now(), Epoch: 1}
 		time.Sleep(time.Minute)
-		id, err := Parse(idMadeAt(time.Now(), 1))
+		id, err := Parse(idCreatedAt(time.Now(), 1))
 		c.Assert(err, qt.IsNil)
 		ho := oldOwner.le.Export(id.Shard(), oldOwner.since, 1)
 		newOwner.owns, newOwner.since = true, lease.OwnershipStart{At: time.Now().Add(-5 * time.Second), Epoch: 2}
--- a/internal/claim/guard.go
+++ b/internal/claim/guard.go
@@ -11,26 +11,27 @@
 	"github.com/pepperhatch/pepperhatch/internal/route"
 )
 
-// Guard lets requests marked run-once through at the entry host that got
-// them. Set the fields before use.
+// Guard admits run-once requests at the entry host that received them. Set the
+// fields before use.
 type Guard struct {
-	// DCs are all data centres.
+	// DCs are the names of all data centres.
 	DCs []string
-	// Take asks the owner of the shard in a data centre. An error says that
-	// no verdict came.
+	// Take asks the owner of a shard in a data centre for a decision. An error
+	// means that none was received.
 	Take func(ctx context.Context, dc, resource string, req TakeRequest) (Decision, error)
-	// Release tells that owner of a sending that did not run. It may fail.
+	// Release informs that owner of a submission that did not run. It is best
+	// effort.
 	Release func(dc, resource string, req ReleaseRequest)
 }
 
-// The numbers of asking an owner.
+// Timeouts of asking the owner, and the delay after which a caller may retry.
 const (
 	takeAttemptTimeout = 500 * time.Millisecond
 	takeTimeout        = 1500 * time.Millisecond
 	claimRetryDelay    = 2 * time.Second
 )
 
-// Do runs a request if its id is let through, and says what is known.
+// Do runs a request if its id is admitted, and returns what is known about it.
 func (gu *Guard) Do(ctx context.Context, text string, run func(context.Context) route.Result) route.Result {
 	id, err := Parse(text)
 	if err != nil {
@@ -52,8 +53,9 @@
 	return res
 }
 
-// take asks until there is a verdict or time is up. An owner that is no
-// longer one is asked for again: another may be known by then.
+// take asks until it gets a decision or takeTimeout has passed. If the host
+// asked is no longer the owner it asks again, since a new owner may be known by
+// then.
 func (gu *Guard) take(ctx context.Context, home, shard string, req TakeRequest) (Decision, error) {
 	return backoff.Retry(ctx, func() (Decision, error) {
 		actx, cancel := context.WithTimeout(ctx, takeAttemptTimeout)
@@ -72,13 +74,13 @@
 	return bo
 }
 
-// refused turns a verdict into the final word. Where the id may have been let
-// through before, what became of it is not known here.
+// refusalResult turns a denial into the result of the request. If the id may
+// have been admitted before, its outcome is not known here.
 func refusalResult(why reason.Reason) route.Result {
 	switch why {
 	case reason.IDMalformed, reason.ClaimFull:
-		// Neither was ever let through: the one cannot be, and of the other
-		// the owner has full memory.
+		// Neither id has been admitted: the first is invalid, and the owner has
+		// no space to record the second.
 		return route.NotRunResult(why, claimRetryDelay)
 	case reason.IDStale, reason.ClaimTaken:
 		return route.Result{Outcome: route.Unknown, Reason: why}
--- a/internal/runner/client.go
+++ b/internal/runner/client.go
@@ -15,18 +15,18 @@
 	"time"
 )
 
-// MaxAnswer bounds an answer in bytes.
+// MaxAnswerBytes limits the size of an answer.
 const MaxAnswerBytes = 4 << 20
 
-// NotRunError says that the request certainly did not run.
+// NotRunError says that the request has not run.
 type NotRunError struct {
-	// Step and Peer say where the failure arose.
+	// Step is the operation that failed and Peer the runner's address.
 	Step string
 	Peer string
-	// Reason is full, leaving or another word of the runner's if the runner
-	// refused, else empty: the runner was not reached.
+	// Reason is full, leaving or another reason sent by the runner if it
+	// refused; empty if the runner was not reached.
 	Reason string
-	// Err is the cause, if there is one.
+	// Err is the cause, or nil.
 	Err error
 }
 
@@ -43,7 +43,7 @@
 
 // UnknownError says that the request may have run.
 type UnknownError struct {
-	// Step and Peer say where the failure arose.
+	// Step is the operation that failed and Peer the runner's address.
 	Step string
 	Peer string
 	// Err is the cause.
@@ -58,29 +58,32 @@
 // Unwrap returns the cause.
 func (err *UnknownError) Unwrap() error { return err.Err }
 
-// Causes of an [UnknownError] that lie in the reply.
+// Causes of an [UnknownError] found in a response.
 var (
-	ErrIDMismatch     = errors.New("answer is for another request")
-	ErrNoFraming      = errors.New("answer has neither length nor end mark")
-	ErrNoStatus       = errors.New("answer says neither done nor refused")
-	ErrAnswerTooLarge = errors.New("answer is too large")
+	ErrIDMismatch     = errors.New("answer has the id of another request")
+	ErrNoFraming      = errors.New("answer has neither a content length nor chunked encoding")
+	ErrNoStatus       = errors.New("answer has neither status done nor refused")
+	ErrAnswerTooLarge = errors.New("answer exceeds the maximum size")
 )
 
-// Client talks to runners. Make one with [NewClient]; a test replaces the
-// functions.
+// Client sends requests to runners. Use [NewClient] to create one; tests
+// replace the functions.
 type Client struct {
-	// RunFunc sends one request to the runner at addr.
+	// RunFunc sends one request to the runner at addr. Its errors are
+	// [NotRunError] or [UnknownError].
 	RunFunc func(ctx context.Context, addr string, req Request) (Answer, error)
-	// SessionFunc opens a session's stream at the runner at addr. The events
-	// end with an error; stop must be called once.
+	// SessionFunc opens a session's stream at the runner at addr. next blocks
+	// until the next event and returns an error at the end; stop must be called
+	// once.
 	SessionFunc func(ctx context.Context, addr string, req SessionRequest) (next func() (SessionEvent, error), stop func(), err error)
 }
 
-// Limits bound what a client holds open.
+// Limits bounds the connections of a client.
 type Limits struct {
-	// ConnsPerRunner bounds connections for requests to one runner.
+	// ConnsPerRunner limits the connections for requests to one runner, and
+	// separately those for sessions.
 	ConnsPerRunner int
-	// Dial bounds the time to connect.
+	// DialTimeout limits the time to connect.
 	DialTimeout time.Duration
 }
 
@@ -91,7 +94,7 @@
 	sessionHeaderTimeout  = 2 * time.Second
 )
 
-// NewClient returns a client over net/http. Zero limits take defaults.
+// NewClient returns a client that uses net/http. Zero limits mean the defaults.
 func NewClient(lim Limits) Client {
 	if lim.ConnsPerRunner == 0 {
 		lim.ConnsPerRunner = defaultConnsPerRunner
@@ -111,9 +114,8 @@
 	}
 }
 
-// transport returns a transport that follows no redirect (it is used by
-// RoundTrip alone), asks for no compression, and whose connections count the
-// bytes written.
+// transport returns a transport that follows no redirects (only RoundTrip is
+// used), requests no compression, and counts the bytes written per connection.
 func transport(lim Limits) *http.Transport {
 	di := &net.Dialer{Timeout: lim.DialTimeout}
 	return &http.Transport{
@@ -131,8 +133,8 @@
 	}
 }
 
-// countingConn counts bytes written, to tell a request of which none left
-// from one of which some did.
+// countingConn counts the bytes written, to distinguish requests that were not
+// sent at all from those sent in part.
 type countingConn struct {
 	net.Conn
 
@@ -140,12 +142,12 @@
 }
 
 func (cc *countingConn) Write(data []byte) (int, error) {
-	// Counted before the write: a write that fails may have sent some.
+	// Counted before the write: a failed write may have sent some bytes.
 	cc.written.Add(int64(len(data)))
 	return cc.Conn.Write(data)
 }
 
-// wireState watches one exchange from the moment it has a connection.
+// exchangeState records the connections that one exchange uses.
 type exchangeState struct {
 	conn          atomic.Pointer[countingConn]
 	writtenBefore atomic.Int64
@@ -163,9 +165,9 @@
 	}}
 }
 
-// untouched reports whether no byte of the request left. net/http takes a
-// second connection only after the first took none of the request, so that
-// the last connection is the one that counts.
+// nothingSent reports whether no byte of the request was written. net/http
+// takes a second connection only if it wrote nothing to the first, so the last
+// connection decides.
 func (es *exchangeState) nothingSent() bool {
 	if es.conns.Load() == 0 {
 		return true
@@ -174,8 +176,8 @@
 	return cc != nil && cc.written.Load() == es.writtenBefore.Load()
 }
 
-// onceBody is a request body that net/http cannot rewind: without GetBody it
-// never sends a request again of which it has read any.
+// nonReplayableBody is a request body that net/http cannot rewind: without
+// GetBody it never resends a request of which it has read any part.
 type nonReplayableBody struct{ rd *bytes.Reader }
 
 func (nb nonReplayableBody) Read(data []byte) (int, error) { return nb.rd.Read(data) }
@@ -202,10 +204,10 @@
 func newRequest(ctx context.Context, addr, path string, body []byte) (*http.Request, error) {
 	hreq, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, nil)
 	if err != nil {
-		return nil, fmt.Errorf("request: %w", err)
+		return nil, fmt.Errorf("create HTTP request: %w", err)
 	}
-	// POST without an Idempotency-Key header is not replayable in the eyes
-	// of net/http, and a body without GetBody cannot be sent again.
+	// net/http replays a POST only if it has an Idempotency-Key header, and
+	// cannot resend a body without GetBody.
 	hreq.Body = nonReplayableBody{rd: bytes.NewReader(body)}
 	hreq.ContentLength = int64(len(body))
 	if len(body) == 0 {
@@ -223,8 +225,9 @@
 	hd.Set("Content-Type", "application/octet-stream")
 }
 
-// readAnswer takes the answer only whole, stated done, and for id. A refusal
-// counts only under the same conditions: a foreign one proves nothing.
+// readAnswer accepts only a complete answer with a status and with the
+// request's id. The same holds for a refusal: one for another id proves
+// nothing.
 func readAnswer(hresp *http.Response, addr, id string) (Answer, error) {
 	unknown := func(err error) (Answer, error) {
 		return Answer{}, &UnknownError{Step: "read answer", Peer: addr, Err: err}
@@ -276,7 +279,7 @@
 func openSession(ctx context.Context, tr http.RoundTripper, addr string, req SessionRequest) (func() (SessionEvent, error), func(), error) {
 	body, err := json.Marshal(req)
 	if err != nil {
-		return nil, nil, fmt.Errorf("encode session: %w", err)
+		return nil, nil, fmt.Errorf("encode session request: %w", err)
 	}
 	sctx, cancel := context.WithCancel(ctx)
 	hreq, err := newRequest(sctx, addr, "/session", body)
@@ -284,7 +287,7 @@
 		cancel()
 		return nil, nil, err
 	}
-	// The head must come in time; the stream then has no end.
+	// Only the response header has a time limit; the stream does not end.
 	head := time.AfterFunc(sessionHeaderTimeout, cancel)
 	hresp, err := tr.RoundTrip(hreq)
 	head.Stop()
@@ -304,7 +307,7 @@
 	next := func() (SessionEvent, error) {
 		var ev SessionEvent
 		if err := dec.Decode(&ev); err != nil {
-			return ev, fmt.Errorf("read session at runner %s: %w", addr, err)
+			return ev, fmt.Errorf("read session event from runner %s: %w", addr, err)
 		}
 		return ev, nil
 	}
--- a/internal/runner/client_test.go
+++ b/internal/runner/client_test.go
@@ -20,7 +20,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin"
 )
 
-// rig is a stand-in runner with a client of its own.
+// runnerHarness is a stand-in runner and a client for it.
 type runnerHarness struct {
 	ru   *standin.Runner
 	srv  *httptest.Server
@@ -38,7 +38,7 @@
 
 func (rh *runnerHarness) addr() string { return strings.TrimPrefix(rh.srv.URL, "http://") }
 
-// run sends a request with an id of its own and returns the id.
+// run sends a request with a new id and returns the id.
 func (rh *runnerHarness) run(ctx context.Context, body []byte) (string, runner.Answer, error) {
 	rh.next++
 	id := fmt.Sprintf("id%d", rh.next)
@@ -56,7 +56,7 @@
 	return n
 }
 
-// assertNotRun checks that the error says not run.
+// assertNotRun checks that the error is a NotRunError with the reason.
 func assertNotRun(c *qt.C, err error, reason string) {
 	c.Helper()
 	var notRun *runner.NotRunError
@@ -64,7 +64,7 @@
 	c.Assert(notRun.Reason, qt.Equals, reason)
 }
 
-// assertUnknown checks that the error says that the request may have run.
+// assertUnknown checks that the error is an UnknownError.
 func assertUnknown(c *qt.C, err error) {
 	c.Helper()
 	var unknown *runner.UnknownError
@@ -77,8 +77,8 @@
 	for _, mode := range []standin.Mode{standin.ModeCloseUnread, standin.ModeCloseRead, standin.ModeCloseRun, standin.ModeCut, standin.ModeWrong, standin.ModeForeign} {
 		c.Run(string(mode), func(c *qt.C) {
 			rh := newRunnerHarness(c)
-			// The second goes over a connection that is kept, where net/http
-			// is quickest to try again.
+			// The second iteration reuses a connection, where net/http is most
+			// likely to retry.
 			for range 2 {
 				rh.ru.Gate.Set(standin.Fault{})
 				_, _, err := rh.run(ctx, []byte("x"))
@@ -102,7 +102,7 @@
 		_, _, err := rh.run(ctx, nil)
 		assertNotRun(c, err, runner.ReasonLeaving)
 	})
-	c.Run("nobody there", func(c *qt.C) {
+	c.Run("no listener", func(c *qt.C) {
 		rh := newRunnerHarness(c)
 		rh.srv.Close()
 		_, _, err := rh.run(ctx, nil)
@@ -110,8 +110,8 @@
 	})
 }
 
-// TestOutcomesAreTrue sends requests under any sequence of faults and checks
-// every outcome against the runner's log.
+// TestOutcomesMatchRunnerLog sends requests under random sequences of faults
+// and checks every outcome against the runner's log.
 func TestOutcomesMatchRunnerLog(t *testing.T) {
 	modes := []standin.Mode{
 		standin.ModeOK, standin.ModeRefuse, standin.ModeWrong, standin.ModeForeign, standin.ModeCut,
@@ -144,13 +144,13 @@
 	case err == nil && !bytes.Equal(ans.Body, standin.Answer(id, body)):
 		rt.Fatalf("%s got a wrong answer", id)
 	case errors.As(err, &notRun) && runs > 0:
-		rt.Fatalf("%s was said not to have run, and did: %v", id, err)
+		rt.Fatalf("%s was reported as not run but ran: %v", id, err)
 	}
 }
 
-// TestNetHTTPWouldReplay shows the trap that the client avoids: a request
-// that net/http takes for replayable reaches a runner twice when the
-// connection is closed after reading, and ours does not.
+// TestNetHTTPWouldReplay shows why the client prevents replays: a request that
+// net/http considers replayable reaches a runner twice if the connection is
+// closed after the request was read; a request of the client does not.
 func TestNetHTTPWouldReplay(t *testing.T) {
 	c := qt.New(t)
 	var got atomic.Int64
@@ -177,7 +177,7 @@
 		}
 		c.Assert(got.Load(), qt.Equals, int64(3))
 	})
-	c.Run("as our client sends it", func(c *qt.C) {
+	c.Run("as the client sends it", func(c *qt.C) {
 		got.Store(0)
 		cl := runner.NewClient(runner.Limits{})
 		req := runner.Request{ID: "id", Body: []byte("x"), Deadline: time.Now().Add(time.Minute)}
--- a/internal/runner/stall_test.go
+++ b/internal/runner/stall_test.go
@@ -30,7 +30,7 @@
 	return err
 }
 
-// session reads a session until its second event.
+// session reads a session up to its second event.
 func session(ctx context.Context, cl runner.Client, addr string) error {
 	next, stop, err := cl.SessionFunc(ctx, addr, runner.SessionRequest{SessionID: "id", Topic: "t"})
 	if err != nil {
