--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -68,9 +68,9 @@
 }
 
 func (mo *model) check() {
-	for id, sendings := range mo.admitted {
+	for id, subs := range mo.admitted {
 		ran := 0
-		for sub := range sendings {
+		for sub := range subs {
 			if !mo.notRun[sub] {
 				ran++
 			}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -80,7 +80,7 @@
 		n    int
 	}{
 		{"unreachable", Unreachable, failureLimit},
-		{"answer lost", AnswerLost, failureLimit},
+		{"lost", AnswerLost, failureLimit},
 		{"wrong", InvalidAnswer, failureLimit},
 		{"refuses all requests", Refused, failureLimit},
 		{"hangs", Abandoned, abandonLimit},
