--- a/internal/route/load.go
+++ b/internal/route/load.go
@@ -95,9 +95,10 @@
 	// surplusWindow is about the interval between exchanges of loads with
 	// peers.
 	surplusWindow = 200 * time.Millisecond
-	// batchTurnDivisor: more than 1/8 as many latency-critical requests as own
-	// slots must wait before the batch turns of a peer are used. Fewer waiters
-	// get a slot soon here, at the cost of local batch rather than a peer's.
+	// batchTurnDivisor divides the number of own slots: only if more than an
+	// eighth as many latency-critical requests wait are the batch turns of a
+	// peer used. Fewer waiters get a slot here soon, at the cost of local batch
+	// rather than that of a peer.
 	batchTurnDivisor = 8
 )
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -328,7 +328,7 @@
 	return ex.firstAnswer(<-results, results)
 }
 
-// firstAnswered returns the first attempt if it was answered, and otherwise
+// firstAnswer returns the first attempt if it was answered, and otherwise
 // waits for the second. An attempt that may have run takes precedence over one
 // that did not.
 func (ex *execution) firstAnswer(first attempt, rest <-chan attempt) attempt {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -31,7 +31,8 @@
 	// Quarantined runners get no requests for a limited time because their
 	// requests failed.
 	Quarantined State = "aside"
-	// Probing runners get one request at a time after a quarantine.
+	// Probing runners get one request at a time, after a quarantine or after
+	// reporting that they are leaving, until probesRequired have succeeded.
 	Probing State = "probing"
 )
 
@@ -60,7 +61,8 @@
 	Abandoned
 )
 
-// Parameters of quarantine and of the detection of slow runners.
+// Parameters of quarantine and of the detection of slow runners. failureLimit
+// and abandonLimit count requests since the last answer.
 const (
 	failureLimit      = 3
 	minQuarantineTime = time.Second
