--- a/internal/claim/guard.go
+++ b/internal/claim/guard.go
@@ -11,39 +11,40 @@
 	"github.com/pepperhatch/pepperhatch/internal/route"
 )
 
-// Guard lets requests marked run-once through at the entry host that got
-// them. Set the fields before use.
+// Guard admits run-once requests at the entry host that received them. Set the
+// fields before use.
 type Guard struct {
-	// DCs are all data centres.
+	// DCs are the names of all data centres.
 	DCs []string
-	// Take asks the owner of the shard in a data centre. An error says that
-	// no verdict came.
-	Take func(ctx context.Context, dc, resource string, req TakeRequest) (Verdict, error)
-	// Release tells that owner of a sending that did not run. It may fail.
+	// Take asks the owner of a shard in a data centre for a decision. An error
+	// means that none was received.
+	Take func(ctx context.Context, dc, resource string, req TakeRequest) (Decision, error)
+	// Release informs that owner of a submission that did not run. It is best
+	// effort.
 	Release func(dc, resource string, req ReleaseRequest)
 }
 
-// The numbers of asking an owner.
+// Timeouts of asking the owner, and the delay after which a caller may retry.
 const (
-	takeAttempt  = 500 * time.Millisecond
-	takeTotal    = 1500 * time.Millisecond
-	claimRetryIn = 2 * time.Second
+	takeAttemptTimeout = 500 * time.Millisecond
+	takeTimeout        = 1500 * time.Millisecond
+	claimRetryDelay    = 2 * time.Second
 )
 
-// Do runs a request if its id is let through, and says what is known.
+// Do runs a request if its id is admitted, and returns what is known about it.
 func (gu *Guard) Do(ctx context.Context, text string, run func(context.Context) route.Result) route.Result {
 	id, err := Parse(text)
 	if err != nil {
 		return route.NotRunResult(reason.IDMalformed, 0)
 	}
 	home := id.HomeIn(gu.DCs)
-	req := TakeRequest{ID: text, Sending: uuid.NewString()}
-	ver, err := gu.take(ctx, home, id.Shard(), req)
+	req := TakeRequest{ID: text, Submission: uuid.NewString()}
+	dec, err := gu.take(ctx, home, id.Shard(), req)
 	if err != nil {
-		return unvouched(reason.ClaimOwnerUnavailable)
+		return unknownResult(reason.ClaimOwnerUnavailable)
 	}
-	if !ver.Granted {
-		return refused(ver.Reason)
+	if !dec.Granted {
+		return refusalResult(dec.Reason)
 	}
 	res := run(ctx)
 	if res.Outcome == route.NotRun {
@@ -52,18 +53,19 @@
 	return res
 }
 
-// take asks until there is a verdict or time is up. An owner that is no
-// longer one is asked for again: another may be known by then.
-func (gu *Guard) take(ctx context.Context, home, shard string, req TakeRequest) (Verdict, error) {
-	return backoff.Retry(ctx, func() (Verdict, error) {
-		actx, cancel := context.WithTimeout(ctx, takeAttempt)
+// take asks until it gets a decision or takeTimeout has passed. If the host
+// asked is no longer the owner it asks again, since a new owner may be known by
+// then.
+func (gu *Guard) take(ctx context.Context, home, shard string, req TakeRequest) (Decision, error) {
+	return backoff.Retry(ctx, func() (Decision, error) {
+		actx, cancel := context.WithTimeout(ctx, takeAttemptTimeout)
 		defer cancel()
-		ver, err := gu.Take(actx, home, shard, req)
-		if err == nil && ver.Reason == reason.ClaimOwnerUnavailable {
+		dec, err := gu.Take(actx, home, shard, req)
+		if err == nil && dec.Reason == reason.ClaimOwnerUnavailable {
 			err = errNotOwner
 		}
-		return ver, err
-	}, backoff.WithBackOff(takeBackOff()), backoff.WithMaxElapsedTime(takeTotal))
+		return dec, err
+	}, backoff.WithBackOff(takeBackOff()), backoff.WithMaxElapsedTime(takeTimeout))
 }
 
 func takeBackOff() backoff.BackOff {
@@ -72,20 +74,20 @@
 	return bo
 }
 
-// refused turns a verdict into the final word. Where the id may have been let
-// through before, what became of it is not known here.
-func refused(why reason.Reason) route.Result {
+// refusalResult turns a denial into the result of the request. If the id may
+// have been admitted before, its outcome is not known here.
+func refusalResult(why reason.Reason) route.Result {
 	switch why {
 	case reason.IDMalformed, reason.ClaimMemoryFull:
-		// Neither was ever let through: the one cannot be, and of the other
-		// the owner has full memory.
-		return route.NotRunResult(why, claimRetryIn)
+		// Neither id has been admitted: the first is invalid, and the owner has
+		// no space to record the second.
+		return route.NotRunResult(why, claimRetryDelay)
 	case reason.IDStale, reason.ClaimTaken:
 		return route.Result{Outcome: route.Unknown, Reason: why}
 	}
-	return unvouched(why)
+	return unknownResult(why)
 }
 
-func unvouched(why reason.Reason) route.Result {
-	return route.Result{Outcome: route.Unknown, Reason: why, RetryAfter: claimRetryIn}
+func unknownResult(why reason.Reason) route.Result {
+	return route.Result{Outcome: route.Unknown, Reason: why, RetryAfter: claimRetryDelay}
 }
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -111,11 +111,11 @@
 	ho.relay = &session.Relay{
 		Runners: clients, List: ho.registry.Runners, DC: ho.set.DC,
 		MaxSessions: ho.set.MaxSessions, PerRunner: ho.set.RunnerSessions,
-		Patience: sessionPatience, Metrics: ho.metrics,
+		RunnerWait: sessionPatience, Metrics: ho.metrics,
 	}
 	ho.config = &config.Store{Table: ho.table, Apply: ho.applyConfig}
 	rules := claim.DefaultRules
-	rules.Most = ho.set.MaxClaims
+	rules.MaxIDs = ho.set.MaxClaims
 	ho.ledger = &claim.Ledger{
 		Owns:  func(re string) bool { ke := ho.keeper.Load(); return ke != nil && ke.Owns(re) },
 		Since: func(re string) lease.OwnershipStart { return ho.since(re) },
--- a/internal/route/model_test.go
+++ b/internal/route/fakes_test.go
@@ -15,10 +15,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// errRefused is the error of a runner that is gone.
+// errRefused is the error of connecting to a runner that is down.
 var errRefused = errors.New("connection refused")
 
-// fakeRunners are runners in one process, on the clock of a test's bubble.
+// fakeRunners simulates runners on the fake clock of a test.
 type fakeRunners struct {
 	mean  time.Duration
 	sigma float64
@@ -27,20 +27,20 @@
 	mu   sync.Mutex
 	busy map[string]int
 	slow map[string]float64
-	gone map[string]bool
-	hang map[string]bool
+	down map[string]bool
+	hung map[string]bool
 	runs map[string]int
 }
 
 func newFakeRunners(mean time.Duration, sigma float64, slots int) *fakeRunners {
 	return &fakeRunners{
 		mean: mean, sigma: sigma, slots: slots, busy: map[string]int{}, slow: map[string]float64{},
-		gone: map[string]bool{}, hang: map[string]bool{}, runs: map[string]int{},
+		down: map[string]bool{}, hung: map[string]bool{}, runs: map[string]int{},
 	}
 }
 
-// connectTime is what a refusal takes.
-const connectTime = 200 * time.Microsecond
+// refusalTime is the delay until a refusal arrives.
+const refusalTime = 200 * time.Microsecond
 
 func (fr *fakeRunners) client() runner.Client {
 	return runner.Client{RunFunc: fr.run}
@@ -48,30 +48,30 @@
 
 func (fr *fakeRunners) run(ctx context.Context, addr string, req runner.Request) (runner.Answer, error) {
 	fr.mu.Lock()
-	gone, full, hang := fr.gone[addr], fr.busy[addr] >= fr.slots, fr.hang[addr]
-	if gone || full {
+	down, full, hung := fr.down[addr], fr.busy[addr] >= fr.slots, fr.hung[addr]
+	if down || full {
 		fr.mu.Unlock()
-		time.Sleep(connectTime)
-		if gone {
+		time.Sleep(refusalTime)
+		if down {
 			return runner.Answer{}, &runner.NotRunError{Step: "connect", Peer: addr, Err: errRefused}
 		}
 		return runner.Answer{}, &runner.NotRunError{Step: "run", Peer: addr, Reason: runner.ReasonFull}
 	}
 	fr.busy[addr]++
 	fr.runs[req.ID]++
-	took := fr.draw(addr)
+	took := fr.serviceTime(addr)
 	fr.mu.Unlock()
 	defer func() {
 		fr.mu.Lock()
 		fr.busy[addr]--
 		fr.mu.Unlock()
 	}()
-	if hang {
+	if hung {
 		<-ctx.Done()
 		return runner.Answer{}, &runner.UnknownError{Step: "await answer", Peer: addr, Err: ctx.Err()}
 	}
-	// A runner works to the end, also for a caller that left; its slot is
-	// free only then.
+	// A runner finishes the request even if the caller has left; only then is
+	// its slot free.
 	time.Sleep(took)
 	if ctx.Err() != nil {
 		return runner.Answer{}, &runner.UnknownError{Step: "await answer", Peer: addr, Err: ctx.Err()}
@@ -79,8 +79,8 @@
 	return runner.Answer{Body: []byte(req.ID)}, nil
 }
 
-// draw returns a log-normal service time.
-func (fr *fakeRunners) draw(addr string) time.Duration {
+// serviceTime samples a log-normal service time.
+func (fr *fakeRunners) serviceTime(addr string) time.Duration {
 	factor := max(1, fr.slow[addr])
 	if fr.sigma == 0 {
 		return time.Duration(float64(fr.mean) * factor)
@@ -88,7 +88,7 @@
 	return time.Duration(float64(fr.mean) * factor * math.Exp(fr.sigma*rand.NormFloat64()-fr.sigma*fr.sigma/2))
 }
 
-// member returns a pool's member for a runner.
+// member returns the pool member for a runner.
 func member(id string, slots int) Member {
 	return Member{ID: id, Addr: id, Slots: slots}
 }
@@ -101,8 +101,8 @@
 	return all
 }
 
-// listed returns the platform's list for runners of one service.
-func listed(runners []string, slots int) []store.Host {
+// hostList returns the platform's list for the runners of one service.
+func hostList(runners []string, slots int) []store.Host {
 	hosts := make([]store.Host, 0, len(runners))
 	for _, id := range runners {
 		hosts = append(hosts, store.Host{
@@ -112,8 +112,8 @@
 	return hosts
 }
 
-// newRouter returns a router over runners, with a registry that sets them
-// aside on evidence.
+// newRouter returns a router over the runners, with a registry that quarantines
+// runners that fail.
 func newRouter(fr *fakeRunners, runners []string) *Router {
 	ro := &Router{Runners: fr.client()}
 	reg := &upstream.Registry{}
@@ -130,29 +130,29 @@
 	}
 	ro.Registry = reg
 	ro.SetPolicy(Policy{QueueLimit: 1024, BatchEvery: 8})
-	reg.SetList(listed(runners, fr.slots))
+	reg.SetList(hostList(runners, fr.slots))
 	reg.Changed = refresh
 	refresh()
 	return ro
 }
 
-// request returns a request of the service with an id of its own.
+// request returns a request of the service with an id made from n.
 func request(n int, class runner.Class, left time.Duration) Request {
 	return Request{Request: runner.Request{
 		ID: fmt.Sprintf("id%d", n), Service: "s", Method: "m", Class: class, Deadline: time.Now().Add(left),
 	}}
 }
 
-// linkTime is the time of one way to a peer.
-const linkTime = 500 * time.Microsecond
+// peerDelay is the network delay to a peer, one way.
+const peerDelay = 500 * time.Microsecond
 
-// forwardTo passes requests to routers by name.
+// forwardTo forwards requests to routers by name.
 func forwardTo(routers map[string]*Router) func(context.Context, string, Request) Result {
 	return func(ctx context.Context, peer string, req Request) Result {
-		time.Sleep(linkTime)
+		time.Sleep(peerDelay)
 		req.Local = true
 		res := routers[peer].Do(ctx, req)
-		time.Sleep(linkTime)
+		time.Sleep(peerDelay)
 		if ctx.Err() != nil && res.Outcome == Answered {
 			return Result{Outcome: Unknown, Reason: reason.PeerLost, Attempts: res.Attempts}
 		}
--- a/internal/route/pool.go
+++ b/internal/route/pool.go
@@ -14,56 +14,60 @@
 
 // Member is one runner of a pool.
 type Member struct {
-	// ID and Addr name the runner.
+	// ID is the runner's id and Addr its host:port.
 	ID   string
 	Addr string
-	// Slots is how many requests it may have at a time.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// Probing limits it to one request at a time.
+	// Probing limits the runner to one concurrent request.
 	Probing bool
-	// Slow keeps latency-critical requests away while others are free.
+	// Slow excludes the runner from latency-critical requests while others have
+	// a free slot.
 	Slow bool
 }
 
-// Policy has a pool's numbers.
+// Policy holds the queueing parameters of a pool.
 type Policy struct {
-	// QueueLimit bounds the waiters.
+	// QueueLimit is the maximum number of waiters; zero means no limit.
 	QueueLimit int
-	// BatchEvery gives batch one turn in so many while it waits.
+	// BatchEvery gives batch one of every BatchEvery turns while it waits; zero
+	// gives it a turn only when no latency-critical request waits.
 	BatchEvery int
 }
 
-// Pool hands out the slots of a service's runners. It knows every request
-// that it let onto a runner, binds a waiter to a runner only when a slot is
-// free, and refuses at once what cannot be done in time.
+// Pool assigns the slots of one service's runners to requests. It tracks every
+// request in flight on its runners, assigns a waiter to a runner only when a
+// slot is free, and refuses at once requests that cannot meet their deadline.
 type Pool struct {
-	// Pick chooses among members with a free slot; nil takes the one with
-	// the fewest requests. It gets each one's requests in flight.
+	// Pick chooses among members with a free slot; nil takes the one with the
+	// fewest requests in flight. busy returns the requests in flight on a
+	// member.
 	Pick func(free []Member, busy func(id string) int) Member
 
 	mu      sync.Mutex
 	policy  Policy
 	members map[string]*memberState
 	queue   classQueue
-	times   Times
-	// yield is the surplus of the window before the one begun at window.
-	yield  int
-	window time.Time
-	// near and far have what peers in this data centre, and in others, are
-	// said to have left.
-	near, far map[string]Load
+	times   ServiceTimes
+	// lastSurplus is the surplus of batch turns in the window before the one
+	// that began at surplusSince.
+	lastSurplus  int
+	surplusSince time.Time
+	// sameDC and otherDCs hold the remaining load that peers in this data
+	// centre and in others can take, by peer name.
+	sameDC, otherDCs map[string]Load
 }
 
 type memberState struct {
 	Member
 
-	busy int
-	gone bool
+	busy    int
+	removed bool
 }
 
-// Grant is one slot.
+// Grant is a slot held by one request until it is released.
 type Grant struct {
-	// Runner is whose slot it is.
+	// Runner is the runner that the slot belongs to.
 	Runner Member
 
 	pool  *Pool
@@ -71,12 +75,12 @@
 	once  sync.Once
 }
 
-// NewPool returns an empty pool.
+// NewPool returns a pool without members.
 func NewPool(pol Policy) *Pool {
 	return &Pool{policy: pol, members: map[string]*memberState{}}
 }
 
-// SetPolicy changes the numbers.
+// SetPolicy replaces the policy; it applies to later decisions.
 func (po *Pool) SetPolicy(pol Policy) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -84,7 +88,7 @@
 }
 
 // SetMembers replaces the runners. Requests in flight on a runner that is no
-// longer a member go on, and are counted if it comes back.
+// longer a member continue, and are counted again if it returns.
 func (po *Pool) SetMembers(members []Member) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -92,7 +96,7 @@
 	for _, me := range members {
 		listed[me.ID] = true
 		if ms := po.members[me.ID]; ms != nil {
-			ms.Member, ms.gone = me, false
+			ms.Member, ms.removed = me, false
 			continue
 		}
 		po.members[me.ID] = &memberState{Member: me}
@@ -101,7 +105,7 @@
 		if listed[id] {
 			continue
 		}
-		ms.gone = true
+		ms.removed = true
 		if ms.busy == 0 {
 			delete(po.members, id)
 		}
@@ -109,18 +113,18 @@
 	po.dispatch()
 }
 
-// SetPeers tells what each peer is said to have left; near are in this data
-// centre, far elsewhere. The pool keeps the maps, and takes from them what it
-// passes on.
-func (po *Pool) SetPeers(near, far map[string]Load) {
+// SetPeers sets the load reported by each peer in this data centre and in
+// others. The pool keeps the maps and deducts from them the requests it
+// forwards.
+func (po *Pool) SetPeers(sameDC, otherDCs map[string]Load) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.near, po.far = near, far
-	po.evenOut()
+	po.sameDC, po.otherDCs = sameDC, otherDCs
+	po.balanceBatch()
 	po.dispatch()
 }
 
-// Busy returns the requests in flight on a runner.
+// Busy returns the number of requests in flight on a runner.
 func (po *Pool) Busy(id string) int {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -137,34 +141,35 @@
 	return ms.Slots
 }
 
-// Ask is a request for a slot.
-type Ask struct {
-	// Class, Method and Deadline are the request's.
+// SlotRequest describes a request that needs a slot.
+type SlotRequest struct {
+	// Class, Method and Deadline are those of the request.
 	Class    runner.Class
 	Method   string
 	Deadline time.Time
-	// Avoid are runners tried before; they are taken only if nothing else
-	// is left.
+	// Avoid holds the ids of runners tried before; they are used only if no
+	// other runner has a free slot.
 	Avoid map[string]bool
-	// Local keeps the request from being passed to a peer.
+	// Local prevents the request from being forwarded to a peer.
 	Local bool
 }
 
-// Refusal says that no slot was to be had.
+// Refusal says why no slot was granted.
 type Refusal struct {
-	// Reason says why.
+	// Reason is the cause; [reason.None] means that there is no refusal.
 	Reason reason.Reason
-	// RetryAfter says when to come back.
+	// RetryAfter is the delay after which to try again.
 	RetryAfter time.Duration
 }
 
 // Acquire takes a slot, waiting for one as long as the deadline allows. It
-// returns a grant, or the peer that is to serve the request, or a refusal.
-func (po *Pool) Acquire(ctx context.Context, ask Ask) (*Grant, string, Refusal) {
+// returns a grant, or the name of the peer that is to serve the request, or a
+// refusal.
+func (po *Pool) Acquire(ctx context.Context, sr SlotRequest) (*Grant, string, Refusal) {
 	po.mu.Lock()
 	wa := &waiter{
-		class: ask.Class, deadline: ask.Deadline, needs: po.times.Needs(ask.Method),
-		avoid: ask.Avoid, local: ask.Local, got: make(chan turn, 1), index: -1,
+		class: sr.Class, deadline: sr.Deadline, minTime: po.times.Tail(sr.Method),
+		avoid: sr.Avoid, local: sr.Local, assigned: make(chan assignment, 1), index: -1,
 	}
 	if refuse := po.admit(wa); refuse != reason.None {
 		re := Refusal{Reason: refuse, RetryAfter: po.drainTime()}
@@ -177,37 +182,37 @@
 	return po.await(ctx, wa)
 }
 
-// TryAcquire takes a slot of an own runner not tried before, if one is free
-// and nobody waits.
-func (po *Pool) TryAcquire(ask Ask) *Grant {
+// TryAcquire takes a slot of an own runner that was not tried before. It
+// returns nil if none is free or if requests are queued.
+func (po *Pool) TryAcquire(sr SlotRequest) *Grant {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	if po.queue.len() > 0 {
 		return nil
 	}
-	ms := po.free(&waiter{class: ask.Class, avoid: ask.Avoid})
-	if ms == nil || ask.Avoid[ms.ID] {
+	ms := po.freeMember(&waiter{class: sr.Class, avoid: sr.Avoid})
+	if ms == nil || sr.Avoid[ms.ID] {
 		return nil
 	}
 	ms.busy++
 	return &Grant{Runner: ms.Member, pool: po, state: ms}
 }
 
-// hedgeAfter returns the time after which an answer is later than nearly all;
-// 0 if that is not known.
-func (po *Pool) hedgeAfter(method string) time.Duration {
+// hedgeDelay returns the time within which 99.9 percent of answers arrive; 0 if
+// it is not known.
+func (po *Pool) hedgeDelay(method string) time.Duration {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	return po.times.Needs(method)
+	return po.times.Tail(method)
 }
 
 func (po *Pool) await(ctx context.Context, wa *waiter) (*Grant, string, Refusal) {
-	ti := time.NewTimer(time.Until(wa.deadline.Add(-wa.needs)))
+	ti := time.NewTimer(time.Until(wa.deadline.Add(-wa.minTime)))
 	defer ti.Stop()
 	why := reason.Expired
 	select {
-	case tu := <-wa.got:
-		return po.answerTurn(tu)
+	case as := <-wa.assigned:
+		return po.assignmentResult(as)
 	case <-ctx.Done():
 		why = reason.CallerGone
 	case <-ti.C:
@@ -217,49 +222,50 @@
 	re := Refusal{Reason: why, RetryAfter: po.drainTime()}
 	po.mu.Unlock()
 	if !removed {
-		// A turn came in the same moment; it is used, not lost.
-		return po.answerTurn(<-wa.got)
+		// A slot was assigned at the same moment; it must be used or it would
+		// leak.
+		return po.assignmentResult(<-wa.assigned)
 	}
 	return nil, "", re
 }
 
-func (po *Pool) answerTurn(tu turn) (*Grant, string, Refusal) {
-	if tu.refuse == reason.None {
-		return tu.grant, tu.peer, Refusal{}
+func (po *Pool) assignmentResult(as assignment) (*Grant, string, Refusal) {
+	if as.refuse == reason.None {
+		return as.grant, as.peer, Refusal{}
 	}
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	return nil, "", Refusal{Reason: tu.refuse, RetryAfter: po.drainTime()}
+	return nil, "", Refusal{Reason: as.refuse, RetryAfter: po.drainTime()}
 }
 
-// admit says whether a waiter may queue: there is a runner at all, room in
-// the queue, and a chance to be in time.
+// admit decides whether a waiter may queue: there must be a runner, space in
+// the queue, and enough time to meet the deadline.
 func (po *Pool) admit(wa *waiter) reason.Reason {
 	slots := po.slots()
 	if slots == 0 && (wa.local || !po.peerHasSlot()) {
 		return reason.NoRunner
 	}
 	left := time.Until(wa.deadline)
-	if left < wa.needs {
+	if left < wa.minTime {
 		return reason.TooLate
 	}
 	if po.queue.len() == 0 {
 		return reason.None
 	}
-	if po.policy.QueueLimit > 0 && po.queue.len() >= po.policy.QueueLimit && !po.displace(wa.class) {
+	if po.policy.QueueLimit > 0 && po.queue.len() >= po.policy.QueueLimit && !po.evictBatchWaiter(wa.class) {
 		return reason.QueueFull
 	}
 	ahead := po.queue.ahead(wa.class, wa.deadline)
 	wait := po.times.Mean() * time.Duration(ahead) / time.Duration(max(1, slots))
-	if wait+wa.needs > left {
+	if wait+wa.minTime > left {
 		return reason.TooLate
 	}
 	return reason.None
 }
 
-// displace makes room in a full queue for a latency-critical waiter: the batch
-// waiter whose deadline is last is refused in its place.
-func (po *Pool) displace(class runner.Class) bool {
+// evictBatchWaiter frees a place in a full queue for a latency-critical waiter
+// by refusing the batch waiter with the latest deadline.
+func (po *Pool) evictBatchWaiter(class runner.Class) bool {
 	batch := po.queue.heaps[runner.Batch]
 	if class == runner.Batch || len(batch) == 0 {
 		return false
@@ -271,30 +277,30 @@
 		}
 	}
 	po.queue.remove(last)
-	last.got <- turn{refuse: reason.QueueFull}
+	last.assigned <- assignment{refuse: reason.QueueFull}
 	return true
 }
 
 func (po *Pool) slots() int {
 	n := 0
 	for _, ms := range po.members {
-		if !ms.gone {
+		if !ms.removed {
 			n += ms.limit()
 		}
 	}
 	return n
 }
 
-// minRetryAfter keeps refused callers from coming back at once.
+// minRetryAfter prevents refused callers from retrying immediately.
 const minRetryAfter = 50 * time.Millisecond
 
-// drainTime estimates when the queue of now is served.
+// drainTime estimates how long it takes to serve the current queue.
 func (po *Pool) drainTime() time.Duration {
 	wait := po.times.Mean() * time.Duration(po.queue.len()+1) / time.Duration(max(1, po.slots()))
 	return max(minRetryAfter, wait)
 }
 
-// dispatch gives turns as long as there is a waiter and a free slot, here or
+// dispatch assigns slots as long as there is a waiter and a free slot, here or
 // at a peer.
 func (po *Pool) dispatch() {
 	for {
@@ -303,50 +309,51 @@
 			return
 		}
 		wa := po.queue.heaps[class][0]
-		if time.Until(wa.deadline) < wa.needs {
+		if time.Until(wa.deadline) < wa.minTime {
 			heap.Pop(&po.queue.heaps[class])
-			wa.got <- turn{refuse: reason.Expired}
+			wa.assigned <- assignment{refuse: reason.Expired}
 			continue
 		}
-		tu, ok := po.turnFor(wa)
+		as, ok := po.assign(wa)
 		if !ok {
 			return
 		}
 		heap.Pop(&po.queue.heaps[class])
-		po.queue.took(class)
-		wa.got <- tu
+		po.queue.recordTurn(class)
+		wa.assigned <- as
 	}
 }
 
-func (po *Pool) turnFor(wa *waiter) (turn, bool) {
-	if ms := po.free(wa); ms != nil {
+func (po *Pool) assign(wa *waiter) (assignment, bool) {
+	if ms := po.freeMember(wa); ms != nil {
 		ms.busy++
-		return turn{grant: &Grant{Runner: ms.Member, pool: po, state: ms}}, true
+		return assignment{grant: &Grant{Runner: ms.Member, pool: po, state: ms}}, true
 	}
 	if wa.local {
-		return turn{}, false
+		return assignment{}, false
 	}
-	ki := evening
+	sk := spillBalance
 	if wa.class == runner.LatencyCritical {
-		ki = plain
-		if len(po.queue.heaps[wa.class]) > po.slots()/yieldFrom {
-			ki = yielding
+		sk = spillFree
+		if len(po.queue.heaps[wa.class]) > po.slots()/batchTurnDivisor {
+			sk = spillBatchTurns
 		}
 	}
-	for _, peers := range []map[string]Load{po.near, po.far} {
-		if peer := mostLeft(peers, ki); peer != "" {
-			peers[peer] = peers[peer].less(ki)
-			return turn{peer: peer}, true
+	for _, peers := range []map[string]Load{po.sameDC, po.otherDCs} {
+		if peer := mostAvailable(peers, sk); peer != "" {
+			peers[peer] = peers[peer].afterSpill(sk)
+			return assignment{peer: peer}, true
 		}
 	}
-	return turn{}, false
+	return assignment{}, false
 }
 
-// free returns the member to use, or nil if none has a free slot that suits.
-func (po *Pool) free(wa *waiter) *memberState {
+// freeMember returns the member to use, or nil if none has a free slot. Slow
+// members and those tried before are used only if there is no other.
+func (po *Pool) freeMember(wa *waiter) *memberState {
 	var fit, slow, tried []Member
 	for _, ms := range po.members {
-		if ms.gone || ms.busy >= ms.limit() {
+		if ms.removed || ms.busy >= ms.limit() {
 			continue
 		}
 		switch {
@@ -386,15 +393,16 @@
 	return best
 }
 
-// Release gives the slot back. Evidence and time are of the request that had
-// it; the time counts if it was answered.
+// Release returns the slot. ev is the result of the request that held it; took
+// counts towards the service times only if the request was answered. Further
+// calls have no effect.
 func (gr *Grant) Release(method string, ev upstream.Evidence, took time.Duration) {
 	gr.once.Do(func() {
 		po := gr.pool
 		po.mu.Lock()
 		defer po.mu.Unlock()
 		gr.state.busy--
-		if gr.state.gone && gr.state.busy == 0 && po.members[gr.Runner.ID] == gr.state {
+		if gr.state.removed && gr.state.busy == 0 && po.members[gr.Runner.ID] == gr.state {
 			delete(po.members, gr.Runner.ID)
 		}
 		if ev == upstream.Answered {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,16 +1,17 @@
-// Package route takes a request from its arrival to its final word: which
-// runner, when, how often, and what is known at the end.
+// Package route serves a request from its arrival to its final result: it
+// selects the runner and the time, retries and hedges attempts, and reports
+// what is known about the request at the end.
 //
-// Each runner has one primary entry host in its data centre, which alone
-// sends it work and so knows its load exactly ([Subsets]). A request waits in
-// the [Pool] of its entry host and is bound to a runner only when a slot is
-// free; when a peer has free slots and this host has none, the peer serves
-// it. A request ends as answered, not run or unknown. Not run is said only if
-// every attempt certainly did not run; a request marked run-once is tried
-// again only after such an attempt.
+// Each runner has one primary entry host in its data centre (see package
+// spread), which alone sends it requests and therefore knows its load exactly.
+// A request waits in the [Pool] of its entry host and is assigned to a runner
+// only when a slot is free; if a peer has free slots and this host has none,
+// the peer serves it. A request ends as answered, not run or unknown. It ends
+// as not run only if no attempt can have run; a request marked run-once is
+// retried only after such an attempt.
 //
-// The package holds nothing back: what is given up is told at once, with when
-// to come back.
+// A request that cannot be served in time is refused as soon as that is known,
+// with a delay after which to retry.
 package route
 
 import (
@@ -25,72 +26,75 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// Outcome says what is known of a request at its end.
+// Outcome is what is known about a request at its end.
 type Outcome string
 
-// The outcomes.
+// Possible outcomes.
 const (
-	// Answered: the answer is whole and the request's own.
+	// Answered: the answer is complete and belongs to the request.
 	Answered Outcome = "answered"
-	// NotRun: no runner ran the request.
+	// NotRun: no runner executed the request.
 	NotRun Outcome = "not-run"
-	// Unknown: a runner may have run it.
+	// Unknown: a runner may have executed the request.
 	Unknown Outcome = "unknown"
 )
 
-// Request is one request to serve.
+// Request is a request to serve.
 type Request struct {
 	runner.Request
 
 	// Once marks a request that must run at most once.
 	Once bool
-	// Local keeps it from being passed to a peer.
+	// Local prevents the request from being forwarded to a peer.
 	Local bool
 }
 
-// Result is the final word on a request.
+// Result is the final result of a request.
 type Result struct {
-	// Outcome says what is known.
+	// Outcome is what is known about the request.
 	Outcome Outcome `json:"outcome"`
 	// Reason says why it was not answered.
 	Reason reason.Reason `json:"reason,omitempty"`
-	// RetryAfter says when to come back; zero: do not.
+	// RetryAfter is the delay after which to retry; zero means that a retry
+	// cannot succeed.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 	// Body is the answer.
 	Body []byte `json:"body,omitempty"`
-	// Runner answered.
+	// Runner is the id of the runner that answered.
 	Runner string `json:"runner,omitempty"`
-	// Attempts counts the runners that were sent the request.
+	// Attempts is the number of times the request was sent to a runner.
 	Attempts int `json:"attempts"`
 }
 
-// NotRunResult is the result of a request refused before any attempt.
+// NotRunResult returns the result of a request refused before any attempt.
 func NotRunResult(why reason.Reason, retryAfter time.Duration) Result {
 	return Result{Outcome: NotRun, Reason: why, RetryAfter: retryAfter}
 }
 
-// maxAttempts bounds the runners tried for one request.
+// maxAttempts limits the runners tried for one request.
 const maxAttempts = 6
 
-// fullHold is how long a slot is left alone after its runner said that it
-// was full.
-const fullHold = 10 * time.Millisecond
+// fullCooldown is how long a slot stays unused after its runner refused a
+// request because it was full.
+const fullCooldown = 10 * time.Millisecond
 
-// Router serves requests. Set the fields before use; make no copies.
+// Router serves the requests of all services. Set the exported fields before
+// use; it must not be copied.
 type Router struct {
-	// Runners talks to runners.
+	// Runners sends requests to runners.
 	Runners runner.Client
-	// Registry gets the evidence.
+	// Registry receives the result of each attempt as evidence on the runner;
+	// it may be nil.
 	Registry *upstream.Registry
-	// Forward passes a request to a peer, to be served there.
+	// Forward passes a request to a peer that is to serve it.
 	Forward func(ctx context.Context, peer string, req Request) Result
-	// Metrics counts; nil does not.
+	// Metrics may be nil.
 	Metrics *telemetry.Metrics
-	// Budget bounds retries.
+	// Budget limits retries and hedged attempts.
 	Budget Budget
-	// NoHedge turns hedging off.
+	// NoHedge disables hedging.
 	NoHedge bool
-	// NewPool makes a service's pool; nil takes [NewPool].
+	// NewPool creates the pool of a service; nil means [NewPool].
 	NewPool func(Policy) *Pool
 
 	mu     sync.Mutex
@@ -98,14 +102,14 @@
 	pools  map[string]*Pool
 }
 
-// Pool returns the pool of a service, or nil.
+// Pool returns the pool of a service, or nil if the service is not known.
 func (ro *Router) Pool(service string) *Pool {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	return ro.pools[service]
 }
 
-// SetPolicy changes the numbers of all pools.
+// SetPolicy replaces the policy of all pools.
 func (ro *Router) SetPolicy(pol Policy) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -115,8 +119,8 @@
 	}
 }
 
-// SetMembers replaces the runners of all services. A service that is left
-// out keeps an empty pool, so that its name stays known.
+// SetMembers replaces the runners of all services. A service that is missing
+// keeps an empty pool, so that it stays known.
 func (ro *Router) SetMembers(members map[string][]Member) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -140,17 +144,17 @@
 	return NewPool(ro.policy)
 }
 
-// SetPeers tells what each peer said of its load, per service; near are in
-// this data centre, far elsewhere.
-func (ro *Router) SetPeers(near, far map[string]map[string]Load) {
+// SetPeers sets the load of each service reported by each peer in this data
+// centre and in others, by peer name and service.
+func (ro *Router) SetPeers(sameDC, otherDCs map[string]map[string]Load) {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
 	for service, po := range ro.pools {
-		po.SetPeers(loadsOf(near, service), loadsOf(far, service))
+		po.SetPeers(loadsOf(sameDC, service), loadsOf(otherDCs, service))
 	}
 }
 
-// loadsOf returns the load of one service at each peer that has it.
+// loadsOf returns the load of one service at each peer that has the service.
 func loadsOf(peers map[string]map[string]Load, service string) map[string]Load {
 	loads := map[string]Load{}
 	for peer, all := range peers {
@@ -161,7 +165,7 @@
 	return loads
 }
 
-// Loads returns the load of every service.
+// Loads returns the load of each service.
 func (ro *Router) Loads() map[string]Load {
 	ro.mu.Lock()
 	defer ro.mu.Unlock()
@@ -179,87 +183,90 @@
 		return NotRunResult(reason.NoRunner, minRetryAfter)
 	}
 	ctx, cancel := context.WithDeadline(ctx, req.Deadline)
-	ro.Budget.Earn()
-	tr := &trial{ro: ro, po: po, req: req, cancel: cancel, ask: Ask{
+	ro.Budget.Deposit()
+	ex := &execution{ro: ro, po: po, req: req, cancel: cancel, slotReq: SlotRequest{
 		Class: req.Class, Method: req.Method, Deadline: req.Deadline, Local: req.Local,
 	}}
-	res := tr.serve(ctx)
-	if !tr.outlived {
+	res := ex.serve(ctx)
+	if !ex.hedgeRunning {
 		cancel()
 	}
 	return res
 }
 
-// trial is one request on its way.
-type trial struct {
-	ro     *Router
-	po     *Pool
-	req    Request
-	ask    Ask
-	cancel context.CancelFunc
-	// outlived is set if a slower attempt goes on after the request's end,
-	// so that its slot is counted for as long as it is in use.
-	outlived bool
-	// sent counts runners sent the request, passed counts peers asked.
-	sent   int
-	passed int
-	// maybe is set once an attempt may have run.
-	maybe bool
+// execution is the state of one request being served.
+type execution struct {
+	ro      *Router
+	po      *Pool
+	req     Request
+	slotReq SlotRequest
+	cancel  context.CancelFunc
+	// hedgeRunning is set if the slower attempt of a hedged request is still
+	// running when the request ends, so that its slot counts as busy until it
+	// has ended.
+	hedgeRunning bool
+	// sent counts attempts at runners, forwarded counts peers asked.
+	sent      int
+	forwarded int
+	// mayHaveRun is set once an attempt may have run.
+	mayHaveRun bool
 }
 
-// attempt is what came of one attempt.
+// attempt is the result of one attempt.
 type attempt struct {
 	Result
 
-	// retry is the reason to count if it is tried again; empty forbids it.
-	retry reason.Reason
-	// free attempts cost nothing of the budget: a refusal at once by a
-	// runner that is full or leaving.
-	free bool
+	// retryReason is the reason counted for a retry; [reason.None] forbids a
+	// retry.
+	retryReason reason.Reason
+	// unbudgeted attempts cost nothing of the retry budget: immediate refusals
+	// by a runner that is full or leaving, or by a peer.
+	unbudgeted bool
 }
 
-func (tr *trial) serve(ctx context.Context) Result {
+func (ex *execution) serve(ctx context.Context) Result {
 	for {
-		gr, peer, refusal := tr.po.Acquire(ctx, tr.ask)
+		gr, peer, refusal := ex.po.Acquire(ctx, ex.slotReq)
 		if refusal.Reason != reason.None {
-			return tr.end(NotRunResult(refusal.Reason, refusal.RetryAfter))
+			return ex.finish(NotRunResult(refusal.Reason, refusal.RetryAfter))
 		}
 		var at attempt
 		if peer != "" {
-			at = tr.pass(ctx, peer)
+			at = ex.forward(ctx, peer)
 		} else {
-			at = tr.run(ctx, gr)
+			at = ex.run(ctx, gr)
 		}
 		if at.Outcome == Answered {
-			return tr.end(at.Result)
+			return ex.finish(at.Result)
 		}
-		tr.maybe = tr.maybe || at.Outcome == Unknown
-		if final, stop := tr.stop(ctx, at); stop {
+		ex.mayHaveRun = ex.mayHaveRun || at.Outcome == Unknown
+		if final, isFinal := ex.isFinal(ctx, at); isFinal {
 			return final
 		}
-		tr.ro.Metrics.RecordRetry(at.retry)
+		ex.ro.Metrics.RecordRetry(at.retryReason)
 	}
 }
 
-// stop says whether the request ends with this attempt.
-func (tr *trial) stop(ctx context.Context, at attempt) (Result, bool) {
+// isFinal reports whether the request ends with this attempt, and with which
+// result.
+func (ex *execution) isFinal(ctx context.Context, at attempt) (Result, bool) {
 	switch {
-	case at.retry == reason.None, tr.req.Once && tr.maybe, ctx.Err() != nil:
-		return tr.end(at.Result), true
-	case tr.sent >= maxAttempts:
+	case at.retryReason == reason.None, ex.req.Once && ex.mayHaveRun, ctx.Err() != nil:
+		return ex.finish(at.Result), true
+	case ex.sent >= maxAttempts:
 		at.Reason = reason.AllRefused
-		return tr.end(at.Result), true
-	case !at.free && !tr.ro.Budget.Spend():
+		return ex.finish(at.Result), true
+	case !at.unbudgeted && !ex.ro.Budget.TryWithdraw():
 		at.Reason = reason.RetryBudget
-		return tr.end(at.Result), true
+		return ex.finish(at.Result), true
 	}
 	return Result{}, false
 }
 
-// end makes the final word of the last result.
-func (tr *trial) end(res Result) Result {
-	res.Attempts = tr.sent
-	if res.Outcome == NotRun && tr.maybe {
+// finish completes the last result with what is known of all attempts.
+func (ex *execution) finish(res Result) Result {
+	res.Attempts = ex.sent
+	if res.Outcome == NotRun && ex.mayHaveRun {
 		res.Outcome = Unknown
 	}
 	if res.Outcome != Answered && res.RetryAfter == 0 {
@@ -268,37 +275,37 @@
 	return res
 }
 
-// pass has a peer serve the request. A peer that refuses is asked no more
-// than twice, so that requests do not wander.
-func (tr *trial) pass(ctx context.Context, peer string) attempt {
-	tr.ro.Metrics.Add(telemetry.Spills, 1, "to", peer)
-	res := tr.ro.Forward(ctx, peer, tr.req)
-	tr.sent += res.Attempts
-	tr.passed++
-	if tr.passed >= 2 {
-		tr.ask.Local = true
+// forward has a peer serve the request. After two peers the request stays
+// local, so that it is not passed around endlessly.
+func (ex *execution) forward(ctx context.Context, peer string) attempt {
+	ex.ro.Metrics.Add(telemetry.Spills, 1, "to", peer)
+	res := ex.ro.Forward(ctx, peer, ex.req)
+	ex.sent += res.Attempts
+	ex.forwarded++
+	if ex.forwarded >= 2 {
+		ex.slotReq.Local = true
 	}
-	at := attempt{Result: res, retry: reason.RetryPeer, free: res.Outcome == NotRun}
+	at := attempt{Result: res, retryReason: reason.RetryPeer, unbudgeted: res.Outcome == NotRun}
 	if res.Reason == reason.Expired || res.Reason == reason.TooLate {
-		at.retry = reason.None
+		at.retryReason = reason.None
 	}
 	return at
 }
 
 // run sends the request to the runner whose slot was granted. If the answer
-// takes longer than nearly all do, a request that may run twice is sent to a
-// second runner, if one is free and the budget for retries allows, and the
-// first answer counts.
-func (tr *trial) run(ctx context.Context, gr *Grant) attempt {
-	after := tr.po.hedgeAfter(tr.req.Method)
-	if tr.ro.NoHedge || tr.req.Once || after == 0 {
-		tr.sending(gr)
-		return tr.send(ctx, gr)
+// takes longer than 99.9 percent of answers, a request that may run twice is
+// also sent to a second runner, provided that one is free and the retry budget
+// allows it. The first answer counts.
+func (ex *execution) run(ctx context.Context, gr *Grant) attempt {
+	after := ex.po.hedgeDelay(ex.req.Method)
+	if ex.ro.NoHedge || ex.req.Once || after == 0 {
+		ex.recordAttempt(gr)
+		return ex.send(ctx, gr)
 	}
 	results := make(chan attempt, 2)
 	launch := func(gr *Grant) {
-		tr.sending(gr)
-		go func() { results <- tr.send(ctx, gr) }()
+		ex.recordAttempt(gr)
+		go func() { results <- ex.send(ctx, gr) }()
 	}
 	launch(gr)
 	ti := time.NewTimer(after)
@@ -308,27 +315,28 @@
 		return at
 	case <-ti.C:
 	}
-	second := tr.po.TryAcquire(tr.ask)
+	second := ex.po.TryAcquire(ex.slotReq)
 	if second == nil {
 		return <-results
 	}
-	if !tr.ro.Budget.Spend() {
-		second.Release(tr.req.Method, upstream.Full, 0)
+	if !ex.ro.Budget.TryWithdraw() {
+		second.Release(ex.req.Method, upstream.Full, 0)
 		return <-results
 	}
-	tr.ro.Metrics.RecordRetry(reason.RetryHedge)
+	ex.ro.Metrics.RecordRetry(reason.RetryHedge)
 	launch(second)
-	return tr.better(<-results, results)
+	return ex.firstAnswer(<-results, results)
 }
 
-// better returns the first attempt if it was answered, or else waits for the
-// second. An attempt that may have run outweighs one that did not.
-func (tr *trial) better(first attempt, rest <-chan attempt) attempt {
+// firstAnswer returns the first attempt if it was answered, and otherwise
+// waits for the second. An attempt that may have run takes precedence over one
+// that did not.
+func (ex *execution) firstAnswer(first attempt, rest <-chan attempt) attempt {
 	if first.Outcome == Answered {
-		tr.outlived = true
+		ex.hedgeRunning = true
 		go func() {
 			<-rest
-			tr.cancel()
+			ex.cancel()
 		}()
 		return first
 	}
@@ -339,30 +347,30 @@
 	return second
 }
 
-// sending notes that a runner is sent the request.
-func (tr *trial) sending(gr *Grant) {
-	tr.sent++
-	tr.ro.Metrics.Add(telemetry.Attempts, 1)
-	if tr.ask.Avoid == nil {
-		tr.ask.Avoid = map[string]bool{}
+// recordAttempt counts an attempt at a runner, which later attempts avoid.
+func (ex *execution) recordAttempt(gr *Grant) {
+	ex.sent++
+	ex.ro.Metrics.Add(telemetry.Attempts, 1)
+	if ex.slotReq.Avoid == nil {
+		ex.slotReq.Avoid = map[string]bool{}
 	}
-	tr.ask.Avoid[gr.Runner.ID] = true
+	ex.slotReq.Avoid[gr.Runner.ID] = true
 }
 
-// send makes one attempt, and gives the slot back when it has ended.
-func (tr *trial) send(ctx context.Context, gr *Grant) attempt {
+// send makes one attempt and releases its slot afterwards.
+func (ex *execution) send(ctx context.Context, gr *Grant) attempt {
 	begun := time.Now()
-	ans, err := tr.ro.Runners.RunFunc(ctx, gr.Runner.Addr, tr.req.Request)
+	ans, err := ex.ro.Runners.RunFunc(ctx, gr.Runner.Addr, ex.req.Request)
 	took := time.Since(begun)
-	at, ev := judge(ctx, err)
-	tr.ro.report(gr.Runner.ID, ev, took)
-	if ans.Leaving && ev != upstream.SaidLeaving {
-		tr.ro.report(gr.Runner.ID, upstream.SaidLeaving, 0)
+	at, ev := classify(ctx, err)
+	ex.ro.report(gr.Runner.ID, ev, took)
+	if ans.Leaving && ev != upstream.ReportedLeaving {
+		ex.ro.report(gr.Runner.ID, upstream.ReportedLeaving, 0)
 	}
 	if ev == upstream.Full {
-		time.AfterFunc(fullHold, func() { gr.Release(tr.req.Method, ev, took) })
+		time.AfterFunc(fullCooldown, func() { gr.Release(ex.req.Method, ev, took) })
 	} else {
-		gr.Release(tr.req.Method, ev, took)
+		gr.Release(ex.req.Method, ev, took)
 	}
 	at.Body = ans.Body
 	at.Runner = gr.Runner.ID
@@ -375,44 +383,44 @@
 	}
 }
 
-// judge turns what the client returned into the outcome of the attempt and
-// the evidence on the runner.
-func judge(ctx context.Context, err error) (attempt, upstream.Evidence) {
+// classify derives the outcome of an attempt and the evidence on its runner
+// from the error of the client.
+func classify(ctx context.Context, err error) (attempt, upstream.Evidence) {
 	if err == nil {
 		return attempt{Result: Result{Outcome: Answered}}, upstream.Answered
 	}
 	var notRun *runner.NotRunError
 	if errors.As(err, &notRun) {
-		return judgeNotRun(ctx, notRun)
+		return classifyNotRun(ctx, notRun)
 	}
-	lost := attempt{Result: Result{Outcome: Unknown, Reason: reason.AnswerLost}, retry: reason.RetryLost}
+	lost := attempt{Result: Result{Outcome: Unknown, Reason: reason.AnswerLost}, retryReason: reason.RetryLost}
 	switch {
-	case errors.Is(err, runner.ErrForeignAnswer), errors.Is(err, runner.ErrNoStatus), errors.Is(err, runner.ErrNoEndMark):
-		lost.retry = reason.RetryForeign
-		return lost, upstream.Wrong
+	case errors.Is(err, runner.ErrIDMismatch), errors.Is(err, runner.ErrNoStatus), errors.Is(err, runner.ErrNoFraming):
+		lost.retryReason = reason.RetryForeign
+		return lost, upstream.InvalidAnswer
 	case ctx.Err() != nil:
-		return lost, upstream.GaveUp
+		return lost, upstream.Abandoned
 	}
-	return lost, upstream.Lost
+	return lost, upstream.AnswerLost
 }
 
-func judgeNotRun(ctx context.Context, err *runner.NotRunError) (attempt, upstream.Evidence) {
+func classifyNotRun(ctx context.Context, err *runner.NotRunError) (attempt, upstream.Evidence) {
 	at := attempt{Result: Result{Outcome: NotRun, Reason: reason.AllRefused}}
 	switch err.Reason {
 	case runner.ReasonFull:
-		at.retry, at.free = reason.RetryFull, true
+		at.retryReason, at.unbudgeted = reason.RetryFull, true
 		return at, upstream.Full
 	case runner.ReasonLeaving:
-		at.retry, at.free = reason.RetryLeaving, true
-		return at, upstream.SaidLeaving
+		at.retryReason, at.unbudgeted = reason.RetryLeaving, true
+		return at, upstream.ReportedLeaving
 	case "":
-		at.retry = reason.RetryConnect
+		at.retryReason = reason.RetryConnect
 		if ctx.Err() != nil {
 			at.Reason = reason.Expired
-			return at, upstream.GaveUp
+			return at, upstream.Abandoned
 		}
-		return at, upstream.Unreached
+		return at, upstream.Unreachable
 	}
-	at.retry = reason.RetryRefused
+	at.retryReason = reason.RetryRefused
 	return at, upstream.Refused
 }
--- a/internal/runner/client_test.go
+++ b/internal/runner/client_test.go
@@ -20,35 +20,35 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin"
 )
 
-// rig is a stand-in runner with a client of its own.
-type rig struct {
+// runnerHarness is a stand-in runner and a client for it.
+type runnerHarness struct {
 	ru   *standin.Runner
 	srv  *httptest.Server
 	cl   runner.Client
 	next int
 }
 
-func newRig(tb testing.TB) *rig {
+func newRunnerHarness(tb testing.TB) *runnerHarness {
 	tb.Helper()
 	ru := standin.NewRunner(standin.RunnerSettings{ID: "r1"})
 	srv := httptest.NewServer(ru.Handler())
 	tb.Cleanup(srv.Close)
-	return &rig{ru: ru, srv: srv, cl: runner.NewClient(runner.Limits{})}
+	return &runnerHarness{ru: ru, srv: srv, cl: runner.NewClient(runner.Limits{})}
 }
 
-func (ri *rig) addr() string { return strings.TrimPrefix(ri.srv.URL, "http://") }
+func (rh *runnerHarness) addr() string { return strings.TrimPrefix(rh.srv.URL, "http://") }
 
-// run sends a request with an id of its own and returns the id.
-func (ri *rig) run(ctx context.Context, body []byte) (string, runner.Answer, error) {
-	ri.next++
-	id := fmt.Sprintf("id%d", ri.next)
-	ans, err := ri.cl.RunFunc(ctx, ri.addr(), runner.Request{ID: id, Service: "s", Body: body, Deadline: time.Now().Add(time.Minute)})
+// run sends a request with a new id and returns the id.
+func (rh *runnerHarness) run(ctx context.Context, body []byte) (string, runner.Answer, error) {
+	rh.next++
+	id := fmt.Sprintf("id%d", rh.next)
+	ans, err := rh.cl.RunFunc(ctx, rh.addr(), runner.Request{ID: id, Service: "s", Body: body, Deadline: time.Now().Add(time.Minute)})
 	return id, ans, err
 }
 
-func (ri *rig) runs(id string) int {
+func (rh *runnerHarness) runs(id string) int {
 	n := 0
-	for _, run := range ri.ru.Log() {
+	for _, run := range rh.ru.Log() {
 		if run.ID == id {
 			n++
 		}
@@ -56,7 +56,7 @@
 	return n
 }
 
-// assertNotRun checks that the error says not run.
+// assertNotRun checks that the error is a NotRunError with the reason.
 func assertNotRun(c *qt.C, err error, reason string) {
 	c.Helper()
 	var notRun *runner.NotRunError
@@ -64,7 +64,7 @@
 	c.Assert(notRun.Reason, qt.Equals, reason)
 }
 
-// assertUnknown checks that the error says that the request may have run.
+// assertUnknown checks that the error is an UnknownError.
 func assertUnknown(c *qt.C, err error) {
 	c.Helper()
 	var unknown *runner.UnknownError
@@ -76,67 +76,67 @@
 	ctx := context.Background()
 	for _, mode := range []standin.Mode{standin.ModeCloseUnread, standin.ModeCloseRead, standin.ModeCloseRun, standin.ModeCut, standin.ModeWrong, standin.ModeForeign} {
 		c.Run(string(mode), func(c *qt.C) {
-			ri := newRig(c)
-			// The second goes over a connection that is kept, where net/http
-			// is quickest to try again.
+			rh := newRunnerHarness(c)
+			// The second iteration reuses a connection, where net/http is most
+			// likely to retry.
 			for range 2 {
-				ri.ru.Gate.Set(standin.Fault{})
-				_, _, err := ri.run(ctx, []byte("x"))
+				rh.ru.Gate.Set(standin.Fault{})
+				_, _, err := rh.run(ctx, []byte("x"))
 				c.Assert(err, qt.IsNil)
-				ri.ru.Gate.Set(standin.Fault{Mode: mode})
-				id, _, err := ri.run(ctx, []byte("x"))
+				rh.ru.Gate.Set(standin.Fault{Mode: mode})
+				id, _, err := rh.run(ctx, []byte("x"))
 				assertUnknown(c, err)
-				c.Assert(ri.runs(id) <= 1, qt.IsTrue)
+				c.Assert(rh.runs(id) <= 1, qt.IsTrue)
 			}
 		})
 	}
 	c.Run("refused", func(c *qt.C) {
-		ri := newRig(c)
-		ri.ru.Gate.Set(standin.Fault{Mode: standin.ModeRefuse})
-		_, _, err := ri.run(ctx, nil)
+		rh := newRunnerHarness(c)
+		rh.ru.Gate.Set(standin.Fault{Mode: standin.ModeRefuse})
+		_, _, err := rh.run(ctx, nil)
 		assertNotRun(c, err, "refuse")
 	})
 	c.Run("leaving", func(c *qt.C) {
-		ri := newRig(c)
-		ri.ru.Order(standin.RunnerOrder{Leave: true})
-		_, _, err := ri.run(ctx, nil)
+		rh := newRunnerHarness(c)
+		rh.ru.Order(standin.RunnerOrder{Leave: true})
+		_, _, err := rh.run(ctx, nil)
 		assertNotRun(c, err, runner.ReasonLeaving)
 	})
-	c.Run("nobody there", func(c *qt.C) {
-		ri := newRig(c)
-		ri.srv.Close()
-		_, _, err := ri.run(ctx, nil)
+	c.Run("no listener", func(c *qt.C) {
+		rh := newRunnerHarness(c)
+		rh.srv.Close()
+		_, _, err := rh.run(ctx, nil)
 		assertNotRun(c, err, "")
 	})
 }
 
-// TestOutcomesAreTrue sends requests under any sequence of faults and checks
-// every outcome against the runner's log.
-func TestOutcomesAreTrue(t *testing.T) {
+// TestOutcomesMatchRunnerLog sends requests under random sequences of faults
+// and checks every outcome against the runner's log.
+func TestOutcomesMatchRunnerLog(t *testing.T) {
 	modes := []standin.Mode{
 		standin.ModeOK, standin.ModeRefuse, standin.ModeWrong, standin.ModeForeign, standin.ModeCut,
 		standin.ModeCloseUnread, standin.ModeCloseRead, standin.ModeCloseRun, standin.ModeHang,
 	}
 	proptest.Check(t, proptest.Size{}, func(rt *rapid.T) {
-		ri := newRig(t)
-		defer ri.srv.Close()
+		rh := newRunnerHarness(t)
+		defer rh.srv.Close()
 		for range rapid.IntRange(1, 12).Draw(rt, "requests") {
 			mode := rapid.SampledFrom(modes).Draw(rt, "mode")
 			body := bytes.Repeat([]byte("b"), rapid.SampledFrom([]int{0, 1, 100, 100_000}).Draw(rt, "size"))
-			ri.ru.Gate.Set(standin.Fault{Mode: mode})
+			rh.ru.Gate.Set(standin.Fault{Mode: mode})
 			if rapid.Bool().Draw(rt, "close idle") {
-				ri.srv.CloseClientConnections()
+				rh.srv.CloseClientConnections()
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
-			id, ans, err := ri.run(ctx, body)
+			id, ans, err := rh.run(ctx, body)
 			cancel()
-			checkOutcome(rt, ri, id, body, ans, err)
+			checkOutcome(rt, rh, id, body, ans, err)
 		}
 	})
 }
 
-func checkOutcome(rt *rapid.T, ri *rig, id string, body []byte, ans runner.Answer, err error) {
-	runs := ri.runs(id)
+func checkOutcome(rt *rapid.T, rh *runnerHarness, id string, body []byte, ans runner.Answer, err error) {
+	runs := rh.runs(id)
 	var notRun *runner.NotRunError
 	switch {
 	case runs > 1:
@@ -144,13 +144,13 @@
 	case err == nil && !bytes.Equal(ans.Body, standin.Answer(id, body)):
 		rt.Fatalf("%s got a wrong answer", id)
 	case errors.As(err, &notRun) && runs > 0:
-		rt.Fatalf("%s was said not to have run, and did: %v", id, err)
+		rt.Fatalf("%s was reported as not run but ran: %v", id, err)
 	}
 }
 
-// TestNetHTTPWouldReplay shows the trap that the client avoids: a request
-// that net/http takes for replayable reaches a runner twice when the
-// connection is closed after reading, and ours does not.
+// TestNetHTTPWouldReplay shows why the client prevents replays: a request that
+// net/http considers replayable reaches a runner twice if the connection is
+// closed after the request was read; a request of the client does not.
 func TestNetHTTPWouldReplay(t *testing.T) {
 	c := qt.New(t)
 	var got atomic.Int64
@@ -177,7 +177,7 @@
 		}
 		c.Assert(got.Load(), qt.Equals, int64(3))
 	})
-	c.Run("as our client sends it", func(c *qt.C) {
+	c.Run("as the client sends it", func(c *qt.C) {
 		got.Store(0)
 		cl := runner.NewClient(runner.Limits{})
 		req := runner.Request{ID: "id", Body: []byte("x"), Deadline: time.Now().Add(time.Minute)}
--- a/internal/runner/stall_test.go
+++ b/internal/runner/stall_test.go
@@ -11,7 +11,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin/linetest"
 )
 
-func TestRunnerThatStandsStill(t *testing.T) {
+func TestStalledRunner(t *testing.T) {
 	ru := standin.NewRunner(standin.RunnerSettings{ID: "r1", Slots: 20, Tick: 10 * time.Millisecond})
 	hs := httptest.NewServer(ru.Handler())
 	t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
@@ -30,7 +30,7 @@
 	return err
 }
 
-// session reads a session until its second event.
+// session reads a session up to its second event.
 func session(ctx context.Context, cl runner.Client, addr string) error {
 	next, stop, err := cl.SessionFunc(ctx, addr, runner.SessionRequest{SessionID: "id", Topic: "t"})
 	if err != nil {
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	sent := time.Now()
-	ctx = hedge.With(ctx, hedge.Policy{After: pageHedgeDelay})
+	ctx = hedge.NewContext(ctx, hedge.Policy{After: pageHedgeDelay})
 	reply, err := pg.tbl.ReadFunc(ctx, ReadRequest{Prefix: pg.prefix, After: after, Limit: pg.limit})
 	return reply, time.Since(sent), err
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,12 +1,13 @@
-// Package upstream knows which runners may get work.
+// Package upstream decides which runners may get requests.
 //
-// Three sources speak of a runner: the platform's list, which lags and may be
-// away; the runner's own word, on its answers; and the evidence of requests
-// sent to it. The first to say "leaving" is believed. A runner whose requests
-// fail is set aside on evidence, for longer each time, and let back in one
-// request at a time; never are more than a part of a service's runners aside,
-// since then the fault is likely elsewhere. A list that cannot be read
-// changes nothing.
+// It combines three sources: the platform's list, which is delayed and may be
+// unavailable; the runner's own statement in its answers that it is leaving;
+// and the results of requests sent to it. A runner is leaving as soon as one
+// source says so. A runner whose requests fail is quarantined, twice as long
+// each time, and then gets one request at a time until enough have succeeded.
+// At most a fraction of a service's runners is quarantined at a time: if more
+// fail, the cause is probably not the runners. The list keeps its last content
+// while the platform cannot be read.
 package upstream
 
 import (
@@ -18,106 +19,113 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// State says whether a runner may get work.
+// State says whether a runner may get requests.
 type State string
 
-// The states.
+// Possible states.
 const (
-	// Live runners get work.
+	// Live runners get requests.
 	Live State = "live"
-	// Leaving runners get no new work.
+	// Leaving runners get no new requests.
 	Leaving State = "leaving"
-	// Aside runners get none for a while, on evidence.
-	Aside State = "aside"
-	// Probing runners get one request at a time.
+	// Quarantined runners get no requests for a limited time because their
+	// requests failed.
+	Quarantined State = "aside"
+	// Probing runners get one request at a time, after a quarantine or after
+	// reporting that they are leaving, until probesRequired have succeeded.
 	Probing State = "probing"
 )
 
-// Evidence is what came of one request sent to a runner.
+// Evidence is the result of one request sent to a runner.
 type Evidence int
 
-// The kinds of evidence.
+// Possible results.
 const (
-	// Answered: a whole answer came.
+	// Answered: a complete answer arrived.
 	Answered Evidence = iota
-	// Full: refused, because its slots were in use. It says nothing.
+	// Full: refused because all slots are in use; no sign of a fault.
 	Full
-	// SaidLeaving: the runner takes no new work.
-	SaidLeaving
-	// Refused: refused for a reason of the runner's own.
+	// ReportedLeaving: the runner takes no new requests.
+	ReportedLeaving
+	// Refused: refused for another reason given by the runner.
 	Refused
-	// Unreached: no connection.
-	Unreached
-	// Lost: no whole answer.
-	Lost
-	// Wrong: an answer that was not one.
-	Wrong
-	// GaveUp: the deadline passed or the caller left; it says little.
-	GaveUp
+	// Unreachable: the connection could not be made.
+	Unreachable
+	// AnswerLost: no complete answer arrived.
+	AnswerLost
+	// InvalidAnswer: the answer violates the protocol or belongs to another
+	// request.
+	InvalidAnswer
+	// Abandoned: the deadline passed or the caller left; weak evidence, as the
+	// cause may be the caller.
+	Abandoned
 )
 
-// The policy's numbers.
+// Parameters of quarantine and of the detection of slow runners. failureLimit
+// and abandonLimit count requests since the last answer.
 const (
-	badInARow     = 3
-	asideFirst    = time.Second
-	asideMost     = 30 * time.Second
-	probesToLive  = 3
-	leavingHold   = 30 * time.Second
-	slowFactor    = 3
-	slowSamples   = 20
-	latencyWeight = 0.1
-	gaveUpInARow  = 5
+	failureLimit      = 3
+	minQuarantineTime = time.Second
+	maxQuarantineTime = 30 * time.Second
+	probesRequired    = 3
+	leavingHold       = 30 * time.Second
+	slowFactor        = 3
+	slowSamples       = 20
+	latencyWeight     = 0.1
+	abandonLimit      = 5
 )
 
-// Runner is a runner as it is known now.
+// Runner is a runner with its current state.
 type Runner struct {
 	store.Host
 
-	// State says whether it may get work.
+	// State says whether it may get requests.
 	State State
-	// Slow is set while its answers take several times as long as those of
-	// the service's other runners.
+	// Slow is set while its answers take more than slowFactor times the median
+	// latency of the service's runners.
 	Slow bool
 }
 
-// record is what is kept of a runner.
+// record is the state kept for a runner.
 type record struct {
-	host      store.Host
-	leftUntil time.Time
-	bad       int
-	gaveUp    int
-	asides    int
-	asideTill time.Time
-	probing   bool
-	probesOK  int
-	latency   float64
-	samples   int
+	host             store.Host
+	leavingUntil     time.Time
+	failures         int
+	abandoned        int
+	quarantines      int
+	quarantinedUntil time.Time
+	probing          bool
+	probesOK         int
+	latency          float64
+	samples          int
 }
 
-// Registry keeps runners. The zero value is empty and ready.
+// Registry tracks the state of runners. The zero value is empty and ready for
+// use; it is safe for concurrent use.
 type Registry struct {
-	// Changed is called, unlocked, after a runner's state may have changed.
+	// Changed is called without the lock held after a runner's state may have
+	// changed.
 	Changed func()
 
 	mu   sync.Mutex
 	recs map[string]*record
-	// maxAside is the part of a service's runners in a data centre that may
-	// be aside at a time.
-	maxAside float64
+	// quarantineLimit is the fraction of a service's runners in a data centre
+	// that may be quarantined at a time; zero means the default.
+	quarantineLimit float64
 }
 
-// defaultMaxAside holds until another is set.
-const defaultMaxAside = 0.5
+// defaultQuarantineLimit applies until SetQuarantineLimit is called.
+const defaultQuarantineLimit = 0.5
 
-// SetMaxAside changes the part of a service's runners in a data centre that
-// may be aside at a time; zero means a half.
-func (re *Registry) SetMaxAside(part float64) {
+// SetQuarantineLimit sets the fraction of a service's runners in a data centre
+// that may be quarantined at a time; zero means a half.
+func (re *Registry) SetQuarantineLimit(fraction float64) {
 	re.mu.Lock()
 	defer re.mu.Unlock()
-	re.maxAside = part
+	re.quarantineLimit = fraction
 }
 
-// SetList takes the platform's list of runners.
+// SetList replaces the list of runners; hosts of other kinds are ignored.
 func (re *Registry) SetList(hosts []store.Host) {
 	re.mu.Lock()
 	if re.recs == nil {
@@ -130,7 +138,8 @@
 		}
 		listed[ho.ID] = true
 		rec := re.recs[ho.ID]
-		// A new address is a new process: what was known of the old is void.
+		// A new address is a new process: the record of the old one no longer
+		// applies.
 		if rec == nil || rec.host.Addr != ho.Addr {
 			rec = &record{}
 			re.recs[ho.ID] = rec
@@ -152,14 +161,15 @@
 	}
 }
 
-// Report takes the evidence of one request. Took is the time of an answer.
+// Report records the result of one request; took is the service time of an
+// answer. Unknown ids are ignored.
 func (re *Registry) Report(id string, ev Evidence, took time.Duration) {
 	re.mu.Lock()
 	rec := re.recs[id]
 	changed := false
 	if rec != nil {
 		before := rec.state(time.Now())
-		re.judge(rec, ev, took)
+		re.evaluate(rec, ev, took)
 		changed = rec.state(time.Now()) != before
 	}
 	re.mu.Unlock()
@@ -168,33 +178,34 @@
 	}
 }
 
-func (re *Registry) judge(rec *record, ev Evidence, took time.Duration) {
+func (re *Registry) evaluate(rec *record, ev Evidence, took time.Duration) {
 	now := time.Now()
 	switch ev {
 	case Answered:
-		rec.good(took)
+		rec.recordAnswer(took)
 	case Full:
-	case SaidLeaving:
-		rec.leftUntil = now.Add(leavingHold)
+	case ReportedLeaving:
+		rec.leavingUntil = now.Add(leavingHold)
 		rec.probing = true
 		rec.probesOK = 0
-	case GaveUp:
-		// A hanging runner shows only so; a slow caller shows the same once.
-		rec.gaveUp++
-		if rec.gaveUp >= gaveUpInARow || rec.probing {
-			re.setAside(rec, now)
+	case Abandoned:
+		// A runner that hangs shows only in repeated abandoned requests; a
+		// single one may be due to the caller.
+		rec.abandoned++
+		if rec.abandoned >= abandonLimit || rec.probing {
+			re.quarantine(rec, now)
 		}
-	case Refused, Unreached, Lost, Wrong:
-		rec.bad++
-		if rec.bad >= badInARow || rec.probing {
-			re.setAside(rec, now)
+	case Refused, Unreachable, AnswerLost, InvalidAnswer:
+		rec.failures++
+		if rec.failures >= failureLimit || rec.probing {
+			re.quarantine(rec, now)
 		}
 	}
 }
 
-func (rec *record) good(took time.Duration) {
-	rec.bad = 0
-	rec.gaveUp = 0
+func (rec *record) recordAnswer(took time.Duration) {
+	rec.failures = 0
+	rec.abandoned = 0
 	rec.samples++
 	if rec.samples == 1 {
 		rec.latency = took.Seconds()
@@ -204,85 +215,87 @@
 		return
 	}
 	rec.probesOK++
-	if rec.probesOK >= probesToLive {
+	if rec.probesOK >= probesRequired {
 		rec.probing = false
-		rec.asides = 0
+		rec.quarantines = 0
 	}
 }
 
-// setAside takes a runner out for a while, unless too many are out already.
-func (re *Registry) setAside(rec *record, now time.Time) {
-	if !rec.probing && !re.mayAside(rec, now) {
+// quarantine excludes a runner for a limited time, unless the quarantine limit
+// has been reached.
+func (re *Registry) quarantine(rec *record, now time.Time) {
+	if !rec.probing && !re.mayQuarantine(rec, now) {
 		return
 	}
-	pause := asideFirst << min(rec.asides, 10)
-	rec.asideTill = now.Add(min(pause, asideMost))
-	rec.asides++
+	duration := minQuarantineTime << min(rec.quarantines, 10)
+	rec.quarantinedUntil = now.Add(min(duration, maxQuarantineTime))
+	rec.quarantines++
 	rec.probing = true
 	rec.probesOK = 0
-	rec.bad = 0
-	rec.gaveUp = 0
+	rec.failures = 0
+	rec.abandoned = 0
 }
 
-func (re *Registry) mayAside(rec *record, now time.Time) bool {
-	all, out := 0, 0
+func (re *Registry) mayQuarantine(rec *record, now time.Time) bool {
+	all, unavailable := 0, 0
 	for _, other := range re.recs {
 		if other.host.Service != rec.host.Service || other.host.DC != rec.host.DC {
 			continue
 		}
 		all++
 		if other.probing || other.state(now) == Leaving {
-			out++
+			unavailable++
 		}
 	}
-	limit := re.maxAside
+	limit := re.quarantineLimit
 	if limit == 0 {
-		limit = defaultMaxAside
+		limit = defaultQuarantineLimit
 	}
-	return float64(out+1) <= limit*float64(all)
+	return float64(unavailable+1) <= limit*float64(all)
 }
 
-// state returns the state at a moment. A runner that said it is leaving and
-// is still listed as live is tried again after a hold, as a probe.
+// state returns the state at a given time. A runner that reported that it is
+// leaving and is still listed as live is probed after leavingHold.
 func (rec *record) state(now time.Time) State {
 	switch {
-	case rec.host.State == store.HostLeaving, now.Before(rec.leftUntil):
+	case rec.host.State == store.HostLeaving, now.Before(rec.leavingUntil):
 		return Leaving
-	case now.Before(rec.asideTill):
-		return Aside
+	case now.Before(rec.quarantinedUntil):
+		return Quarantined
 	case rec.probing:
 		return Probing
 	}
 	return Live
 }
 
-// Runners returns all runners in order of id.
+// Runners returns all runners ordered by id.
 func (re *Registry) Runners() []Runner {
 	re.mu.Lock()
 	defer re.mu.Unlock()
 	now := time.Now()
-	usual := re.usualLatency()
+	median := re.medianLatency()
 	runners := make([]Runner, 0, len(re.recs))
 	for _, rec := range re.recs {
-		slow := rec.samples >= slowSamples && rec.latency > slowFactor*usual[rec.host.Service]
+		slow := rec.samples >= slowSamples && rec.latency > slowFactor*median[rec.host.Service]
 		runners = append(runners, Runner{Host: rec.host, State: rec.state(now), Slow: slow})
 	}
 	slices.SortFunc(runners, func(a, b Runner) int { return cmp.Compare(a.ID, b.ID) })
 	return runners
 }
 
-// usualLatency returns each service's median of its runners' latencies.
-func (re *Registry) usualLatency() map[string]float64 {
+// medianLatency returns the median of the runners' latencies, in seconds, for
+// each service.
+func (re *Registry) medianLatency() map[string]float64 {
 	all := map[string][]float64{}
 	for _, rec := range re.recs {
 		if rec.samples >= slowSamples {
 			all[rec.host.Service] = append(all[rec.host.Service], rec.latency)
 		}
 	}
-	usual := map[string]float64{}
+	median := map[string]float64{}
 	for service, lats := range all {
 		slices.Sort(lats)
-		usual[service] = lats[(len(lats)-1)/2]
+		median[service] = lats[(len(lats)-1)/2]
 	}
-	return usual
+	return median
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -201,7 +201,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, maxFeedWait+wa.withGrace(answerGrace))
 	defer cancel()
-	ctx = hedge.With(ctx, hedge.Policy{Wait: maxFeedWait, After: hedgeDelay})
+	ctx = hedge.NewContext(ctx, hedge.Policy{Wait: maxFeedWait, After: hedgeDelay})
 	reply, err := wa.Table.FeedFunc(ctx, store.FeedRequest{Prefix: wa.TableName, After: wa.version, WaitMS: maxFeedWait.Milliseconds()})
 	if err != nil {
 		return err
