--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -101,9 +101,9 @@
 		// The first command finds out that the table is away; it is on its
 		// way, and what becomes of it is not known. The next is refused.
 		_, err = lo.do("later", batchJob("k", 1, time.Second))
-		c.Assert(err, qt.ErrorIs, ErrUnsettled)
+		c.Assert(err, qt.ErrorIs, ErrOutcomeUnknown)
 		_, err = lo.do("latest", batchJob("l", 1, time.Second))
-		c.Assert(err, qt.ErrorIs, ErrAway)
+		c.Assert(err, qt.ErrorIs, ErrJournalUnavailable)
 		time.Sleep(5 * time.Minute)
 		for _, sl := range la.slots {
 			for _, sp := range sl.st.Log() {
@@ -209,7 +209,7 @@
 		c.Assert(err, qt.IsNil)
 		stepsB, err := lo.ow.Plan(shrink)
 		c.Assert(err, qt.IsNil)
-		results := make(chan Confirmed, 3)
+		results := make(chan ConfirmResult, 3)
 		confirm := func(plan string, cmd Command, steps []Step) {
 			con, err := lo.ow.Confirm(context.Background(), Confirmation{Plan: plan, Command: cmd, Basis: Basis(steps)})
 			c.Check(err, qt.IsNil)
--- a/internal/cell/command.go
+++ b/internal/cell/command.go
@@ -59,10 +59,10 @@
 	ErrConflict = errors.New("basis of the plan has changed")
 	// ErrAway is returned while the cell's journal cannot be written; the
 	// command was not carried out.
-	ErrAway = errors.New("journal cannot be written now")
+	ErrJournalUnavailable = errors.New("journal cannot be written now")
 	// ErrUnsettled is returned when it is not known whether the command was
 	// carried out. Confirming again tells.
-	ErrUnsettled = errors.New("outcome not known yet")
+	ErrOutcomeUnknown = errors.New("outcome not known yet")
 )
 
 // maxTasks bounds the tasks of one job.
@@ -132,7 +132,7 @@
 		return nil
 	}
 	for _, wo := range st.Workers {
-		if sp.Each.Fits(wo.Holds) {
+		if sp.Each.Fits(wo.Capacity) {
 			return nil
 		}
 	}
@@ -147,7 +147,7 @@
 		if wo.Drained {
 			continue
 		}
-		free := wo.Holds.Sub(used[id])
+		free := wo.Capacity.Sub(used[id])
 		for room < n && sp.Each.Fits(free) {
 			free = free.Sub(sp.Each)
 			room++
@@ -171,7 +171,7 @@
 	steps := []Step{jo.step("cancel")}
 	running := 0
 	for i := range jo.Spec.Tasks {
-		if ta := st.Tasks[TaskID(name, i)]; ta != nil && ta.Holding() {
+		if ta := st.Tasks[TaskID(name, i)]; ta != nil && ta.Active() {
 			running++
 		}
 	}
@@ -242,7 +242,7 @@
 	var steps []Step
 	batch := map[string]int{}
 	for id, ta := range st.Tasks {
-		if !ta.Holding() || !from[ta.Worker] {
+		if !ta.Active() || !from[ta.Worker] {
 			continue
 		}
 		if st.Jobs[ta.Job].Spec.Service {
@@ -280,7 +280,7 @@
 }
 
 // Confirmed says what became of it.
-type Confirmed struct {
+type ConfirmResult struct {
 	// Applied is set if the plan was carried out, now or before.
 	Applied bool `json:"applied"`
 	// Changed lists what changed since, if it was not.
@@ -293,7 +293,7 @@
 type command struct {
 	Confirmation
 
-	out   Confirmed
+	out   ConfirmResult
 	err   error
 	ended chan struct{}
 }
@@ -302,16 +302,16 @@
 const awayAfter = time.Second
 
 // Confirm carries out a plan if its basis holds, once.
-func (ow *Owner) Confirm(ctx context.Context, con Confirmation) (Confirmed, error) {
+func (ow *Owner) Confirm(ctx context.Context, con Confirmation) (ConfirmResult, error) {
 	co := &command{Confirmation: con, ended: make(chan struct{})}
 	ow.mu.Lock()
 	if !ow.serving() {
 		ow.mu.Unlock()
-		return Confirmed{}, ErrNotOwner
+		return ConfirmResult{}, ErrNotOwner
 	}
 	if !ow.appending.IsZero() && time.Since(ow.appending) > awayAfter {
 		ow.mu.Unlock()
-		return Confirmed{}, ErrAway
+		return ConfirmResult{}, ErrJournalUnavailable
 	}
 	ow.commands = append(ow.commands, co)
 	ow.mu.Unlock()
@@ -326,19 +326,19 @@
 
 // withdraw takes back a command that nobody waits for any more, if its append
 // is not under way.
-func (ow *Owner) withdraw(co *command) (Confirmed, error) {
+func (ow *Owner) withdraw(co *command) (ConfirmResult, error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	before := len(ow.commands)
 	ow.commands = slices.DeleteFunc(ow.commands, func(other *command) bool { return other == co })
 	if len(ow.commands) < before {
-		return Confirmed{}, ErrAway
+		return ConfirmResult{}, ErrJournalUnavailable
 	}
 	select {
 	case <-co.ended:
 		return co.out, co.err
 	default:
-		return Confirmed{}, ErrUnsettled
+		return ConfirmResult{}, ErrOutcomeUnknown
 	}
 }
 
@@ -363,16 +363,16 @@
 // check reports whether a command ends here, or else its records.
 func (ow *Owner) check(co *command) ([]Record, bool) {
 	if slices.Contains(ow.st.Plans, co.Plan) {
-		co.out = Confirmed{Applied: true, Seq: ow.st.Seq}
+		co.out = ConfirmResult{Applied: true, Seq: ow.st.Seq}
 		return nil, true
 	}
 	steps, records, err := ow.st.plan(co.Command)
 	if err != nil {
-		co.out = Confirmed{Changed: []string{err.Error()}, Seq: ow.st.Seq}
+		co.out = ConfirmResult{Changed: []string{err.Error()}, Seq: ow.st.Seq}
 		return nil, true
 	}
 	if changed := differences(co.Basis, Basis(steps)); len(changed) > 0 {
-		co.out = Confirmed{Changed: changed, Seq: ow.st.Seq}
+		co.out = ConfirmResult{Changed: changed, Seq: ow.st.Seq}
 		return nil, true
 	}
 	return records, false
@@ -397,9 +397,9 @@
 // answerCommands tells those whose append ended.
 func (ow *Owner) answerCommands(err error) {
 	for _, co := range ow.inFlight {
-		co.out = Confirmed{Applied: err == nil, Seq: ow.st.Seq}
+		co.out = ConfirmResult{Applied: err == nil, Seq: ow.st.Seq}
 		if err != nil {
-			co.err = fmt.Errorf("%w: %w", ErrUnsettled, err)
+			co.err = fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 		}
 		close(co.ended)
 	}
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -75,7 +75,7 @@
 	}
 	slices.SortFunc(sn.Workers, func(a, b place.Worker) int { return cmp.Compare(a.ID, b.ID) })
 	for id, ta := range ow.st.Tasks {
-		if ta.State == Waiting || ta.Holding() {
+		if ta.State == Waiting || ta.Active() {
 			sn.Tasks = append(sn.Tasks, ow.placeTask(id, ta))
 		}
 	}
@@ -98,7 +98,7 @@
 	}
 	emptying := wo.Drained || co.leaving || co.unlisted
 	return place.Worker{
-		ID: id, Rack: wo.Rack, Capacity: wo.Holds, Used: used,
+		ID: id, Rack: wo.Rack, Capacity: wo.Capacity, Used: used,
 		Draining:      emptying,
 		Unschedulable: emptying || now.Sub(co.heard) > ow.Timing.Silent || (aside && !onProbation),
 		Probation:     onProbation,
@@ -117,7 +117,7 @@
 		}
 		pt.Avoid[wo] = true
 	}
-	if !ta.Holding() {
+	if !ta.Active() {
 		return pt
 	}
 	pt.Worker, pt.Stopping = ta.Worker, ta.State == Stopping
--- a/internal/cell/exchange.go
+++ b/internal/cell/exchange.go
@@ -114,7 +114,7 @@
 	}
 	for tid, tr := range co.tasks {
 		ta := ow.st.Tasks[tid]
-		held := ta != nil && ta.Holding() && ta.Worker == id && ta.Attempt == tr.Attempt
+		held := ta != nil && ta.Active() && ta.Worker == id && ta.Attempt == tr.Attempt
 		switch {
 		case held:
 		case tr.State == worker.StateRunning:
--- a/internal/cell/lab_test.go
+++ b/internal/cell/lab_test.go
@@ -183,10 +183,10 @@
 }
 
 // do confirms a command by its plan.
-func (lo *labOwner) do(plan string, cmd Command) (Confirmed, error) {
+func (lo *labOwner) do(plan string, cmd Command) (ConfirmResult, error) {
 	steps, err := lo.ow.Plan(cmd)
 	if err != nil {
-		return Confirmed{}, err
+		return ConfirmResult{}, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/internal/cell/owner.go
+++ b/internal/cell/owner.go
@@ -82,7 +82,7 @@
 	// Tick is the time between looks at what there is to do.
 	Tick time.Duration
 	// Batch is the least time between batches, which bounds the writes.
-	Batch time.Duration
+	BatchInterval time.Duration
 	// Exchange is the time between messages to a worker without orders.
 	Exchange time.Duration
 	// Silent is how long a worker may be silent before it gets nothing new.
@@ -95,12 +95,12 @@
 
 // DefaultTiming is for a thousand workers.
 var DefaultTiming = Timing{
-	Tick:     50 * time.Millisecond,
-	Batch:    100 * time.Millisecond,
-	Exchange: time.Second,
-	Silent:   3 * time.Second,
-	Margin:   500 * time.Millisecond,
-	UsageLag: 2 * time.Second,
+	Tick:          50 * time.Millisecond,
+	BatchInterval: 100 * time.Millisecond,
+	Exchange:      time.Second,
+	Silent:        3 * time.Second,
+	Margin:        500 * time.Millisecond,
+	UsageLag:      2 * time.Second,
 }
 
 // maxLease bounds the lease settings; a new owner waits for leases that the
@@ -184,7 +184,7 @@
 // step sends what is due and, unless an append is under way, journals what
 // has happened and what is decided.
 func (ow *Owner) step(ctx context.Context) {
-	if ow.appending.IsZero() && time.Since(ow.appended) >= ow.Timing.Batch {
+	if ow.appending.IsZero() && time.Since(ow.appended) >= ow.Timing.BatchInterval {
 		ow.journal(ctx)
 	}
 	ow.exchangeDue(ctx)
@@ -289,12 +289,12 @@
 		listed[ho.ID] = true
 		wo := Worker{
 			ID: ho.ID, Rack: ho.Rack, Addr: ho.Addr,
-			Holds: worker.Resources{MilliCores: ho.MilliCores, MemMB: ho.MemMB, Accels: ho.Accels},
+			Capacity: worker.Resources{MilliCores: ho.MilliCores, MemMB: ho.MemMB, Accels: ho.Accels},
 		}
 		co := ow.contact(ho.ID)
 		co.leaving = ho.State == store.HostLeaving
 		old := ow.st.Workers[ho.ID]
-		if old == nil || old.Addr != wo.Addr || old.Holds != wo.Holds || old.Rack != wo.Rack {
+		if old == nil || old.Addr != wo.Addr || old.Capacity != wo.Capacity || old.Rack != wo.Rack {
 			records = append(records, Record{Kind: KindWorker, Host: &wo})
 		}
 	}
@@ -370,8 +370,8 @@
 	Workers map[string]int `json:"workers"`
 	Tasks   map[string]int `json:"tasks"`
 	// Holds is what all workers have, Used what tasks are given.
-	Holds worker.Resources `json:"holds"`
-	Used  worker.Resources `json:"used"`
+	Capacity worker.Resources `json:"holds"`
+	Reserved worker.Resources `json:"used"`
 }
 
 // Summary returns the cell's counts.
@@ -387,13 +387,13 @@
 	}
 	for id, wo := range ow.st.Workers {
 		su.Workers[ow.workerState(id, wo)]++
-		su.Holds = su.Holds.Add(wo.Holds)
+		su.Capacity = su.Capacity.Add(wo.Capacity)
 	}
 	for _, ta := range ow.st.Tasks {
 		su.Tasks[string(ta.State)]++
 	}
 	for _, used := range ow.st.Used() {
-		su.Used = su.Used.Add(used)
+		su.Reserved = su.Reserved.Add(used)
 	}
 	return su, nil
 }
--- a/internal/cell/slope_test.go
+++ b/internal/cell/slope_test.go
@@ -44,7 +44,7 @@
 	st := NewState()
 	var recs []Record
 	for i := range n {
-		recs = append(recs, Record{Kind: KindWorker, Host: &Worker{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%03d", i/8), Holds: worker.Resources{MilliCores: 30_000, MemMB: 125_000}}})
+		recs = append(recs, Record{Kind: KindWorker, Host: &Worker{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%03d", i/8), Capacity: worker.Resources{MilliCores: 30_000, MemMB: 125_000}}})
 	}
 	const perJob = 50
 	for j := range n * 12 / perJob {
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -96,7 +96,7 @@
 
 // Holding reports whether the task may be running, and so counts against its
 // worker.
-func (ta *Task) Holding() bool {
+func (ta *Task) Active() bool {
 	return ta.State == Running || ta.State == Stopping
 }
 
@@ -110,7 +110,7 @@
 	Rack string `json:"rack"`
 	Addr string `json:"addr"`
 	// Holds is what it has.
-	Holds worker.Resources `json:"holds"`
+	Capacity worker.Resources `json:"holds"`
 	// Drained workers are emptied and get nothing new.
 	Drained bool `json:"drained,omitempty"`
 	// FailedJobs are jobs whose tasks failed there since the last success.
@@ -161,7 +161,7 @@
 	st.perJob = map[string]int{}
 	for id, ta := range st.Tasks {
 		st.perJob[ta.Job]++
-		if ta.Holding() {
+		if ta.Active() {
 			st.hold(id, ta)
 		}
 	}
@@ -339,7 +339,7 @@
 	if ta == nil {
 		return
 	}
-	if ta.Holding() {
+	if ta.Active() {
 		ta.Dropped = true
 		return
 	}
@@ -377,7 +377,7 @@
 
 func (st *State) applyEnd(rec Record) {
 	ta := st.Tasks[rec.Task]
-	if ta == nil || !ta.Holding() || ta.Attempt != rec.Attempt {
+	if ta == nil || !ta.Active() || ta.Attempt != rec.Attempt {
 		return
 	}
 	wo := st.Workers[ta.Worker]
--- a/internal/entry/cells.go
+++ b/internal/entry/cells.go
@@ -32,7 +32,7 @@
 	callPlan = cellCall[cell.Command, []cell.Step]{"plan", func(ow *cell.Owner, _ context.Context, cmd cell.Command) ([]cell.Step, error) {
 		return ow.Plan(cmd)
 	}}
-	callConfirm = cellCall[cell.Confirmation, cell.Confirmed]{"confirm", (*cell.Owner).Confirm}
+	callConfirm = cellCall[cell.Confirmation, cell.ConfirmResult]{"confirm", (*cell.Owner).Confirm}
 	callSummary = cellCall[empty, cell.Summary]{"summary", func(ow *cell.Owner, _ context.Context, _ empty) (cell.Summary, error) {
 		return ow.Summary()
 	}}
@@ -48,8 +48,8 @@
 }{
 	{cell.ErrNotOwner, "not-owner"},
 	{cell.ErrImpossible, "impossible"},
-	{cell.ErrAway, "journal-away"},
-	{cell.ErrUnsettled, "unsettled"},
+	{cell.ErrJournalUnavailable, "journal-away"},
+	{cell.ErrOutcomeUnknown, "unsettled"},
 }
 
 func (ho *Host) handleCell(mux *http.ServeMux) {
@@ -126,7 +126,7 @@
 	return callCell(ctx, ho, callPlan, name, cmd)
 }
 
-func (ho *Host) confirmCell(ctx context.Context, name string, con cell.Confirmation) (cell.Confirmed, error) {
+func (ho *Host) confirmCell(ctx context.Context, name string, con cell.Confirmation) (cell.ConfirmResult, error) {
 	return callCell(ctx, ho, callConfirm, name, con)
 }
 
@@ -138,7 +138,7 @@
 		if err != nil {
 			continue
 		}
-		if free := su.Holds.MilliCores - su.Used.MilliCores; free > most {
+		if free := su.Capacity.MilliCores - su.Reserved.MilliCores; free > most {
 			best, most = name, free
 		}
 	}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -53,7 +53,7 @@
 	config     *config.Store
 	ledger     *claim.Ledger
 	guard      *claim.Guard
-	desk       *intent.Desk
+	planner    *intent.Planner
 
 	callerPort, peerPort, adminPort *port.Port
 
@@ -122,7 +122,7 @@
 		Rules: rules,
 	}
 	ho.guard = &claim.Guard{DCs: ho.set.DCs, Take: ho.takeClaim, Release: ho.releaseClaim}
-	ho.desk = &intent.Desk{
+	ho.planner = &intent.Planner{
 		Table: ho.table, Config: ho.config,
 		PlanCell: ho.planCell, ConfirmCell: ho.confirmCell, ChooseCell: ho.chooseCell,
 		Members: ho.members, DeclareDead: ho.declareDead,
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -259,7 +259,7 @@
 
 func (ho *Host) newOwner(ke *lease.Keeper, resource string) *cell.Owner {
 	timing := cell.DefaultTiming
-	timing.Batch = ho.set.CellInterval
+	timing.BatchInterval = ho.set.CellInterval
 	return &cell.Owner{
 		Cell: ho.set.DC, Self: ke.ID, Epoch: ke.Since(resource).Epoch,
 		Owns:    func() bool { return ke.Owns(resource) && !ho.stopping.Load() },
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -41,10 +41,10 @@
 	code connect.Code
 }{
 	{cell.ErrImpossible, connect.CodeInvalidArgument},
-	{intent.ErrBadIntent, connect.CodeInvalidArgument},
-	{intent.ErrNoPlan, connect.CodeNotFound},
+	{intent.ErrInvalidIntent, connect.CodeInvalidArgument},
+	{intent.ErrPlanNotFound, connect.CodeNotFound},
 	{config.ErrConflict, connect.CodeAborted},
-	{cell.ErrUnsettled, connect.CodeUnknown},
+	{cell.ErrOutcomeUnknown, connect.CodeUnknown},
 }
 
 func operatorError(err error) error {
@@ -60,7 +60,7 @@
 func (os *operatorService) Plan(ctx context.Context, creq *connect.Request[pb.PlanRequest]) (*connect.Response[pb.PlanResponse], error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTime)
 	defer cancel()
-	pl, err := os.ho.desk.Plan(ctx, creq.Msg.GetIntent())
+	pl, err := os.ho.planner.Plan(ctx, creq.Msg.GetIntent())
 	if err != nil {
 		return nil, operatorError(err)
 	}
@@ -75,7 +75,7 @@
 func (os *operatorService) Confirm(ctx context.Context, creq *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTime)
 	defer cancel()
-	res, err := os.ho.desk.Confirm(ctx, creq.Msg.GetId())
+	res, err := os.ho.planner.Confirm(ctx, creq.Msg.GetId())
 	if err != nil {
 		return nil, operatorError(err)
 	}
@@ -163,7 +163,7 @@
 	return &pb.CellStatus{
 		Name: name, Owner: su.Owner, Epoch: su.Epoch, Journal: su.Seq,
 		Workers: counts(su.Workers), Tasks: counts(su.Tasks),
-		Capacity: resources(su.Holds), Reserved: resources(su.Used),
+		Capacity: resources(su.Capacity), Reserved: resources(su.Reserved),
 	}
 }
 
@@ -206,7 +206,7 @@
 		Id: ta.ID, Job: ta.Job, State: string(ta.State), Attempt: uint32(ta.Attempt),
 		Evictions: uint32(ta.Evictions), Result: ta.Result, Cell: name,
 	}
-	if ta.Holding() {
+	if ta.Active() {
 		ts.Worker = ta.Worker
 	}
 	return ts
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -64,7 +64,7 @@
 }
 
 // Desk takes intents. Set the fields before use.
-type Desk struct {
+type Planner struct {
 	// Table is the platform's.
 	Table store.Table
 	// Config holds the configuration.
@@ -72,7 +72,7 @@
 	// PlanCell has the owner of a cell work out a command.
 	PlanCell func(ctx context.Context, name string, cmd cell.Command) ([]cell.Step, error)
 	// ConfirmCell has the owner of a cell carry out a command.
-	ConfirmCell func(ctx context.Context, name string, con cell.Confirmation) (cell.Confirmed, error)
+	ConfirmCell func(ctx context.Context, name string, con cell.Confirmation) (cell.ConfirmResult, error)
 	// ChooseCell returns the cell with the most room.
 	ChooseCell func(ctx context.Context) (string, error)
 	// Members returns the entry hosts that are members in this data centre.
@@ -90,39 +90,39 @@
 )
 
 // ErrNoPlan is returned for a plan that is not known, or no longer.
-var ErrNoPlan = errors.New("no such plan")
+var ErrPlanNotFound = errors.New("no such plan")
 
 // ErrBadIntent is returned for an intent that cannot be read.
-var ErrBadIntent = errors.New("intent cannot be read")
+var ErrInvalidIntent = errors.New("intent cannot be read")
 
 // Plan works out and keeps a plan.
-func (de *Desk) Plan(ctx context.Context, in *pb.Intent) (Plan, error) {
+func (pn *Planner) Plan(ctx context.Context, in *pb.Intent) (Plan, error) {
 	raw, err := protojson.Marshal(in)
 	if err != nil {
-		return Plan{}, fmt.Errorf("%w: %w", ErrBadIntent, err)
+		return Plan{}, fmt.Errorf("%w: %w", ErrInvalidIntent, err)
 	}
 	pl := Plan{ID: uuid.Must(uuid.NewV7()).String(), Intent: raw, Cell: in.GetCell()}
 	switch {
 	case in.GetSetConfig() != nil:
 		pl.Cell = ""
-		pl, err = de.planConfig(ctx, pl, in.GetSetConfig().GetValues())
+		pl, err = pn.planConfig(ctx, pl, in.GetSetConfig().GetValues())
 	case in.GetDeclareDead() != nil:
-		pl, err = de.planDead(ctx, pl, in.GetDeclareDead().GetMember())
+		pl, err = pn.planDead(ctx, pl, in.GetDeclareDead().GetMember())
 	default:
-		pl, err = de.planCell(ctx, pl, in)
+		pl, err = pn.planCell(ctx, pl, in)
 	}
 	if err != nil {
 		return pl, err
 	}
-	return pl, de.keep(ctx, pl)
+	return pl, pn.keep(ctx, pl)
 }
 
-func (de *Desk) planConfig(ctx context.Context, pl Plan, changes map[string]string) (Plan, error) {
+func (pn *Planner) planConfig(ctx context.Context, pl Plan, changes map[string]string) (Plan, error) {
 	// Planned on the row, not on what is in force here: it may lag.
-	if err := de.Config.Poll(ctx); err != nil {
+	if err := pn.Config.Poll(ctx); err != nil {
 		return pl, err
 	}
-	doc, _ := de.Config.Current()
+	doc, _ := pn.Config.Current()
 	if _, err := doc.With(changes); err != nil {
 		return pl, fmt.Errorf("%w: %w", cell.ErrImpossible, err)
 	}
@@ -135,8 +135,8 @@
 }
 
 // planDead rests on the member's last renewal: one that renews is not dead.
-func (de *Desk) planDead(ctx context.Context, pl Plan, id string) (Plan, error) {
-	members, err := de.Members(ctx)
+func (pn *Planner) planDead(ctx context.Context, pl Plan, id string) (Plan, error) {
+	members, err := pn.Members(ctx)
 	if err != nil {
 		return pl, err
 	}
@@ -155,25 +155,25 @@
 	return pl, nil
 }
 
-func (de *Desk) confirmDead(ctx context.Context, pl Plan, id string) (Result, error) {
-	err := de.DeclareDead(ctx, id, pl.Beat)
+func (pn *Planner) confirmDead(ctx context.Context, pl Plan, id string) (Result, error) {
+	err := pn.DeclareDead(ctx, id, pl.Beat)
 	if errors.Is(err, lease.ErrRenewed) {
 		return Result{Changed: []string{err.Error()}}, nil
 	}
 	return Result{Applied: err == nil}, err
 }
 
-func (de *Desk) planCell(ctx context.Context, pl Plan, in *pb.Intent) (Plan, error) {
+func (pn *Planner) planCell(ctx context.Context, pl Plan, in *pb.Intent) (Plan, error) {
 	cmd, err := Command(in)
 	if err != nil {
 		return pl, err
 	}
 	if pl.Cell == "" {
-		if pl.Cell, err = de.ChooseCell(ctx); err != nil {
+		if pl.Cell, err = pn.ChooseCell(ctx); err != nil {
 			return pl, err
 		}
 	}
-	pl.Steps, err = de.PlanCell(ctx, pl.Cell, cmd)
+	pl.Steps, err = pn.PlanCell(ctx, pl.Cell, cmd)
 	return pl, err
 }
 
@@ -193,7 +193,7 @@
 			Host: dr.GetHost(), Rack: dr.GetRack(), All: dr.GetDataCentre(), Undo: dr.GetUndo(),
 		}}, nil
 	}
-	return cell.Command{}, fmt.Errorf("%w: it wants nothing", ErrBadIntent)
+	return cell.Command{}, fmt.Errorf("%w: it wants nothing", ErrInvalidIntent)
 }
 
 func spec(sp *pb.JobSpec) cell.Spec {
@@ -208,12 +208,12 @@
 }
 
 // keep writes the plan's row, and deletes a few of those too old to confirm.
-func (de *Desk) keep(ctx context.Context, pl Plan) error {
+func (pn *Planner) keep(ctx context.Context, pl Plan) error {
 	txn, err := store.NewTxn().WithPut(planPrefix+pl.ID, 0, pl)
 	if err != nil {
 		return err
 	}
-	old, err := de.Table.ReadFunc(ctx, store.ReadRequest{Prefix: planPrefix, Limit: planSweep})
+	old, err := pn.Table.ReadFunc(ctx, store.ReadRequest{Prefix: planPrefix, Limit: planSweep})
 	if err != nil {
 		return fmt.Errorf("keep plan: %w", err)
 	}
@@ -227,55 +227,55 @@
 			txn.Puts = append(txn.Puts, store.Put{Key: row.Key, Delete: true})
 		}
 	}
-	if _, err := de.Table.Settle(ctx, txn); err != nil {
+	if _, err := pn.Table.Settle(ctx, txn); err != nil {
 		return fmt.Errorf("keep plan: %w", err)
 	}
 	return nil
 }
 
 // Confirm carries out a plan if its basis holds.
-func (de *Desk) Confirm(ctx context.Context, id string) (Result, error) {
+func (pn *Planner) Confirm(ctx context.Context, id string) (Result, error) {
 	var pl Plan
-	version, err := de.Table.Get(ctx, planPrefix+id, &pl)
+	version, err := pn.Table.Get(ctx, planPrefix+id, &pl)
 	if err != nil {
 		return Result{}, fmt.Errorf("confirm: %w", err)
 	}
 	if version == 0 {
-		return Result{}, fmt.Errorf("plan %s: %w", id, ErrNoPlan)
+		return Result{}, fmt.Errorf("plan %s: %w", id, ErrPlanNotFound)
 	}
 	in := &pb.Intent{}
 	if err := protojson.Unmarshal(pl.Intent, in); err != nil {
-		return Result{}, fmt.Errorf("%w: %w", ErrBadIntent, err)
+		return Result{}, fmt.Errorf("%w: %w", ErrInvalidIntent, err)
 	}
 	if dead := in.GetDeclareDead(); dead != nil {
-		return de.confirmDead(ctx, pl, dead.GetMember())
+		return pn.confirmDead(ctx, pl, dead.GetMember())
 	}
 	if pl.Cell == "" {
-		return de.confirmConfig(ctx, pl, version, in.GetSetConfig().GetValues())
+		return pn.confirmConfig(ctx, pl, version, in.GetSetConfig().GetValues())
 	}
 	cmd, err := Command(in)
 	if err != nil {
 		return Result{}, err
 	}
-	con, err := de.ConfirmCell(ctx, pl.Cell, cell.Confirmation{Plan: pl.ID, Command: cmd, Basis: cell.Basis(pl.Steps)})
+	con, err := pn.ConfirmCell(ctx, pl.Cell, cell.Confirmation{Plan: pl.ID, Command: cmd, Basis: cell.Basis(pl.Steps)})
 	return Result{Applied: con.Applied, Changed: con.Changed, Version: con.Seq}, err
 }
 
 // confirmConfig writes the configuration and the plan's row in one write, so
 // that the row says whether it was carried out.
-func (de *Desk) confirmConfig(ctx context.Context, pl Plan, version int64, changes map[string]string) (Result, error) {
+func (pn *Planner) confirmConfig(ctx context.Context, pl Plan, version int64, changes map[string]string) (Result, error) {
 	if pl.Applied > 0 {
 		return Result{Applied: true, Version: pl.Applied}, nil
 	}
 	applied := pl
 	applied.Applied = pl.ConfigVersion + 1
-	doc, err := de.Config.Change(ctx, pl.ConfigVersion, changes, config.Also{Key: planPrefix + pl.ID, Version: version, Value: applied})
+	doc, err := pn.Config.Change(ctx, pl.ConfigVersion, changes, config.Also{Key: planPrefix + pl.ID, Version: version, Value: applied})
 	if !errors.Is(err, config.ErrConflict) {
 		return Result{Applied: err == nil, Version: doc.Version}, err
 	}
 	// Another confirmation of the same plan may have been first.
 	var now Plan
-	if _, rerr := de.Table.Get(ctx, planPrefix+pl.ID, &now); rerr == nil && now.Applied > 0 {
+	if _, rerr := pn.Table.Get(ctx, planPrefix+pl.ID, &now); rerr == nil && now.Applied > 0 {
 		return Result{Applied: true, Version: now.Applied}, nil
 	}
 	return Result{Changed: []string{err.Error()}, Version: doc.Version}, nil
