--- /dev/null
+++ b/internal/cell/cluster_test.go
@@ -0,0 +1,241 @@
+package cell
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"github.com/pepperhatch/pepperhatch/internal/config"
+	"github.com/pepperhatch/pepperhatch/internal/standin"
+	"github.com/pepperhatch/pepperhatch/internal/store"
+	"github.com/pepperhatch/pepperhatch/internal/worker"
+)
+
+// errUnreached is the error of a message that got lost.
+var errUnreachable = errors.New("unreached")
+
+// slot is a worker with its faults.
+type testWorker struct {
+	proc *standin.Worker
+	host store.Host
+	// cut has messages to it lost, deaf has its replies lost, late delays
+	// messages.
+	unreachable, repliesLost bool
+	delay                    time.Duration
+	// logs of processes of before.
+	earlierSpans []standin.TaskSpan
+	overfull     int
+}
+
+// lab is a cell of stand-in workers, with owners that come and go.
+type testCell struct {
+	table   standin.Table
+	objects standin.Objects
+	workers map[string]*testWorker
+	doc     config.Doc
+	owners  []*testOwner
+	epoch   int64
+
+	// mu guards the faults of slots.
+	mu sync.Mutex
+}
+
+type testOwner struct {
+	ow     *Owner
+	owns   atomic.Bool
+	cancel context.CancelFunc
+	ended  chan error
+}
+
+var workerCapacity = worker.Resources{MilliCores: 8000, MemMB: 8000}
+
+func newTestCell(workers int) *testCell {
+	tc := &testCell{workers: map[string]*testWorker{}}
+	for i := range workers {
+		id := fmt.Sprintf("w%d", i)
+		tw := &testWorker{host: store.Host{
+			ID: id, Kind: store.KindWorker, Addr: id, Rack: fmt.Sprintf("r%d", i/2), State: store.HostLive,
+			MilliCores: workerCapacity.MilliCores, MemMB: workerCapacity.MemMB,
+		}}
+		tc.workers[id] = tw
+		tc.restart(tw)
+	}
+	return tc
+}
+
+// set changes the faults of a worker.
+func (tc *testCell) set(id string, fn func(*testWorker)) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	fn(tc.workers[id])
+}
+
+// restart starts a worker's process anew.
+func (tc *testCell) restart(tw *testWorker) {
+	tc.mu.Lock()
+	defer tc.mu.Unlock()
+	if tw.proc != nil {
+		for _, sp := range tw.proc.Log() {
+			if sp.End == 0 {
+				sp.End = time.Now().UnixNano()
+				sp.ToMS = sp.FromMS + time.Hour.Milliseconds()
+			}
+			tw.earlierSpans = append(tw.earlierSpans, sp)
+		}
+		tw.overfull += tw.proc.Overfull()
+	}
+	tw.proc = standin.NewWorker(standin.WorkerSettings{ID: tw.host.ID, Holds: workerCapacity, CheckpointEvery: time.Second})
+}
+
+// exchange carries a message to a worker, unless its faults forbid. The
+// worker may get it late, after the sender has given up.
+func (tc *testCell) exchange(ctx context.Context, addr string, ex worker.Exchange) (worker.Report, error) {
+	tc.mu.Lock()
+	tw := tc.workers[addr]
+	unreachable, repliesLost, delay, proc := tw.unreachable, tw.repliesLost, tw.delay, tw.proc
+	tc.mu.Unlock()
+	if unreachable {
+		time.Sleep(time.Second)
+		return worker.Report{}, errUnreachable
+	}
+	if delay > 0 {
+		go func() {
+			time.Sleep(delay)
+			_, _ = proc.Exchange(context.WithoutCancel(ctx), ex)
+		}()
+		time.Sleep(time.Second)
+		return worker.Report{}, errUnreachable
+	}
+	time.Sleep(time.Millisecond)
+	re, err := proc.Exchange(ctx, ex)
+	if repliesLost {
+		return worker.Report{}, errUnreachable
+	}
+	return re, err
+}
+
+// own starts an owner. The former one is cut short, as by a takeover, or goes
+// on believing that it owns the cell.
+func (tc *testCell) startOwner(keepFormer bool) *testOwner {
+	if n := len(tc.owners); n > 0 && !keepFormer {
+		tc.owners[n-1].owns.Store(false)
+	}
+	tc.epoch++
+	ctx, cancel := context.WithCancel(context.Background())
+	to := &testOwner{cancel: cancel, ended: make(chan error, 1)}
+	to.owns.Store(true)
+	to.ow = &Owner{
+		Cell: "dc", Self: fmt.Sprintf("o%d", tc.epoch), Epoch: tc.epoch,
+		Owns:    to.owns.Load,
+		Journal: &Journal{Table: tc.table.Client(), Objects: tc.objects.Client(), Cell: "dc"},
+		Workers: worker.Client{ExchangeFunc: tc.exchange},
+		Hosts:   tc.hosts,
+		Config:  tc.config,
+	}
+	tc.owners = append(tc.owners, to)
+	go func() { to.ended <- to.ow.Run(ctx) }()
+	return to
+}
+
+func (tc *testCell) config() config.Doc { return tc.doc }
+
+func (tc *testCell) hosts() ([]store.Host, bool) {
+	var hosts []store.Host
+	for _, id := range slices.Sorted(maps.Keys(tc.workers)) {
+		hosts = append(hosts, tc.workers[id].host)
+	}
+	return hosts, true
+}
+
+// stop ends all owners, and lets what is under way come to its end.
+func (tc *testCell) stop() {
+	for _, to := range tc.owners {
+		to.cancel()
+	}
+	tc.table.Gate.Set(standin.Fault{})
+	tc.objects.Gate.Set(standin.Fault{})
+	time.Sleep(2 * time.Minute)
+}
+
+// broken returns what was broken: tasks in two places, attempts that did not
+// begin from a checkpoint, overfull workers.
+func (tc *testCell) violations() []string {
+	var violations []string
+	spans := map[string][]standin.TaskSpan{}
+	for id, tw := range tc.workers {
+		if n := tw.overfull + tw.proc.Overfull(); n > 0 {
+			violations = append(violations, fmt.Sprintf("%s was overfull %d times", id, n))
+		}
+		for _, sp := range append(slices.Clone(tw.earlierSpans), tw.proc.Log()...) {
+			spans[sp.Task] = append(spans[sp.Task], sp)
+		}
+	}
+	return append(violations, standin.Overlaps(spans)...)
+}
+
+// do confirms a command by its plan.
+func (to *testOwner) confirm(plan string, cmd Command) (ConfirmResult, error) {
+	steps, err := to.ow.Plan(cmd)
+	if err != nil {
+		return ConfirmResult{}, err
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	return to.ow.Confirm(ctx, Confirmation{Plan: plan, Command: cmd, Basis: Basis(steps)})
+}
+
+func batchJob(name string, tasks int, run time.Duration) Command {
+	return Command{Add: &Spec{
+		Name: name, Kind: "k", Tasks: tasks, RunMS: run.Milliseconds(),
+		Each: worker.Resources{MilliCores: 2000, MemMB: 1000},
+	}}
+}
+
+func service(name string, tasks int) Command {
+	return Command{Add: &Spec{
+		Name: name, Kind: "s", Service: true, Tasks: tasks, Each: worker.Resources{MilliCores: 2000, MemMB: 1000},
+	}}
+}
+
+func runCell(t *testing.T, workers int, fn func(c *qt.C, tc *testCell)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		tc := newTestCell(workers)
+		defer tc.stop()
+		fn(c, tc)
+		c.Assert(tc.violations(), qt.HasLen, 0)
+	})
+}
+
+func (to *testOwner) states(c *qt.C) map[string]int {
+	c.Helper()
+	su, err := to.ow.Summary()
+	c.Assert(err, qt.IsNil)
+	return su.Tasks
+}
+
+func assertStates(c *qt.C, to *testOwner, want map[string]int) {
+	c.Helper()
+	c.Assert(to.states(c), qt.DeepEquals, want)
+}
+
+// begin starts the first owner and adds a job.
+func startWithJob(c *qt.C, tc *testCell, cmd Command) *testOwner {
+	c.Helper()
+	to := tc.startOwner(false)
+	time.Sleep(3 * time.Second)
+	con, err := to.confirm("first", cmd)
+	c.Assert(err, qt.IsNil)
+	c.Assert(con.Applied, qt.IsTrue)
+	return to
+}
--- a/internal/cell/command.go
+++ b/internal/cell/command.go
@@ -49,7 +49,7 @@
 	Basis bool `json:"basis,omitempty"`
 }
 
-func (sp Step) line() string { return sp.Verb + " " + sp.Object + " " + sp.Detail }
+func (sp Step) basisLine() string { return sp.Verb + " " + sp.Object + " " + sp.Detail }
 
 // Errors of commands.
 var (
@@ -95,31 +95,31 @@
 }
 
 func (st *State) planAdd(sp Spec) ([]Step, []Record, error) {
-	if err := sp.check(); err != nil {
+	if err := sp.validate(); err != nil {
 		return nil, nil, err
 	}
 	if st.Jobs[sp.Name] != nil {
 		return nil, nil, fmt.Errorf("job %s is there already: %w", sp.Name, ErrImpossible)
 	}
-	if err := st.everFits(sp); err != nil {
+	if err := st.checkFeasible(sp); err != nil {
 		return nil, nil, err
 	}
 	steps := []Step{{Verb: "add", Object: sp.Name, Detail: fmt.Sprintf("%d tasks", sp.Tasks), Basis: true}}
-	return append(steps, st.roomSteps(sp, sp.Tasks)...), []Record{{Kind: KindJob, Spec: &sp}}, nil
+	return append(steps, st.capacitySteps(sp, sp.Tasks)...), []Record{{Kind: KindJob, Spec: &sp}}, nil
 }
 
 // check names every mistake of a spec.
-func (sp Spec) check() error {
+func (sp Spec) validate() error {
 	var errs []error
-	bad := func(wrong bool, text string) {
-		if wrong {
+	addIf := func(invalid bool, text string) {
+		if invalid {
 			errs = append(errs, errors.New(text))
 		}
 	}
-	bad(sp.Name == "" || len(sp.Name) > 100, "name must have 1 to 100 bytes")
-	bad(sp.Tasks < 1 || sp.Tasks > maxTasks, fmt.Sprintf("tasks must be 1 to %d", maxTasks))
-	bad(sp.Each.MilliCores < 1 || sp.Each.MemMB < 1 || sp.Each.Accels < 0, "a task needs cores and memory")
-	bad(!sp.Service && sp.RunMS < 1, "a batch task needs a run time")
+	addIf(sp.Name == "" || len(sp.Name) > 100, "name must have 1 to 100 bytes")
+	addIf(sp.Tasks < 1 || sp.Tasks > maxTasks, fmt.Sprintf("tasks must be 1 to %d", maxTasks))
+	addIf(sp.Each.MilliCores < 1 || sp.Each.MemMB < 1 || sp.Each.Accels < 0, "a task needs cores and memory")
+	addIf(!sp.Service && sp.RunMS < 1, "a batch task needs a run time")
 	if len(errs) > 0 {
 		return fmt.Errorf("%w: %w", ErrImpossible, errors.Join(errs...))
 	}
@@ -127,7 +127,7 @@
 }
 
 // everFits refuses tasks that no worker could hold even if it were empty.
-func (st *State) everFits(sp Spec) error {
+func (st *State) checkFeasible(sp Spec) error {
 	if len(st.Workers) == 0 {
 		return nil
 	}
@@ -140,25 +140,25 @@
 }
 
 // roomSteps says how many tasks find room as things are, and how many wait.
-func (st *State) roomSteps(sp Spec, n int) []Step {
-	room := 0
-	used := st.Used()
+func (st *State) capacitySteps(sp Spec, n int) []Step {
+	fitting := 0
+	used := st.ReservedByWorker()
 	for id, wo := range st.Workers {
 		if wo.Drained {
 			continue
 		}
 		free := wo.Capacity.Sub(used[id])
-		for room < n && sp.Each.Fits(free) {
+		for fitting < n && sp.Each.Fits(free) {
 			free = free.Sub(sp.Each)
-			room++
+			fitting++
 		}
 	}
 	var steps []Step
-	if room > 0 {
-		steps = append(steps, Step{Verb: "start", Object: sp.Name, Detail: fmt.Sprintf("%d tasks have room now", room)})
+	if fitting > 0 {
+		steps = append(steps, Step{Verb: "start", Object: sp.Name, Detail: fmt.Sprintf("%d tasks have room now", fitting)})
 	}
-	if room < n {
-		steps = append(steps, Step{Verb: "wait", Object: sp.Name, Detail: fmt.Sprintf("%d tasks find no room now", n-room)})
+	if fitting < n {
+		steps = append(steps, Step{Verb: "wait", Object: sp.Name, Detail: fmt.Sprintf("%d tasks find no room now", n-fitting)})
 	}
 	return steps
 }
@@ -168,7 +168,7 @@
 	if jo == nil || jo.Cancelled {
 		return nil, nil, fmt.Errorf("no job %s: %w", name, ErrImpossible)
 	}
-	steps := []Step{jo.step("cancel")}
+	steps := []Step{jo.basisStep("cancel")}
 	running := 0
 	for i := range jo.Spec.Tasks {
 		if ta := st.Tasks[TaskID(name, i)]; ta != nil && ta.Active() {
@@ -180,7 +180,7 @@
 }
 
 // step is a step that rests on the job as it is.
-func (jo *Job) step(verb string) Step {
+func (jo *Job) basisStep(verb string) Step {
 	return Step{Verb: verb, Object: jo.Spec.Name, Detail: fmt.Sprintf("revision %d, %d tasks", jo.Revision, jo.Spec.Tasks), Basis: true}
 }
 
@@ -190,12 +190,12 @@
 		return nil, nil, fmt.Errorf("no job %s: %w", re.Name, ErrImpossible)
 	}
 	sp := jo.Spec.WithTasks(re.Tasks)
-	if err := sp.check(); err != nil {
+	if err := sp.validate(); err != nil {
 		return nil, nil, err
 	}
-	steps := []Step{jo.step("resize"), {Verb: "resize", Object: re.Name, Detail: fmt.Sprintf("to %d tasks", re.Tasks), Basis: true}}
+	steps := []Step{jo.basisStep("resize"), {Verb: "resize", Object: re.Name, Detail: fmt.Sprintf("to %d tasks", re.Tasks), Basis: true}}
 	if more := re.Tasks - jo.Spec.Tasks; more > 0 {
-		steps = append(steps, st.roomSteps(sp, more)...)
+		steps = append(steps, st.capacitySteps(sp, more)...)
 	} else if more < 0 {
 		steps = append(steps, Step{Verb: "stop", Object: re.Name, Detail: fmt.Sprintf("the last %d tasks", -more)})
 	}
@@ -209,30 +209,30 @@
 	if dr.Undo {
 		verb = "undrain"
 	}
-	named := map[string]bool{}
+	matched := map[string]bool{}
 	for id, wo := range st.Workers {
-		if !dr.names(wo) {
+		if !dr.matches(wo) {
 			continue
 		}
-		named[id] = true
+		matched[id] = true
 		if wo.Drained != dr.Undo {
 			continue
 		}
 		steps = append(steps, Step{Verb: verb, Object: id, Detail: "in rack " + wo.Rack, Basis: true})
 		records = append(records, Record{Kind: KindDrain, Worker: id, Undo: dr.Undo})
 	}
-	if len(named) == 0 {
+	if len(matched) == 0 {
 		return nil, nil, fmt.Errorf("no such worker or rack: %w", ErrImpossible)
 	}
 	if !dr.Undo {
-		steps = append(steps, st.moveSteps(named)...)
+		steps = append(steps, st.moveSteps(matched)...)
 	}
-	slices.SortFunc(steps, func(a, b Step) int { return cmp.Compare(a.line(), b.line()) })
+	slices.SortFunc(steps, func(a, b Step) int { return cmp.Compare(a.basisLine(), b.basisLine()) })
 	slices.SortFunc(records, func(a, b Record) int { return cmp.Compare(a.Worker, b.Worker) })
 	return steps, records, nil
 }
 
-func (dr Drain) names(wo *Worker) bool {
+func (dr Drain) matches(wo *Worker) bool {
 	return dr.All || (dr.Host != "" && wo.ID == dr.Host) || (dr.Rack != "" && wo.Rack == dr.Rack)
 }
 
@@ -262,7 +262,7 @@
 	var lines []string
 	for _, sp := range steps {
 		if sp.Basis {
-			lines = append(lines, sp.line())
+			lines = append(lines, sp.basisLine())
 		}
 	}
 	slices.Sort(lines)
@@ -299,7 +299,7 @@
 }
 
 // awayAfter is how long an append may take before the table counts as away.
-const awayAfter = time.Second
+const journalUnavailableAfter = time.Second
 
 // Confirm carries out a plan if its basis holds, once.
 func (ow *Owner) Confirm(ctx context.Context, con Confirmation) (ConfirmResult, error) {
@@ -309,13 +309,13 @@
 		ow.mu.Unlock()
 		return ConfirmResult{}, ErrNotOwner
 	}
-	if !ow.appending.IsZero() && time.Since(ow.appending) > awayAfter {
+	if !ow.appendStarted.IsZero() && time.Since(ow.appendStarted) > journalUnavailableAfter {
 		ow.mu.Unlock()
 		return ConfirmResult{}, ErrJournalUnavailable
 	}
 	ow.commands = append(ow.commands, co)
 	ow.mu.Unlock()
-	ow.nudge()
+	ow.signal()
 	select {
 	case <-co.ended:
 		return co.out, co.err
@@ -349,7 +349,7 @@
 	for len(ow.commands) > 0 {
 		co := ow.commands[0]
 		ow.commands = ow.commands[1:]
-		records, final := ow.check(co)
+		records, final := ow.evaluate(co)
 		if final {
 			close(co.ended)
 			continue
@@ -361,7 +361,7 @@
 }
 
 // check reports whether a command ends here, or else its records.
-func (ow *Owner) check(co *command) ([]Record, bool) {
+func (ow *Owner) evaluate(co *command) ([]Record, bool) {
 	if slices.Contains(ow.st.Plans, co.Plan) {
 		co.out = ConfirmResult{Applied: true, Seq: ow.st.Seq}
 		return nil, true
@@ -371,7 +371,7 @@
 		co.out = ConfirmResult{Changed: []string{err.Error()}, Seq: ow.st.Seq}
 		return nil, true
 	}
-	if changed := differences(co.Basis, Basis(steps)); len(changed) > 0 {
+	if changed := diffBasis(co.Basis, Basis(steps)); len(changed) > 0 {
 		co.out = ConfirmResult{Changed: changed, Seq: ow.st.Seq}
 		return nil, true
 	}
@@ -379,7 +379,7 @@
 }
 
 // differences lists the lines that only one side has.
-func differences(planned, now []string) []string {
+func diffBasis(planned, now []string) []string {
 	var changed []string
 	for _, line := range planned {
 		if !slices.Contains(now, line) {
@@ -395,7 +395,7 @@
 }
 
 // answerCommands tells those whose append ended.
-func (ow *Owner) answerCommands(err error) {
+func (ow *Owner) completeCommands(err error) {
 	for _, co := range ow.inFlight {
 		co.out = ConfirmResult{Applied: err == nil, Seq: ow.st.Seq}
 		if err != nil {
@@ -407,7 +407,7 @@
 }
 
 // refuseAll answers commands that this owner will not carry out.
-func (ow *Owner) refuseAll() {
+func (ow *Owner) rejectCommands() {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
 	for _, co := range ow.commands {
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -12,42 +12,42 @@
 )
 
 // asideFor is how long a worker that fails everything gets nothing.
-const asideFor = time.Minute
+const quarantineTime = time.Minute
 
 // decide asks package place what to do and returns the records of it.
 // Throttles are not journalled: a new owner begins with none.
 func (ow *Owner) decide() []Record {
 	now := time.Now()
-	ow.dirty, ow.decided = false, now
+	ow.dirty, ow.lastDecision = false, now
 	var records []Record
 	for _, dec := range place.Decide(ow.placeSnapshot(now)) {
-		ta, co := ow.st.Tasks[dec.Task], ow.contact(dec.Worker)
-		co.acted = now
+		ta, ws := ow.st.Tasks[dec.Task], ow.status(dec.Worker)
+		ws.lastAction = now
 		switch dec.Verb {
 		case place.Start:
 			records = append(records, Record{
 				Kind: KindStart, Task: dec.Task, Worker: dec.Worker,
-				Incarnation: co.incarnation, Attempt: ta.Attempt + 1,
+				Incarnation: ws.incarnation, Attempt: ta.Attempt + 1,
 			})
 			delete(ow.shares, dec.Task)
 		case place.Throttle:
 			ow.shares[dec.Task] = dec.Share
-			co.hurry = true
+			ws.sendNow = true
 			ow.Metrics.Add(telemetry.TaskEvents, 1, "event", "throttle")
 		case place.Evict, place.Move:
 			records = append(records, Record{Kind: KindStop, Task: dec.Task, Attempt: ta.Attempt})
 			ow.Metrics.Add(telemetry.TaskEvents, 1, "event", "evict")
 			if dec.Verb == place.Evict {
-				ow.evictions.spend(now)
+				ow.evictions.record(now)
 			}
 		}
 	}
-	records = append(records, ow.dropped()...)
+	records = append(records, ow.stopDropped()...)
 	return records
 }
 
 // dropped returns the stops of tasks that are no longer wanted.
-func (ow *Owner) dropped() []Record {
+func (ow *Owner) stopDropped() []Record {
 	var records []Record
 	for id, ta := range ow.st.Tasks {
 		if ta.Dropped && ta.State == Running {
@@ -60,13 +60,13 @@
 // placeSnapshot makes the snapshot for a decision.
 func (ow *Owner) placeSnapshot(now time.Time) place.Snapshot {
 	doc := ow.Config()
-	used := ow.st.Used()
+	used := ow.st.ReservedByWorker()
 	sn := place.Snapshot{Model: &ow.model, Policy: place.Policy{
 		TailTargetMS:    float64(doc.Duration(config.TailTarget).Milliseconds()),
 		WeightTail:      doc.Float(config.WeightTail),
 		WeightEvictions: doc.Float(config.WeightEvictions),
 		WeightBatch:     doc.Float(config.WeightBatch),
-		Evictions:       ow.evictions.left(now, doc.Int(config.EvictionBudget)),
+		Evictions:       ow.evictions.remaining(now, doc.Int(config.EvictionBudget)),
 		Quotas:          doc.Quotas(),
 		NoControl:       ow.NoControl,
 	}}
@@ -84,23 +84,23 @@
 }
 
 func (ow *Owner) placeWorker(id string, wo *Worker, used worker.Resources, now time.Time) place.Worker {
-	co := ow.contact(id)
-	aside := len(wo.FailedJobs) >= asideAfter
+	ws := ow.status(id)
+	quarantined := len(wo.FailedJobs) >= quarantineAfter
 	switch {
-	case !aside:
-		co.asideAt = time.Time{}
-	case co.asideAt.IsZero():
-		co.asideAt = now
+	case !quarantined:
+		ws.quarantinedAt = time.Time{}
+	case ws.quarantinedAt.IsZero():
+		ws.quarantinedAt = now
 	}
-	onProbation := aside && now.Sub(co.asideAt) > asideFor
+	onProbation := quarantined && now.Sub(ws.quarantinedAt) > quarantineTime
 	if onProbation && used != (worker.Resources{}) {
 		onProbation = false
 	}
-	emptying := wo.Drained || co.leaving || co.unlisted
+	emptying := wo.Drained || ws.leaving || ws.unlisted
 	return place.Worker{
 		ID: id, Rack: wo.Rack, Capacity: wo.Capacity, Used: used,
 		Draining:      emptying,
-		Unschedulable: emptying || now.Sub(co.heard) > ow.Timing.Silent || (aside && !onProbation),
+		Unschedulable: emptying || now.Sub(ws.lastReport) > ow.Timing.UnresponsiveAfter || (quarantined && !onProbation),
 		Probation:     onProbation,
 	}
 }
@@ -124,22 +124,22 @@
 	if share, ok := ow.shares[id]; ok {
 		pt.Share = share
 	}
-	co := ow.contact(ta.Worker)
-	pt.TailMS = co.tasks[id].TailMS
-	pt.Fresh = co.heard.Add(-ow.Timing.UsageLag).After(co.acted)
+	ws := ow.status(ta.Worker)
+	pt.TailMS = ws.tasks[id].TailMS
+	pt.Fresh = ws.lastReport.Add(-ow.Timing.UsageLag).After(ws.lastAction)
 	return pt
 }
 
 // learn takes what a report says of services and their neighbours, if nothing
 // was changed on the worker since what was measured.
-func (ow *Owner) learn(co *contact) {
-	if !co.heard.Add(-ow.Timing.UsageLag).After(co.acted) || co.heard.Sub(co.learnt) < ow.Timing.UsageLag/2 {
+func (ow *Owner) updateModel(ws *workerStatus) {
+	if !ws.lastReport.Add(-ow.Timing.UsageLag).After(ws.lastAction) || ws.lastReport.Sub(ws.modelUpdated) < ow.Timing.UsageLag/2 {
 		return
 	}
-	co.learnt = co.heard
+	ws.modelUpdated = ws.lastReport
 	target := float64(ow.Config().Duration(config.TailTarget).Milliseconds())
 	var neighbours []place.Neighbour
-	for tid, tr := range co.tasks {
+	for tid, tr := range ws.tasks {
 		ta := ow.st.Tasks[tid]
 		if ta == nil || tr.State != worker.StateRunning {
 			continue
@@ -148,7 +148,7 @@
 			neighbours = append(neighbours, place.Neighbour{Kind: sp.Kind, Cores: float64(tr.UsedMilliCores) / 1000})
 		}
 	}
-	for tid, tr := range co.tasks {
+	for tid, tr := range ws.tasks {
 		ta := ow.st.Tasks[tid]
 		if ta == nil || tr.TailMS == 0 {
 			continue
@@ -159,11 +159,11 @@
 }
 
 // budget bounds evictions to so many a minute.
-type budget struct{ spent []time.Time }
+type evictionBudget struct{ evictedAt []time.Time }
 
-func (bu *budget) left(now time.Time, perMinute int) int {
-	bu.spent = slices.DeleteFunc(bu.spent, func(at time.Time) bool { return now.Sub(at) > time.Minute })
-	return perMinute - len(bu.spent)
+func (bu *evictionBudget) remaining(now time.Time, perMinute int) int {
+	bu.evictedAt = slices.DeleteFunc(bu.evictedAt, func(at time.Time) bool { return now.Sub(at) > time.Minute })
+	return perMinute - len(bu.evictedAt)
 }
 
-func (bu *budget) spend(now time.Time) { bu.spent = append(bu.spent, now) }
+func (bu *evictionBudget) record(now time.Time) { bu.evictedAt = append(bu.evictedAt, now) }
--- a/internal/cell/twice_test.go
+++ b/internal/cell/invariants_test.go
@@ -15,38 +15,38 @@
 // restarts, owners that come, go and linger, a table that is away or loses
 // answers, drains and cancellations, and checks the workers' logs: no task
 // in two places, no worker overfull, every attempt from a checkpoint.
-func TestNothingTwice(t *testing.T) {
+func TestNoTaskRunsTwice(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
-		var broken []string
+		var violations []string
 		proptest.InBubble(t, func() {
-			la := newLab(4)
-			defer la.stop()
-			la.own(false)
+			tc := newTestCell(4)
+			defer tc.stop()
+			tc.startOwner(false)
 			time.Sleep(2 * time.Second)
-			rt.Repeat(la.actions())
-			broken = la.broken()
+			rt.Repeat(tc.actions())
+			violations = tc.violations()
 		})
-		if len(broken) > 0 {
-			rt.Fatal(broken)
+		if len(violations) > 0 {
+			rt.Fatal(violations)
 		}
 	})
 }
 
-func (la *lab) actions() map[string]func(*rapid.T) {
-	pick := func(rt *rapid.T) string {
-		return fmt.Sprintf("w%d", rapid.IntRange(0, len(la.slots)-1).Draw(rt, "worker"))
+func (tc *testCell) actions() map[string]func(*rapid.T) {
+	pickWorker := func(rt *rapid.T) string {
+		return fmt.Sprintf("w%d", rapid.IntRange(0, len(tc.workers)-1).Draw(rt, "worker"))
 	}
-	last := func() *labOwner { return la.owners[len(la.owners)-1] }
+	last := func() *testOwner { return tc.owners[len(tc.owners)-1] }
 	n := 0
 	command := func(cmd Command) {
 		n++
-		_, _ = last().do(fmt.Sprintf("p%d", n), cmd)
+		_, _ = last().confirm(fmt.Sprintf("p%d", n), cmd)
 	}
-	pass := func(rt *rapid.T) {
+	advance := func(rt *rapid.T) {
 		time.Sleep(time.Duration(rapid.IntRange(0, 15_000).Draw(rt, "ms")) * time.Millisecond)
 	}
 	return map[string]func(*rapid.T){
-		"time": pass, "time 2": pass, "time 3": pass,
+		"time": advance, "time 2": advance, "time 3": advance,
 		"job": func(rt *rapid.T) {
 			run := time.Duration(rapid.IntRange(1, 40).Draw(rt, "seconds")) * time.Second
 			command(batchJob(fmt.Sprintf("j%d", n), rapid.IntRange(1, 8).Draw(rt, "tasks"), run))
@@ -60,17 +60,17 @@
 		"drain": func(rt *rapid.T) {
 			command(Command{Drain: &Drain{Rack: fmt.Sprintf("r%d", rapid.IntRange(0, 1).Draw(rt, "rack")), Undo: rapid.Bool().Draw(rt, "undo")}})
 		},
-		"cut":     func(rt *rapid.T) { la.set(pick(rt), func(sl *slot) { sl.cut = !sl.cut }) },
-		"deaf":    func(rt *rapid.T) { la.set(pick(rt), func(sl *slot) { sl.deaf = !sl.deaf }) },
-		"restart": func(rt *rapid.T) { la.restart(la.slots[pick(rt)]) },
+		"cut":     func(rt *rapid.T) { tc.set(pickWorker(rt), func(tw *testWorker) { tw.unreachable = !tw.unreachable }) },
+		"deaf":    func(rt *rapid.T) { tc.set(pickWorker(rt), func(tw *testWorker) { tw.repliesLost = !tw.repliesLost }) },
+		"restart": func(rt *rapid.T) { tc.restart(tc.workers[pickWorker(rt)]) },
 		"late": func(rt *rapid.T) {
-			late := time.Duration(rapid.SampledFrom([]int{0, 0, 500, 5000, 60_000}).Draw(rt, "late")) * time.Millisecond
-			la.set(pick(rt), func(sl *slot) { sl.late = late })
+			delay := time.Duration(rapid.SampledFrom([]int{0, 0, 500, 5000, 60_000}).Draw(rt, "late")) * time.Millisecond
+			tc.set(pickWorker(rt), func(tw *testWorker) { tw.delay = delay })
 		},
-		"owner": func(rt *rapid.T) { la.own(rapid.Bool().Draw(rt, "former one lingers")) },
+		"owner": func(rt *rapid.T) { tc.startOwner(rapid.Bool().Draw(rt, "former one lingers")) },
 		"table": func(rt *rapid.T) {
 			mode := rapid.SampledFrom([]standin.Mode{standin.ModeOK, standin.ModeOK, standin.ModeDown, standin.ModeLost}).Draw(rt, "mode")
-			la.table.Gate.Set(standin.Fault{Mode: mode})
+			tc.table.Gate.Set(standin.Fault{Mode: mode})
 		},
 	}
 }
--- a/internal/cell/journal.go
+++ b/internal/cell/journal.go
@@ -32,8 +32,8 @@
 	// Cell names the cell.
 	Cell string
 
-	head    Head
-	headVer int64
+	head        Head
+	headVersion int64
 	// oldest is the first batch whose row may still be in the table.
 	oldest int64
 }
@@ -45,11 +45,11 @@
 const (
 	// snapshotEvery is the batches between snapshots, which bounds the rows
 	// that a new owner reads.
-	snapshotEvery = 500
+	snapshotInterval = 500
 	// deleteMost bounds the rows deleted along with one append.
-	deleteMost = 20
+	maxDeletes = 20
 	// snapshotRetry is the time between attempts to write a snapshot.
-	snapshotRetry = 10 * time.Second
+	snapshotRetryInterval = 10 * time.Second
 )
 
 func (jo *Journal) key(parts ...string) string {
@@ -77,11 +77,11 @@
 	head := jo.head
 	head.Epoch, head.Owner = epoch, owner
 	head.Term++
-	txn, err := store.NewTxn().WithPut(jo.key("head"), jo.headVer, head)
+	txn, err := store.NewTxn().WithPut(jo.key("head"), jo.headVersion, head)
 	if err != nil {
 		return nil, err
 	}
-	jo.headVer, err = jo.Table.Settle(ctx, txn)
+	jo.headVersion, err = jo.Table.Settle(ctx, txn)
 	if errors.Is(err, store.ErrConflict) {
 		return nil, fmt.Errorf("open journal of %s: %w", jo.Cell, ErrFenced)
 	}
@@ -100,7 +100,7 @@
 func (jo *Journal) load(ctx context.Context) (*State, error) {
 	var err error
 	jo.head = Head{}
-	jo.headVer, err = jo.Table.Get(ctx, jo.key("head"), &jo.head)
+	jo.headVersion, err = jo.Table.Get(ctx, jo.key("head"), &jo.head)
 	if err != nil {
 		return nil, fmt.Errorf("read head of %s: %w", jo.Cell, err)
 	}
@@ -149,7 +149,7 @@
 	ba := Batch{Seq: jo.head.Seq + 1, Epoch: jo.head.Epoch, Owner: jo.head.Owner, Records: records}
 	head := jo.head
 	head.Seq = ba.Seq
-	txn, err := store.NewTxn().WithPut(jo.key("head"), jo.headVer, head)
+	txn, err := store.NewTxn().WithPut(jo.key("head"), jo.headVersion, head)
 	if err != nil {
 		return ba, err
 	}
@@ -158,7 +158,7 @@
 		return ba, err
 	}
 	var deleted int64
-	for jo.oldest+deleted <= head.Snapshot && deleted < deleteMost {
+	for jo.oldest+deleted <= head.Snapshot && deleted < maxDeletes {
 		txn.Puts = append(txn.Puts, store.Put{Key: jo.batchKey(jo.oldest + deleted), Delete: true})
 		deleted++
 	}
@@ -169,19 +169,19 @@
 	if err != nil {
 		return ba, fmt.Errorf("append to journal of %s: %w", jo.Cell, err)
 	}
-	jo.head, jo.headVer = head, version
+	jo.head, jo.headVersion = head, version
 	jo.oldest += deleted
 	return ba, nil
 }
 
 // SnapshotDue reports whether it is time for a snapshot.
 func (jo *Journal) SnapshotDue() bool {
-	return jo.head.Seq >= jo.head.Snapshot+snapshotEvery
+	return jo.head.Seq >= jo.head.Snapshot+snapshotInterval
 }
 
 // Snapshot writes the encoded state, which is that after batch seq, to the
 // object store. The next append makes it known.
-func (jo *Journal) Snapshot(ctx context.Context, seq int64, data []byte) error {
+func (jo *Journal) WriteSnapshot(ctx context.Context, seq int64, data []byte) error {
 	if err := jo.Objects.PutFunc(ctx, jo.snapshotKey(seq), data); err != nil {
 		return fmt.Errorf("write snapshot of %s: %w", jo.Cell, err)
 	}
@@ -189,6 +189,6 @@
 }
 
 // Snapshotted notes a snapshot written.
-func (jo *Journal) Snapshotted(seq int64) {
+func (jo *Journal) RecordSnapshot(seq int64) {
 	jo.head.Snapshot = max(jo.head.Snapshot, seq)
 }
--- a/internal/cell/owner.go
+++ b/internal/cell/owner.go
@@ -47,31 +47,31 @@
 	mu sync.Mutex
 	// st is the state as journalled; closed is set when it is no longer ours
 	// to serve, failed once the journal cannot be appended to.
-	st     *State
-	closed bool
-	failed error
+	st         *State
+	closed     bool
+	journalErr error
 	// contacts are the workers by id, shares the throttled tasks.
-	contacts map[string]*contact
+	statuses map[string]*workerStatus
 	shares   map[string]float64
 	// model and evictions are what was learnt and spent.
 	model     place.Model
-	evictions budget
+	evictions evictionBudget
 	// commands wait for a batch, inFlight for the append of theirs.
 	commands []*command
 	inFlight []*command
 	// appending is since when an append is under way, or zero; appended is
 	// when the last one began.
-	appending time.Time
-	appended  time.Time
+	appendStarted time.Time
+	lastAppend    time.Time
 	// dirty is set when something has changed since the last decision, at
 	// decided.
-	dirty   bool
-	decided time.Time
+	dirty        bool
+	lastDecision time.Time
 	// snapTried is when a snapshot was last begun, snapSeq the last written.
-	snapTried time.Time
-	snapSeq   int64
+	snapshotStarted time.Time
+	snapshotSeq     int64
 	// inherited is when the leases that a former owner gave have lapsed.
-	inherited time.Time
+	inheritedLeaseEnd time.Time
 	// term is that of the journal's opening; wake has the loop look at once.
 	term int64
 	wake chan struct{}
@@ -84,9 +84,9 @@
 	// Batch is the least time between batches, which bounds the writes.
 	BatchInterval time.Duration
 	// Exchange is the time between messages to a worker without orders.
-	Exchange time.Duration
+	ExchangeInterval time.Duration
 	// Silent is how long a worker may be silent before it gets nothing new.
-	Silent time.Duration
+	UnresponsiveAfter time.Duration
 	// Margin is added to leases, for clocks of different rates.
 	Margin time.Duration
 	// UsageLag is how old the usage in reports is.
@@ -95,12 +95,12 @@
 
 // DefaultTiming is for a thousand workers.
 var DefaultTiming = Timing{
-	Tick:          50 * time.Millisecond,
-	BatchInterval: 100 * time.Millisecond,
-	Exchange:      time.Second,
-	Silent:        3 * time.Second,
-	Margin:        500 * time.Millisecond,
-	UsageLag:      2 * time.Second,
+	Tick:              50 * time.Millisecond,
+	BatchInterval:     100 * time.Millisecond,
+	ExchangeInterval:  time.Second,
+	UnresponsiveAfter: 3 * time.Second,
+	Margin:            500 * time.Millisecond,
+	UsageLag:          2 * time.Second,
 }
 
 // maxLease bounds the lease settings; a new owner waits for leases that the
@@ -108,11 +108,11 @@
 const maxLease = time.Minute
 
 // decideEvery is how often decisions are looked for when nothing changed.
-const decideEvery = 500 * time.Millisecond
+const decideInterval = 500 * time.Millisecond
 
 // openTime bounds opening the journal, so that a host that waited long for the
 // table looks first whether it still owns the cell.
-const openTime = 10 * time.Second
+const openTimeout = 10 * time.Second
 
 // ErrNotOwner is returned by calls on a cell that this host does not run.
 var ErrNotOwner = errors.New("not the owner of the cell")
@@ -126,7 +126,7 @@
 	if ow.Log == nil {
 		ow.Log = slog.New(slog.DiscardHandler)
 	}
-	octx, cancel := context.WithTimeout(ctx, openTime)
+	octx, cancel := context.WithTimeout(ctx, openTimeout)
 	st, err := ow.Journal.Open(octx, ow.Self, ow.Epoch)
 	cancel()
 	if err != nil {
@@ -134,10 +134,10 @@
 	}
 	ow.mu.Lock()
 	ow.st = st
-	ow.contacts = map[string]*contact{}
+	ow.statuses = map[string]*workerStatus{}
 	ow.shares = map[string]float64{}
 	ow.wake = make(chan struct{}, 1)
-	ow.inherited = time.Now().Add(maxLease + ow.Timing.Margin)
+	ow.inheritedLeaseEnd = time.Now().Add(maxLease + ow.Timing.Margin)
 	ow.term = ow.Journal.Term()
 	ow.dirty = true
 	ow.mu.Unlock()
@@ -148,7 +148,7 @@
 func (ow *Owner) loop(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer ow.refuseAll()
+	defer ow.rejectCommands()
 	ti := time.NewTicker(ow.Timing.Tick)
 	defer ti.Stop()
 	for {
@@ -156,7 +156,7 @@
 			return fmt.Errorf("cell %s: %w", ow.Cell, ErrNotOwner)
 		}
 		ow.mu.Lock()
-		err := ow.failed
+		err := ow.journalErr
 		if err == nil {
 			ow.step(ctx)
 		}
@@ -174,7 +174,7 @@
 }
 
 // nudge has the loop look again at once.
-func (ow *Owner) nudge() {
+func (ow *Owner) signal() {
 	select {
 	case ow.wake <- struct{}{}:
 	default:
@@ -184,21 +184,21 @@
 // step sends what is due and, unless an append is under way, journals what
 // has happened and what is decided.
 func (ow *Owner) step(ctx context.Context) {
-	if ow.appending.IsZero() && time.Since(ow.appended) >= ow.Timing.BatchInterval {
-		ow.journal(ctx)
+	if ow.appendStarted.IsZero() && time.Since(ow.lastAppend) >= ow.Timing.BatchInterval {
+		ow.startAppend(ctx)
 	}
-	ow.exchangeDue(ctx)
+	ow.sendDueExchanges(ctx)
 }
 
 // journal starts the append of all that is to be noted now.
-func (ow *Owner) journal(ctx context.Context) {
+func (ow *Owner) startAppend(ctx context.Context) {
 	// Going through all workers and tasks costs milliseconds for a thousand
 	// workers; it is done when something has changed, and now and then for
 	// what only time brings.
-	if !ow.dirty && len(ow.commands) == 0 && time.Since(ow.decided) < decideEvery {
+	if !ow.dirty && len(ow.commands) == 0 && time.Since(ow.lastDecision) < decideInterval {
 		return
 	}
-	records := ow.hostRecords()
+	records := ow.workerRecords()
 	records = append(records, ow.endRecords()...)
 	records = append(records, ow.commandRecords()...)
 	// Decided on the state before the records above. A start that they make
@@ -208,40 +208,40 @@
 	if len(records) == 0 {
 		return
 	}
-	ow.appending = time.Now()
-	ow.appended = ow.appending
-	ow.Journal.Snapshotted(ow.snapSeq)
-	go ow.append(ctx, records)
+	ow.appendStarted = time.Now()
+	ow.lastAppend = ow.appendStarted
+	ow.Journal.RecordSnapshot(ow.snapshotSeq)
+	go ow.appendBatch(ctx, records)
 }
 
 // append writes a batch, applies it, and lets workers hear of it.
-func (ow *Owner) append(ctx context.Context, records []Record) {
+func (ow *Owner) appendBatch(ctx context.Context, records []Record) {
 	ba, err := ow.Journal.Append(ctx, records)
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	ow.appending = time.Time{}
+	ow.appendStarted = time.Time{}
 	if err != nil {
-		ow.failed = err
-		ow.answerCommands(err)
-		ow.nudge()
+		ow.journalErr = err
+		ow.completeCommands(err)
+		ow.signal()
 		return
 	}
 	ow.Metrics.Add(telemetry.JournalRows, 1, "cell", ow.Cell)
 	ow.st.Apply(ba)
 	ow.dirty = true
-	ow.answerCommands(nil)
-	ow.hurry(records)
+	ow.completeCommands(nil)
+	ow.expedite(records)
 	ow.snapshot(ctx)
-	ow.nudge()
+	ow.signal()
 }
 
 // snapshot begins to write a snapshot, if one is due. The object store may
 // hang, so that nothing waits for it; the next append makes it known.
 func (ow *Owner) snapshot(ctx context.Context) {
-	if !ow.Journal.SnapshotDue() || time.Since(ow.snapTried) < snapshotRetry {
+	if !ow.Journal.SnapshotDue() || time.Since(ow.snapshotStarted) < snapshotRetryInterval {
 		return
 	}
-	ow.snapTried = time.Now()
+	ow.snapshotStarted = time.Now()
 	seq := ow.st.Seq
 	data, err := json.Marshal(ow.st)
 	if err != nil {
@@ -249,28 +249,28 @@
 		return
 	}
 	go func() {
-		sctx, cancel := context.WithTimeout(ctx, snapshotRetry)
+		sctx, cancel := context.WithTimeout(ctx, snapshotRetryInterval)
 		defer cancel()
-		if err := ow.Journal.Snapshot(sctx, seq, data); err != nil {
+		if err := ow.Journal.WriteSnapshot(sctx, seq, data); err != nil {
 			ow.Log.Warn("snapshot", "cell", ow.Cell, "err", err)
 			return
 		}
 		ow.mu.Lock()
 		defer ow.mu.Unlock()
-		ow.snapSeq = max(ow.snapSeq, seq)
+		ow.snapshotSeq = max(ow.snapshotSeq, seq)
 	}()
 }
 
 // hurry has workers with new orders contacted at once.
-func (ow *Owner) hurry(records []Record) {
+func (ow *Owner) expedite(records []Record) {
 	for _, rec := range records {
 		if rec.Kind != KindStart && rec.Kind != KindStop {
 			continue
 		}
 		ow.Metrics.Add(telemetry.TaskEvents, 1, "event", string(rec.Kind))
 		if ta := ow.st.Tasks[rec.Task]; ta != nil {
-			if co := ow.contacts[ta.Worker]; co != nil {
-				co.hurry = true
+			if ws := ow.statuses[ta.Worker]; ws != nil {
+				ws.sendNow = true
 			}
 		}
 	}
@@ -278,7 +278,7 @@
 
 // hostRecords enters workers that are new on the list and removes those that
 // are gone and run nothing.
-func (ow *Owner) hostRecords() []Record {
+func (ow *Owner) workerRecords() []Record {
 	hosts, ok := ow.Hosts()
 	if !ok {
 		return nil
@@ -291,18 +291,18 @@
 			ID: ho.ID, Rack: ho.Rack, Addr: ho.Addr,
 			Capacity: worker.Resources{MilliCores: ho.MilliCores, MemMB: ho.MemMB, Accels: ho.Accels},
 		}
-		co := ow.contact(ho.ID)
-		co.leaving = ho.State == store.HostLeaving
+		ws := ow.status(ho.ID)
+		ws.leaving = ho.State == store.HostLeaving
 		old := ow.st.Workers[ho.ID]
 		if old == nil || old.Addr != wo.Addr || old.Capacity != wo.Capacity || old.Rack != wo.Rack {
 			records = append(records, Record{Kind: KindWorker, Host: &wo})
 		}
 	}
 	for id := range ow.st.Workers {
-		co := ow.contact(id)
-		co.unlisted = !listed[id]
-		if co.unlisted && len(ow.st.held[id]) == 0 {
-			records = append(records, Record{Kind: KindGone, Worker: id})
+		ws := ow.status(id)
+		ws.unlisted = !listed[id]
+		if ws.unlisted && len(ow.st.activeTasks[id]) == 0 {
+			records = append(records, Record{Kind: KindRemove, Worker: id})
 		}
 	}
 	return records
@@ -313,9 +313,9 @@
 func (ow *Owner) endRecords() []Record {
 	var records []Record
 	now := time.Now()
-	for _, tasks := range ow.st.held {
+	for _, tasks := range ow.st.activeTasks {
 		for id, ta := range tasks {
-			if rec, ended := ow.ended(id, ta, now); ended {
+			if rec, ended := ow.endRecord(id, ta, now); ended {
 				records = append(records, rec)
 				ow.Metrics.Add(telemetry.TaskEvents, 1, "event", string(rec.End))
 			}
@@ -324,29 +324,29 @@
 	return records
 }
 
-func (ow *Owner) ended(id string, ta *Task, now time.Time) (Record, bool) {
+func (ow *Owner) endRecord(id string, ta *Task, now time.Time) (Record, bool) {
 	rec := Record{Kind: KindEnd, Task: id, Attempt: ta.Attempt, End: worker.StateLapsed}
-	co := ow.contact(ta.Worker)
-	if co.incarnation != "" && co.incarnation != ta.Incarnation {
+	ws := ow.status(ta.Worker)
+	if ws.incarnation != "" && ws.incarnation != ta.Incarnation {
 		// Another process: the one that had the task is no more.
 		return rec, true
 	}
-	if tr, ok := co.tasks[id]; ok && tr.Attempt == ta.Attempt {
+	if tr, ok := ws.tasks[id]; ok && tr.Attempt == ta.Attempt {
 		rec.CheckpointMS = tr.CheckpointMS
 		if tr.State != worker.StateRunning {
 			rec.End, rec.Result = tr.State, tr.Result
 			return rec, true
 		}
 	}
-	return rec, now.After(ow.lapse(co, ow.st.Jobs[ta.Job].Spec.Service))
+	return rec, now.After(ow.leaseExpiry(ws, ow.st.Jobs[ta.Job].Spec.Service))
 }
 
 // lapse returns when a worker's leases of a class have surely lapsed, if it
 // is not heard of again.
-func (ow *Owner) lapse(co *contact, service bool) time.Time {
-	end := co.leaseEnd[leaseIndex(service)]
-	if co.incarnation == "" {
-		end = ow.inherited
+func (ow *Owner) leaseExpiry(ws *workerStatus, service bool) time.Time {
+	end := ws.leaseEnd[leaseIndex(service)]
+	if ws.incarnation == "" {
+		end = ow.inheritedLeaseEnd
 	}
 	return end.Add(ow.Timing.Margin)
 }
@@ -392,7 +392,7 @@
 	for _, ta := range ow.st.Tasks {
 		su.Tasks[string(ta.State)]++
 	}
-	for _, used := range ow.st.Used() {
+	for _, used := range ow.st.ReservedByWorker() {
 		su.Reserved = su.Reserved.Add(used)
 	}
 	return su, nil
@@ -405,15 +405,15 @@
 
 // workerState names the state of a worker, for people.
 func (ow *Owner) workerState(id string, wo *Worker) string {
-	co := ow.contact(id)
+	ws := ow.status(id)
 	switch {
 	case wo.Drained:
 		return "drained"
-	case co.leaving, co.unlisted:
+	case ws.leaving, ws.unlisted:
 		return "leaving"
-	case time.Since(co.heard) > ow.Timing.Silent:
+	case time.Since(ws.lastReport) > ow.Timing.UnresponsiveAfter:
 		return "silent"
-	case len(wo.FailedJobs) >= asideAfter:
+	case len(wo.FailedJobs) >= quarantineAfter:
 		return "aside"
 	}
 	return "live"
--- a/internal/cell/slope_test.go
+++ b/internal/cell/scale_test.go
@@ -15,23 +15,23 @@
 // TestWritesPerStart adds jobs of 40 tasks, five a second for 20 seconds, and
 // counts the table's writes for all that follows from it.
 func TestWritesPerStart(t *testing.T) {
-	inBubble(t, 20, func(c *qt.C, la *lab) {
-		lo := la.own(false)
+	runCell(t, 20, func(c *qt.C, tc *testCell) {
+		to := tc.startOwner(false)
 		time.Sleep(3 * time.Second)
-		before, begun := la.table.Counts().Writes, time.Now()
+		before, started := tc.table.Counts().Writes, time.Now()
 		const seconds = 20
 		for i := range 5 * seconds {
 			cmd := batchJob(fmt.Sprintf("j%d", i), 40, 500*time.Millisecond)
 			cmd.Add.Each = worker.Resources{MilliCores: 100, MemMB: 10}
 			added := time.Now()
-			_, err := lo.do(cmd.Add.Name, cmd)
+			_, err := to.confirm(cmd.Add.Name, cmd)
 			c.Assert(err, qt.IsNil)
 			time.Sleep(200*time.Millisecond - time.Since(added))
 		}
-		writes := float64(la.table.Counts().Writes-before) / time.Since(begun).Seconds()
+		writes := float64(tc.table.Counts().Writes-before) / time.Since(started).Seconds()
 		starts := 0
-		for _, sl := range la.slots {
-			starts += len(sl.st.Log())
+		for _, tw := range tc.workers {
+			starts += len(tw.proc.Log())
 		}
 		c.Logf("%d starts, %.1f writes a second", starts, writes)
 		c.Assert(starts >= 195*seconds, qt.IsTrue, qt.Commentf("%d starts", starts))
@@ -40,7 +40,7 @@
 }
 
 // bigState is a cell of n workers with the tasks of the target.
-func bigState(n int) *State {
+func populatedState(n int) *State {
 	st := NewState()
 	var recs []Record
 	for i := range n {
@@ -62,7 +62,7 @@
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{50, 500, 1022} {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
-			data, err := json.Marshal(bigState(n))
+			data, err := json.Marshal(populatedState(n))
 			qt.Assert(b, err, qt.IsNil)
 			b.ReportMetric(float64(len(data)), "bytes")
 			b.ReportAllocs()
@@ -79,11 +79,11 @@
 // one decision.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{50, 500, 1022} {
-		ow := &Owner{st: bigState(n), contacts: map[string]*contact{}, shares: map[string]float64{}, Timing: DefaultTiming}
-		ow.Config = newLab(0).config
+		ow := &Owner{st: populatedState(n), statuses: map[string]*workerStatus{}, shares: map[string]float64{}, Timing: DefaultTiming}
+		ow.Config = newTestCell(0).config
 		now := time.Now()
 		for id := range ow.st.Workers {
-			ow.contacts[id] = &contact{incarnation: "x", heard: now, leaseEnd: [2]time.Time{now.Add(time.Hour), now.Add(time.Hour)}}
+			ow.statuses[id] = &workerStatus{incarnation: "x", lastReport: now, leaseEnd: [2]time.Time{now.Add(time.Hour), now.Add(time.Hour)}}
 		}
 		b.Run(fmt.Sprintf("ends/workers=%d", n), func(b *testing.B) {
 			for range b.N {
@@ -98,7 +98,7 @@
 		})
 		b.Run(fmt.Sprintf("message/workers=%d", n), func(b *testing.B) {
 			for range b.N {
-				ow.message("w0001", ow.contacts["w0001"])
+				ow.buildExchange("w0001", ow.statuses["w0001"])
 			}
 		})
 	}
@@ -109,8 +109,8 @@
 func TestExchangeSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		la := newLab(1)
-		defer la.stop()
+		tc := newTestCell(1)
+		defer tc.stop()
 		var ex worker.Exchange
 		re := worker.Report{Worker: "w0", Incarnation: "0190e8a1-0000-7000-8000-000000000000", Term: 12, ClockMS: 123456789, ServiceUntilMS: 1, BatchUntilMS: 1}
 		for i := range 12 {
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -134,18 +134,18 @@
 
 	// held has the tasks that count against each worker, perJob the number
 	// of tasks of each job; both follow from the rest.
-	held   map[string]map[string]*Task
-	perJob map[string]int
+	activeTasks map[string]map[string]*Task
+	perJob      map[string]int
 }
 
 // Bounds on what is remembered of the past.
 const (
-	keepEnded = 10_000
-	keepPlans = 4096
+	maxEnded = 10_000
+	maxPlans = 4096
 	// parkAfter is the number of different workers on which a task may fail,
 	// and asideAfter that of different jobs that may fail at a worker.
-	parkAfter  = 3
-	asideAfter = 3
+	maxFailedWorkers = 3
+	quarantineAfter  = 3
 )
 
 // NewState returns an empty state.
@@ -157,44 +157,44 @@
 
 // index makes what follows from the rest anew, after reading a snapshot.
 func (st *State) index() {
-	st.held = map[string]map[string]*Task{}
+	st.activeTasks = map[string]map[string]*Task{}
 	st.perJob = map[string]int{}
 	for id, ta := range st.Tasks {
 		st.perJob[ta.Job]++
 		if ta.Active() {
-			st.hold(id, ta)
+			st.addActive(id, ta)
 		}
 	}
 }
 
-func (st *State) hold(id string, ta *Task) {
-	if st.held[ta.Worker] == nil {
-		st.held[ta.Worker] = map[string]*Task{}
+func (st *State) addActive(id string, ta *Task) {
+	if st.activeTasks[ta.Worker] == nil {
+		st.activeTasks[ta.Worker] = map[string]*Task{}
 	}
-	st.held[ta.Worker][id] = ta
+	st.activeTasks[ta.Worker][id] = ta
 }
 
-func (st *State) letGo(id string, ta *Task) {
-	delete(st.held[ta.Worker], id)
-	if len(st.held[ta.Worker]) == 0 {
-		delete(st.held, ta.Worker)
+func (st *State) removeActive(id string, ta *Task) {
+	delete(st.activeTasks[ta.Worker], id)
+	if len(st.activeTasks[ta.Worker]) == 0 {
+		delete(st.activeTasks, ta.Worker)
 	}
 }
 
 // forget removes a task that runs nowhere, and with the last one its job.
-func (st *State) forget(id string) {
+func (st *State) deleteTask(id string) {
 	ta := st.Tasks[id]
 	if ta == nil {
 		return
 	}
 	delete(st.Tasks, id)
 	st.perJob[ta.Job]--
-	st.forgetJob(ta.Job)
+	st.deleteJobIfEmpty(ta.Job)
 }
 
 // forgetJob forgets a job without tasks, if it is cancelled or was batch work
 // whose tasks all ended long ago.
-func (st *State) forgetJob(name string) {
+func (st *State) deleteJobIfEmpty(name string) {
 	jo := st.Jobs[name]
 	if jo == nil || st.perJob[name] > 0 || (jo.Spec.Service && !jo.Cancelled) {
 		return
@@ -215,7 +215,7 @@
 	// KindWorker enters or changes a worker.
 	KindWorker Kind = "worker"
 	// KindGone removes a worker that runs nothing.
-	KindGone Kind = "gone"
+	KindRemove Kind = "gone"
 	// KindDrain begins or ends a drain of a worker.
 	KindDrain Kind = "drain"
 	// KindStart starts a task.
@@ -280,7 +280,7 @@
 		st.applyCancel(rec.Job)
 	case KindWorker:
 		st.applyWorker(*rec.Host)
-	case KindGone:
+	case KindRemove:
 		delete(st.Workers, rec.Worker)
 	case KindDrain:
 		if wo := st.Workers[rec.Worker]; wo != nil {
@@ -295,12 +295,12 @@
 	case KindEnd:
 		st.applyEnd(rec)
 	case KindPlan:
-		st.Plans = bounded(append(st.Plans, rec.Plan), keepPlans)
+		st.Plans = trimOldest(append(st.Plans, rec.Plan), maxPlans)
 	}
 }
 
-func bounded(list []string, most int) []string {
-	return slices.Delete(list, 0, max(0, len(list)-most))
+func trimOldest(list []string, limit int) []string {
+	return slices.Delete(list, 0, max(0, len(list)-limit))
 }
 
 func (st *State) applyJob(sp Spec) {
@@ -313,16 +313,16 @@
 	jo.Spec = sp
 	jo.Revision++
 	for i := before; i < sp.Tasks; i++ {
-		st.want(sp.Name, i)
+		st.ensureTask(sp.Name, i)
 	}
 	for i := sp.Tasks; i < before; i++ {
-		st.drop(TaskID(sp.Name, i))
+		st.dropTask(TaskID(sp.Name, i))
 	}
 }
 
 // want makes a task of a job. One that was dropped and has not stopped yet is
 // wanted again.
-func (st *State) want(job string, index int) {
+func (st *State) ensureTask(job string, index int) {
 	id := TaskID(job, index)
 	if ta := st.Tasks[id]; ta != nil {
 		ta.Dropped = false
@@ -334,7 +334,7 @@
 }
 
 // drop forgets a task, at once or once it has stopped.
-func (st *State) drop(id string) {
+func (st *State) dropTask(id string) {
 	ta := st.Tasks[id]
 	if ta == nil {
 		return
@@ -343,7 +343,7 @@
 		ta.Dropped = true
 		return
 	}
-	st.forget(id)
+	st.deleteTask(id)
 }
 
 func (st *State) applyCancel(name string) {
@@ -354,9 +354,9 @@
 	jo.Cancelled = true
 	jo.Revision++
 	for i := range jo.Spec.Tasks {
-		st.drop(TaskID(name, i))
+		st.dropTask(TaskID(name, i))
 	}
-	st.forgetJob(name)
+	st.deleteJobIfEmpty(name)
 }
 
 func (st *State) applyWorker(ho Worker) {
@@ -372,7 +372,7 @@
 		return
 	}
 	ta.State, ta.Worker, ta.Incarnation, ta.Attempt = Running, rec.Worker, rec.Incarnation, rec.Attempt
-	st.hold(rec.Task, ta)
+	st.addActive(rec.Task, ta)
 }
 
 func (st *State) applyEnd(rec Record) {
@@ -381,34 +381,34 @@
 		return
 	}
 	wo := st.Workers[ta.Worker]
-	st.letGo(rec.Task, ta)
+	st.removeActive(rec.Task, ta)
 	ta.CheckpointMS = max(ta.CheckpointMS, rec.CheckpointMS)
 	switch rec.End {
 	case worker.StateDone:
 		ta.Result = rec.Result
-		st.end(rec.Task, ta, Done)
+		st.finish(rec.Task, ta, Done)
 		if wo != nil {
 			wo.FailedJobs = nil
 		}
 	case worker.StateFailed:
-		ta.FailedOn = withOnce(ta.FailedOn, ta.Worker)
+		ta.FailedOn = appendUnique(ta.FailedOn, ta.Worker)
 		if wo != nil {
-			wo.FailedJobs = withOnce(wo.FailedJobs, ta.Job)
+			wo.FailedJobs = appendUnique(wo.FailedJobs, ta.Job)
 		}
 		ta.State = Waiting
-		if len(ta.FailedOn) >= parkAfter {
-			st.end(rec.Task, ta, Failed)
+		if len(ta.FailedOn) >= maxFailedWorkers {
+			st.finish(rec.Task, ta, Failed)
 		}
 	default:
 		ta.State = Waiting
 		ta.Evictions++
 	}
 	if ta.Dropped {
-		st.forget(rec.Task)
+		st.deleteTask(rec.Task)
 	}
 }
 
-func withOnce(list []string, item string) []string {
+func appendUnique(list []string, item string) []string {
 	if slices.Contains(list, item) {
 		return list
 	}
@@ -416,22 +416,22 @@
 }
 
 // end moves a task to its last state and forgets the oldest ended ones.
-func (st *State) end(id string, ta *Task, state TaskState) {
+func (st *State) finish(id string, ta *Task, state TaskState) {
 	ta.State = state
 	st.Ended = append(st.Ended, id)
-	for len(st.Ended) > keepEnded {
+	for len(st.Ended) > maxEnded {
 		old := st.Ended[0]
 		st.Ended = st.Ended[1:]
 		if ended := st.Tasks[old]; ended != nil && (ended.State == Done || ended.State == Failed) {
-			st.forget(old)
+			st.deleteTask(old)
 		}
 	}
 }
 
 // Used returns what the tasks that may run on a worker are given.
-func (st *State) Used() map[string]worker.Resources {
+func (st *State) ReservedByWorker() map[string]worker.Resources {
 	used := map[string]worker.Resources{}
-	for id, tasks := range st.held {
+	for id, tasks := range st.activeTasks {
 		for _, ta := range tasks {
 			used[id] = used[id].Add(st.Jobs[ta.Job].Spec.Each)
 		}
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -24,9 +24,9 @@
 
 // Bounds on fields of a request.
 const (
-	maxID      = 128
-	maxName    = 100
-	readyRetry = time.Second
+	maxID              = 128
+	maxName            = 100
+	notReadyRetryAfter = time.Second
 )
 
 func (ho *Host) callerHandler() http.Handler {
@@ -78,7 +78,7 @@
 		id = uuid.NewString()
 	}
 	res := cs.ho.call(ctx, id, msg)
-	cs.ho.metrics.Ended(class(msg.GetClass()).String(), res.Reason, time.Since(begun))
+	cs.ho.metrics.Ended(classOf(msg.GetClass()).String(), res.Reason, time.Since(begun))
 	if res.Outcome != route.Answered {
 		return nil, failure(id, res)
 	}
@@ -87,7 +87,7 @@
 	}), nil
 }
 
-func class(cl pb.Class) runner.Class {
+func classOf(cl pb.Class) runner.Class {
 	if cl == pb.Class_CLASS_BATCH {
 		return runner.Batch
 	}
@@ -99,13 +99,13 @@
 	doc, ok := ho.config.Current()
 	switch {
 	case !ok:
-		return route.NotRunResult(reason.NotReady, readyRetry)
+		return route.NotRunResult(reason.NotReady, notReadyRetryAfter)
 	case len(id) > maxID, msg.GetService() == "", len(msg.GetService()) > maxName, len(msg.GetMethod()) > maxName,
 		time.Duration(msg.GetDeadlineMs())*time.Millisecond > caller.DeadlineMost:
 		return route.NotRunResult(reason.Malformed, 0)
 	}
 	left := time.Duration(msg.GetDeadlineMs()) * time.Millisecond
-	cl := class(msg.GetClass())
+	cl := classOf(msg.GetClass())
 	if left == 0 {
 		left = doc.Duration(map[runner.Class]string{
 			runner.LatencyCritical: config.DeadlineLatency, runner.Batch: config.DeadlineBatch,
@@ -166,22 +166,22 @@
 // Watch serves one session.
 func (cs *callerService) Watch(ctx context.Context, creq *connect.Request[pb.WatchRequest], out *connect.ServerStream[pb.WatchResponse]) error {
 	if !cs.ho.ready() {
-		why := reason.NotReady
+		rsn := reason.NotReady
 		if cs.ho.stopping.Load() {
-			why = reason.Stopping
+			rsn = reason.Stopping
 		}
-		return failure("", route.NotRunResult(why, readyRetry))
+		return failure("", route.NotRunResult(rsn, notReadyRetryAfter))
 	}
 	msg := creq.Msg
 	if msg.GetResumeToken() == "" && (msg.GetService() == "" || len(msg.GetService()) > maxName || len(msg.GetTopic()) > maxName) {
 		return failure("", route.NotRunResult(reason.Malformed, 0))
 	}
-	wr := &watcher{out: out}
+	ws := &watchStream{out: out}
 	if msg.GetBeats() {
-		out.ResponseHeader().Set(caller.BeatHeader, strconv.FormatInt(beatEvery.Milliseconds(), 10))
+		out.ResponseHeader().Set(caller.BeatHeader, strconv.FormatInt(heartbeatInterval.Milliseconds(), 10))
 	}
 	// The caller hears at once that the session is being opened.
-	if err := wr.send(nil); err != nil {
+	if err := ws.send(nil); err != nil {
 		return err
 	}
 	ctx, end := context.WithCancel(ctx)
@@ -190,11 +190,11 @@
 	defer wg.Wait()
 	defer end()
 	if msg.GetBeats() {
-		wg.Go(func() { cs.ho.beat(ctx, end, wr) })
+		wg.Go(func() { cs.ho.sendHeartbeats(ctx, end, ws) })
 	}
 	req := session.Request{Service: msg.GetService(), Topic: msg.GetTopic(), Token: msg.GetResumeToken()}
 	err := cs.ho.relay.Serve(ctx, req, func(ev session.Event) error {
-		return wr.send(&pb.WatchResponse{
+		return ws.send(&pb.WatchResponse{
 			SessionId: ev.SessionID, Seq: ev.Seq, Body: ev.Body, ResumeToken: ev.Token, Moved: ev.Moved,
 		})
 	})
--- a/internal/entry/cells.go
+++ b/internal/entry/cells.go
@@ -14,9 +14,9 @@
 // cellMessage is a message to the owner of a cell. Passed is set once it was
 // passed on within the data centre.
 type cellMessage[T any] struct {
-	Cell    string `json:"cell"`
-	Passed  bool   `json:"passed,omitempty"`
-	Message T      `json:"message"`
+	Cell      string `json:"cell"`
+	Forwarded bool   `json:"passed,omitempty"`
+	Message   T      `json:"message"`
 }
 
 // cellCall is one kind of message to the owner of a cell.
@@ -74,32 +74,32 @@
 	}
 	addr, err := ho.anyHostIn(name)
 	if err != nil {
-		var none Resp
-		return none, fmt.Errorf("cell %s: %w: %w", name, cell.ErrNotOwner, err)
+		var zero Resp
+		return zero, fmt.Errorf("cell %s: %w: %w", name, cell.ErrNotOwner, err)
 	}
 	return postCall(ctx, ho, ca, addr, msg)
 }
 
 func postCall[Req, Resp any](ctx context.Context, ho *Host, ca cellCall[Req, Resp], addr string, msg cellMessage[Req]) (Resp, error) {
-	resp, err := wire.Post[cellMessage[Req], Resp](ctx, ho.web, "http://"+addr+pathCell+ca.name, msg)
+	resp, err := wire.Post[cellMessage[Req], Resp](ctx, ho.httpClient, "http://"+addr+pathCell+ca.name, msg)
 	return resp, decodeCellError(err)
 }
 
 // serveCall answers at the owner, and passes the message on once elsewhere.
 func serveCall[Req, Resp any](ctx context.Context, ho *Host, ca cellCall[Req, Resp], msg cellMessage[Req]) (Resp, error) {
-	var none Resp
+	var zero Resp
 	addr, own, err := ho.ownerOf(lease.CellResource(ho.set.DC))
 	if own {
 		ow := ho.owner.Load()
 		if ow == nil {
-			return none, cell.ErrNotOwner
+			return zero, cell.ErrNotOwner
 		}
 		return ca.serve(ow, ctx, msg.Message)
 	}
-	if err != nil || msg.Passed {
-		return none, errors.Join(cell.ErrNotOwner, err)
+	if err != nil || msg.Forwarded {
+		return zero, errors.Join(cell.ErrNotOwner, err)
 	}
-	msg.Passed = true
+	msg.Forwarded = true
 	return postCall(ctx, ho, ca, addr, msg)
 }
 
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -33,37 +33,37 @@
 
 // Host is one entry host. Make one with [New].
 type Host struct {
-	set     settings.Serve
-	id      string
-	log     *slog.Logger
-	table   store.Table
-	objects store.Objects
-	hosts   store.Hosts
-	web     *http.Client
+	set        settings.Serve
+	id         string
+	log        *slog.Logger
+	table      store.Table
+	objects    store.Objects
+	hosts      store.Hosts
+	httpClient *http.Client
 	// forwards has the connections of requests passed to peers.
-	forwards *http.Client
-	workers  worker.Client
-
-	metrics    *telemetry.Metrics
-	metricPage http.Handler
-	mesh       *peer.Mesh
-	registry   *upstream.Registry
-	router     *route.Router
-	relay      *session.Relay
-	config     *config.Store
-	ledger     *claim.Ledger
-	guard      *claim.Guard
-	planner    *intent.Planner
+	forwardClient *http.Client
+	workers       worker.Client
+
+	metrics        *telemetry.Metrics
+	metricsHandler http.Handler
+	mesh           *peer.Mesh
+	registry       *upstream.Registry
+	router         *route.Router
+	relay          *session.Relay
+	config         *config.Store
+	ledger         *claim.Ledger
+	guard          *claim.Guard
+	planner        *intent.Planner
 
 	callerPort, peerPort, adminPort *port.Port
 
-	keeper     atomic.Pointer[lease.Keeper]
-	owner      atomic.Pointer[cell.Owner]
-	workerList atomic.Pointer[[]store.Host]
-	listed     atomic.Bool
-	tableOK    atomic.Int64
-	stopping   atomic.Bool
-	done       chan struct{}
+	keeper        atomic.Pointer[lease.Keeper]
+	owner         atomic.Pointer[cell.Owner]
+	workerList    atomic.Pointer[[]store.Host]
+	listLoaded    atomic.Bool
+	tableAnswered atomic.Int64
+	stopping      atomic.Bool
+	stopBegun     chan struct{}
 }
 
 // New makes an entry host and opens its ports.
@@ -71,54 +71,54 @@
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	web := newWeb(log)
+	client := newHTTPClient(log)
 	ho := &Host{
-		set: set, id: set.ProcessID(), web: web, forwards: newForwards(), done: make(chan struct{}),
-		table:   store.NewTable(set.TableURL, web),
-		objects: store.NewObjects(set.ObjectsURL, web),
-		hosts:   store.NewHosts(set.HostsURL, web),
-		workers: worker.NewClient(web),
+		set: set, id: set.ProcessID(), httpClient: client, forwardClient: newForwardClient(), stopBegun: make(chan struct{}),
+		table:   store.NewTable(set.TableURL, client),
+		objects: store.NewObjects(set.ObjectsURL, client),
+		hosts:   store.NewHosts(set.HostsURL, client),
+		workers: worker.NewClient(client),
 	}
 	ho.log = log.With("host", ho.id)
 	var err error
-	ho.metrics, ho.metricPage, err = telemetry.New()
+	ho.metrics, ho.metricsHandler, err = telemetry.New()
 	if err != nil {
 		return nil, err
 	}
-	ho.assemble()
+	ho.buildComponents()
 	return ho, ho.listen()
 }
 
 // webConns is how many idle connections are kept to one address.
-const webConns = 64
+const maxIdleConns = 64
 
 // newWeb returns the client of the platform, workers and peers. One that keeps idle
 // connections after a call ran into its deadline lost as many deadlines more as it
 // had, 2 s each for a look at the configuration.
-func newWeb(log *slog.Logger) *http.Client { return transport.NewClient(webConns, log) }
+func newHTTPClient(log *slog.Logger) *http.Client { return transport.NewClient(maxIdleConns, log) }
 
 // newForwards returns the client of requests that are passed to peers. Their deadlines
 // are the callers', and say nothing about the connection.
-func newForwards() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: webConns, IdleConnTimeout: time.Minute}}
+func newForwardClient() *http.Client {
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute}}
 }
 
 // assemble makes the slices and ties their seams together.
-func (ho *Host) assemble() {
+func (ho *Host) buildComponents() {
 	clients := runner.NewClient(runner.Limits{ConnsPerRunner: ho.set.RunnerConns})
 	ho.registry = &upstream.Registry{Changed: ho.rebuild}
 	ho.router = &route.Router{Runners: clients, Registry: ho.registry, Metrics: ho.metrics, Forward: ho.forward}
 	ho.relay = &session.Relay{
 		Runners: clients, List: ho.registry.Runners, DC: ho.set.DC,
 		MaxSessions: ho.set.MaxSessions, PerRunner: ho.set.RunnerSessions,
-		Patience: sessionPatience, Metrics: ho.metrics,
+		Patience: runnerWaitLimit, Metrics: ho.metrics,
 	}
 	ho.config = &config.Store{Table: ho.table, Apply: ho.applyConfig}
 	rules := claim.DefaultRules
 	rules.Most = ho.set.MaxClaims
 	ho.ledger = &claim.Ledger{
 		Owns:  func(re string) bool { ke := ho.keeper.Load(); return ke != nil && ke.Owns(re) },
-		Since: func(re string) lease.OwnershipStart { return ho.since(re) },
+		Since: func(re string) lease.OwnershipStart { return ho.ownershipStart(re) },
 		Rules: rules,
 	}
 	ho.guard = &claim.Guard{DCs: ho.set.DCs, Take: ho.takeClaim, Release: ho.releaseClaim}
@@ -127,12 +127,12 @@
 		PlanCell: ho.planCell, ConfirmCell: ho.confirmCell, ChooseCell: ho.chooseCell,
 		Members: ho.members, DeclareDead: ho.declareDead,
 	}
-	ho.mesh = &peer.Mesh{Self: ho.hello, Seeds: ho.set.Peers, Send: peer.NewSend(ho.web), OnHello: ho.heard}
+	ho.mesh = &peer.Mesh{Self: ho.hello, Seeds: ho.set.Peers, Send: peer.NewSend(ho.httpClient), OnHello: ho.onHello}
 }
 
-const sessionPatience = 30 * time.Second
+const runnerWaitLimit = 30 * time.Second
 
-func (ho *Host) since(resource string) lease.OwnershipStart {
+func (ho *Host) ownershipStart(resource string) lease.OwnershipStart {
 	if ke := ho.keeper.Load(); ke != nil {
 		return ke.Since(resource)
 	}
@@ -141,28 +141,28 @@
 
 func (ho *Host) callerLimits() port.Limits {
 	return port.Limits{
-		Conns: ho.set.MaxConns, InFlight: ho.set.MaxInFlight, Body: ho.set.MaxBody, Read: bodyTime, Write: answerTime,
+		Conns: ho.set.MaxConns, InFlight: ho.set.MaxInFlight, Body: ho.set.MaxBody, Read: readTimeout, Write: writeTimeout,
 		Refuse: ho.refuseCaller,
 	}
 }
 
 func (ho *Host) peerLimits() port.Limits {
 	// A peer's message has the body in base64 and some words around it.
-	return port.Limits{Conns: ho.set.MaxConns, InFlight: ho.set.MaxInFlight, Body: 2*ho.set.MaxBody + peerBody, Read: bodyTime, Write: answerTime}
+	return port.Limits{Conns: ho.set.MaxConns, InFlight: ho.set.MaxInFlight, Body: 2*ho.set.MaxBody + peerBodyOverhead, Read: readTimeout, Write: writeTimeout}
 }
 
 func (ho *Host) adminLimits() port.Limits {
-	return port.Limits{Conns: adminConns, InFlight: adminInFlight, Body: adminBody, Read: bodyTime, Write: answerTime}
+	return port.Limits{Conns: maxAdminConns, InFlight: maxAdminInFlight, Body: maxAdminBody, Read: readTimeout, Write: writeTimeout}
 }
 
 // Bounds of the ports that are not settings.
 const (
-	bodyTime      = 10 * time.Second
-	answerTime    = 30 * time.Second
-	peerBody      = 8 << 20
-	adminConns    = 200
-	adminInFlight = 100
-	adminBody     = 1 << 20
+	readTimeout      = 10 * time.Second
+	writeTimeout     = 30 * time.Second
+	peerBodyOverhead = 8 << 20
+	maxAdminConns    = 200
+	maxAdminInFlight = 100
+	maxAdminBody     = 1 << 20
 )
 
 func (ho *Host) listen() error {
@@ -188,7 +188,7 @@
 // Run serves until ctx ends, and then makes a planned stop.
 func (ho *Host) Run(ctx context.Context) error {
 	// Loops and ports outlive ctx until the stop has run.
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
+	bgCtx, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	ports := make(chan error, 3)
 	serve := func(po *port.Port, h http.Handler, lim port.Limits) {
@@ -198,38 +198,38 @@
 	serve(ho.peerPort, ho.peerHandler(), ho.peerLimits())
 	serve(ho.adminPort, ho.adminHandler(), ho.adminLimits())
 	var loops sync.WaitGroup
-	for _, loop := range []func(context.Context){ho.mesh.Run, ho.pollLists, ho.pollConfig, ho.keepLease, ho.runCell, ho.tellPeers} {
-		loops.Go(func() { loop(life) })
+	for _, loop := range []func(context.Context){ho.mesh.Run, ho.pollLists, ho.pollConfig, ho.maintainMembership, ho.runCell, ho.updatePeers} {
+		loops.Go(func() { loop(bgCtx) })
 	}
 	ho.log.Info("serving", "data_centre", ho.set.DC, "callers", ho.CallerAddr(), "peers", ho.PeerAddr(), "admin", ho.AdminAddr())
 	var err error
 	select {
 	case <-ctx.Done():
-		err = ho.stop(life)
+		err = ho.stop(bgCtx)
 	case err = <-ports:
 	}
 	end()
 	loops.Wait()
-	ho.web.CloseIdleConnections()
-	ho.forwards.CloseIdleConnections()
+	ho.httpClient.CloseIdleConnections()
+	ho.forwardClient.CloseIdleConnections()
 	ho.log.Info("stopped", "err", err)
 	return err
 }
 
 // stop is the planned stop: no longer ready, sessions told to move, what is
 // owned handed over, requests in flight finished.
-func (ho *Host) stop(life context.Context) error {
+func (ho *Host) stop(bgCtx context.Context) error {
 	ho.log.Info("stopping", "delay", ho.set.StopDelay, "grace", ho.set.StopGrace)
 	ho.stopping.Store(true)
-	close(ho.done)
+	close(ho.stopBegun)
 	ho.mesh.Hurry()
 	ho.callerPort.Retire()
 	ho.relay.Stop()
 	ho.rebuild()
 	// The balancer goes on sending requests until it sees the host unready;
 	// they are served meanwhile.
-	clock.Sleep(life, ho.set.StopDelay)
-	ctx, cancel := context.WithTimeout(life, ho.set.StopGrace)
+	clock.Sleep(bgCtx, ho.set.StopDelay)
+	ctx, cancel := context.WithTimeout(bgCtx, ho.set.StopGrace)
 	defer cancel()
 	err := ho.callerPort.Stop(ctx)
 	if ke := ho.keeper.Load(); ke != nil {
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -22,15 +22,15 @@
 
 // Intervals of the loops.
 const (
-	listEvery   = time.Second
-	configEvery = time.Second
-	tellEvery   = 100 * time.Millisecond
-	retryEvery  = 500 * time.Millisecond
-	pollTime    = 2 * time.Second
+	listInterval      = time.Second
+	configInterval    = time.Second
+	peersInterval     = 100 * time.Millisecond
+	joinRetryInterval = 500 * time.Millisecond
+	pollTimeout       = 2 * time.Second
 )
 
 // every calls fn at once and then at the interval, until ctx ends.
-func every(ctx context.Context, d time.Duration, fn func(context.Context)) {
+func repeat(ctx context.Context, d time.Duration, fn func(context.Context)) {
 	for {
 		fn(ctx)
 		if !clock.Sleep(ctx, d) {
@@ -42,8 +42,8 @@
 // pollLists reads the platform's list of the data centre.
 func (ho *Host) pollLists(ctx context.Context) {
 	filter := &store.ListFilter{}
-	every(ctx, listEvery, func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, pollTime)
+	repeat(ctx, listInterval, func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		reply, err := ho.hosts.ListFunc(ctx, store.HostsRequest{DC: ho.set.DC})
 		if err != nil {
@@ -60,25 +60,25 @@
 		})
 		ho.workerList.Store(&workers)
 		ho.registry.SetList(hosts)
-		ho.listed.Store(true)
+		ho.listLoaded.Store(true)
 	})
 }
 
 // pollConfig looks at the configuration's row.
 func (ho *Host) pollConfig(ctx context.Context) {
-	every(ctx, configEvery, func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, pollTime)
+	repeat(ctx, configInterval, func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		if err := ho.config.Poll(ctx); err != nil {
 			ho.metrics.Add(telemetry.TableErrors, 1, "step", "read-config")
 			return
 		}
-		ho.tableOK.Store(time.Now().UnixNano())
+		ho.tableAnswered.Store(time.Now().UnixNano())
 	})
 }
 
 // heard takes a peer's greeting: a later configuration is fetched from it.
-func (ho *Host) heard(he peer.Hello) {
+func (ho *Host) onHello(he peer.Hello) {
 	doc, ok := ho.config.Current()
 	if he.ConfigVersion < 0 || (ok && he.ConfigVersion <= doc.Version) {
 		return
@@ -103,7 +103,7 @@
 	hosts := ho.primaries()
 	members := make(map[string][]route.Member, len(byService))
 	for service, runners := range byService {
-		members[service] = ho.own(runners, hosts)
+		members[service] = ho.primaryMembers(runners, hosts)
 	}
 	ho.router.SetMembers(members)
 }
@@ -124,7 +124,7 @@
 	return hosts
 }
 
-func (ho *Host) own(runners []upstream.Runner, hosts []string) []route.Member {
+func (ho *Host) primaryMembers(runners []upstream.Runner, hosts []string) []route.Member {
 	var ids []string
 	for _, ru := range runners {
 		if ru.State != upstream.Leaving {
@@ -145,8 +145,8 @@
 }
 
 // tellPeers keeps the router's view of runners and peers up to date.
-func (ho *Host) tellPeers(ctx context.Context) {
-	every(ctx, tellEvery, func(context.Context) {
+func (ho *Host) updatePeers(ctx context.Context) {
+	repeat(ctx, peersInterval, func(context.Context) {
 		near, far := map[string]map[string]route.Load{}, map[string]map[string]route.Load{}
 		for _, he := range ho.mesh.Live() {
 			switch {
@@ -164,14 +164,14 @@
 
 // keepLease is a member for as long as the host runs. After a takeover it is
 // a new member under a new id, since it cannot speak for its former self.
-func (ho *Host) keepLease(ctx context.Context) {
+func (ho *Host) maintainMembership(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
 		ke := ho.newKeeper(n)
 		// The same member tries again: an attempt that was not heard of may
 		// have entered it.
 		for err := ke.Join(ctx); err != nil; err = ke.Join(ctx) {
 			ho.log.Warn("join", "err", err)
-			if !clock.Sleep(ctx, retryEvery) {
+			if !clock.Sleep(ctx, joinRetryInterval) {
 				return
 			}
 		}
@@ -239,7 +239,7 @@
 
 // runCell runs the data centre's cell while this host owns it.
 func (ho *Host) runCell(ctx context.Context) {
-	every(ctx, cellEvery, func(ctx context.Context) {
+	repeat(ctx, cellPollInterval, func(ctx context.Context) {
 		ke := ho.keeper.Load()
 		resource := lease.CellResource(ho.set.DC)
 		if ke == nil || !ke.Owns(resource) || ho.stopping.Load() {
@@ -255,7 +255,7 @@
 	})
 }
 
-const cellEvery = 200 * time.Millisecond
+const cellPollInterval = 200 * time.Millisecond
 
 func (ho *Host) newOwner(ke *lease.Keeper, resource string) *cell.Owner {
 	timing := cell.DefaultTiming
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -22,9 +22,9 @@
 
 func (ho *Host) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	path, h := pepperhatchv1connect.NewOperatorServiceHandler(&operatorService{ho: ho}, connect.WithReadMaxBytes(adminBody))
+	path, h := pepperhatchv1connect.NewOperatorServiceHandler(&operatorService{ho: ho}, connect.WithReadMaxBytes(maxAdminBody))
 	mux.Handle(path, h)
-	mux.Handle("GET /metrics", ho.metricPage)
+	mux.Handle("GET /metrics", ho.metricsHandler)
 	ho.handleHealth(mux)
 	return mux
 }
@@ -33,7 +33,7 @@
 type operatorService struct{ ho *Host }
 
 // operatorTime bounds a call of an operator.
-const operatorTime = 10 * time.Second
+const operatorTimeout = 10 * time.Second
 
 // operatorCodes pairs errors with connect codes.
 var operatorCodes = []struct {
@@ -58,7 +58,7 @@
 
 // Plan works out what an intent would change.
 func (os *operatorService) Plan(ctx context.Context, creq *connect.Request[pb.PlanRequest]) (*connect.Response[pb.PlanResponse], error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	pl, err := os.ho.planner.Plan(ctx, creq.Msg.GetIntent())
 	if err != nil {
@@ -73,7 +73,7 @@
 
 // Confirm carries out a plan if its basis still holds.
 func (os *operatorService) Confirm(ctx context.Context, creq *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	res, err := os.ho.planner.Confirm(ctx, creq.Msg.GetId())
 	if err != nil {
@@ -88,16 +88,16 @@
 
 // tableFresh is how old the last answer of the table may be for the platform
 // to count as there.
-const tableFresh = 5 * time.Second
+const tableAnswerMaxAge = 5 * time.Second
 
 // Status shows the state as this host sees it.
 func (os *operatorService) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	ho := os.ho
 	resp := &pb.StatusResponse{
 		AnsweredBy: ho.id,
-		PlatformOk: time.Since(time.Unix(0, ho.tableOK.Load())) < tableFresh,
+		PlatformOk: time.Since(time.Unix(0, ho.tableAnswered.Load())) < tableAnswerMaxAge,
 	}
 	resp.Entries = ho.entryStatus()
 	for _, en := range resp.GetEntries() {
@@ -119,7 +119,7 @@
 	live := append(ho.mesh.Live(), ho.hello())
 	entries := make([]*pb.EntryStatus, 0, len(live))
 	for _, he := range live {
-		entries = append(entries, entryOf(he))
+		entries = append(entries, entryStatusOf(he))
 	}
 	slices.SortFunc(entries, func(a, b *pb.EntryStatus) int {
 		return strings.Compare(a.GetDataCentre()+a.GetId(), b.GetDataCentre()+b.GetId())
@@ -127,7 +127,7 @@
 	return entries
 }
 
-func entryOf(he peer.Hello) *pb.EntryStatus {
+func entryStatusOf(he peer.Hello) *pb.EntryStatus {
 	return &pb.EntryStatus{
 		Id: he.ID, DataCentre: he.DC, Reachable: true, ConfigVersion: he.ConfigVersion,
 		Shards: uint32(he.Shards), Cells: he.Cells, Stopping: he.Stopping,
@@ -181,7 +181,7 @@
 
 // Tasks lists the tasks of a cell, or of all.
 func (os *operatorService) Tasks(ctx context.Context, creq *connect.Request[pb.TasksRequest]) (*connect.Response[pb.TasksResponse], error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	names := os.ho.set.DCs
 	if one := creq.Msg.GetCell(); one != "" {
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -43,21 +43,21 @@
 // claimMessage is a message on an id, to the owner of its shard. Passed is
 // set once it was passed on within the owner's data centre.
 type claimMessage[T any] struct {
-	Resource string `json:"resource"`
-	Passed   bool   `json:"passed,omitempty"`
-	Message  T      `json:"message"`
+	Resource  string `json:"resource"`
+	Forwarded bool   `json:"passed,omitempty"`
+	Message   T      `json:"message"`
 }
 
 // runMessage is a request passed to a peer. The time left is told, not the
 // deadline, since clocks differ.
 type runMessage struct {
-	ID      string       `json:"id"`
-	Service string       `json:"service"`
-	Method  string       `json:"method"`
-	Class   runner.Class `json:"class"`
-	Body    []byte       `json:"body"`
-	LeftMS  int64        `json:"left_ms"`
-	Once    bool         `json:"once,omitempty"`
+	ID          string       `json:"id"`
+	Service     string       `json:"service"`
+	Method      string       `json:"method"`
+	Class       runner.Class `json:"class"`
+	Body        []byte       `json:"body"`
+	RemainingMS int64        `json:"left_ms"`
+	Once        bool         `json:"once,omitempty"`
 }
 
 type empty struct{}
@@ -70,10 +70,10 @@
 	mux.Handle("POST "+pathRun, wire.Handle(ho.serveRun))
 	mux.Handle("POST "+pathConfig, wire.Handle(ho.serveConfig))
 	mux.Handle("POST "+pathPromise, wire.Handle(func(_ context.Context, msg memberMessage[lease.PromiseRequest]) (lease.Answer, error) {
-		return answer(ho, msg, (*lease.Keeper).AnswerPromise), nil
+		return answerAsMember(ho, msg, (*lease.Keeper).AnswerPromise), nil
 	}))
 	mux.Handle("POST "+pathDenial, wire.Handle(func(_ context.Context, msg memberMessage[lease.DenialRequest]) (lease.Answer, error) {
-		return answer(ho, msg, (*lease.Keeper).AnswerDenial), nil
+		return answerAsMember(ho, msg, (*lease.Keeper).AnswerDenial), nil
 	}))
 	mux.Handle("POST "+pathTake, wire.Handle(ho.serveTake))
 	mux.Handle("POST "+pathRelease, wire.Handle(ho.serveRelease))
@@ -86,7 +86,7 @@
 }
 
 // answer has the present member answer, if it is the one asked.
-func answer[T any](ho *Host, msg memberMessage[T], fn func(*lease.Keeper, T) lease.Answer) lease.Answer {
+func answerAsMember[T any](ho *Host, msg memberMessage[T], fn func(*lease.Keeper, T) lease.Answer) lease.Answer {
 	ke := ho.keeper.Load()
 	if ke == nil || ke.ID != msg.To {
 		return lease.Answer{}
@@ -96,12 +96,12 @@
 
 func (ho *Host) askPromise(ctx context.Context, id, addr string, req lease.PromiseRequest) (lease.Answer, error) {
 	msg := memberMessage[lease.PromiseRequest]{To: id, Message: req}
-	return wire.Post[memberMessage[lease.PromiseRequest], lease.Answer](ctx, ho.web, "http://"+addr+pathPromise, msg)
+	return wire.Post[memberMessage[lease.PromiseRequest], lease.Answer](ctx, ho.httpClient, "http://"+addr+pathPromise, msg)
 }
 
 func (ho *Host) askDenial(ctx context.Context, id, addr string, req lease.DenialRequest) (lease.Answer, error) {
 	msg := memberMessage[lease.DenialRequest]{To: id, Message: req}
-	return wire.Post[memberMessage[lease.DenialRequest], lease.Answer](ctx, ho.web, "http://"+addr+pathDenial, msg)
+	return wire.Post[memberMessage[lease.DenialRequest], lease.Answer](ctx, ho.httpClient, "http://"+addr+pathDenial, msg)
 }
 
 // hello is what this host says of itself.
@@ -135,9 +135,9 @@
 
 // fetchConfig takes the configuration from a peer that has a later one.
 func (ho *Host) fetchConfig(addr string) {
-	ctx, cancel := context.WithTimeout(context.Background(), pollTime)
+	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
-	doc, err := wire.Post[empty, config.Doc](ctx, ho.web, "http://"+addr+pathConfig, empty{})
+	doc, err := wire.Post[empty, config.Doc](ctx, ho.httpClient, "http://"+addr+pathConfig, empty{})
 	if err == nil {
 		ho.config.Adopt(doc)
 	}
@@ -147,15 +147,15 @@
 func (ho *Host) forward(ctx context.Context, addr string, req route.Request) route.Result {
 	msg := runMessage{
 		ID: req.ID, Service: req.Service, Method: req.Method, Class: req.Class, Body: req.Body,
-		LeftMS: time.Until(req.Deadline).Milliseconds(), Once: req.Once,
+		RemainingMS: time.Until(req.Deadline).Milliseconds(), Once: req.Once,
 	}
-	res, err := wire.Post[runMessage, route.Result](ctx, ho.forwards, "http://"+addr+pathRun, msg)
+	res, err := wire.Post[runMessage, route.Result](ctx, ho.forwardClient, "http://"+addr+pathRun, msg)
 	if err == nil {
 		return res
 	}
 	var op *net.OpError
-	var stated *wire.Error
-	if errors.As(err, &stated) || (errors.As(err, &op) && op.Op == "dial") {
+	var werr *wire.Error
+	if errors.As(err, &werr) || (errors.As(err, &op) && op.Op == "dial") {
 		// The peer refused the message, or was not reached: not run.
 		return route.NotRunResult(reason.AllRefused, 0)
 	}
@@ -166,13 +166,13 @@
 func (ho *Host) serveRun(ctx context.Context, msg runMessage) (route.Result, error) {
 	req := route.Request{Local: true, Once: msg.Once, Request: runner.Request{
 		ID: msg.ID, Service: msg.Service, Method: msg.Method, Class: msg.Class, Body: msg.Body,
-		Deadline: time.Now().Add(time.Duration(msg.LeftMS) * time.Millisecond),
+		Deadline: time.Now().Add(time.Duration(msg.RemainingMS) * time.Millisecond),
 	}}
 	return ho.router.Do(ctx, req), nil
 }
 
 // errNoOwner is returned while nobody is known to own a resource.
-var errNoOwner = errors.New("owner not known")
+var errOwnerUnknown = errors.New("owner not known")
 
 // takeClaim asks the owner of an id's shard, in whichever data centre.
 func (ho *Host) takeClaim(ctx context.Context, dc, resource string, req claim.TakeRequest) (claim.Verdict, error) {
@@ -184,7 +184,7 @@
 	if err != nil {
 		return claim.Verdict{}, err
 	}
-	return wire.Post[claimMessage[claim.TakeRequest], claim.Verdict](ctx, ho.web, "http://"+addr+pathTake, msg)
+	return wire.Post[claimMessage[claim.TakeRequest], claim.Verdict](ctx, ho.httpClient, "http://"+addr+pathTake, msg)
 }
 
 // serveTake answers for an own shard, and passes others on once.
@@ -195,28 +195,28 @@
 		return ho.ledger.Take(msg.Message), nil
 	case err != nil:
 		return claim.Verdict{}, err
-	case msg.Passed:
+	case msg.Forwarded:
 		return claim.Verdict{Reason: reason.ClaimAway}, nil
 	}
-	msg.Passed = true
-	return wire.Post[claimMessage[claim.TakeRequest], claim.Verdict](ctx, ho.web, "http://"+addr+pathTake, msg)
+	msg.Forwarded = true
+	return wire.Post[claimMessage[claim.TakeRequest], claim.Verdict](ctx, ho.httpClient, "http://"+addr+pathTake, msg)
 }
 
 // releaseTime bounds the telling of a release. If it is lost, the id stays
 // taken, which is safe.
-const releaseTime = 2 * time.Second
+const releaseTimeout = 2 * time.Second
 
 func (ho *Host) releaseClaim(dc, resource string, req claim.ReleaseRequest) {
 	msg := claimMessage[claim.ReleaseRequest]{Resource: resource, Message: req}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), releaseTime)
+		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
 		if dc == ho.set.DC {
 			_, _ = ho.serveRelease(ctx, msg)
 			return
 		}
 		if addr, err := ho.anyHostIn(dc); err == nil {
-			_, _ = wire.Post[claimMessage[claim.ReleaseRequest], empty](ctx, ho.web, "http://"+addr+pathRelease, msg)
+			_, _ = wire.Post[claimMessage[claim.ReleaseRequest], empty](ctx, ho.httpClient, "http://"+addr+pathRelease, msg)
 		}
 	}()
 }
@@ -227,21 +227,21 @@
 	case own:
 		ho.ledger.Release(msg.Message)
 		return empty{}, nil
-	case err != nil || msg.Passed:
+	case err != nil || msg.Forwarded:
 		return empty{}, err
 	}
-	msg.Passed = true
-	return wire.Post[claimMessage[claim.ReleaseRequest], empty](ctx, ho.web, "http://"+addr+pathRelease, msg)
+	msg.Forwarded = true
+	return wire.Post[claimMessage[claim.ReleaseRequest], empty](ctx, ho.httpClient, "http://"+addr+pathRelease, msg)
 }
 
 // handOver carries the memory of a shard to its next owner.
-func (ho *Host) handOver(ctx context.Context, gi lease.Transfer) {
-	if lease.IsCell(gi.Resource) || gi.Addr == "" {
+func (ho *Host) handOver(ctx context.Context, tr lease.Transfer) {
+	if lease.IsCell(tr.Resource) || tr.Addr == "" {
 		return
 	}
-	hn := ho.ledger.Export(gi.Resource, gi.Since, gi.Epoch)
-	if _, err := wire.Post[claim.Handover, empty](ctx, ho.web, "http://"+gi.Addr+pathHandover, hn); err != nil {
-		ho.log.Warn("hand over", "resource", gi.Resource, "peer", gi.To, "err", err)
+	hn := ho.ledger.Export(tr.Resource, tr.Since, tr.Epoch)
+	if _, err := wire.Post[claim.Handover, empty](ctx, ho.httpClient, "http://"+tr.Addr+pathHandover, hn); err != nil {
+		ho.log.Warn("hand over", "resource", tr.Resource, "peer", tr.To, "err", err)
 	}
 }
 
@@ -250,14 +250,14 @@
 func (ho *Host) ownerOf(resource string) (addr string, own bool, err error) {
 	ke := ho.keeper.Load()
 	if ke == nil {
-		return "", false, fmt.Errorf("%s: %w", resource, errNoOwner)
+		return "", false, fmt.Errorf("%s: %w", resource, errOwnerUnknown)
 	}
 	id, addr := ke.Owner(resource)
 	switch {
 	case id == ke.ID:
 		return "", true, nil
 	case addr == "":
-		return "", false, fmt.Errorf("%s: %w", resource, errNoOwner)
+		return "", false, fmt.Errorf("%s: %w", resource, errOwnerUnknown)
 	}
 	return addr, false, nil
 }
@@ -269,5 +269,5 @@
 			return he.Addr, nil
 		}
 	}
-	return "", fmt.Errorf("no live host in %s: %w", dc, errNoOwner)
+	return "", fmt.Errorf("no live host in %s: %w", dc, errOwnerUnknown)
 }
--- a/internal/entry/silent_test.go
+++ b/internal/entry/stalledconn_test.go
@@ -29,17 +29,17 @@
 //
 // The cause was a client of the standard library as it is. The host now has the one that
 // gives up what nothing uses once a call ran into its deadline.
-func TestCallsAfterConnectionsWentSilent(t *testing.T) {
+func TestTableReadAfterAllConnectionsStall(t *testing.T) {
 	const conns = 8
 	var table standin.Table
-	ha, hold := table.Handler(), make(chan struct{})
+	ha, release := table.Handler(), make(chan struct{})
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-hold
+		<-release
 		ha.ServeHTTP(w, r)
 	}))
 	t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
 	ln := linetest.NewLine(t, hs.Listener.Addr().String())
-	tbl := store.NewTable("http://"+ln.Addr(), newWeb(slog.New(slog.DiscardHandler)))
+	tbl := store.NewTable("http://"+ln.Addr(), newHTTPClient(slog.New(slog.DiscardHandler)))
 	read := func(timeout time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
@@ -51,9 +51,9 @@
 		wg.Go(func() { qt.Check(t, read(linetest.EndsWithin), qt.IsNil) })
 	}
 	time.Sleep(100 * time.Millisecond)
-	close(hold)
+	close(release)
 	wg.Wait()
 	qt.Assert(t, ln.Silence(), qt.Equals, conns)
 	qt.Assert(t, read(200*time.Millisecond), qt.IsNotNil)
-	qt.Assert(t, read(pollTime), qt.IsNil)
+	qt.Assert(t, read(pollTimeout), qt.IsNil)
 }
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -30,16 +30,16 @@
 )
 
 // feed is a service whose sessions have as many events as were published.
-type feed struct{ published atomic.Uint64 }
+type eventService struct{ published atomic.Uint64 }
 
 // session is the stream of a runner of the service: an event has its number as body.
-func (fe *feed) session(ctx context.Context, _ string, req runner.SessionRequest) (func() (runner.SessionEvent, error), func(), error) {
-	const lookEvery, quietMost = 2 * time.Millisecond, time.Second
+func (es *eventService) session(ctx context.Context, _ string, req runner.SessionRequest) (func() (runner.SessionEvent, error), func(), error) {
+	const pollInterval, maxWait = 2 * time.Millisecond, time.Second
 	seq := req.Seq
 	ended := make(chan struct{})
 	next := func() (runner.SessionEvent, error) {
-		for end := time.Now().Add(quietMost); time.Now().Before(end); {
-			if seq < fe.published.Load() {
+		for end := time.Now().Add(maxWait); time.Now().Before(end); {
+			if seq < es.published.Load() {
 				seq++
 				return runner.SessionEvent{Seq: seq, Body: strconv.AppendUint(nil, seq, 10)}, nil
 			}
@@ -48,7 +48,7 @@
 				return runner.SessionEvent{}, errors.New("stopped")
 			case <-ctx.Done():
 				return runner.SessionEvent{}, ctx.Err()
-			case <-time.After(lookEvery):
+			case <-time.After(pollInterval):
 			}
 		}
 		return runner.SessionEvent{}, nil
@@ -57,7 +57,7 @@
 }
 
 // watched is an entry host that serves sessions and nothing else.
-type watched struct {
+type sessionHost struct {
 	*Host
 
 	addr string
@@ -65,67 +65,67 @@
 	opened atomic.Int64
 }
 
-func newWatched(t *testing.T, fe *feed) *watched {
+func newSessionHost(t *testing.T, es *eventService) *sessionHost {
 	t.Helper()
 	me, _, err := telemetry.New()
 	qt.Assert(t, err, qt.IsNil)
-	wd := &watched{Host: &Host{metrics: me, log: slog.New(slog.DiscardHandler), config: &config.Store{}}}
-	wd.set.MaxBody = 1 << 20
-	wd.config.Adopt(config.Doc{Version: 1})
+	sh := &sessionHost{Host: &Host{metrics: me, log: slog.New(slog.DiscardHandler), config: &config.Store{}}}
+	sh.set.MaxBody = 1 << 20
+	sh.config.Adopt(config.Doc{Version: 1})
 	list := []upstream.Runner{{Host: store.Host{ID: "r", Service: "s"}, State: upstream.Live}}
-	wd.relay = &session.Relay{
-		Runners: runner.Client{SessionFunc: fe.session}, List: func() []upstream.Runner { return list },
+	sh.relay = &session.Relay{
+		Runners: runner.Client{SessionFunc: es.session}, List: func() []upstream.Runner { return list },
 		MaxSessions: 8, PerRunner: 8, Patience: linetest.EndsWithin, Metrics: me,
 	}
-	ha := wd.callerHandler()
+	ha := sh.callerHandler()
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		wd.opened.Add(1)
+		sh.opened.Add(1)
 		ha.ServeHTTP(w, r)
 	}))
 	t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
-	wd.addr = hs.Listener.Addr().String()
-	return wd
+	sh.addr = hs.Listener.Addr().String()
+	return sh
 }
 
 // told is what a caller was told.
-type told struct {
+type received struct {
 	mu   sync.Mutex
 	seqs []string
 }
 
-func (to *told) take(ev *pb.WatchResponse) error {
-	to.mu.Lock()
-	defer to.mu.Unlock()
-	to.seqs = append(to.seqs, string(ev.GetBody()))
+func (rc *received) add(ev *pb.WatchResponse) error {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.seqs = append(rc.seqs, string(ev.GetBody()))
 	return nil
 }
 
 // upTo returns whether the caller was told so many events, each once and in order.
-func (to *told) upTo(n int) bool {
-	to.mu.Lock()
-	defer to.mu.Unlock()
-	for i, seq := range to.seqs {
+func (rc *received) exactly(n int) bool {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	for i, seq := range rc.seqs {
 		if seq != strconv.Itoa(i+1) {
 			return false
 		}
 	}
-	return len(to.seqs) == n
+	return len(rc.seqs) == n
 }
 
 // follow watches until the test ends.
-func follow(t *testing.T, addrs ...string) *told {
+func startWatch(t *testing.T, addrs ...string) *received {
 	t.Helper()
-	to := &told{}
+	rc := &received{}
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	cl := caller.New(&http.Client{Transport: &http.Transport{}}, addrs...)
 	go func() {
 		defer close(done)
-		err := cl.Watch(ctx, &pb.WatchRequest{Service: "s", Topic: "t"}, to.take)
+		err := cl.Watch(ctx, &pb.WatchRequest{Service: "s", Topic: "t"}, rc.add)
 		qt.Check(t, err, qt.ErrorIs, context.Canceled)
 	}()
 	t.Cleanup(func() { end(); <-done })
-	return to
+	return rc
 }
 
 // TestEntryHostOfAWatchStandsStill is the story of a watch that goes quiet for good.
@@ -138,76 +138,76 @@
 //
 // Evidence: the events published below after the stall never come, in each state of
 // the connection in which nothing comes from the host.
-func TestEntryHostOfAWatchStandsStill(t *testing.T) {
+func TestWatchContinuesAfterEntryHostStalls(t *testing.T) {
 	for _, st := range standin.Stalls {
 		for _, open := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, watch open %t", st, open), func(t *testing.T) {
 				t.Parallel()
-				fe := &feed{}
-				one, other := newWatched(t, fe), newWatched(t, fe)
+				es := &eventService{}
+				one, other := newSessionHost(t, es), newSessionHost(t, es)
 				ln := linetest.NewLine(t, one.addr)
 				if !open {
 					qt.Assert(t, ln.Stall(st), qt.IsNil)
 				}
 				// The second address is the first in turn.
-				to := follow(t, other.addr, ln.Addr())
-				fe.published.Store(3)
-				linetest.Eventually(t, "first events told", func() bool { return to.upTo(3) })
+				rc := startWatch(t, other.addr, ln.Addr())
+				es.published.Store(3)
+				linetest.Eventually(t, "first events told", func() bool { return rc.exactly(3) })
 				if open {
 					qt.Assert(t, other.opened.Load(), qt.Equals, int64(0))
 					qt.Assert(t, ln.Stall(st), qt.IsNil)
 				}
-				fe.published.Store(6)
-				linetest.Eventually(t, "events told during the stall", func() bool { return to.upTo(6) })
+				es.published.Store(6)
+				linetest.Eventually(t, "events told during the stall", func() bool { return rc.exactly(6) })
 				ln.Thaw()
-				fe.published.Store(9)
-				linetest.Eventually(t, "events told after it", func() bool { return to.upTo(9) })
+				es.published.Store(9)
+				linetest.Eventually(t, "events told after it", func() bool { return rc.exactly(9) })
 			})
 		}
 	}
 }
 
 // idleLong is longer than a caller waits for beats, and shorter than [linetest.EndsWithin].
-const idleLong = 4500 * time.Millisecond
+const idlePeriod = 4500 * time.Millisecond
 
 // TestIdleWatchIsKeptOpen has no events for longer than a silent host has.
 func TestIdleWatchIsKeptOpen(t *testing.T) {
 	t.Parallel()
-	fe := &feed{}
-	one, other := newWatched(t, fe), newWatched(t, fe)
-	to := follow(t, other.addr, one.addr)
-	fe.published.Store(1)
-	linetest.Eventually(t, "first event told", func() bool { return to.upTo(1) })
-	time.Sleep(idleLong)
-	fe.published.Store(2)
-	linetest.Eventually(t, "next event told", func() bool { return to.upTo(2) })
+	es := &eventService{}
+	one, other := newSessionHost(t, es), newSessionHost(t, es)
+	rc := startWatch(t, other.addr, one.addr)
+	es.published.Store(1)
+	linetest.Eventually(t, "first event told", func() bool { return rc.exactly(1) })
+	time.Sleep(idlePeriod)
+	es.published.Store(2)
+	linetest.Eventually(t, "next event told", func() bool { return rc.exactly(2) })
 	qt.Assert(t, one.opened.Load(), qt.Equals, int64(1))
 	qt.Assert(t, other.opened.Load(), qt.Equals, int64(0))
 }
 
 // TestCallerThatKnowsNoBeats gets events only: it would take a beat for one.
-func TestCallerThatKnowsNoBeats(t *testing.T) {
+func TestCallerWithoutHeartbeatsGetsEventsOnly(t *testing.T) {
 	t.Parallel()
-	fe := &feed{}
-	wd := newWatched(t, fe)
-	cl := pepperhatchv1connect.NewCallerServiceClient(&http.Client{Transport: &http.Transport{}}, "http://"+wd.addr)
+	es := &eventService{}
+	sh := newSessionHost(t, es)
+	cl := pepperhatchv1connect.NewCallerServiceClient(&http.Client{Transport: &http.Transport{}}, "http://"+sh.addr)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	st, err := cl.Watch(ctx, connect.NewRequest(&pb.WatchRequest{Service: "s", Topic: "t"}))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, st.ResponseHeader().Get(caller.BeatHeader), qt.Equals, "")
-	time.AfterFunc(5*beatEvery/2, func() { fe.published.Store(1) })
+	time.AfterFunc(5*heartbeatInterval/2, func() { es.published.Store(1) })
 	qt.Assert(t, st.Receive(), qt.IsTrue)
 	qt.Assert(t, st.Msg().GetBeat(), qt.IsFalse)
 	qt.Assert(t, st.Msg().GetSeq(), qt.Equals, uint64(1))
 }
 
 // TestBeatsComeWhileThereAreNoEvents asks for beats, and has an event in between.
-func TestBeatsComeWhileThereAreNoEvents(t *testing.T) {
+func TestHeartbeatsAreSentWhileIdle(t *testing.T) {
 	t.Parallel()
-	fe := &feed{}
-	wd := newWatched(t, fe)
-	cl := pepperhatchv1connect.NewCallerServiceClient(&http.Client{Transport: &http.Transport{}}, "http://"+wd.addr)
+	es := &eventService{}
+	sh := newSessionHost(t, es)
+	cl := pepperhatchv1connect.NewCallerServiceClient(&http.Client{Transport: &http.Transport{}}, "http://"+sh.addr)
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	st, err := cl.Watch(ctx, connect.NewRequest(&pb.WatchRequest{Service: "s", Topic: "t", Beats: true}))
@@ -218,35 +218,35 @@
 		qt.Assert(t, st.Msg().GetBeat(), qt.Equals, beat)
 		qt.Assert(t, st.Msg().GetResumeToken() == "", qt.Equals, beat)
 		if i == 1 {
-			fe.published.Store(1)
+			es.published.Store(1)
 		}
 	}
 }
 
 // TestEntryHostStandsStillInTheMidstOfEvents has events all the while: whatever part of
 // them was on its way, each is told once.
-func TestEntryHostStandsStillInTheMidstOfEvents(t *testing.T) {
+func TestEachEventOnceWhenEntryHostStallsMidStream(t *testing.T) {
 	const (
-		eventEvery = 5 * time.Millisecond
-		before     = 60
-		all        = 900
+		eventEvery        = 5 * time.Millisecond
+		eventsBeforeStall = 60
+		totalEvents       = 900
 	)
 	for _, st := range standin.Stalls {
 		t.Run(string(st), func(t *testing.T) {
 			t.Parallel()
-			fe := &feed{}
-			one, other := newWatched(t, fe), newWatched(t, fe)
+			es := &eventService{}
+			one, other := newSessionHost(t, es), newSessionHost(t, es)
 			ln := linetest.NewLine(t, one.addr)
-			to := follow(t, other.addr, ln.Addr())
-			for n := range all {
-				fe.published.Store(uint64(n + 1))
-				if n == before {
+			rc := startWatch(t, other.addr, ln.Addr())
+			for n := range totalEvents {
+				es.published.Store(uint64(n + 1))
+				if n == eventsBeforeStall {
 					qt.Assert(t, ln.Stall(st), qt.IsNil)
 				}
 				time.Sleep(eventEvery)
 			}
 			ln.Thaw()
-			linetest.Eventually(t, "all events told", func() bool { return to.upTo(all) })
+			linetest.Eventually(t, "all events told", func() bool { return rc.exactly(totalEvents) })
 		})
 	}
 }
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -42,7 +42,7 @@
 	// ConfigVersion is the basis of a change of configuration.
 	ConfigVersion int64 `json:"config_version,omitempty"`
 	// Beat is the basis of a word that an entry host is dead.
-	Beat int64 `json:"beat,omitempty"`
+	Heartbeat int64 `json:"beat,omitempty"`
 	// Applied is the configuration version that it made.
 	Applied int64 `json:"applied,omitempty"`
 }
@@ -84,9 +84,9 @@
 const (
 	planPrefix = "plan/"
 	// planKept is how long a plan can be confirmed.
-	planKept = 24 * time.Hour
+	planRetention = 24 * time.Hour
 	// planSweep is how many old plans are deleted with a new one.
-	planSweep = 8
+	maxExpiredDeletes = 8
 )
 
 // ErrNoPlan is returned for a plan that is not known, or no longer.
@@ -107,14 +107,14 @@
 		pl.Cell = ""
 		pl, err = pn.planConfig(ctx, pl, in.GetSetConfig().GetValues())
 	case in.GetDeclareDead() != nil:
-		pl, err = pn.planDead(ctx, pl, in.GetDeclareDead().GetMember())
+		pl, err = pn.planDeclareDead(ctx, pl, in.GetDeclareDead().GetMember())
 	default:
 		pl, err = pn.planCell(ctx, pl, in)
 	}
 	if err != nil {
 		return pl, err
 	}
-	return pl, pn.keep(ctx, pl)
+	return pl, pn.storePlan(ctx, pl)
 }
 
 func (pn *Planner) planConfig(ctx context.Context, pl Plan, changes map[string]string) (Plan, error) {
@@ -135,7 +135,7 @@
 }
 
 // planDead rests on the member's last renewal: one that renews is not dead.
-func (pn *Planner) planDead(ctx context.Context, pl Plan, id string) (Plan, error) {
+func (pn *Planner) planDeclareDead(ctx context.Context, pl Plan, id string) (Plan, error) {
 	members, err := pn.Members(ctx)
 	if err != nil {
 		return pl, err
@@ -144,7 +144,7 @@
 	for _, me := range members {
 		ids = append(ids, me.ID)
 		if me.ID == id {
-			pl.Beat = me.Beat
+			pl.Heartbeat = me.Beat
 			detail := fmt.Sprintf("last renewal %d; make sure that its process at %s is no more", me.Beat, me.Addr)
 			pl.Steps = []cell.Step{{Verb: "remove", Object: id, Detail: detail, Basis: true}}
 		}
@@ -155,8 +155,8 @@
 	return pl, nil
 }
 
-func (pn *Planner) confirmDead(ctx context.Context, pl Plan, id string) (Result, error) {
-	err := pn.DeclareDead(ctx, id, pl.Beat)
+func (pn *Planner) confirmDeclareDead(ctx context.Context, pl Plan, id string) (Result, error) {
+	err := pn.DeclareDead(ctx, id, pl.Heartbeat)
 	if errors.Is(err, lease.ErrRenewed) {
 		return Result{Changed: []string{err.Error()}}, nil
 	}
@@ -179,16 +179,16 @@
 
 // Command turns an intent on a cell into the cell's command.
 func Command(in *pb.Intent) (cell.Command, error) {
-	switch wh := in.GetWhat().(type) {
+	switch what := in.GetWhat().(type) {
 	case *pb.Intent_AddJob:
-		sp := spec(wh.AddJob.GetSpec())
+		sp := jobSpec(what.AddJob.GetSpec())
 		return cell.Command{Add: &sp}, nil
 	case *pb.Intent_CancelJob:
-		return cell.Command{Cancel: wh.CancelJob.GetName()}, nil
+		return cell.Command{Cancel: what.CancelJob.GetName()}, nil
 	case *pb.Intent_ResizeJob:
-		return cell.Command{Resize: &cell.Resize{Name: wh.ResizeJob.GetName(), Tasks: int(wh.ResizeJob.GetTasks())}}, nil
+		return cell.Command{Resize: &cell.Resize{Name: what.ResizeJob.GetName(), Tasks: int(what.ResizeJob.GetTasks())}}, nil
 	case *pb.Intent_Drain:
-		dr := wh.Drain
+		dr := what.Drain
 		return cell.Command{Drain: &cell.Drain{
 			Host: dr.GetHost(), Rack: dr.GetRack(), All: dr.GetDataCentre(), Undo: dr.GetUndo(),
 		}}, nil
@@ -196,7 +196,7 @@
 	return cell.Command{}, fmt.Errorf("%w: it wants nothing", ErrInvalidIntent)
 }
 
-func spec(sp *pb.JobSpec) cell.Spec {
+func jobSpec(sp *pb.JobSpec) cell.Spec {
 	return cell.Spec{
 		Name: sp.GetName(), Team: sp.GetTeam(), Kind: sp.GetKind(), Urgent: sp.GetUrgent(),
 		Service: sp.GetClass() == pb.Class_CLASS_LATENCY_CRITICAL,
@@ -208,12 +208,12 @@
 }
 
 // keep writes the plan's row, and deletes a few of those too old to confirm.
-func (pn *Planner) keep(ctx context.Context, pl Plan) error {
+func (pn *Planner) storePlan(ctx context.Context, pl Plan) error {
 	txn, err := store.NewTxn().WithPut(planPrefix+pl.ID, 0, pl)
 	if err != nil {
 		return err
 	}
-	old, err := pn.Table.ReadFunc(ctx, store.ReadRequest{Prefix: planPrefix, Limit: planSweep})
+	old, err := pn.Table.ReadFunc(ctx, store.ReadRequest{Prefix: planPrefix, Limit: maxExpiredDeletes})
 	if err != nil {
 		return fmt.Errorf("keep plan: %w", err)
 	}
@@ -223,7 +223,7 @@
 			continue
 		}
 		sec, nsec := uid.Time().UnixTime()
-		if time.Since(time.Unix(sec, nsec)) > planKept {
+		if time.Since(time.Unix(sec, nsec)) > planRetention {
 			txn.Puts = append(txn.Puts, store.Put{Key: row.Key, Delete: true})
 		}
 	}
@@ -248,7 +248,7 @@
 		return Result{}, fmt.Errorf("%w: %w", ErrInvalidIntent, err)
 	}
 	if dead := in.GetDeclareDead(); dead != nil {
-		return pn.confirmDead(ctx, pl, dead.GetMember())
+		return pn.confirmDeclareDead(ctx, pl, dead.GetMember())
 	}
 	if pl.Cell == "" {
 		return pn.confirmConfig(ctx, pl, version, in.GetSetConfig().GetValues())
