--- a/internal/cell/command.go
+++ b/internal/cell/command.go
@@ -9,66 +9,74 @@
 	"time"
 )
 
-// Command is what an operator wants of a cell. One field is set.
+// Command is a change that an operator requests. Exactly one field is set.
 type Command struct {
 	// Add adds a job or a service.
 	Add *Spec `json:"add,omitempty"`
 	// Cancel names a job to cancel.
 	Cancel string `json:"cancel,omitempty"`
-	// Resize changes a job's number of tasks.
+	// Resize changes the number of tasks of a job or service.
 	Resize *Resize `json:"resize,omitempty"`
-	// Drain begins or ends a drain.
+	// Drain starts or ends a drain of workers.
 	Drain *Drain `json:"drain,omitempty"`
 }
 
-// Resize is a job's new number of tasks.
+// Resize sets the number of tasks of the job or service called Name.
 type Resize struct {
 	Name  string `json:"name"`
 	Tasks int    `json:"tasks"`
 }
 
-// Drain names workers to drain; one of the first three is set.
+// Drain selects the workers to drain; one of Host, Rack and All is set.
 type Drain struct {
 	Host string `json:"host,omitempty"`
 	Rack string `json:"rack,omitempty"`
 	All  bool   `json:"all,omitempty"`
-	// Undo ends the drain.
+	// Undo ends the drain instead of starting it.
 	Undo bool `json:"undo,omitempty"`
 }
 
-// Step is one change that a plan makes.
+// Step is one change that a plan would make.
 type Step struct {
-	// Verb is start, wait, move, evict, stop, drain, undrain or resize.
+	// Verb is add, start, wait, move, evict, stop, cancel, drain, undrain or
+	// resize; plans for the configuration and for entry hosts use set and
+	// remove.
 	Verb string `json:"verb"`
-	// Object is what is changed.
+	// Object is the name or id of the job, task, worker, configuration key or
+	// entry host that changes.
 	Object string `json:"object"`
-	// Detail says more, for people.
+	// Detail describes the change for operators. It is compared at the
+	// confirmation if Basis is set.
 	Detail string `json:"detail"`
-	// Basis is set if the plan rests on it: if it differs at the time of
-	// confirmation, that is a conflict.
+	// Basis is set on steps that must be the same when the plan is confirmed;
+	// a difference is a conflict.
 	Basis bool `json:"basis,omitempty"`
 }
 
+// basisLine returns the step in the form in which a basis lists it.
 func (sp Step) basisLine() string { return sp.Verb + " " + sp.Object + " " + sp.Detail }
 
-// Errors of commands.
+// Errors returned by [Owner.Plan] and [Owner.Confirm].
 var (
-	// ErrImpossible is returned for what can never be done.
+	// ErrImpossible is returned for a command that the cell cannot carry out,
+	// for example because it is invalid, or names a job that does not exist.
 	ErrImpossible = errors.New("impossible")
-	// ErrConflict is returned when the basis of a plan no longer holds.
+	// ErrConflict means that the basis of a plan has changed.
 	ErrConflict = errors.New("basis of the plan has changed")
-	// ErrAway is returned while the cell's journal cannot be written; the
-	// command was not carried out.
-	ErrJournalUnavailable = errors.New("journal cannot be written now")
-	// ErrUnsettled is returned when it is not known whether the command was
-	// carried out. Confirming again tells.
-	ErrOutcomeUnknown = errors.New("outcome not known yet")
+	// ErrJournalUnavailable is returned while the cell's journal cannot be
+	// written. The command was not carried out.
+	ErrJournalUnavailable = errors.New("cell journal cannot be written")
+	// ErrOutcomeUnknown is returned when it is not known whether the command
+	// was carried out. Confirming the same plan again returns the outcome.
+	ErrOutcomeUnknown = errors.New("outcome of the command is not known yet")
 )
 
-// maxTasks bounds the tasks of one job.
+// maxTasks limits the tasks of one job.
 const maxTasks = 100_000
 
-// Plan works out what a command would do, and changes nothing.
+// Plan returns the steps that a command would take, without changing
+// anything. It returns [ErrNotOwner] on a host that does not run the cell, and
+// [ErrImpossible] for a command that cannot be carried out.
 func (ow *Owner) Plan(cmd Command) ([]Step, error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -79,7 +87,8 @@
 	return steps, err
 }
 
-// plan returns the steps of a command and the records that carry it out.
+// plan returns the steps of a command and the journal records that carry it
+// out.
 func (st *State) plan(cmd Command) ([]Step, []Record, error) {
 	switch {
 	case cmd.Add != nil:
@@ -91,7 +100,7 @@
 	case cmd.Drain != nil:
 		return st.planDrain(*cmd.Drain)
 	}
-	return nil, nil, fmt.Errorf("empty command: %w", ErrImpossible)
+	return nil, nil, fmt.Errorf("command has no field set: %w", ErrImpossible)
 }
 
 func (st *State) planAdd(sp Spec) ([]Step, []Record, error) {
@@ -99,7 +108,7 @@
 		return nil, nil, err
 	}
 	if st.Jobs[sp.Name] != nil {
-		return nil, nil, fmt.Errorf("job %s is there already: %w", sp.Name, ErrImpossible)
+		return nil, nil, fmt.Errorf("job %q already exists: %w", sp.Name, ErrImpossible)
 	}
 	if err := st.checkFeasible(sp); err != nil {
 		return nil, nil, err
@@ -108,7 +117,7 @@
 	return append(steps, st.capacitySteps(sp, sp.Tasks)...), []Record{{Kind: KindJob, Spec: &sp}}, nil
 }
 
-// check names every mistake of a spec.
+// validate returns an [ErrImpossible] that lists every invalid field.
 func (sp Spec) validate() error {
 	var errs []error
 	addIf := func(invalid bool, text string) {
@@ -118,15 +127,16 @@
 	}
 	addIf(sp.Name == "" || len(sp.Name) > 100, "name must have 1 to 100 bytes")
 	addIf(sp.Tasks < 1 || sp.Tasks > maxTasks, fmt.Sprintf("tasks must be 1 to %d", maxTasks))
-	addIf(sp.Each.MilliCores < 1 || sp.Each.MemMB < 1 || sp.Each.Accels < 0, "a task needs cores and memory")
-	addIf(!sp.Service && sp.RunMS < 1, "a batch task needs a run time")
+	addIf(sp.Each.MilliCores < 1 || sp.Each.MemMB < 1 || sp.Each.Accels < 0, "a task needs at least 1 millicore and 1 MiB of memory, and no negative number of accelerators")
+	addIf(!sp.Service && sp.RunMS < 1, "a batch task needs a run time of at least 1 ms")
 	if len(errs) > 0 {
 		return fmt.Errorf("%w: %w", ErrImpossible, errors.Join(errs...))
 	}
 	return nil
 }
 
-// everFits refuses tasks that no worker could hold even if it were empty.
+// checkFeasible rejects a spec whose tasks fit no worker, even an idle one. A
+// cell without workers accepts every spec, as its workers are not known yet.
 func (st *State) checkFeasible(sp Spec) error {
 	if len(st.Workers) == 0 {
 		return nil
@@ -136,10 +146,11 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("a task of %s fits no worker of the cell, even an empty one: %w", sp.Name, ErrImpossible)
+	return fmt.Errorf("a task of %q fits no worker of the cell, even an idle one: %w", sp.Name, ErrImpossible)
 }
 
-// roomSteps says how many tasks find room as things are, and how many wait.
+// capacitySteps returns how many of n tasks fit the resources that are free
+// now, and how many would wait.
 func (st *State) capacitySteps(sp Spec, n int) []Step {
 	fitting := 0
 	used := st.ReservedByWorker()
@@ -166,7 +177,7 @@
 func (st *State) planCancel(name string) ([]Step, []Record, error) {
 	jo := st.Jobs[name]
 	if jo == nil || jo.Cancelled {
-		return nil, nil, fmt.Errorf("no job %s: %w", name, ErrImpossible)
+		return nil, nil, fmt.Errorf("job %q does not exist or is cancelled: %w", name, ErrImpossible)
 	}
 	steps := []Step{jo.basisStep("cancel")}
 	running := 0
@@ -179,7 +190,8 @@
 	return steps, []Record{{Kind: KindCancel, Job: name}}, nil
 }
 
-// step is a step that rests on the job as it is.
+// basisStep returns a step that conflicts if the job is changed before the
+// plan is confirmed.
 func (jo *Job) basisStep(verb string) Step {
 	return Step{Verb: verb, Object: jo.Spec.Name, Detail: fmt.Sprintf("revision %d, %d tasks", jo.Revision, jo.Spec.Tasks), Basis: true}
 }
@@ -187,7 +199,7 @@
 func (st *State) planResize(re Resize) ([]Step, []Record, error) {
 	jo := st.Jobs[re.Name]
 	if jo == nil || jo.Cancelled {
-		return nil, nil, fmt.Errorf("no job %s: %w", re.Name, ErrImpossible)
+		return nil, nil, fmt.Errorf("job %q does not exist or is cancelled: %w", re.Name, ErrImpossible)
 	}
 	sp := jo.Spec.WithTasks(re.Tasks)
 	if err := sp.validate(); err != nil {
@@ -222,7 +234,7 @@
 		records = append(records, Record{Kind: KindDrain, Worker: id, Undo: dr.Undo})
 	}
 	if len(matched) == 0 {
-		return nil, nil, fmt.Errorf("no such worker or rack: %w", ErrImpossible)
+		return nil, nil, fmt.Errorf("no worker matches the drain (host %q, rack %q, all %t): %w", dr.Host, dr.Rack, dr.All, ErrImpossible)
 	}
 	if !dr.Undo {
 		steps = append(steps, st.moveSteps(matched)...)
@@ -236,8 +248,9 @@
 	return dr.All || (dr.Host != "" && wo.ID == dr.Host) || (dr.Rack != "" && wo.Rack == dr.Rack)
 }
 
-// moveSteps lists the services that a drain moves, on which the plan rests,
-// and counts its batch tasks, which come and go too fast for that.
+// moveSteps returns one basis step for each service task that a drain moves,
+// and the number of batch tasks on each worker. Batch tasks start and end too
+// often to be part of the basis.
 func (st *State) moveSteps(from map[string]bool) []Step {
 	var steps []Step
 	batch := map[string]int{}
@@ -257,7 +270,8 @@
 	return steps
 }
 
-// Basis returns the lines on which a plan rests.
+// Basis returns the lines, sorted, that must be the same when the plan is
+// confirmed.
 func Basis(steps []Step) []string {
 	var lines []string
 	for _, sp := range steps {
@@ -269,27 +283,30 @@
 	return lines
 }
 
-// Confirmation asks for a plan to be carried out.
+// Confirmation is the request to carry out a plan.
 type Confirmation struct {
-	// Plan is the plan's id.
+	// Plan is the id of the plan.
 	Plan string `json:"plan"`
-	// Command is what it is for.
+	// Command is the command that was planned.
 	Command Command `json:"command"`
-	// Basis has the lines on which it rests.
+	// Basis has the lines that [Basis] returned for the plan.
 	Basis []string `json:"basis"`
 }
 
-// Confirmed says what became of it.
+// ConfirmResult is the outcome of a confirmation.
 type ConfirmResult struct {
-	// Applied is set if the plan was carried out, now or before.
+	// Applied is set if the plan was carried out, by this confirmation or an
+	// earlier one.
 	Applied bool `json:"applied"`
-	// Changed lists what changed since, if it was not.
+	// Changed lists the differences from the plan's basis, or the error of
+	// planning again, if the plan was not carried out.
 	Changed []string `json:"changed,omitempty"`
-	// Seq is the last batch.
+	// Seq is the number of the last journal batch.
 	Seq int64 `json:"seq"`
 }
 
-// command is a confirmation that waits for its turn.
+// command is a confirmation that waits for its result; ended is closed once
+// out and err are set.
 type command struct {
 	Confirmation
 
@@ -298,10 +315,12 @@
 	ended chan struct{}
 }
 
-// awayAfter is how long an append may take before the table counts as away.
+// journalUnavailableAfter is how long an append may take before new commands
+// are refused with [ErrJournalUnavailable].
 const journalUnavailableAfter = time.Second
 
-// Confirm carries out a plan if its basis holds, once.
+// Confirm carries out a plan if its basis is unchanged. A plan that was carried
+// out before is not carried out again.
 func (ow *Owner) Confirm(ctx context.Context, con Confirmation) (ConfirmResult, error) {
 	co := &command{Confirmation: con, ended: make(chan struct{})}
 	ow.mu.Lock()
@@ -324,8 +343,8 @@
 	return ow.withdraw(co)
 }
 
-// withdraw takes back a command that nobody waits for any more, if its append
-// is not under way.
+// withdraw removes a command whose caller has stopped waiting, unless its
+// append has begun: then the outcome is unknown.
 func (ow *Owner) withdraw(co *command) (ConfirmResult, error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -343,8 +362,8 @@
 }
 
 // commandRecords checks the next command against the state and returns its
-// records. There is one in a batch, so that each is checked against all that
-// went before.
+// records. A batch has at most one command, so that each is checked against
+// the state after the previous one.
 func (ow *Owner) commandRecords() []Record {
 	for len(ow.commands) > 0 {
 		co := ow.commands[0]
@@ -360,7 +379,8 @@
 	return nil
 }
 
-// check reports whether a command ends here, or else its records.
+// evaluate returns the records of a command, or true if the command has its
+// result already and needs no records.
 func (ow *Owner) evaluate(co *command) ([]Record, bool) {
 	if slices.Contains(ow.st.Plans, co.Plan) {
 		co.out = ConfirmResult{Applied: true, Seq: ow.st.Seq}
@@ -378,7 +398,7 @@
 	return records, false
 }
 
-// differences lists the lines that only one side has.
+// diffBasis lists the lines that only one of the two bases has.
 func diffBasis(planned, now []string) []string {
 	var changed []string
 	for _, line := range planned {
@@ -394,7 +414,8 @@
 	return changed
 }
 
-// answerCommands tells those whose append ended.
+// completeCommands returns the result of an append to the callers of its
+// commands.
 func (ow *Owner) completeCommands(err error) {
 	for _, co := range ow.inFlight {
 		co.out = ConfirmResult{Applied: err == nil, Seq: ow.st.Seq}
@@ -406,7 +427,8 @@
 	ow.inFlight = nil
 }
 
-// refuseAll answers commands that this owner will not carry out.
+// rejectCommands fails all waiting commands with [ErrNotOwner], and closes the
+// owner to new ones.
 func (ow *Owner) rejectCommands() {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -11,11 +11,12 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// asideFor is how long a worker that fails everything gets nothing.
+// quarantineTime is how long a quarantined worker gets no task; after it, the
+// worker gets one task at a time until one succeeds.
 const quarantineTime = time.Minute
 
-// decide asks package place what to do and returns the records of it.
-// Throttles are not journalled: a new owner begins with none.
+// decide takes the decisions of package place, and returns the records of
+// those that are journalled. Throttles are not: a new owner starts without.
 func (ow *Owner) decide() []Record {
 	now := time.Now()
 	ow.dirty, ow.lastDecision = false, now
@@ -46,7 +47,7 @@
 	return records
 }
 
-// dropped returns the stops of tasks that are no longer wanted.
+// stopDropped returns records that stop the running tasks that were dropped.
 func (ow *Owner) stopDropped() []Record {
 	var records []Record
 	for id, ta := range ow.st.Tasks {
@@ -57,7 +58,8 @@
 	return records
 }
 
-// placeSnapshot makes the snapshot for a decision.
+// placeSnapshot returns the state of the cell as package place needs it for a
+// decision.
 func (ow *Owner) placeSnapshot(now time.Time) place.Snapshot {
 	doc := ow.Config()
 	used := ow.st.ReservedByWorker()
@@ -130,8 +132,10 @@
 	return pt
 }
 
-// learn takes what a report says of services and their neighbours, if nothing
-// was changed on the worker since what was measured.
+// updateModel trains the interference model with the tail latencies of a
+// report and the batch tasks beside them. A report counts only if no task of
+// the worker was started, stopped or throttled since the usage was measured,
+// which is [Timing.UsageLag] before. At most two reports in that time are used.
 func (ow *Owner) updateModel(ws *workerStatus) {
 	if !ws.lastReport.Add(-ow.Timing.UsageLag).After(ws.lastAction) || ws.lastReport.Sub(ws.modelUpdated) < ow.Timing.UsageLag/2 {
 		return
@@ -158,7 +162,8 @@
 	}
 }
 
-// budget bounds evictions to so many a minute.
+// evictionBudget limits the evictions per minute; evictedAt has the times of
+// those in the last minute.
 type evictionBudget struct{ evictedAt []time.Time }
 
 func (bu *evictionBudget) remaining(now time.Time, perMinute int) int {
--- a/internal/cell/exchange.go
+++ b/internal/cell/exchange.go
@@ -10,35 +10,41 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// contact is what an owner knows of a worker from its reports.
+// workerStatus is what an owner knows about a worker but does not journal: the
+// last report, the leases given, and the exchanges with the worker.
 type workerStatus struct {
-	// incarnation and clock are of the last report, heard when it came.
+	// incarnation is the worker's process and workerClock its clock, in
+	// milliseconds, in the last report. It is empty before the first one.
 	incarnation string
 	workerClock int64
-	// seq counts messages.
+	// seq counts the exchanges sent; lastReport is when the last report came.
 	seq        int64
 	lastReport time.Time
 	tasks      map[string]worker.TaskReport
-	// leaseEnd has when batch and service leases given end at the latest,
-	// whoever gave them.
+	// leaseEnd has the latest end of the batch leases and of the service leases,
+	// in this order, whichever owner gave them.
 	leaseEnd [2]time.Time
-	// tried is the last message, pending is set while one is under way.
+	// lastSent is when the last exchange was sent; pending is set while one is
+	// in progress.
 	lastSent time.Time
 	pending  bool
-	// hurry asks for a message at once.
+	// sendNow requests an exchange without waiting for the interval.
 	sendNow bool
-	// leaving and unlisted are the platform's word.
+	// leaving is set while the platform lists the worker as leaving, unlisted
+	// while it does not list the worker.
 	leaving  bool
 	unlisted bool
-	// acted is when tasks were last started, stopped or throttled there.
+	// lastAction is when a task of the worker was last started, stopped or
+	// throttled.
 	lastAction time.Time
-	// learnt is when its measurements were last learnt from.
+	// modelUpdated is the time of the last report used for the model.
 	modelUpdated time.Time
-	// asideAt is since when it is set aside.
+	// quarantinedAt is when the worker was quarantined, or zero.
 	quarantinedAt time.Time
 }
 
-// contact returns the contact of a worker, new if need be.
+// status returns the status of a worker. It creates an empty one for a worker
+// without.
 func (ow *Owner) status(id string) *workerStatus {
 	ws := ow.statuses[id]
 	if ws == nil {
@@ -48,10 +54,11 @@
 	return ws
 }
 
-// maxExchanges bounds the messages under way to workers.
+// maxConcurrentExchanges limits the exchanges in progress.
 const maxConcurrentExchanges = 128
 
-// exchangeDue sends messages to the workers whose turn it is.
+// sendDueExchanges starts an exchange with each worker that is due or has new
+// orders, up to the limit.
 func (ow *Owner) sendDueExchanges(ctx context.Context) {
 	now := time.Now()
 	inProgress := 0
@@ -73,8 +80,9 @@
 	}
 }
 
-// message makes the message to a worker: its orders, and its leases, based on
-// the clock of its last report. A worker not heard of yet is asked only.
+// buildExchange returns the next message to a worker: its orders and its
+// leases. Lease ends are times of the worker's own clock, based on its last
+// report. A worker that has not reported yet gets neither.
 func (ow *Owner) buildExchange(id string, ws *workerStatus) worker.Exchange {
 	ws.seq++
 	ex := worker.Exchange{Owner: ow.Self, Term: ow.term, Seq: ws.seq}
@@ -92,6 +100,7 @@
 	return ex
 }
 
+// leaseDuration returns a lease setting, limited to maxLease.
 func leaseDuration(doc config.Doc, key string) time.Duration {
 	return min(doc.Duration(key), maxLease)
 }
@@ -103,8 +112,9 @@
 	return b
 }
 
-// orders returns all that the worker has yet to do. They are made anew from
-// the state for each message until a report shows them done.
+// orders returns the orders that the worker has not carried out yet. They are
+// derived from the state for each exchange, and repeated until a report shows
+// that they are carried out.
 func (ow *Owner) orders(id string, ws *workerStatus) []worker.Order {
 	var orders []worker.Order
 	for tid, ta := range ow.st.activeTasks[id] {
@@ -132,9 +142,9 @@
 	sp := ow.st.Jobs[ta.Job].Spec
 	tr, reported := ws.tasks[id]
 	if !reported || tr.Attempt < ta.Attempt {
-		// A task to be stopped whose start was not reported is started all
-		// the same: only so is it sure that a start under way comes to
-		// nothing.
+		// A task is started even if it is to be stopped: an earlier start
+		// order may still be in transit, and the worker ignores it only after
+		// it has seen this start and the stop.
 		orders = append(orders, worker.Order{
 			Verb: worker.VerbStart, Task: id, Attempt: ta.Attempt, Each: sp.Each, Kind: sp.Kind,
 			Service: sp.Service, RunMS: sp.RunMS, FromMS: ta.CheckpointMS,
@@ -149,7 +159,7 @@
 	return orders
 }
 
-// exchange sends a message, if the host still owns the cell, and takes the
+// exchange sends a message, if the host still owns the cell, and records the
 // report.
 func (ow *Owner) exchange(ctx context.Context, id, addr string, ex worker.Exchange) {
 	var re worker.Report
--- a/internal/cell/owner.go
+++ b/internal/cell/owner.go
@@ -16,84 +16,93 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Owner runs one cell while its host owns it. Set the fields, then call
-// [Owner.Run].
+// Owner runs one cell while its host owns it. Set the exported fields before
+// [Owner.Run]; other methods may be called concurrently with it.
 type Owner struct {
-	// Cell names the cell, Self the host.
+	// Cell is the name of the cell, Self the id of this host.
 	Cell string
 	Self string
-	// Epoch is that of the assignment that made the host the owner.
+	// Epoch is the epoch of the assignment that made this host the owner.
 	Epoch int64
-	// Owns reports whether the host owns the cell at this moment.
+	// Owns reports whether this host owns the cell now.
 	Owns func() bool
-	// Journal is the cell's.
+	// Journal is the journal of the cell.
 	Journal *Journal
-	// Workers talks to workers.
+	// Workers sends exchanges to workers.
 	Workers worker.Client
-	// Hosts returns the platform's list of the cell's workers, as last read;
-	// ok is false if it was never read.
+	// Hosts returns the platform's list of the cell's workers as last read; ok
+	// is false before the first read.
 	Hosts func() (hosts []store.Host, ok bool)
 	// Config returns the configuration in force.
 	Config func() config.Doc
-	// Timing has the intervals; the zero value takes [DefaultTiming].
+	// Timing has the intervals; the zero value means [DefaultTiming].
 	Timing Timing
-	// Metrics counts.
+	// Metrics counts journal rows and task events.
 	Metrics *telemetry.Metrics
-	// Log gets events; nil gets none.
+	// Log receives events; nil discards them.
 	Log *slog.Logger
-	// NoControl turns control of tails off, for comparison.
+	// NoControl disables throttling and evictions for tail latencies, for
+	// comparison.
 	NoControl bool
 
 	mu sync.Mutex
-	// st is the state as journalled; closed is set when it is no longer ours
-	// to serve, failed once the journal cannot be appended to.
+	// st is the state as journalled. closed is set when this owner stops
+	// serving it. journalErr is the error of a failed append, after which the
+	// owner ends.
 	st         *State
 	closed     bool
 	journalErr error
-	// contacts are the workers by id, shares the throttled tasks.
+	// statuses is keyed by worker id. shares has the processor share of each
+	// throttled task, by task id.
 	statuses map[string]*workerStatus
 	shares   map[string]float64
-	// model and evictions are what was learnt and spent.
+	// model is the interference model, evictions the use of the eviction
+	// budget.
 	model     place.Model
 	evictions evictionBudget
-	// commands wait for a batch, inFlight for the append of theirs.
+	// commands wait for a batch; inFlight wait for the append of their batch.
 	commands []*command
 	inFlight []*command
-	// appending is since when an append is under way, or zero; appended is
-	// when the last one began.
+	// appendStarted is when the append in progress began, or zero. lastAppend
+	// is when the last append began.
 	appendStarted time.Time
 	lastAppend    time.Time
-	// dirty is set when something has changed since the last decision, at
-	// decided.
+	// dirty is set when something has changed since lastDecision.
 	dirty        bool
 	lastDecision time.Time
-	// snapTried is when a snapshot was last begun, snapSeq the last written.
+	// snapshotStarted is when the last snapshot was begun, snapshotSeq the
+	// batch of the last one written.
 	snapshotStarted time.Time
 	snapshotSeq     int64
-	// inherited is when the leases that a former owner gave have lapsed.
+	// inheritedLeaseEnd is when all leases that a former owner gave have
+	// expired.
 	inheritedLeaseEnd time.Time
-	// term is that of the journal's opening; wake has the loop look at once.
+	// term is the fencing token of the journal's opening. wake starts the next
+	// step of the loop at once.
 	term int64
 	wake chan struct{}
 }
 
-// Timing has the intervals of an owner.
+// Timing has the intervals and time limits of an owner.
 type Timing struct {
-	// Tick is the time between looks at what there is to do.
+	// Tick is the time between steps of the loop.
 	Tick time.Duration
-	// Batch is the least time between batches, which bounds the writes.
+	// BatchInterval is the minimum time between batches; it limits the writes
+	// to the table.
 	BatchInterval time.Duration
-	// Exchange is the time between messages to a worker without orders.
+	// ExchangeInterval is the time between exchanges with a worker that has no
+	// new orders.
 	ExchangeInterval time.Duration
-	// Silent is how long a worker may be silent before it gets nothing new.
+	// UnresponsiveAfter is the time without a report after which a worker gets
+	// no new tasks.
 	UnresponsiveAfter time.Duration
-	// Margin is added to leases, for clocks of different rates.
+	// Margin is added to the end of leases, as clocks run at different rates.
 	Margin time.Duration
-	// UsageLag is how old the usage in reports is.
+	// UsageLag is the age of the usage measurements in a report.
 	UsageLag time.Duration
 }
 
-// DefaultTiming is for a thousand workers.
+// DefaultTiming suits cells of up to a thousand workers.
 var DefaultTiming = Timing{
 	Tick:              50 * time.Millisecond,
 	BatchInterval:     100 * time.Millisecond,
@@ -103,22 +112,23 @@
 	UsageLag:          2 * time.Second,
 }
 
-// maxLease bounds the lease settings; a new owner waits for leases that the
-// former one may have given, whatever its settings were.
+// maxLease limits the lease settings. A new owner waits this long for leases of
+// the former owner, whose settings it does not know.
 const maxLease = time.Minute
 
-// decideEvery is how often decisions are looked for when nothing changed.
+// decideInterval is the time between decisions while nothing has changed.
 const decideInterval = 500 * time.Millisecond
 
-// openTime bounds opening the journal, so that a host that waited long for the
-// table looks first whether it still owns the cell.
+// openTimeout limits opening the journal, so that a host that waits long for
+// the table checks whether it still owns the cell before it tries again.
 const openTimeout = 10 * time.Second
 
-// ErrNotOwner is returned by calls on a cell that this host does not run.
+// ErrNotOwner is returned by calls on a host that does not run the cell.
 var ErrNotOwner = errors.New("not the owner of the cell")
 
-// Run opens the journal and runs the cell until ctx ends or the host ceases
-// to own it.
+// Run opens the journal and runs the cell. It returns nil when ctx ends, and
+// otherwise an error: [ErrNotOwner] when the host no longer owns the cell, or
+// the error of opening the journal or of an append.
 func (ow *Owner) Run(ctx context.Context) error {
 	if ow.Timing == (Timing{}) {
 		ow.Timing = DefaultTiming
@@ -141,7 +151,7 @@
 	ow.term = ow.Journal.Term()
 	ow.dirty = true
 	ow.mu.Unlock()
-	ow.Log.Info("cell opened", "cell", ow.Cell, "epoch", ow.Epoch, "seq", st.Seq, "tasks", len(st.Tasks))
+	ow.Log.Info("opened journal of the cell", "cell", ow.Cell, "epoch", ow.Epoch, "seq", st.Seq, "tasks", len(st.Tasks))
 	return ow.loop(ctx)
 }
 
@@ -173,7 +183,7 @@
 	}
 }
 
-// nudge has the loop look again at once.
+// signal starts the next step of the loop at once.
 func (ow *Owner) signal() {
 	select {
 	case ow.wake <- struct{}{}:
@@ -181,8 +191,8 @@
 	}
 }
 
-// step sends what is due and, unless an append is under way, journals what
-// has happened and what is decided.
+// step sends due exchanges. Unless an append is in progress, it also journals
+// events and decisions.
 func (ow *Owner) step(ctx context.Context) {
 	if ow.appendStarted.IsZero() && time.Since(ow.lastAppend) >= ow.Timing.BatchInterval {
 		ow.startAppend(ctx)
@@ -190,20 +200,20 @@
 	ow.sendDueExchanges(ctx)
 }
 
-// journal starts the append of all that is to be noted now.
+// startAppend collects the records of the next batch and starts its append.
 func (ow *Owner) startAppend(ctx context.Context) {
-	// Going through all workers and tasks costs milliseconds for a thousand
-	// workers; it is done when something has changed, and now and then for
-	// what only time brings.
+	// A pass over all workers and tasks takes milliseconds for a thousand
+	// workers. It runs when something has changed, and at decideInterval for
+	// changes that come with time alone, such as the expiry of leases.
 	if !ow.dirty && len(ow.commands) == 0 && time.Since(ow.lastDecision) < decideInterval {
 		return
 	}
 	records := ow.workerRecords()
 	records = append(records, ow.endRecords()...)
 	records = append(records, ow.commandRecords()...)
-	// Decided on the state before the records above. A start that they make
-	// void is left out when the batch is applied; room that they make is
-	// found the next time.
+	// Decisions use the state before the records above. A start that those
+	// records invalidate has no effect when the batch is applied; resources
+	// that they free are used by the next decision.
 	records = append(records, ow.decide()...)
 	if len(records) == 0 {
 		return
@@ -214,7 +224,8 @@
 	go ow.appendBatch(ctx, records)
 }
 
-// append writes a batch, applies it, and lets workers hear of it.
+// appendBatch writes a batch, applies it, and requests exchanges with the
+// workers that it concerns.
 func (ow *Owner) appendBatch(ctx context.Context, records []Record) {
 	ba, err := ow.Journal.Append(ctx, records)
 	ow.mu.Lock()
@@ -235,8 +246,8 @@
 	ow.signal()
 }
 
-// snapshot begins to write a snapshot, if one is due. The object store may
-// hang, so that nothing waits for it; the next append makes it known.
+// snapshot starts to write a snapshot if one is due. Nothing waits for it, as
+// the object store may hang; the next append writes its number to the head row.
 func (ow *Owner) snapshot(ctx context.Context) {
 	if !ow.Journal.SnapshotDue() || time.Since(ow.snapshotStarted) < snapshotRetryInterval {
 		return
@@ -245,14 +256,14 @@
 	seq := ow.st.Seq
 	data, err := json.Marshal(ow.st)
 	if err != nil {
-		ow.Log.Error("snapshot", "cell", ow.Cell, "err", err)
+		ow.Log.Error("cannot encode snapshot of the cell", "cell", ow.Cell, "err", err)
 		return
 	}
 	go func() {
 		sctx, cancel := context.WithTimeout(ctx, snapshotRetryInterval)
 		defer cancel()
 		if err := ow.Journal.WriteSnapshot(sctx, seq, data); err != nil {
-			ow.Log.Warn("snapshot", "cell", ow.Cell, "err", err)
+			ow.Log.Warn("cannot write snapshot of the cell", "cell", ow.Cell, "err", err)
 			return
 		}
 		ow.mu.Lock()
@@ -261,7 +272,7 @@
 	}()
 }
 
-// hurry has workers with new orders contacted at once.
+// expedite requests an exchange at once with each worker that has a new order.
 func (ow *Owner) expedite(records []Record) {
 	for _, rec := range records {
 		if rec.Kind != KindStart && rec.Kind != KindStop {
@@ -276,8 +287,8 @@
 	}
 }
 
-// hostRecords enters workers that are new on the list and removes those that
-// are gone and run nothing.
+// workerRecords adds or changes workers as listed by the platform, and removes
+// those that are no longer listed and have no active task.
 func (ow *Owner) workerRecords() []Record {
 	hosts, ok := ow.Hosts()
 	if !ok {
@@ -308,8 +319,8 @@
 	return records
 }
 
-// endRecords notes attempts that have ended: on the worker's word, or because
-// their lease has surely lapsed.
+// endRecords records attempts that have ended: those that the worker reports as
+// ended, and those whose lease has certainly expired.
 func (ow *Owner) endRecords() []Record {
 	var records []Record
 	now := time.Now()
@@ -324,11 +335,13 @@
 	return records
 }
 
+// endRecord returns the record of an attempt's end, or false if the attempt may
+// still run.
 func (ow *Owner) endRecord(id string, ta *Task, now time.Time) (Record, bool) {
 	rec := Record{Kind: KindEnd, Task: id, Attempt: ta.Attempt, End: worker.StateLapsed}
 	ws := ow.status(ta.Worker)
 	if ws.incarnation != "" && ws.incarnation != ta.Incarnation {
-		// Another process: the one that had the task is no more.
+		// The process that ran the task was replaced by another one.
 		return rec, true
 	}
 	if tr, ok := ws.tasks[id]; ok && tr.Attempt == ta.Attempt {
@@ -341,8 +354,9 @@
 	return rec, now.After(ow.leaseExpiry(ws, ow.st.Jobs[ta.Job].Spec.Service))
 }
 
-// lapse returns when a worker's leases of a class have surely lapsed, if it
-// is not heard of again.
+// leaseExpiry returns the time after which a worker's batch or service leases
+// have certainly expired if it is not heard from again. Before its first report
+// those of a former owner count.
 func (ow *Owner) leaseExpiry(ws *workerStatus, service bool) time.Time {
 	end := ws.leaseEnd[leaseIndex(service)]
 	if ws.incarnation == "" {
@@ -351,6 +365,7 @@
 	return end.Add(ow.Timing.Margin)
 }
 
+// leaseIndex returns the index in leaseEnd.
 func leaseIndex(service bool) int {
 	if service {
 		return 1
@@ -358,23 +373,25 @@
 	return 0
 }
 
-// Summary counts what a cell has.
+// Summary has the counts of a cell.
 type Summary struct {
-	// Cell, Owner and Epoch say whose it is.
+	// Cell is the cell's name, Owner the id of its owner, Epoch that of the
+	// owner's assignment.
 	Cell  string `json:"cell"`
 	Owner string `json:"owner"`
 	Epoch int64  `json:"epoch"`
-	// Seq is the last batch.
+	// Seq is the number of the last journal batch.
 	Seq int64 `json:"seq"`
-	// Workers and Tasks count by state.
+	// Workers and Tasks are counts by state.
 	Workers map[string]int `json:"workers"`
 	Tasks   map[string]int `json:"tasks"`
-	// Holds is what all workers have, Used what tasks are given.
+	// Capacity is the total of all workers, Reserved what active tasks
+	// reserve of it.
 	Capacity worker.Resources `json:"holds"`
 	Reserved worker.Resources `json:"used"`
 }
 
-// Summary returns the cell's counts.
+// Summary returns the counts of the cell, or [ErrNotOwner].
 func (ow *Owner) Summary() (Summary, error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -398,12 +415,12 @@
 	return su, nil
 }
 
-// serving reports whether calls on the cell can be answered here.
+// serving reports whether this owner may answer calls on the cell.
 func (ow *Owner) serving() bool {
 	return ow.st != nil && !ow.closed && ow.Owns()
 }
 
-// workerState names the state of a worker, for people.
+// workerState returns the state of a worker as shown to operators.
 func (ow *Owner) workerState(id string, wo *Worker) string {
 	ws := ow.status(id)
 	switch {
@@ -419,13 +436,15 @@
 	return "live"
 }
 
-// NamedTask is a task with its id.
+// NamedTask is a [Task] with its id.
 type NamedTask struct {
 	ID string `json:"id"`
 	Task
 }
 
-// Tasks returns the tasks of a job, or of all jobs.
+// Tasks returns the tasks of a job, or of all jobs if job is empty, in no
+// particular order. It returns [ErrNotOwner] on a host that does not run the
+// cell.
 func (ow *Owner) Tasks(job string) ([]NamedTask, error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -1,16 +1,20 @@
-// Package cell keeps the tasks and workers of one data centre: what is wanted,
-// what was decided, and what is known of it.
+// Package cell schedules the jobs and services of one data centre, the cell,
+// and keeps their state in a journal.
 //
-// One entry host owns a cell at a time. Its [State] is the fold of a journal:
-// batches of records, each one row of the platform's table, written by
-// compare-and-set on the cell's head row, so that an owner that was replaced
-// can write no more. A decision is journalled before any worker hears of it.
-// Many decisions share a write; that is what lets a table of a few hundred
-// writes a second carry thousands of task starts.
+// One entry host owns a cell at a time. The [State] of the cell is the result
+// of applying the journal's batches of records in order. Each batch is one row
+// of the platform's table, written by compare-and-set on the cell's head row,
+// so that a replaced owner can no longer write. A decision is journalled before
+// it is sent to a worker. One write holds many decisions, so that a table of a
+// few hundred writes per second is enough for thousands of task starts per
+// second.
 //
-// What a task is given counts against its worker until the worker said that
-// the task ended, or its lease has surely lapsed. Only then is it started
-// again, as the next attempt, from the last checkpoint reported.
+// A task's resources stay reserved on its worker until the worker reports that
+// the attempt ended, or its lease has certainly expired. Only then is the next
+// attempt started, from the last reported checkpoint.
+//
+// Limits: a journal append that fails ends the owner, and the next owner
+// starts without throttles and usage measurements, which are not journalled.
 package cell
 
 import (
@@ -20,10 +24,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TaskState is where a task is in its life.
+// TaskState is the state of a task.
 type TaskState string
 
-// The states.
+// The task states. A Running task was started by the journal; its worker may
+// not have received the start yet. Done and Failed are final.
 const (
 	Waiting  TaskState = "waiting"
 	Running  TaskState = "running"
@@ -32,118 +37,126 @@
 	Failed   TaskState = "failed"
 )
 
-// Spec is a batch job or a service.
+// Spec describes a batch job or a service.
 type Spec struct {
 	// Name is unique in the cell.
 	Name string `json:"name"`
-	// Team is whose quota it counts against.
+	// Team is the team whose quota the tasks count against.
 	Team string `json:"team,omitempty"`
-	// Kind groups jobs that behave alike.
+	// Kind groups jobs of similar behaviour; measurements of interference are
+	// kept per kind.
 	Kind string `json:"kind,omitempty"`
-	// Service tasks have no end.
+	// Service marks a service, whose tasks run until they are stopped.
 	Service bool `json:"service,omitempty"`
-	// Urgent work goes first and may have batch evicted.
+	// Urgent tasks are placed first, and may evict batch tasks.
 	Urgent bool `json:"urgent,omitempty"`
-	// Tasks is the number of like tasks.
+	// Tasks is the number of tasks; all are identical.
 	Tasks int `json:"tasks"`
-	// Each is what every task is given.
+	// Each is what every task reserves.
 	Each worker.Resources `json:"each"`
-	// RunMS is the declared run time of a batch task.
+	// RunMS is the declared run time of a batch task, in milliseconds.
 	RunMS int64 `json:"run_ms,omitempty"`
 }
 
-// WithTasks returns the spec with another number of tasks.
+// WithTasks returns a copy of the spec with n tasks.
 func (sp Spec) WithTasks(n int) Spec {
 	sp.Tasks = n
 	return sp
 }
 
-// Job is a spec in the cell.
+// Job is a batch job or service that the cell has accepted.
 type Job struct {
-	// Spec is what is wanted.
+	// Spec is the job's current spec.
 	Spec Spec `json:"spec"`
-	// Revision counts changes.
+	// Revision counts the changes of the job, from 1.
 	Revision int `json:"revision"`
-	// Cancelled jobs vanish once their tasks have stopped.
+	// Cancelled jobs are deleted once their tasks have stopped.
 	Cancelled bool `json:"cancelled,omitempty"`
 }
 
-// Task is one task.
+// Task is the state of one task of a job.
 type Task struct {
-	// Job and Index name it.
+	// Job is the job's name, Index the task's number in it, from 0.
 	Job   string `json:"job"`
 	Index int    `json:"index"`
-	// State is where it is.
+	// State is the task's state.
 	State TaskState `json:"state"`
-	// Worker and Incarnation are where it is, or last was.
+	// Worker is the id of the worker of the last attempt, Incarnation the
+	// process of it that was to run the attempt.
 	Worker      string `json:"worker,omitempty"`
 	Incarnation string `json:"incarnation,omitempty"`
-	// Attempt counts starts.
+	// Attempt is the number of the last attempt, from 1.
 	Attempt int `json:"attempt,omitempty"`
-	// CheckpointMS is the progress that the next attempt starts from.
+	// CheckpointMS is the run time, in milliseconds, after which the next
+	// attempt resumes.
 	CheckpointMS int64 `json:"checkpoint_ms,omitempty"`
-	// Evictions counts stops that were not for a cancellation.
+	// Evictions counts attempts that ended neither done nor failed: evicted,
+	// moved or lost with their lease.
 	Evictions int `json:"evictions,omitempty"`
-	// FailedOn are the workers on which it failed.
+	// FailedOn has the ids of the workers on which an attempt failed.
 	FailedOn []string `json:"failed_on,omitempty"`
-	// Result is what it left.
+	// Result is the result of a task that is done.
 	Result string `json:"result,omitempty"`
-	// Order sorts waiting tasks.
+	// Order is the position of the task in the order of creation.
 	Order int64 `json:"order"`
-	// Dropped tasks are forgotten once stopped.
+	// Dropped tasks are no longer wanted, and are deleted once stopped.
 	Dropped bool `json:"dropped,omitempty"`
 }
 
-// Holding reports whether the task may be running, and so counts against its
-// worker.
+// Active reports whether the task may be running, so that its resources are
+// reserved on its worker.
 func (ta *Task) Active() bool {
 	return ta.State == Running || ta.State == Stopping
 }
 
-// TaskID returns the id of a job's task.
+// TaskID returns the id of a job's task, such as "job/0".
 func TaskID(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// Worker is a worker of the cell.
+// Worker is a worker of the cell, as journalled.
 type Worker struct {
-	// ID, Rack and Addr say where it is.
+	// ID is the worker's id on the platform's list, Rack its rack, Addr the
+	// address that takes exchanges.
 	ID   string `json:"id"`
 	Rack string `json:"rack"`
 	Addr string `json:"addr"`
-	// Holds is what it has.
+	// Capacity is the total of the worker's resources.
 	Capacity worker.Resources `json:"holds"`
-	// Drained workers are emptied and get nothing new.
+	// Drained workers get no new tasks, and their tasks are moved or evicted.
 	Drained bool `json:"drained,omitempty"`
-	// FailedJobs are jobs whose tasks failed there since the last success.
+	// FailedJobs has the names of the jobs of which a task failed on the worker
+	// since a task last succeeded there.
 	FailedJobs []string `json:"failed_jobs,omitempty"`
 }
 
-// State is all that a cell remembers. It changes only by [State.Apply].
+// State is the journalled state of a cell. It changes only by [State.Apply].
 type State struct {
-	// Seq is the last batch applied.
+	// Seq is the number of the last batch applied.
 	Seq int64 `json:"seq"`
-	// Order counts tasks made.
+	// Order counts the tasks created; it is the [Task.Order] of the last one.
 	Order int64 `json:"order"`
-	// Jobs, Tasks and Workers are by name or id.
+	// Jobs are keyed by name, Tasks and Workers by id.
 	Jobs    map[string]*Job    `json:"jobs"`
 	Tasks   map[string]*Task   `json:"tasks"`
 	Workers map[string]*Worker `json:"workers"`
-	// Ended are ids of tasks that are done or failed, oldest first.
+	// Ended has the ids of tasks that are done or failed, oldest first.
 	Ended []string `json:"ended,omitempty"`
-	// Plans are ids of plans carried out, oldest first.
+	// Plans has the ids of plans carried out, oldest first. Confirming one of
+	// them again changes nothing.
 	Plans []string `json:"plans,omitempty"`
 
-	// held has the tasks that count against each worker, perJob the number
-	// of tasks of each job; both follow from the rest.
+	// activeTasks has the active tasks of each worker, by worker and task id.
+	// perJob is the number of tasks of each job. Both are derived from Tasks.
 	activeTasks map[string]map[string]*Task
 	perJob      map[string]int
 }
 
-// Bounds on what is remembered of the past.
+// Limits on the history that is kept, and on failures.
 const (
 	maxEnded = 10_000
 	maxPlans = 4096
-	// parkAfter is the number of different workers on which a task may fail,
-	// and asideAfter that of different jobs that may fail at a worker.
+	// maxFailedWorkers is the number of different workers on which a task
+	// fails before it is given up. quarantineAfter is the number of different
+	// jobs whose tasks fail on a worker before the worker is quarantined.
 	maxFailedWorkers = 3
 	quarantineAfter  = 3
 )
@@ -155,7 +168,8 @@
 	return st
 }
 
-// index makes what follows from the rest anew, after reading a snapshot.
+// index rebuilds the fields that are derived from Tasks, after a snapshot was
+// read.
 func (st *State) index() {
 	st.activeTasks = map[string]map[string]*Task{}
 	st.perJob = map[string]int{}
@@ -181,7 +195,8 @@
 	}
 }
 
-// forget removes a task that runs nowhere, and with the last one its job.
+// deleteTask deletes a task that is not active, and with its last task the
+// job, if that is no longer needed.
 func (st *State) deleteTask(id string) {
 	ta := st.Tasks[id]
 	if ta == nil {
@@ -192,8 +207,8 @@
 	st.deleteJobIfEmpty(ta.Job)
 }
 
-// forgetJob forgets a job without tasks, if it is cancelled or was batch work
-// whose tasks all ended long ago.
+// deleteJobIfEmpty deletes a job without tasks. A service that is not cancelled
+// stays.
 func (st *State) deleteJobIfEmpty(name string) {
 	jo := st.Jobs[name]
 	if jo == nil || st.perJob[name] > 0 || (jo.Spec.Service && !jo.Cancelled) {
@@ -203,52 +218,55 @@
 	delete(st.perJob, name)
 }
 
-// Kind is the kind of a record.
+// Kind is the kind of a journal record.
 type Kind string
 
-// The kinds of records.
+// The kinds of journal records.
 const (
-	// KindJob adds a job, or changes its number of tasks.
+	// KindJob adds a job, or replaces its spec by one with another number of
+	// tasks.
 	KindJob Kind = "job"
 	// KindCancel cancels a job.
 	KindCancel Kind = "cancel"
-	// KindWorker enters or changes a worker.
+	// KindWorker adds or changes a worker.
 	KindWorker Kind = "worker"
-	// KindGone removes a worker that runs nothing.
+	// KindRemove removes a worker without active tasks.
 	KindRemove Kind = "gone"
-	// KindDrain begins or ends a drain of a worker.
+	// KindDrain starts or ends a drain of a worker.
 	KindDrain Kind = "drain"
-	// KindStart starts a task.
+	// KindStart starts the next attempt of a task.
 	KindStart Kind = "start"
-	// KindStop orders a task's stop.
+	// KindStop stops the current attempt of a task.
 	KindStop Kind = "stop"
-	// KindEnd notes the end of an attempt.
+	// KindEnd records that an attempt has ended.
 	KindEnd Kind = "end"
-	// KindPlan notes a plan carried out.
+	// KindPlan records that a plan was carried out.
 	KindPlan Kind = "plan"
 )
 
-// Record is one entry of the journal. What is used depends on the kind.
+// Record is one change of the state. Which fields are set depends on the kind.
 type Record struct {
-	// Kind says what happened.
+	// Kind is the kind of change.
 	Kind Kind `json:"k"`
-	// Task, Worker, Job and Plan name what it happened to.
+	// Task, Worker and Plan are the ids, and Job is the name, of what
+	// changes.
 	Task   string `json:"t,omitempty"`
 	Worker string `json:"w,omitempty"`
 	Job    string `json:"j,omitempty"`
 	Plan   string `json:"p,omitempty"`
-	// Incarnation is the worker's process, for a start.
+	// Incarnation is the worker process that a start is for.
 	Incarnation string `json:"i,omitempty"`
-	// Attempt is the attempt that started, stops or ended.
+	// Attempt is the number of the attempt that starts, stops or has ended.
 	Attempt int `json:"a,omitempty"`
-	// End is how an attempt ended, CheckpointMS how far it came.
+	// End is how an attempt ended, CheckpointMS its last reported
+	// checkpoint, in milliseconds of run time.
 	End          worker.State `json:"e,omitempty"`
 	CheckpointMS int64        `json:"c,omitempty"`
-	// Result is what a task that is done left.
+	// Result is the result of a task that is done.
 	Result string `json:"r,omitempty"`
-	// Undo ends a drain.
+	// Undo ends the drain instead of starting it.
 	Undo bool `json:"u,omitempty"`
-	// Spec and Host are for jobs and workers.
+	// Spec is set for KindJob, Host for KindWorker.
 	Spec *Spec   `json:"s,omitempty"`
 	Host *Worker `json:"h,omitempty"`
 }
@@ -257,14 +275,15 @@
 type Batch struct {
 	// Seq numbers batches from 1.
 	Seq int64 `json:"seq"`
-	// Epoch and Owner are whose it is.
+	// Epoch and Owner are those of the owner that wrote the batch.
 	Epoch int64  `json:"epoch"`
 	Owner string `json:"owner"`
-	// Records are applied in order.
+	// Records has the changes, in the order in which they are applied.
 	Records []Record `json:"records"`
 }
 
-// Apply applies a batch. The same batches always give the same state.
+// Apply applies a batch. It is deterministic: the same batches always give the
+// same state.
 func (st *State) Apply(ba Batch) {
 	st.Seq = ba.Seq
 	for _, rec := range ba.Records {
@@ -299,6 +318,7 @@
 	}
 }
 
+// trimOldest removes the first elements of a list that is longer than limit.
 func trimOldest(list []string, limit int) []string {
 	return slices.Delete(list, 0, max(0, len(list)-limit))
 }
@@ -320,8 +340,8 @@
 	}
 }
 
-// want makes a task of a job. One that was dropped and has not stopped yet is
-// wanted again.
+// ensureTask creates a task of a job. A dropped task that has not stopped yet
+// is kept instead.
 func (st *State) ensureTask(job string, index int) {
 	id := TaskID(job, index)
 	if ta := st.Tasks[id]; ta != nil {
@@ -333,7 +353,8 @@
 	st.Tasks[id] = &Task{Job: job, Index: index, State: Waiting, Order: st.Order}
 }
 
-// drop forgets a task, at once or once it has stopped.
+// dropTask deletes a task, or marks an active one to be deleted once it has
+// stopped.
 func (st *State) dropTask(id string) {
 	ta := st.Tasks[id]
 	if ta == nil {
@@ -415,7 +436,8 @@
 	return append(list, item)
 }
 
-// end moves a task to its last state and forgets the oldest ended ones.
+// finish moves a task to a final state, and deletes the oldest finished tasks
+// beyond the limit.
 func (st *State) finish(id string, ta *Task, state TaskState) {
 	ta.State = state
 	st.Ended = append(st.Ended, id)
@@ -428,7 +450,8 @@
 	}
 }
 
-// Used returns what the tasks that may run on a worker are given.
+// ReservedByWorker returns the resources that active tasks reserve, by worker
+// id.
 func (st *State) ReservedByWorker() map[string]worker.Resources {
 	used := map[string]worker.Resources{}
 	for id, tasks := range st.activeTasks {
