--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -55,8 +55,8 @@
 	runCell(t, 2, func(c *qt.C, tc *testCell) {
 		to := startWithJob(c, tc, batchJob("j", 4, 30*time.Second))
 		time.Sleep(5 * time.Second)
-		// Cut off, it runs on under its leases; only when these have surely
-		// lapsed do its tasks start elsewhere, from their checkpoints.
+		// The worker runs its tasks until its leases expire. Only then do they
+		// start elsewhere, from their checkpoints.
 		tc.set("w0", func(tw *testWorker) { tw.unreachable = true })
 		time.Sleep(2 * time.Minute)
 		assertStates(c, to, map[string]int{"done": 4})
@@ -67,7 +67,7 @@
 	runCell(t, 2, func(c *qt.C, tc *testCell) {
 		to := startWithJob(c, tc, batchJob("j", 4, 30*time.Second))
 		time.Sleep(5 * time.Second)
-		// Messages reach it a minute late, when others have its tasks.
+		// Messages arrive a minute late, when other workers have the tasks.
 		tc.set("w0", func(tw *testWorker) { tw.delay = time.Minute })
 		time.Sleep(90 * time.Second)
 		tc.set("w0", func(tw *testWorker) { tw.delay = 0 })
@@ -80,7 +80,7 @@
 	runCell(t, 4, func(c *qt.C, tc *testCell) {
 		first := startWithJob(c, tc, batchJob("j", 30, 10*time.Second))
 		time.Sleep(3 * time.Second)
-		// The former owner goes on believing that it owns the cell.
+		// The first owner still takes itself for the owner.
 		second := tc.startOwner(true)
 		time.Sleep(time.Minute)
 		assertStates(c, second, map[string]int{"done": 30})
@@ -95,11 +95,11 @@
 		c.Assert(err, qt.IsNil)
 		time.Sleep(3 * time.Second)
 		tc.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		// No new work; what runs is kept for as long as the host owns the
-		// cell.
+		// No new tasks start. Running tasks keep their leases for as long as
+		// the host owns the cell.
 		time.Sleep(5 * time.Second)
-		// The first command finds out that the table is away; it is on its
-		// way, and what becomes of it is not known. The next is refused.
+		// The append of the first command is in progress when its caller gives
+		// up, so that its outcome is unknown. The next command is refused.
 		_, err = to.confirm("later", batchJob("k", 1, time.Second))
 		c.Assert(err, qt.ErrorIs, ErrOutcomeUnknown)
 		_, err = to.confirm("latest", batchJob("l", 1, time.Second))
@@ -171,7 +171,7 @@
 		big.Add.Each.MilliCores = 9000
 		for _, cmd := range []Command{
 			big, batchJob("j", 1, time.Second), batchJob("", 1, time.Second), batchJob("x", 0, time.Second),
-			{Cancel: "nobody"}, {Resize: &Resize{Name: "nobody", Tasks: 1}}, {Drain: &Drain{Rack: "r9"}}, {},
+			{Cancel: "missing"}, {Resize: &Resize{Name: "missing", Tasks: 1}}, {Drain: &Drain{Rack: "r9"}}, {},
 		} {
 			_, err := to.ow.Plan(cmd)
 			c.Assert(err, qt.ErrorIs, ErrImpossible)
@@ -262,7 +262,7 @@
 func TestNewOwnerRecoversFromSnapshot(t *testing.T) {
 	runCell(t, 4, func(c *qt.C, tc *testCell) {
 		to := startWithJob(c, tc, service("s", 4))
-		// More batches than there are between two snapshots.
+		// Enough batches for two snapshots.
 		for i := range 2 * snapshotInterval {
 			_, err := to.confirm(fmt.Sprintf("p%d", i), Command{Resize: &Resize{Name: "s", Tasks: 3 + i%2}})
 			c.Assert(err, qt.IsNil)
@@ -281,9 +281,9 @@
 	})
 }
 
-// TestShrunkAndGrownAgain shrinks a service while the workers cannot be
-// reached, and grows it again: the task that could not be stopped is wanted
-// again, and not started a second time.
+// TestShrinkAndGrowWhileWorkersUnreachable shrinks a service while two workers
+// are unreachable, and grows it again. A task that was to be stopped and still
+// runs must be kept, and not started a second time.
 func TestShrinkAndGrowWhileWorkersUnreachable(t *testing.T) {
 	runCell(t, 4, func(c *qt.C, tc *testCell) {
 		to := startWithJob(c, tc, service("s", 4))
@@ -304,8 +304,8 @@
 	})
 }
 
-// TestCancelledBeforeItsStartArrived cancels a task whose start got lost. It
-// must come to an end all the same.
+// TestCancelAfterStartOrderLost cancels a task whose start order was lost. The
+// task must end and be deleted all the same.
 func TestCancelAfterStartOrderLost(t *testing.T) {
 	runCell(t, 1, func(c *qt.C, tc *testCell) {
 		to := tc.startOwner(false)
@@ -322,9 +322,10 @@
 	})
 }
 
-// TestObjectStoreAway has snapshots fall due while the object store hangs. The
-// cell goes on at its pace, its journal grows, and a new owner recovers from
-// it; once the store is back a snapshot shortens the journal.
+// TestObjectStoreUnavailable has snapshots fall due while the object store
+// hangs. Commands must take no longer than usual, the journal grows, and a new
+// owner recovers from it. Once the store answers, a snapshot shortens the
+// journal.
 func TestObjectStoreUnavailable(t *testing.T) {
 	runCell(t, 2, func(c *qt.C, tc *testCell) {
 		to := startWithJob(c, tc, service("s", 4))
--- a/internal/cell/cluster_test.go
+++ b/internal/cell/cluster_test.go
@@ -20,23 +20,24 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// errUnreached is the error of a message that got lost.
-var errUnreachable = errors.New("unreached")
+// errUnreachable is the error of a message that was lost.
+var errUnreachable = errors.New("worker unreachable")
 
-// slot is a worker with its faults.
+// testWorker is a stand-in worker with its faults.
 type testWorker struct {
 	proc *standin.Worker
 	host store.Host
-	// cut has messages to it lost, deaf has its replies lost, late delays
-	// messages.
+	// unreachable drops messages to the worker, repliesLost drops its replies,
+	// delay delays messages to it.
 	unreachable, repliesLost bool
 	delay                    time.Duration
-	// logs of processes of before.
+	// earlierSpans has the task logs of earlier incarnations, overfull how
+	// often those were overfull.
 	earlierSpans []standin.TaskSpan
 	overfull     int
 }
 
-// lab is a cell of stand-in workers, with owners that come and go.
+// testCell is a cell of stand-in workers, with any number of owners.
 type testCell struct {
 	table   standin.Table
 	objects standin.Objects
@@ -45,10 +46,11 @@
 	owners  []*testOwner
 	epoch   int64
 
-	// mu guards the faults of slots.
+	// mu guards the faults of workers.
 	mu sync.Mutex
 }
 
+// testOwner is an owner whose ownership the test controls.
 type testOwner struct {
 	ow     *Owner
 	owns   atomic.Bool
@@ -72,14 +74,15 @@
 	return tc
 }
 
-// set changes the faults of a worker.
+// set changes faults of a worker.
 func (tc *testCell) set(id string, fn func(*testWorker)) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
 	fn(tc.workers[id])
 }
 
-// restart starts a worker's process anew.
+// restart replaces the process of a worker. Tasks of the former process end
+// now, at an unknown progress.
 func (tc *testCell) restart(tw *testWorker) {
 	tc.mu.Lock()
 	defer tc.mu.Unlock()
@@ -96,8 +99,8 @@
 	tw.proc = standin.NewWorker(standin.WorkerSettings{ID: tw.host.ID, Holds: workerCapacity, CheckpointEvery: time.Second})
 }
 
-// exchange carries a message to a worker, unless its faults forbid. The
-// worker may get it late, after the sender has given up.
+// exchange sends a message to a worker, subject to its faults. A delayed message
+// arrives after the sender has given up.
 func (tc *testCell) exchange(ctx context.Context, addr string, ex worker.Exchange) (worker.Report, error) {
 	tc.mu.Lock()
 	tw := tc.workers[addr]
@@ -123,8 +126,8 @@
 	return re, err
 }
 
-// own starts an owner. The former one is cut short, as by a takeover, or goes
-// on believing that it owns the cell.
+// startOwner starts an owner. The former owner loses the cell, as by a takeover,
+// or still takes itself for the owner if keepFormer is set.
 func (tc *testCell) startOwner(keepFormer bool) *testOwner {
 	if n := len(tc.owners); n > 0 && !keepFormer {
 		tc.owners[n-1].owns.Store(false)
@@ -156,7 +159,7 @@
 	return hosts, true
 }
 
-// stop ends all owners, and lets what is under way come to its end.
+// stop ends all owners, and waits until what is in progress has ended.
 func (tc *testCell) stop() {
 	for _, to := range tc.owners {
 		to.cancel()
@@ -166,14 +169,14 @@
 	time.Sleep(2 * time.Minute)
 }
 
-// broken returns what was broken: tasks in two places, attempts that did not
-// begin from a checkpoint, overfull workers.
+// violations lists tasks that ran in two places at a time, attempts that did not
+// start from a checkpoint, and overfull workers.
 func (tc *testCell) violations() []string {
 	var violations []string
 	spans := map[string][]standin.TaskSpan{}
 	for id, tw := range tc.workers {
 		if n := tw.overfull + tw.proc.Overfull(); n > 0 {
-			violations = append(violations, fmt.Sprintf("%s was overfull %d times", id, n))
+			violations = append(violations, fmt.Sprintf("worker %s was overfull %d times", id, n))
 		}
 		for _, sp := range append(slices.Clone(tw.earlierSpans), tw.proc.Log()...) {
 			spans[sp.Task] = append(spans[sp.Task], sp)
@@ -182,7 +185,7 @@
 	return append(violations, standin.Overlaps(spans)...)
 }
 
-// do confirms a command by its plan.
+// confirm plans a command and confirms it under the plan id.
 func (to *testOwner) confirm(plan string, cmd Command) (ConfirmResult, error) {
 	steps, err := to.ow.Plan(cmd)
 	if err != nil {
@@ -206,6 +209,8 @@
 	}}
 }
 
+// runCell runs fn with a cell in a bubble of fake time, and then checks for
+// violations.
 func runCell(t *testing.T, workers int, fn func(c *qt.C, tc *testCell)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -229,7 +234,7 @@
 	c.Assert(to.states(c), qt.DeepEquals, want)
 }
 
-// begin starts the first owner and adds a job.
+// startWithJob starts the first owner and adds a job or service.
 func startWithJob(c *qt.C, tc *testCell, cmd Command) *testOwner {
 	c.Helper()
 	to := tc.startOwner(false)
--- a/internal/cell/invariants_test.go
+++ b/internal/cell/invariants_test.go
@@ -11,10 +11,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin"
 )
 
-// TestNothingTwice drives a cell through cuts, late and lost messages,
-// restarts, owners that come, go and linger, a table that is away or loses
-// answers, drains and cancellations, and checks the workers' logs: no task
-// in two places, no worker overfull, every attempt from a checkpoint.
+// TestNoTaskRunsTwice subjects a cell to random faults and commands:
+// unreachable workers, delayed and lost messages, restarts, new owners beside
+// former ones, a table that is down or loses replies, drains and cancellations.
+// By the workers' logs, no task may run in two places at a time, no worker may
+// be overfull, and every attempt must start from a checkpoint.
 func TestNoTaskRunsTwice(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
 		var violations []string
@@ -32,6 +33,8 @@
 	})
 }
 
+// actions returns the steps that the test picks from. "time" stands three times,
+// so that more of them let time pass.
 func (tc *testCell) actions() map[string]func(*rapid.T) {
 	pickWorker := func(rt *rapid.T) string {
 		return fmt.Sprintf("w%d", rapid.IntRange(0, len(tc.workers)-1).Draw(rt, "worker"))
@@ -60,14 +63,14 @@
 		"drain": func(rt *rapid.T) {
 			command(Command{Drain: &Drain{Rack: fmt.Sprintf("r%d", rapid.IntRange(0, 1).Draw(rt, "rack")), Undo: rapid.Bool().Draw(rt, "undo")}})
 		},
-		"cut":     func(rt *rapid.T) { tc.set(pickWorker(rt), func(tw *testWorker) { tw.unreachable = !tw.unreachable }) },
-		"deaf":    func(rt *rapid.T) { tc.set(pickWorker(rt), func(tw *testWorker) { tw.repliesLost = !tw.repliesLost }) },
-		"restart": func(rt *rapid.T) { tc.restart(tc.workers[pickWorker(rt)]) },
-		"late": func(rt *rapid.T) {
-			delay := time.Duration(rapid.SampledFrom([]int{0, 0, 500, 5000, 60_000}).Draw(rt, "late")) * time.Millisecond
+		"cut messages":    func(rt *rapid.T) { tc.set(pickWorker(rt), func(tw *testWorker) { tw.unreachable = !tw.unreachable }) },
+		"discard replies": func(rt *rapid.T) { tc.set(pickWorker(rt), func(tw *testWorker) { tw.repliesLost = !tw.repliesLost }) },
+		"restart":         func(rt *rapid.T) { tc.restart(tc.workers[pickWorker(rt)]) },
+		"late messages": func(rt *rapid.T) {
+			delay := time.Duration(rapid.SampledFrom([]int{0, 0, 500, 5000, 60_000}).Draw(rt, "delay")) * time.Millisecond
 			tc.set(pickWorker(rt), func(tw *testWorker) { tw.delay = delay })
 		},
-		"owner": func(rt *rapid.T) { tc.startOwner(rapid.Bool().Draw(rt, "former one lingers")) },
+		"owner": func(rt *rapid.T) { tc.startOwner(rapid.Bool().Draw(rt, "keep former owner")) },
 		"table": func(rt *rapid.T) {
 			mode := rapid.SampledFrom([]standin.Mode{standin.ModeOK, standin.ModeOK, standin.ModeDown, standin.ModeLost}).Draw(rt, "mode")
 			tc.table.Gate.Set(standin.Fault{Mode: mode})
--- a/internal/cell/scale_test.go
+++ b/internal/cell/scale_test.go
@@ -12,8 +12,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestWritesPerStart adds jobs of 40 tasks, five a second for 20 seconds, and
-// counts the table's writes for all that follows from it.
+// TestWritesPerStart adds five jobs of 40 tasks per second for 20 seconds. The
+// cell may take no more than 10 table writes per second for them.
 func TestWritesPerStart(t *testing.T) {
 	runCell(t, 20, func(c *qt.C, tc *testCell) {
 		to := tc.startOwner(false)
@@ -33,13 +33,13 @@
 		for _, tw := range tc.workers {
 			starts += len(tw.proc.Log())
 		}
-		c.Logf("%d starts, %.1f writes a second", starts, writes)
+		c.Logf("%d starts, %.1f table writes per second", starts, writes)
 		c.Assert(starts >= 195*seconds, qt.IsTrue, qt.Commentf("%d starts", starts))
-		c.Assert(writes <= 10, qt.IsTrue, qt.Commentf("%.1f writes a second", writes))
+		c.Assert(writes <= 10, qt.IsTrue, qt.Commentf("%.1f table writes per second", writes))
 	})
 }
 
-// bigState is a cell of n workers with the tasks of the target.
+// populatedState returns a cell of n workers with about 12 running tasks each.
 func populatedState(n int) *State {
 	st := NewState()
 	var recs []Record
@@ -58,7 +58,7 @@
 	return st
 }
 
-// BenchmarkRecover reads a snapshot, which is most of what a new owner does.
+// BenchmarkRecover decodes a snapshot, most of the work of a new owner.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{50, 500, 1022} {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
@@ -75,8 +75,7 @@
 	}
 }
 
-// BenchmarkStep is one look of the owner at a cell where nothing happens, and
-// one decision.
+// BenchmarkStep measures the parts of an owner's step in a cell without events.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{50, 500, 1022} {
 		ow := &Owner{st: populatedState(n), statuses: map[string]*workerStatus{}, shares: map[string]float64{}, Timing: DefaultTiming}
@@ -104,8 +103,8 @@
 	}
 }
 
-// TestExchangeSize says how many bytes an exchange with a worker of twelve
-// tasks has when nothing happens.
+// TestExchangeSize checks that an exchange without events with a worker of
+// twelve tasks takes less than 4 KiB in both directions together.
 func TestExchangeSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -117,11 +116,11 @@
 			re.Tasks = append(re.Tasks, worker.TaskReport{Task: fmt.Sprintf("job%05d/%d", i, i), Attempt: 1, State: worker.StateRunning, CheckpointMS: 60_000, UsedMilliCores: 2000, TailMS: 61.5})
 		}
 		ex = worker.Exchange{Owner: "e1-0190e8a1", Term: 12, Seq: 123456, Incarnation: re.Incarnation, ServiceUntilMS: 123456789, BatchUntilMS: 123456789}
-		there, err := json.Marshal(ex)
+		request, err := json.Marshal(ex)
 		c.Assert(err, qt.IsNil)
-		back, err := json.Marshal(re)
+		reply, err := json.Marshal(re)
 		c.Assert(err, qt.IsNil)
-		c.Logf("%d bytes there, %d back", len(there), len(back))
-		c.Assert(len(there)+len(back) < 4096, qt.IsTrue)
+		c.Logf("request of %d bytes, reply of %d", len(request), len(reply))
+		c.Assert(len(request)+len(reply) < 4096, qt.IsTrue)
 	})
 }
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -1,11 +1,15 @@
-// Package intent takes what operators want, works out a plan, and carries the
-// plan out once it is confirmed and if its basis still holds.
+// Package intent turns the intents of operators into plans, and carries a plan
+// out when it is confirmed and its basis has not changed.
 //
-// A plan is a row of the table, so that any entry host can confirm it. What
-// it would do to a cell is worked out by the cell's owner, and again at the
-// confirmation: the plan is carried out only if both rest on the same lines.
-// The owner notes the plan's id in the cell's journal along with the changes,
-// and so does the configuration's version: confirming twice does it once.
+// A plan is a row of the table, so that any entry host can confirm it. The owner
+// of a cell computes the steps of a plan for the cell, and computes them again
+// at the confirmation: the plan is carried out only if the steps of its basis
+// are the same. Confirming a plan twice carries it out once: the owner journals
+// the plan's id along with the changes, and a change of the configuration is
+// written together with the plan's row.
+//
+// Plans can be confirmed for 24 hours. A plan to remove an entry host is not
+// marked as carried out.
 package intent
 
 import (
@@ -29,73 +33,83 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Plan is a plan as kept in the table.
+// Plan is a plan as stored in the table.
 type Plan struct {
-	// ID names it; it is a UUIDv7, so that plans sort by age.
+	// ID is a UUIDv7, so that plans sort by age.
 	ID string `json:"id"`
-	// Intent is the operator's, in protojson.
+	// Intent is the operator's [pb.Intent] in protojson.
 	Intent json.RawMessage `json:"intent"`
-	// Cell carries it out; empty for the configuration.
+	// Cell is the name of the cell that carries out the plan; it is empty for a
+	// change of the configuration.
 	Cell string `json:"cell,omitempty"`
-	// Steps are the changes.
+	// Steps are the changes that the plan would make.
 	Steps []cell.Step `json:"steps"`
-	// ConfigVersion is the basis of a change of configuration.
+	// ConfigVersion is the configuration version that a change of the
+	// configuration is based on.
 	ConfigVersion int64 `json:"config_version,omitempty"`
-	// Beat is the basis of a word that an entry host is dead.
+	// Heartbeat is the member's last renewal that a plan to remove an entry
+	// host is based on.
 	Heartbeat int64 `json:"beat,omitempty"`
-	// Applied is the configuration version that it made.
+	// Applied is the configuration version that the plan created, or 0 if it
+	// was not carried out.
 	Applied int64 `json:"applied,omitempty"`
 }
 
-// Basis returns a digest of what the plan rests on.
+// Basis returns a digest of the plan's basis, in hexadecimal.
 func (pl Plan) Basis() string {
 	sum := sha256.Sum256(fmt.Append(nil, pl.ConfigVersion, strings.Join(cell.Basis(pl.Steps), "\n")))
 	return hex.EncodeToString(sum[:8])
 }
 
-// Result says what became of a plan.
+// Result is the outcome of a confirmation.
 type Result struct {
-	// Applied is set if it was carried out, now or before.
+	// Applied is set if the plan was carried out, by this confirmation or an
+	// earlier one.
 	Applied bool
-	// Changed lists what changed since, if it was not.
+	// Changed lists the differences from the plan's basis if it was not carried
+	// out.
 	Changed []string
-	// Version is the configuration's, or the cell's last batch.
+	// Version is the version of the configuration, or the number of the cell's
+	// last journal batch.
 	Version int64
 }
 
-// Desk takes intents. Set the fields before use.
+// Planner plans and confirms intents. Set the fields before use.
 type Planner struct {
-	// Table is the platform's.
+	// Table stores the plans.
 	Table store.Table
-	// Config holds the configuration.
+	// Config is the configuration that plans read and change.
 	Config *config.Store
-	// PlanCell has the owner of a cell work out a command.
+	// PlanCell has the owner of a cell plan a command.
 	PlanCell func(ctx context.Context, name string, cmd cell.Command) ([]cell.Step, error)
-	// ConfirmCell has the owner of a cell carry out a command.
+	// ConfirmCell has the owner of a cell carry out a confirmed command.
 	ConfirmCell func(ctx context.Context, name string, con cell.Confirmation) (cell.ConfirmResult, error)
-	// ChooseCell returns the cell with the most room.
+	// ChooseCell returns the name of the cell with the most free resources.
 	ChooseCell func(ctx context.Context) (string, error)
-	// Members returns the entry hosts that are members in this data centre.
+	// Members returns the members, one per entry host, of this data centre.
 	Members func(ctx context.Context) ([]lease.Member, error)
-	// DeclareDead removes a member whose row is at the beat.
+	// DeclareDead removes a member, unless it has renewed since the given
+	// renewal.
 	DeclareDead func(ctx context.Context, id string, beat int64) error
 }
 
 const (
 	planPrefix = "plan/"
-	// planKept is how long a plan can be confirmed.
+	// planRetention is the age after which a plan may be deleted.
 	planRetention = 24 * time.Hour
-	// planSweep is how many old plans are deleted with a new one.
+	// maxExpiredDeletes limits the old plans that are deleted with a new one.
 	maxExpiredDeletes = 8
 )
 
-// ErrNoPlan is returned for a plan that is not known, or no longer.
-var ErrPlanNotFound = errors.New("no such plan")
+// ErrPlanNotFound is returned for a plan that does not exist or was deleted.
+var ErrPlanNotFound = errors.New("plan not found")
 
-// ErrBadIntent is returned for an intent that cannot be read.
-var ErrInvalidIntent = errors.New("intent cannot be read")
+// ErrInvalidIntent is returned for an intent that cannot be encoded or decoded,
+// or has no request.
+var ErrInvalidIntent = errors.New("invalid intent")
 
-// Plan works out and keeps a plan.
+// Plan creates and stores a plan. It returns [ErrInvalidIntent],
+// [cell.ErrImpossible], or the error of the table or of the cell's owner.
 func (pn *Planner) Plan(ctx context.Context, in *pb.Intent) (Plan, error) {
 	raw, err := protojson.Marshal(in)
 	if err != nil {
@@ -118,7 +132,8 @@
 }
 
 func (pn *Planner) planConfig(ctx context.Context, pl Plan, changes map[string]string) (Plan, error) {
-	// Planned on the row, not on what is in force here: it may lag.
+	// The table is read first, as the configuration in force on this host may
+	// be older.
 	if err := pn.Config.Poll(ctx); err != nil {
 		return pl, err
 	}
@@ -134,7 +149,8 @@
 	return pl, nil
 }
 
-// planDead rests on the member's last renewal: one that renews is not dead.
+// planDeclareDead plans the removal of a member. The basis is its last renewal,
+// as a member that renews is alive.
 func (pn *Planner) planDeclareDead(ctx context.Context, pl Plan, id string) (Plan, error) {
 	members, err := pn.Members(ctx)
 	if err != nil {
@@ -150,7 +166,7 @@
 		}
 	}
 	if len(pl.Steps) == 0 {
-		return pl, fmt.Errorf("no member %q, there are %v: %w", id, ids, cell.ErrImpossible)
+		return pl, fmt.Errorf("member %q does not exist, members are %v: %w", id, ids, cell.ErrImpossible)
 	}
 	return pl, nil
 }
@@ -177,7 +193,7 @@
 	return pl, err
 }
 
-// Command turns an intent on a cell into the cell's command.
+// Command returns the cell command of an intent, or [ErrInvalidIntent].
 func Command(in *pb.Intent) (cell.Command, error) {
 	switch what := in.GetWhat().(type) {
 	case *pb.Intent_AddJob:
@@ -193,7 +209,7 @@
 			Host: dr.GetHost(), Rack: dr.GetRack(), All: dr.GetDataCentre(), Undo: dr.GetUndo(),
 		}}, nil
 	}
-	return cell.Command{}, fmt.Errorf("%w: it wants nothing", ErrInvalidIntent)
+	return cell.Command{}, fmt.Errorf("%w: no request is set", ErrInvalidIntent)
 }
 
 func jobSpec(sp *pb.JobSpec) cell.Spec {
@@ -207,7 +223,8 @@
 	}
 }
 
-// keep writes the plan's row, and deletes a few of those too old to confirm.
+// storePlan writes the plan's row, and deletes a few of the oldest plans if they
+// are past their retention.
 func (pn *Planner) storePlan(ctx context.Context, pl Plan) error {
 	txn, err := store.NewTxn().WithPut(planPrefix+pl.ID, 0, pl)
 	if err != nil {
@@ -215,7 +232,7 @@
 	}
 	old, err := pn.Table.ReadFunc(ctx, store.ReadRequest{Prefix: planPrefix, Limit: maxExpiredDeletes})
 	if err != nil {
-		return fmt.Errorf("keep plan: %w", err)
+		return fmt.Errorf("store plan: %w", err)
 	}
 	for _, row := range old.Rows {
 		uid, err := uuid.Parse(strings.TrimPrefix(row.Key, planPrefix))
@@ -228,17 +245,18 @@
 		}
 	}
 	if _, err := pn.Table.Settle(ctx, txn); err != nil {
-		return fmt.Errorf("keep plan: %w", err)
+		return fmt.Errorf("store plan: %w", err)
 	}
 	return nil
 }
 
-// Confirm carries out a plan if its basis holds.
+// Confirm carries out a plan if its basis has not changed. It returns
+// [ErrPlanNotFound], or the error of the table or of the cell's owner.
 func (pn *Planner) Confirm(ctx context.Context, id string) (Result, error) {
 	var pl Plan
 	version, err := pn.Table.Get(ctx, planPrefix+id, &pl)
 	if err != nil {
-		return Result{}, fmt.Errorf("confirm: %w", err)
+		return Result{}, fmt.Errorf("read plan %s: %w", id, err)
 	}
 	if version == 0 {
 		return Result{}, fmt.Errorf("plan %s: %w", id, ErrPlanNotFound)
@@ -261,8 +279,8 @@
 	return Result{Applied: con.Applied, Changed: con.Changed, Version: con.Seq}, err
 }
 
-// confirmConfig writes the configuration and the plan's row in one write, so
-// that the row says whether it was carried out.
+// confirmConfig writes the configuration and the plan's row in one transaction,
+// so that the row records whether the plan was carried out.
 func (pn *Planner) confirmConfig(ctx context.Context, pl Plan, version int64, changes map[string]string) (Result, error) {
 	if pl.Applied > 0 {
 		return Result{Applied: true, Version: pl.Applied}, nil
@@ -273,7 +291,7 @@
 	if !errors.Is(err, config.ErrConflict) {
 		return Result{Applied: err == nil, Version: doc.Version}, err
 	}
-	// Another confirmation of the same plan may have been first.
+	// Another confirmation of the same plan may have come first.
 	var now Plan
 	if _, rerr := pn.Table.Get(ctx, planPrefix+pl.ID, &now); rerr == nil && now.Applied > 0 {
 		return Result{Applied: true, Version: now.Applied}, nil
