--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -22,7 +22,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Bounds on fields of a request.
+// Limits on the fields of a request, in bytes, and the retry delay that is sent
+// while this host is not ready.
 const (
 	maxID              = 128
 	maxName            = 100
@@ -37,13 +38,13 @@
 	return mux
 }
 
-// portReasons has the reasons of the port's refusals.
+// portReasons maps the codes of requests that the port refuses to reasons.
 var portReasons = map[string]reason.Reason{
 	wire.CodeBusy:     reason.Busy,
 	wire.CodeTooLarge: reason.BodyTooLarge,
 }
 
-// refuseCaller answers a request that is over a bound of the port. It was not
+// refuseCaller answers a request that exceeds a limit of the port. It was not
 // run.
 func (ho *Host) refuseCaller(w http.ResponseWriter, r *http.Request, err *wire.Error) {
 	res := route.NotRunResult(portReasons[err.Code], err.RetryAfter)
@@ -51,8 +52,8 @@
 	_ = connect.NewErrorWriter().Write(w, r, failure("", res))
 }
 
-// handleHealth serves what the balancer asks for, on the port that it
-// balances.
+// handleHealth registers the health checks of load balancers, on the same port
+// as the requests that they distribute.
 func (ho *Host) handleHealth(mux *http.ServeMux) {
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("ok\n"))
@@ -66,10 +67,11 @@
 	})
 }
 
-// callerService serves callers.
+// callerService implements the service for callers.
 type callerService struct{ ho *Host }
 
-// Call serves one request.
+// Call runs one request and returns its answer, or the error that failure
+// makes.
 func (cs *callerService) Call(ctx context.Context, creq *connect.Request[pb.CallRequest]) (*connect.Response[pb.CallResponse], error) {
 	begun := time.Now()
 	msg := creq.Msg
@@ -87,6 +89,8 @@
 	}), nil
 }
 
+// classOf returns the class of a request; requests without one are
+// latency-critical.
 func classOf(cl pb.Class) runner.Class {
 	if cl == pb.Class_CLASS_BATCH {
 		return runner.Batch
@@ -94,7 +98,8 @@
 	return runner.LatencyCritical
 }
 
-// call checks a request and serves it.
+// call validates a request and routes it. Requests to be run at most once go
+// through the guard, which claims their id.
 func (ho *Host) call(ctx context.Context, id string, msg *pb.CallRequest) route.Result {
 	doc, ok := ho.config.Current()
 	switch {
@@ -121,7 +126,8 @@
 	return ho.guard.Do(ctx, id, func(ctx context.Context) route.Result { return ho.router.Do(ctx, req) })
 }
 
-// reasonCodes has the connect codes of reasons; others follow the outcome.
+// reasonCodes maps reasons to connect codes. Other reasons get the code of their
+// outcome.
 var reasonCodes = map[reason.Reason]connect.Code{
 	reason.Malformed:    connect.CodeInvalidArgument,
 	reason.BodyTooLarge: connect.CodeInvalidArgument,
@@ -135,7 +141,8 @@
 	reason.ClaimTaken:   connect.CodeAlreadyExists,
 }
 
-// failure makes the error of a request that was not answered.
+// failure returns the error of a request without an answer. Its detail has the
+// outcome and the reason.
 func failure(id string, res route.Result) error {
 	code, ok := reasonCodes[res.Reason]
 	switch {
@@ -163,7 +170,7 @@
 	return cerr
 }
 
-// Watch serves one session.
+// Watch serves one session until the caller or the session ends it.
 func (cs *callerService) Watch(ctx context.Context, creq *connect.Request[pb.WatchRequest], out *connect.ServerStream[pb.WatchResponse]) error {
 	if !cs.ho.ready() {
 		rsn := reason.NotReady
@@ -180,13 +187,14 @@
 	if msg.GetBeats() {
 		out.ResponseHeader().Set(caller.BeatHeader, strconv.FormatInt(heartbeatInterval.Milliseconds(), 10))
 	}
-	// The caller hears at once that the session is being opened.
+	// Sends the headers, so that the caller knows at once that the host serves
+	// the watch.
 	if err := ws.send(nil); err != nil {
 		return err
 	}
 	ctx, end := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	// Nothing may be written to the answer once the handler has returned.
+	// Nothing may be written to the stream once the handler has returned.
 	defer wg.Wait()
 	defer end()
 	if msg.GetBeats() {
--- a/internal/entry/cells.go
+++ b/internal/entry/cells.go
@@ -11,23 +11,24 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// cellMessage is a message to the owner of a cell. Passed is set once it was
-// passed on within the data centre.
+// cellMessage is a message to the owner of a cell. Forwarded is set once a host
+// of the cell's data centre has forwarded it: it is forwarded once only, so that
+// hosts that disagree on the owner do not pass it back and forth.
 type cellMessage[T any] struct {
 	Cell      string `json:"cell"`
 	Forwarded bool   `json:"passed,omitempty"`
 	Message   T      `json:"message"`
 }
 
-// cellCall is one kind of message to the owner of a cell.
+// cellCall is a method of a cell's owner that other hosts can call.
 type cellCall[Req, Resp any] struct {
-	// name is the end of its path.
+	// name is the last element of the call's path on the peer port.
 	name string
-	// serve answers it at the owner.
+	// serve runs the call at the owner.
 	serve func(*cell.Owner, context.Context, Req) (Resp, error)
 }
 
-// The calls on a cell's owner.
+// The calls on the owner of a cell.
 var (
 	callPlan = cellCall[cell.Command, []cell.Step]{"plan", func(ow *cell.Owner, _ context.Context, cmd cell.Command) ([]cell.Step, error) {
 		return ow.Plan(cmd)
@@ -41,7 +42,7 @@
 	}}
 )
 
-// cellErrors pairs errors with the codes that carry them between hosts.
+// cellErrors pairs errors with the codes that stand for them between hosts.
 var cellErrors = []struct {
 	err  error
 	code string
@@ -66,7 +67,7 @@
 	}))
 }
 
-// callCell sends a message to the owner of a cell, wherever it is.
+// callCell calls the owner of a cell in any data centre.
 func callCell[Req, Resp any](ctx context.Context, ho *Host, ca cellCall[Req, Resp], name string, req Req) (Resp, error) {
 	msg := cellMessage[Req]{Cell: name, Message: req}
 	if name == ho.set.DC {
@@ -85,7 +86,8 @@
 	return resp, decodeCellError(err)
 }
 
-// serveCall answers at the owner, and passes the message on once elsewhere.
+// serveCall runs a call if this host owns the cell. Otherwise it forwards the
+// message to the owner, unless the message was forwarded before.
 func serveCall[Req, Resp any](ctx context.Context, ho *Host, ca cellCall[Req, Resp], msg cellMessage[Req]) (Resp, error) {
 	var zero Resp
 	addr, own, err := ho.ownerOf(lease.CellResource(ho.set.DC))
@@ -103,6 +105,7 @@
 	return postCall(ctx, ho, ca, addr, msg)
 }
 
+// encodeCellError returns err as an error of the wire protocol if it has a code.
 func encodeCellError(err error) error {
 	for _, ce := range cellErrors {
 		if errors.Is(err, ce.err) {
@@ -112,6 +115,7 @@
 	return err
 }
 
+// decodeCellError wraps a received error in the error that its code stands for.
 func decodeCellError(err error) error {
 	code := wire.Code(err)
 	for _, ce := range cellErrors {
@@ -130,7 +134,8 @@
 	return callCell(ctx, ho, callConfirm, name, con)
 }
 
-// chooseCell returns the cell with the most free cores.
+// chooseCell returns the name of the cell with the most free processor time.
+// Cells that cannot be reached are left out.
 func (ho *Host) chooseCell(ctx context.Context) (string, error) {
 	best, most := "", int64(-1)
 	for _, name := range ho.set.DCs {
@@ -143,7 +148,7 @@
 		}
 	}
 	if best == "" {
-		return "", fmt.Errorf("no cell answers: %w", cell.ErrNotOwner)
+		return "", fmt.Errorf("no cell of %v answers: %w", ho.set.DCs, cell.ErrNotOwner)
 	}
 	return best, nil
 }
--- a/internal/entry/heartbeat.go
+++ b/internal/entry/heartbeat.go
@@ -12,12 +12,12 @@
 	"github.com/pepperhatch/pepperhatch/internal/clock"
 )
 
-// beatEvery is the time between beats on a watch without events. Runners beat as often,
-// and 2,000 sessions cost 2,000 small messages a second at the most.
+// heartbeatInterval is the time between heartbeats on a watch without events. Runners
+// use the same interval; 2,000 sessions cost at most 2,000 small messages per second.
 const heartbeatInterval = time.Second
 
-// watcher is the caller's end of a watch. Events and beats come from two places, and
-// the stream takes one message at a time.
+// watchStream sends the messages of one watch to its caller. Events and heartbeats come
+// from different goroutines, and the stream takes one message at a time.
 type watchStream struct {
 	out *connect.ServerStream[pb.WatchResponse]
 
@@ -25,6 +25,7 @@
 	sent time.Time
 }
 
+// send sends a message; nil sends the response headers only.
 func (ws *watchStream) send(msg *pb.WatchResponse) error {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -35,22 +36,22 @@
 	return nil
 }
 
-// idleFor returns how long ago the last message was sent.
+// idleFor returns the time since the last message was sent.
 func (ws *watchStream) idleFor() time.Duration {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	return time.Since(ws.sent)
 }
 
-// beat sends beats while there are no events, until ctx ends. It ends the watch if one
-// cannot be sent.
+// sendHeartbeats sends heartbeats while there are no events, until ctx ends. It ends the
+// watch if one cannot be sent.
 func (ho *Host) sendHeartbeats(ctx context.Context, end context.CancelFunc, ws *watchStream) {
 	for clock.Sleep(ctx, heartbeatInterval-ws.idleFor()) {
 		if ws.idleFor() < heartbeatInterval {
 			continue
 		}
 		if err := ws.send(&pb.WatchResponse{Beat: true}); err != nil {
-			ho.log.Info("caller of a watch does not take beats", "err", err)
+			ho.log.Info("cannot send heartbeat to the caller of a watch", "err", err)
 			end()
 			return
 		}
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -1,5 +1,9 @@
-// Package entry puts an entry host together: the slices, their ports, and the
-// loops that keep them fed. It decides nothing itself.
+// Package entry assembles an entry host: it connects the other packages, serves
+// the ports for callers, peers and operators, and runs the loops that poll the
+// platform.
+//
+// The package has no policy of its own: routing, claims, leases and placement are
+// decided by the packages that it connects.
 package entry
 
 import (
@@ -31,7 +35,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Host is one entry host. Make one with [New].
+// Host is one entry host. Create it with [New].
 type Host struct {
 	set        settings.Serve
 	id         string
@@ -40,7 +44,7 @@
 	objects    store.Objects
 	hosts      store.Hosts
 	httpClient *http.Client
-	// forwards has the connections of requests passed to peers.
+	// forwardClient sends requests that are forwarded to peers.
 	forwardClient *http.Client
 	workers       worker.Client
 
@@ -66,7 +70,8 @@
 	stopBegun     chan struct{}
 }
 
-// New makes an entry host and opens its ports.
+// New creates an entry host and opens its ports. It returns an error for invalid
+// settings and for addresses that cannot be listened on.
 func New(set settings.Serve, log *slog.Logger) (*Host, error) {
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -89,21 +94,22 @@
 	return ho, ho.listen()
 }
 
-// webConns is how many idle connections are kept to one address.
+// maxIdleConns limits the idle connections to one address.
 const maxIdleConns = 64
 
-// newWeb returns the client of the platform, workers and peers. One that keeps idle
-// connections after a call ran into its deadline lost as many deadlines more as it
-// had, 2 s each for a look at the configuration.
+// newHTTPClient returns the client for the platform, workers and peers. It closes
+// idle connections after a call has timed out: when they stall together, each one
+// kept would cost another timeout, 2 s for a poll of the configuration.
 func newHTTPClient(log *slog.Logger) *http.Client { return transport.NewClient(maxIdleConns, log) }
 
-// newForwards returns the client of requests that are passed to peers. Their deadlines
-// are the callers', and say nothing about the connection.
+// newForwardClient returns the client for requests that are forwarded to peers. It
+// keeps idle connections after a timeout, as the deadlines are those of callers and do
+// not show whether the connection works.
 func newForwardClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute}}
 }
 
-// assemble makes the slices and ties their seams together.
+// buildComponents creates the host's components and connects them.
 func (ho *Host) buildComponents() {
 	clients := runner.NewClient(runner.Limits{ConnsPerRunner: ho.set.RunnerConns})
 	ho.registry = &upstream.Registry{Changed: ho.rebuild}
@@ -130,8 +136,11 @@
 	ho.mesh = &peer.Mesh{Self: ho.hello, Seeds: ho.set.Peers, Send: peer.NewSend(ho.httpClient), OnHello: ho.onHello}
 }
 
+// runnerWaitLimit is how long a session waits for a runner.
 const runnerWaitLimit = 30 * time.Second
 
+// ownershipStart returns since when this host owns a resource; it is zero before
+// the host is a member.
 func (ho *Host) ownershipStart(resource string) lease.OwnershipStart {
 	if ke := ho.keeper.Load(); ke != nil {
 		return ke.Since(resource)
@@ -147,7 +156,7 @@
 }
 
 func (ho *Host) peerLimits() port.Limits {
-	// A peer's message has the body in base64 and some words around it.
+	// A forwarded request has its body in base64, and other fields beside it.
 	return port.Limits{Conns: ho.set.MaxConns, InFlight: ho.set.MaxInFlight, Body: 2*ho.set.MaxBody + peerBodyOverhead, Read: readTimeout, Write: writeTimeout}
 }
 
@@ -155,7 +164,7 @@
 	return port.Limits{Conns: maxAdminConns, InFlight: maxAdminInFlight, Body: maxAdminBody, Read: readTimeout, Write: writeTimeout}
 }
 
-// Bounds of the ports that are not settings.
+// Limits of the ports that are not settings: timeouts, sizes in bytes, and counts.
 const (
 	readTimeout      = 10 * time.Second
 	writeTimeout     = 30 * time.Second
@@ -173,21 +182,22 @@
 	return errors.Join(errs[:]...)
 }
 
-// ID returns the id of the process.
+// ID returns the id of this process.
 func (ho *Host) ID() string { return ho.id }
 
-// CallerAddr returns the address for callers.
+// CallerAddr returns the address that serves callers.
 func (ho *Host) CallerAddr() string { return ho.callerPort.Addr }
 
-// AdminAddr returns the address for operators.
+// AdminAddr returns the address that serves operators.
 func (ho *Host) AdminAddr() string { return ho.adminPort.Addr }
 
-// PeerAddr returns the address for other entry hosts.
+// PeerAddr returns the address that serves other entry hosts.
 func (ho *Host) PeerAddr() string { return ho.peerPort.Addr }
 
-// Run serves until ctx ends, and then makes a planned stop.
+// Run serves until ctx ends, and then makes a planned stop. It returns the error
+// of the stop, or of a port that fails before.
 func (ho *Host) Run(ctx context.Context) error {
-	// Loops and ports outlive ctx until the stop has run.
+	// Loops and ports run until the planned stop is complete.
 	bgCtx, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	ports := make(chan error, 3)
@@ -216,8 +226,9 @@
 	return err
 }
 
-// stop is the planned stop: no longer ready, sessions told to move, what is
-// owned handed over, requests in flight finished.
+// stop makes a planned stop: the host reports that it is not ready, asks sessions
+// to move, finishes requests in flight, and hands over the shards and the cell that
+// it owns.
 func (ho *Host) stop(bgCtx context.Context) error {
 	ho.log.Info("stopping", "delay", ho.set.StopDelay, "grace", ho.set.StopGrace)
 	ho.stopping.Store(true)
@@ -226,8 +237,8 @@
 	ho.callerPort.Retire()
 	ho.relay.Stop()
 	ho.rebuild()
-	// The balancer goes on sending requests until it sees the host unready;
-	// they are served meanwhile.
+	// Load balancers send requests until they see that the host is not ready;
+	// these are still served.
 	clock.Sleep(bgCtx, ho.set.StopDelay)
 	ctx, cancel := context.WithTimeout(bgCtx, ho.set.StopGrace)
 	defer cancel()
@@ -238,7 +249,7 @@
 	return errors.Join(err, ho.adminPort.Stop(ctx), ho.peerPort.Stop(ctx))
 }
 
-// ready reports whether the balancer may send requests.
+// ready reports whether load balancers may send requests to this host.
 func (ho *Host) ready() bool {
 	_, ok := ho.config.Current()
 	return ok && !ho.stopping.Load()
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -20,7 +20,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// Intervals of the loops.
+// Intervals of the loops, and the timeout of a poll.
 const (
 	listInterval      = time.Second
 	configInterval    = time.Second
@@ -29,7 +29,7 @@
 	pollTimeout       = 2 * time.Second
 )
 
-// every calls fn at once and then at the interval, until ctx ends.
+// repeat calls fn at once, and again d after each return, until ctx ends.
 func repeat(ctx context.Context, d time.Duration, fn func(context.Context)) {
 	for {
 		fn(ctx)
@@ -39,7 +39,7 @@
 	}
 }
 
-// pollLists reads the platform's list of the data centre.
+// pollLists polls the platform's list of the data centre's hosts.
 func (ho *Host) pollLists(ctx context.Context) {
 	filter := &store.ListFilter{}
 	repeat(ctx, listInterval, func(ctx context.Context) {
@@ -52,7 +52,7 @@
 		}
 		hosts := filter.Accept(reply.Hosts)
 		if len(hosts) > len(reply.Hosts) {
-			ho.log.Warn("host list lost most hosts at once", "listed", len(reply.Hosts), "kept", len(hosts))
+			ho.log.Warn("platform list lacks most hosts at once, keeping the missing ones", "listed", len(reply.Hosts), "kept", len(hosts))
 			ho.metrics.Add(telemetry.TableErrors, 1, "step", "doubtful-list")
 		}
 		workers := slices.DeleteFunc(slices.Clone(hosts), func(pl store.Host) bool {
@@ -64,7 +64,7 @@
 	})
 }
 
-// pollConfig looks at the configuration's row.
+// pollConfig polls the configuration in the table.
 func (ho *Host) pollConfig(ctx context.Context) {
 	repeat(ctx, configInterval, func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
@@ -77,7 +77,8 @@
 	})
 }
 
-// heard takes a peer's greeting: a later configuration is fetched from it.
+// onHello handles a peer's hello: if the peer has a newer configuration, this host
+// fetches it.
 func (ho *Host) onHello(he peer.Hello) {
 	doc, ok := ho.config.Current()
 	if he.ConfigVersion < 0 || (ok && he.ConfigVersion <= doc.Version) {
@@ -86,7 +87,7 @@
 	go ho.fetchConfig(he.Addr)
 }
 
-// applyConfig puts a version of the configuration in force.
+// applyConfig applies a version of the configuration on this host.
 func (ho *Host) applyConfig(doc config.Doc) {
 	ho.router.SetPolicy(route.Policy{QueueLimit: doc.Int(config.QueueLimit), BatchEvery: doc.Int(config.BatchEvery)})
 	ho.router.Budget.SetRatio(doc.Float(config.RetryRatio))
@@ -94,7 +95,7 @@
 	ho.log.Info("configuration in force", "version", doc.Version)
 }
 
-// rebuild gives the router the runners whose primary this host is.
+// rebuild passes the runners for which this host is the primary to the router.
 func (ho *Host) rebuild() {
 	byService := map[string][]upstream.Runner{}
 	for _, ru := range ho.registry.Runners() {
@@ -108,9 +109,8 @@
 	ho.router.SetMembers(members)
 }
 
-// primaries returns the ids of the data centre's entry hosts among which
-// runners are divided. A host that stops leaves its runners to the others, if
-// there are others.
+// primaries returns the ids of the data centre's entry hosts among which runners
+// are divided. A stopping host is not one of them, unless it is the only host.
 func (ho *Host) primaries() []string {
 	var hosts []string
 	for _, he := range ho.mesh.Live() {
@@ -124,6 +124,7 @@
 	return hosts
 }
 
+// primaryMembers returns the usable runners for which this host is the primary.
 func (ho *Host) primaryMembers(runners []upstream.Runner, hosts []string) []route.Member {
 	var ids []string
 	for _, ru := range runners {
@@ -144,7 +145,7 @@
 	return members
 }
 
-// tellPeers keeps the router's view of runners and peers up to date.
+// updatePeers passes the runners, and the loads of live peers, to the router.
 func (ho *Host) updatePeers(ctx context.Context) {
 	repeat(ctx, peersInterval, func(context.Context) {
 		near, far := map[string]map[string]route.Load{}, map[string]map[string]route.Load{}
@@ -162,15 +163,15 @@
 	})
 }
 
-// keepLease is a member for as long as the host runs. After a takeover it is
-// a new member under a new id, since it cannot speak for its former self.
+// maintainMembership keeps this host a member while it runs. After a takeover
+// the host joins under a new id, as it may no longer act for the former member.
 func (ho *Host) maintainMembership(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
 		ke := ho.newKeeper(n)
-		// The same member tries again: an attempt that was not heard of may
-		// have entered it.
+		// Retries use the same member id, as an attempt without a reply may
+		// have succeeded.
 		for err := ke.Join(ctx); err != nil; err = ke.Join(ctx) {
-			ho.log.Warn("join", "err", err)
+			ho.log.Warn("cannot join as a member", "err", err)
 			if !clock.Sleep(ctx, joinRetryInterval) {
 				return
 			}
@@ -180,7 +181,7 @@
 		if errors.Is(err, lease.ErrTakenOver) && ho.stopping.Load() {
 			return
 		}
-		ho.log.Warn("lease ended", "err", err)
+		ho.log.Warn("membership ended", "err", err)
 	}
 }
 
@@ -198,7 +199,7 @@
 	}
 }
 
-// members returns the members of this host's data centre.
+// members returns the members of this host's data centre, or errNotMember.
 func (ho *Host) members(ctx context.Context) ([]lease.Member, error) {
 	ke := ho.keeper.Load()
 	if ke == nil {
@@ -207,7 +208,8 @@
 	return ke.Members(ctx)
 }
 
-// declareDead removes a member of this host's data centre.
+// declareDead removes a member of this host's data centre, unless it has renewed
+// its membership since beat.
 func (ho *Host) declareDead(ctx context.Context, id string, beat int64) error {
 	ke := ho.keeper.Load()
 	if ke == nil {
@@ -216,10 +218,10 @@
 	return ke.DeclareDead(ctx, id, beat)
 }
 
-// errNotMember is returned before the host has joined.
-var errNotMember = errors.New("this host is not a member yet")
+// errNotMember is returned before this host has joined.
+var errNotMember = errors.New("this host has not joined as a member yet")
 
-// memberID names the n-th membership of a process.
+// memberID returns the id of the n-th membership of a process, from 1.
 func memberID(id string, n int) string {
 	if n == 1 {
 		return id
@@ -227,6 +229,7 @@
 	return fmt.Sprintf("%s.%d", id, n)
 }
 
+// leaseEvent counts and logs an event of the lease keeper.
 func (ho *Host) leaseEvent(ev lease.Event) {
 	switch ev.Kind {
 	case "took-over":
@@ -237,7 +240,7 @@
 	ho.log.Info("lease", "event", ev.Kind, "peer", ev.Peer)
 }
 
-// runCell runs the data centre's cell while this host owns it.
+// runCell runs the data centre's cell whenever this host owns it.
 func (ho *Host) runCell(ctx context.Context) {
 	repeat(ctx, cellPollInterval, func(ctx context.Context) {
 		ke := ho.keeper.Load()
@@ -250,11 +253,12 @@
 		err := ow.Run(ctx)
 		ho.owner.Store(nil)
 		if ctx.Err() == nil {
-			ho.log.Warn("cell ended", "cell", ho.set.DC, "err", err)
+			ho.log.Warn("no longer running the cell", "cell", ho.set.DC, "err", err)
 		}
 	})
 }
 
+// cellPollInterval is the time between checks whether this host owns the cell.
 const cellPollInterval = 200 * time.Millisecond
 
 func (ho *Host) newOwner(ke *lease.Keeper, resource string) *cell.Owner {
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -29,13 +29,14 @@
 	return mux
 }
 
-// operatorService serves operators.
+// operatorService implements the service for operators.
 type operatorService struct{ ho *Host }
 
-// operatorTime bounds a call of an operator.
+// operatorTimeout limits a call of an operator.
 const operatorTimeout = 10 * time.Second
 
-// operatorCodes pairs errors with connect codes.
+// operatorCodes pairs errors with connect codes. Other errors are reported as
+// unavailable.
 var operatorCodes = []struct {
 	err  error
 	code connect.Code
@@ -56,7 +57,7 @@
 	return connect.NewError(connect.CodeUnavailable, err)
 }
 
-// Plan works out what an intent would change.
+// Plan returns what an intent would change.
 func (os *operatorService) Plan(ctx context.Context, creq *connect.Request[pb.PlanRequest]) (*connect.Response[pb.PlanResponse], error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -71,7 +72,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Confirm carries out a plan if its basis still holds.
+// Confirm carries out a plan if its basis has not changed.
 func (os *operatorService) Confirm(ctx context.Context, creq *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -80,17 +81,18 @@
 		return nil, operatorError(err)
 	}
 	if res.Applied {
-		// A change of configuration is told to peers at once.
+		// Sends a hello to peers at once, so that they fetch a changed
+		// configuration.
 		os.ho.mesh.Hurry()
 	}
 	return connect.NewResponse(&pb.ConfirmResponse{Applied: res.Applied, Conflict: res.Changed, Version: res.Version}), nil
 }
 
-// tableFresh is how old the last answer of the table may be for the platform
-// to count as there.
+// tableAnswerMaxAge is the age of the table's last answer above which the platform
+// counts as unavailable.
 const tableAnswerMaxAge = 5 * time.Second
 
-// Status shows the state as this host sees it.
+// Status returns the state as known to this host.
 func (os *operatorService) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -179,7 +181,7 @@
 	return &pb.Resources{MilliCores: re.MilliCores, MemMb: re.MemMB, Accels: re.Accels}
 }
 
-// Tasks lists the tasks of a cell, or of all.
+// Tasks lists the tasks of a cell, or of all cells that answer.
 func (os *operatorService) Tasks(ctx context.Context, creq *connect.Request[pb.TasksRequest]) (*connect.Response[pb.TasksResponse], error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
@@ -212,7 +214,7 @@
 	return ts
 }
 
-// Config returns the configuration in force here.
+// Config returns the configuration in force on this host.
 func (os *operatorService) Config(context.Context, *connect.Request[pb.ConfigRequest]) (*connect.Response[pb.ConfigResponse], error) {
 	doc, ok := os.ho.config.Current()
 	if !ok {
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -18,7 +18,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Paths of the peer port.
+// Paths of the messages on the peer port.
 const (
 	pathHello    = "/peer/hello"
 	pathRun      = "/peer/run"
@@ -31,25 +31,26 @@
 	pathCell     = "/peer/cell/"
 )
 
-// memberMessage is a question to one member: a process under another id, at
-// the same address, must not answer for it.
+// memberMessage is a request to one member. Another process at the same address
+// must not answer for it.
 type memberMessage[T any] struct {
-	// To is the member's id.
+	// To is the id of the member.
 	To string `json:"to"`
-	// Message is the question.
+	// Message is the request.
 	Message T `json:"message"`
 }
 
-// claimMessage is a message on an id, to the owner of its shard. Passed is
-// set once it was passed on within the owner's data centre.
+// claimMessage is a message on a request id to the owner of its shard. Resource is
+// the shard; Forwarded is set once a host of the owner's data centre has forwarded
+// the message.
 type claimMessage[T any] struct {
 	Resource  string `json:"resource"`
 	Forwarded bool   `json:"passed,omitempty"`
 	Message   T      `json:"message"`
 }
 
-// runMessage is a request passed to a peer. The time left is told, not the
-// deadline, since clocks differ.
+// runMessage is a request forwarded to a peer. It has the remaining time, in
+// milliseconds, instead of the deadline, as clocks differ.
 type runMessage struct {
 	ID          string       `json:"id"`
 	Service     string       `json:"service"`
@@ -85,7 +86,8 @@
 	return mux
 }
 
-// answer has the present member answer, if it is the one asked.
+// answerAsMember answers a request if this host is the member that it is for.
+// Otherwise the answer is empty.
 func answerAsMember[T any](ho *Host, msg memberMessage[T], fn func(*lease.Keeper, T) lease.Answer) lease.Answer {
 	ke := ho.keeper.Load()
 	if ke == nil || ke.ID != msg.To {
@@ -104,7 +106,7 @@
 	return wire.Post[memberMessage[lease.DenialRequest], lease.Answer](ctx, ho.httpClient, "http://"+addr+pathDenial, msg)
 }
 
-// hello is what this host says of itself.
+// hello returns the state of this host as sent to peers.
 func (ho *Host) hello() peer.Hello {
 	he := peer.Hello{
 		ID: ho.id, DC: ho.set.DC, Addr: ho.PeerAddr(), CallerAddr: ho.CallerAddr(),
@@ -133,7 +135,8 @@
 	return doc, nil
 }
 
-// fetchConfig takes the configuration from a peer that has a later one.
+// fetchConfig fetches the configuration from a peer that has a newer one. Errors
+// are ignored, as the table is polled too.
 func (ho *Host) fetchConfig(addr string) {
 	ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 	defer cancel()
@@ -143,7 +146,8 @@
 	}
 }
 
-// forward has a peer serve a request.
+// forward has a peer run a request. The outcome is unknown if the connection fails
+// after it was opened.
 func (ho *Host) forward(ctx context.Context, addr string, req route.Request) route.Result {
 	msg := runMessage{
 		ID: req.ID, Service: req.Service, Method: req.Method, Class: req.Class, Body: req.Body,
@@ -156,13 +160,14 @@
 	var op *net.OpError
 	var werr *wire.Error
 	if errors.As(err, &werr) || (errors.As(err, &op) && op.Op == "dial") {
-		// The peer refused the message, or was not reached: not run.
+		// The peer refused the message or could not be reached, so that the request
+		// was not run.
 		return route.NotRunResult(reason.AllRefused, 0)
 	}
 	return route.Result{Outcome: route.Unknown, Reason: reason.PeerLost, Attempts: 1}
 }
 
-// serveRun serves a request that a peer passed on.
+// serveRun runs a request that a peer has forwarded.
 func (ho *Host) serveRun(ctx context.Context, msg runMessage) (route.Result, error) {
 	req := route.Request{Local: true, Once: msg.Once, Request: runner.Request{
 		ID: msg.ID, Service: msg.Service, Method: msg.Method, Class: msg.Class, Body: msg.Body,
@@ -171,10 +176,10 @@
 	return ho.router.Do(ctx, req), nil
 }
 
-// errNoOwner is returned while nobody is known to own a resource.
-var errOwnerUnknown = errors.New("owner not known")
+// errOwnerUnknown is returned while this host knows no owner of a resource.
+var errOwnerUnknown = errors.New("owner unknown")
 
-// takeClaim asks the owner of an id's shard, in whichever data centre.
+// takeClaim requests a claim from the owner of an id's shard, in any data centre.
 func (ho *Host) takeClaim(ctx context.Context, dc, resource string, req claim.TakeRequest) (claim.Verdict, error) {
 	msg := claimMessage[claim.TakeRequest]{Resource: resource, Message: req}
 	if dc == ho.set.DC {
@@ -187,7 +192,8 @@
 	return wire.Post[claimMessage[claim.TakeRequest], claim.Verdict](ctx, ho.httpClient, "http://"+addr+pathTake, msg)
 }
 
-// serveTake answers for an own shard, and passes others on once.
+// serveTake answers a claim request if this host owns the shard. Otherwise it
+// forwards the request, once only.
 func (ho *Host) serveTake(ctx context.Context, msg claimMessage[claim.TakeRequest]) (claim.Verdict, error) {
 	addr, own, err := ho.ownerOf(msg.Resource)
 	switch {
@@ -202,10 +208,11 @@
 	return wire.Post[claimMessage[claim.TakeRequest], claim.Verdict](ctx, ho.httpClient, "http://"+addr+pathTake, msg)
 }
 
-// releaseTime bounds the telling of a release. If it is lost, the id stays
-// taken, which is safe.
+// releaseTimeout limits the sending of a release. If a release is lost, the id stays
+// claimed, which is safe.
 const releaseTimeout = 2 * time.Second
 
+// releaseClaim releases a claim in the background.
 func (ho *Host) releaseClaim(dc, resource string, req claim.ReleaseRequest) {
 	msg := claimMessage[claim.ReleaseRequest]{Resource: resource, Message: req}
 	go func() {
@@ -234,40 +241,43 @@
 	return wire.Post[claimMessage[claim.ReleaseRequest], empty](ctx, ho.httpClient, "http://"+addr+pathRelease, msg)
 }
 
-// handOver carries the memory of a shard to its next owner.
+// handOver sends the claims of a shard to its next owner. Cells need no handover, as
+// their state is in the journal.
 func (ho *Host) handOver(ctx context.Context, tr lease.Transfer) {
 	if lease.IsCell(tr.Resource) || tr.Addr == "" {
 		return
 	}
 	hn := ho.ledger.Export(tr.Resource, tr.Since, tr.Epoch)
 	if _, err := wire.Post[claim.Handover, empty](ctx, ho.httpClient, "http://"+tr.Addr+pathHandover, hn); err != nil {
-		ho.log.Warn("hand over", "resource", tr.Resource, "peer", tr.To, "err", err)
+		ho.log.Warn("cannot hand over claims", "resource", tr.Resource, "peer", tr.To, "err", err)
 	}
 }
 
-// ownerOf returns the address of the owner of a resource in this data centre,
-// or that it is this host.
+// ownerOf returns the address of the owner of a resource in this data centre; own is
+// set, and addr empty, if it is this host. It returns errOwnerUnknown if there is
+// none.
 func (ho *Host) ownerOf(resource string) (addr string, own bool, err error) {
 	ke := ho.keeper.Load()
 	if ke == nil {
-		return "", false, fmt.Errorf("%s: %w", resource, errOwnerUnknown)
+		return "", false, fmt.Errorf("resource %s: %w", resource, errOwnerUnknown)
 	}
 	id, addr := ke.Owner(resource)
 	switch {
 	case id == ke.ID:
 		return "", true, nil
 	case addr == "":
-		return "", false, fmt.Errorf("%s: %w", resource, errOwnerUnknown)
+		return "", false, fmt.Errorf("resource %s: %w", resource, errOwnerUnknown)
 	}
 	return addr, false, nil
 }
 
-// anyHostIn returns the peer address of a live host in a data centre.
+// anyHostIn returns the peer address of a live host in a data centre, or
+// errOwnerUnknown.
 func (ho *Host) anyHostIn(dc string) (string, error) {
 	for _, he := range ho.mesh.Live() {
 		if he.DC == dc && !he.Stopping {
 			return he.Addr, nil
 		}
 	}
-	return "", fmt.Errorf("no live host in %s: %w", dc, errOwnerUnknown)
+	return "", fmt.Errorf("no live host in data centre %s: %w", dc, errOwnerUnknown)
 }
--- a/internal/entry/stalledconn_test.go
+++ b/internal/entry/stalledconn_test.go
@@ -16,19 +16,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// TestCallsAfterConnectionsWentSilent is the story of an entry host whose connections to
-// the table go silent together.
-//
-// What operators would see: a change of the configuration that one host follows many
-// seconds later than the others, if no peer tells it. Order of events: requests that came
-// at once have left eight connections; all go silent, and new ones work. The client keeps
-// idle connections without asking whether they answer, so that each costs one look its
-// whole time.
-//
-// Evidence: the second call below ran into its deadline like the first.
-//
-// The cause was a client of the standard library as it is. The host now has the one that
-// gives up what nothing uses once a call ran into its deadline.
+// TestTableReadAfterAllConnectionsStall guards against an entry host that applies a change
+// of the configuration many seconds late. Concurrent requests leave eight idle connections
+// to the table, and all of them stall while new ones work. A plain client of the standard
+// library tries one stalled connection per poll, each until the poll's timeout. The host's
+// client must time out once only.
 func TestTableReadAfterAllConnectionsStall(t *testing.T) {
 	const conns = 8
 	var table standin.Table
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -29,10 +29,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// feed is a service whose sessions have as many events as were published.
+// eventService is a service whose sessions have the published number of events.
 type eventService struct{ published atomic.Uint64 }
 
-// session is the stream of a runner of the service: an event has its number as body.
+// session opens a stream of a runner of the service. The body of an event is its number.
 func (es *eventService) session(ctx context.Context, _ string, req runner.SessionRequest) (func() (runner.SessionEvent, error), func(), error) {
 	const pollInterval, maxWait = 2 * time.Millisecond, time.Second
 	seq := req.Seq
@@ -45,7 +45,7 @@
 			}
 			select {
 			case <-ended:
-				return runner.SessionEvent{}, errors.New("stopped")
+				return runner.SessionEvent{}, errors.New("session stopped")
 			case <-ctx.Done():
 				return runner.SessionEvent{}, ctx.Err()
 			case <-time.After(pollInterval):
@@ -56,12 +56,12 @@
 	return next, sync.OnceFunc(func() { close(ended) }), nil
 }
 
-// watched is an entry host that serves sessions and nothing else.
+// sessionHost is an entry host that serves sessions only.
 type sessionHost struct {
 	*Host
 
 	addr string
-	// opened counts sessions opened or resumed.
+	// opened counts the sessions opened or resumed.
 	opened atomic.Int64
 }
 
@@ -87,7 +87,7 @@
 	return sh
 }
 
-// told is what a caller was told.
+// received has the bodies of the events that a caller received.
 type received struct {
 	mu   sync.Mutex
 	seqs []string
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// upTo returns whether the caller was told so many events, each once and in order.
+// exactly reports whether the caller received the first n events, each once and in order,
+// and no other.
 func (rc *received) exactly(n int) bool {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -112,7 +113,7 @@
 	return len(rc.seqs) == n
 }
 
-// follow watches until the test ends.
+// startWatch starts a watch that lasts until the test ends.
 func startWatch(t *testing.T, addrs ...string) *received {
 	t.Helper()
 	rc := &received{}
@@ -128,16 +129,10 @@
 	return rc
 }
 
-// TestEntryHostOfAWatchStandsStill is the story of a watch that goes quiet for good.
-//
-// What users see: `pepperhatch session watch` prints nothing any more, though the
-// service has events and other entry hosts serve them. Order of events: the entry
-// host freezes or is cut off, with the watch open or being opened; no reset comes, as
-// nobody is there to send one; the caller waits for an event, which may well take hours,
-// and nothing tells it an idle session from a lost one.
-//
-// Evidence: the events published below after the stall never come, in each state of
-// the connection in which nothing comes from the host.
+// TestWatchContinuesAfterEntryHostStalls guards against a watch that hangs for good while
+// other entry hosts serve its events. The entry host freezes or is cut off while the watch
+// is open or being opened, and no reset reaches the caller. Without heartbeats the caller
+// could not tell a lost session from an idle one.
 func TestWatchContinuesAfterEntryHostStalls(t *testing.T) {
 	for _, st := range standin.Stalls {
 		for _, open := range []bool{false, true} {
@@ -149,43 +144,46 @@
 				if !open {
 					qt.Assert(t, ln.Stall(st), qt.IsNil)
 				}
-				// The second address is the first in turn.
+				// The caller tries the last address first.
 				rc := startWatch(t, other.addr, ln.Addr())
 				es.published.Store(3)
-				linetest.Eventually(t, "first events told", func() bool { return rc.exactly(3) })
+				linetest.Eventually(t, "first events received", func() bool { return rc.exactly(3) })
 				if open {
 					qt.Assert(t, other.opened.Load(), qt.Equals, int64(0))
 					qt.Assert(t, ln.Stall(st), qt.IsNil)
 				}
 				es.published.Store(6)
-				linetest.Eventually(t, "events told during the stall", func() bool { return rc.exactly(6) })
+				linetest.Eventually(t, "events received during the stall", func() bool { return rc.exactly(6) })
 				ln.Thaw()
 				es.published.Store(9)
-				linetest.Eventually(t, "events told after it", func() bool { return rc.exactly(9) })
+				linetest.Eventually(t, "events received after the stall", func() bool { return rc.exactly(9) })
 			})
 		}
 	}
 }
 
-// idleLong is longer than a caller waits for beats, and shorter than [linetest.EndsWithin].
+// idlePeriod is longer than a caller waits for heartbeats, and shorter than
+// [linetest.EndsWithin].
 const idlePeriod = 4500 * time.Millisecond
 
-// TestIdleWatchIsKeptOpen has no events for longer than a silent host has.
+// TestIdleWatchIsKeptOpen guards against a caller that leaves a host whose session merely
+// has no events, for longer than it waits for an unresponsive host.
 func TestIdleWatchIsKeptOpen(t *testing.T) {
 	t.Parallel()
 	es := &eventService{}
 	one, other := newSessionHost(t, es), newSessionHost(t, es)
 	rc := startWatch(t, other.addr, one.addr)
 	es.published.Store(1)
-	linetest.Eventually(t, "first event told", func() bool { return rc.exactly(1) })
+	linetest.Eventually(t, "first event received", func() bool { return rc.exactly(1) })
 	time.Sleep(idlePeriod)
 	es.published.Store(2)
-	linetest.Eventually(t, "next event told", func() bool { return rc.exactly(2) })
+	linetest.Eventually(t, "event after the idle period received", func() bool { return rc.exactly(2) })
 	qt.Assert(t, one.opened.Load(), qt.Equals, int64(1))
 	qt.Assert(t, other.opened.Load(), qt.Equals, int64(0))
 }
 
-// TestCallerThatKnowsNoBeats gets events only: it would take a beat for one.
+// TestCallerWithoutHeartbeatsGetsEventsOnly guards against heartbeats to a caller that did
+// not ask for them, which would take them for events.
 func TestCallerWithoutHeartbeatsGetsEventsOnly(t *testing.T) {
 	t.Parallel()
 	es := &eventService{}
@@ -202,7 +200,7 @@
 	qt.Assert(t, st.Msg().GetSeq(), qt.Equals, uint64(1))
 }
 
-// TestBeatsComeWhileThereAreNoEvents asks for beats, and has an event in between.
+// TestHeartbeatsAreSentWhileIdle requests heartbeats, and has one event between them.
 func TestHeartbeatsAreSentWhileIdle(t *testing.T) {
 	t.Parallel()
 	es := &eventService{}
@@ -223,8 +221,8 @@
 	}
 }
 
-// TestEntryHostStandsStillInTheMidstOfEvents has events all the while: whatever part of
-// them was on its way, each is told once.
+// TestEachEventOnceWhenEntryHostStallsMidStream stalls the entry host during a steady
+// stream of events. Each event must be delivered once, wherever it was at the stall.
 func TestEachEventOnceWhenEntryHostStallsMidStream(t *testing.T) {
 	const (
 		eventEvery        = 5 * time.Millisecond
@@ -246,7 +244,7 @@
 				time.Sleep(eventEvery)
 			}
 			ln.Thaw()
-			linetest.Eventually(t, "all events told", func() bool { return rc.exactly(totalEvents) })
+			linetest.Eventually(t, "all events received", func() bool { return rc.exactly(totalEvents) })
 		})
 	}
 }
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -8,7 +8,7 @@
 // the plan's id along with the changes, and a change of the configuration is
 // written together with the plan's row.
 //
-// Plans can be confirmed for 24 hours. A plan to remove an entry host is not
+// Plans are stored for at least 24 hours. A plan to remove an entry host is not
 // marked as carried out.
 package intent
 
