--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -28,13 +28,15 @@
 	})
 }
 
+// TestUrgentWorkStartsOnAFullCell guards against urgent work that waits for batch
+// tasks to end: it must start within 1.9 s by evicting one.
 func TestUrgentWorkStartsOnAFullCell(t *testing.T) {
 	runCell(t, 2, func(c *qt.C, tc *testCell) {
 		to := startWithJob(c, tc, batchJob("j", 8, time.Hour))
 		time.Sleep(10 * time.Second)
 		urgent := batchJob("u", 1, time.Second)
 		urgent.Add.Urgent = true
-		asked := time.Now()
+		submitted := time.Now()
 		_, err := to.confirm("urgent", urgent)
 		c.Assert(err, qt.IsNil)
 		time.Sleep(5 * time.Second)
@@ -46,7 +48,7 @@
 				}
 			}
 		}
-		c.Assert(started.Sub(asked) < 1900*time.Millisecond, qt.IsTrue, qt.Commentf("after %v", started.Sub(asked)))
+		c.Assert(started.Sub(submitted) < 1900*time.Millisecond, qt.IsTrue, qt.Commentf("after %v", started.Sub(submitted)))
 		assertStates(c, to, map[string]int{"running": 8, "done": 1})
 	})
 }
@@ -120,6 +122,8 @@
 	})
 }
 
+// TestTableRepliesLostAfterWrite guards against commands that fail or run twice
+// when the table writes a batch and its reply is lost.
 func TestTableRepliesLostAfterWrite(t *testing.T) {
 	runCell(t, 2, func(c *qt.C, tc *testCell) {
 		to := tc.startOwner(false)
@@ -200,6 +204,8 @@
 	})
 }
 
+// TestConcurrentConfirmations confirms one plan twice and a conflicting plan once at
+// the same time. Only one of the plans may be applied.
 func TestConcurrentConfirmations(t *testing.T) {
 	runCell(t, 2, func(c *qt.C, tc *testCell) {
 		to := startWithJob(c, tc, service("s", 2))
--- a/internal/cell/cluster_test.go
+++ b/internal/cell/cluster_test.go
@@ -60,9 +60,9 @@
 
 var workerCapacity = worker.Resources{MilliCores: 8000, MemMB: 8000}
 
-func newTestCell(workers int) *testCell {
+func newTestCell(n int) *testCell {
 	tc := &testCell{workers: map[string]*testWorker{}}
-	for i := range workers {
+	for i := range n {
 		id := fmt.Sprintf("w%d", i)
 		tw := &testWorker{host: store.Host{
 			ID: id, Kind: store.KindWorker, Addr: id, Rack: fmt.Sprintf("r%d", i/2), State: store.HostLive,
--- a/internal/cell/invariants_test.go
+++ b/internal/cell/invariants_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// actions returns the steps that the test picks from. "time" stands three times,
+// actions returns the steps that the test picks from. "time" is listed three times,
 // so that more of them let time pass.
 func (tc *testCell) actions() map[string]func(*rapid.T) {
 	pickWorker := func(rt *rapid.T) string {
--- a/internal/cell/owner.go
+++ b/internal/cell/owner.go
@@ -70,8 +70,8 @@
 	// dirty is set when something has changed since lastDecision.
 	dirty        bool
 	lastDecision time.Time
-	// snapshotStarted is when the last snapshot was begun, snapshotSeq the
-	// batch of the last one written.
+	// snapshotStarted is when the last snapshot was started, snapshotSeq the
+	// number of the last batch that a written snapshot includes.
 	snapshotStarted time.Time
 	snapshotSeq     int64
 	// inheritedLeaseEnd is when all leases that a former owner gave have
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -73,14 +73,14 @@
 // Call runs one request and returns its answer, or the error that failure
 // makes.
 func (cs *callerService) Call(ctx context.Context, creq *connect.Request[pb.CallRequest]) (*connect.Response[pb.CallResponse], error) {
-	begun := time.Now()
+	start := time.Now()
 	msg := creq.Msg
 	id := msg.GetId()
 	if id == "" && !msg.GetRunOnce() {
 		id = uuid.NewString()
 	}
 	res := cs.ho.call(ctx, id, msg)
-	cs.ho.metrics.Ended(classOf(msg.GetClass()).String(), res.Reason, time.Since(begun))
+	cs.ho.metrics.Ended(classOf(msg.GetClass()).String(), res.Reason, time.Since(start))
 	if res.Outcome != route.Answered {
 		return nil, failure(id, res)
 	}
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -211,10 +211,10 @@
 	st, err := cl.Watch(ctx, connect.NewRequest(&pb.WatchRequest{Service: "s", Topic: "t", Beats: true}))
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, st.ResponseHeader().Get(caller.BeatHeader), qt.Equals, "1000")
-	for i, beat := range []bool{true, true, false, true} {
+	for i, isHeartbeat := range []bool{true, true, false, true} {
 		qt.Assert(t, st.Receive(), qt.IsTrue)
-		qt.Assert(t, st.Msg().GetBeat(), qt.Equals, beat)
-		qt.Assert(t, st.Msg().GetResumeToken() == "", qt.Equals, beat)
+		qt.Assert(t, st.Msg().GetBeat(), qt.Equals, isHeartbeat)
+		qt.Assert(t, st.Msg().GetResumeToken() == "", qt.Equals, isHeartbeat)
 		if i == 1 {
 			es.published.Store(1)
 		}
