--- a/internal/cell/exchange.go
+++ b/internal/cell/exchange.go
@@ -14,7 +14,7 @@
 // last report, the leases given, and the exchanges with the worker.
 type workerStatus struct {
 	// incarnation is the worker's process and workerClock its clock, in
-	// milliseconds, in the last report. It is empty before the first one.
+	// milliseconds, in the last report. incarnation is empty before the first.
 	incarnation string
 	workerClock int64
 	// seq counts the exchanges sent; lastReport is when the last report came.
