--- a/internal/cell/owner.go
+++ b/internal/cell/owner.go
@@ -16,109 +16,119 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Owner runs one cell while its host owns it. Set the fields, then call
-// [Owner.Run].
+// Owner runs one cell while its host owns it. Set the exported fields before
+// [Owner.Run]; other methods may be called concurrently with it.
 type Owner struct {
-	// Cell names the cell, Self the host.
+	// Cell is the name of the cell, Self the id of this host.
 	Cell string
 	Self string
-	// Epoch is that of the assignment that made the host the owner.
+	// Epoch is the epoch of the assignment that made this host the owner.
 	Epoch int64
-	// Owns reports whether the host owns the cell at this moment.
+	// Owns reports whether this host owns the cell now.
 	Owns func() bool
-	// Journal is the cell's.
+	// Journal is the journal of the cell.
 	Journal *Journal
-	// Workers talks to workers.
+	// Workers sends exchanges to workers.
 	Workers worker.Client
-	// Hosts returns the platform's list of the cell's workers, as last read;
-	// ok is false if it was never read.
+	// Hosts returns the platform's list of the cell's workers as last read; ok
+	// is false before the first read.
 	Hosts func() (hosts []store.Host, ok bool)
 	// Config returns the configuration in force.
 	Config func() config.Doc
-	// Timing has the intervals; the zero value takes [DefaultTiming].
+	// Timing has the intervals; the zero value means [DefaultTiming].
 	Timing Timing
-	// Metrics counts.
+	// Metrics counts journal rows and task events.
 	Metrics *telemetry.Metrics
-	// Log gets events; nil gets none.
+	// Log receives events; nil discards them.
 	Log *slog.Logger
-	// NoControl turns control of tails off, for comparison.
+	// NoControl disables throttling and evictions for tail latencies, for
+	// comparison.
 	NoControl bool
 
 	mu sync.Mutex
-	// st is the state as journalled; closed is set when it is no longer ours
-	// to serve, failed once the journal cannot be appended to.
-	st     *State
-	closed bool
-	failed error
-	// contacts are the workers by id, shares the throttled tasks.
-	contacts map[string]*contact
+	// st is the state as journalled. closed is set when this owner stops
+	// serving it. journalErr is the error of a failed append, after which the
+	// owner ends.
+	st         *State
+	closed     bool
+	journalErr error
+	// statuses is keyed by worker id. shares has the processor share of each
+	// throttled task, by task id.
+	statuses map[string]*workerStatus
 	shares   map[string]float64
-	// model and evictions are what was learnt and spent.
+	// model is the interference model, evictions the use of the eviction
+	// budget.
 	model     place.Model
-	evictions budget
-	// commands wait for a batch, inFlight for the append of theirs.
+	evictions evictionBudget
+	// commands wait for a batch; inFlight wait for the append of their batch.
 	commands []*command
 	inFlight []*command
-	// appending is since when an append is under way, or zero; appended is
-	// when the last one began.
-	appending time.Time
-	appended  time.Time
-	// dirty is set when something has changed since the last decision, at
-	// decided.
-	dirty   bool
-	decided time.Time
-	// snapTried is when a snapshot was last begun, snapSeq the last written.
-	snapTried time.Time
-	snapSeq   int64
-	// inherited is when the leases that a former owner gave have lapsed.
-	inherited time.Time
-	// term is that of the journal's opening; wake has the loop look at once.
+	// appendStarted is when the append in progress began, or zero. lastAppend
+	// is when the last append began.
+	appendStarted time.Time
+	lastAppend    time.Time
+	// dirty is set when something has changed since lastDecision.
+	dirty        bool
+	lastDecision time.Time
+	// snapshotStarted is when the last snapshot was started, snapshotSeq the
+	// number of the last batch that a written snapshot includes.
+	snapshotStarted time.Time
+	snapshotSeq     int64
+	// inheritedLeaseEnd is when all leases that a former owner gave have
+	// expired.
+	inheritedLeaseEnd time.Time
+	// term is the fencing token of the journal's opening. wake starts the next
+	// step of the loop at once.
 	term int64
 	wake chan struct{}
 }
 
-// Timing has the intervals of an owner.
+// Timing has the intervals and time limits of an owner.
 type Timing struct {
-	// Tick is the time between looks at what there is to do.
+	// Tick is the time between steps of the loop.
 	Tick time.Duration
-	// Batch is the least time between batches, which bounds the writes.
-	Batch time.Duration
-	// Exchange is the time between messages to a worker without orders.
-	Exchange time.Duration
-	// Silent is how long a worker may be silent before it gets nothing new.
-	Silent time.Duration
-	// Margin is added to leases, for clocks of different rates.
+	// BatchInterval is the minimum time between batches; it limits the writes
+	// to the table.
+	BatchInterval time.Duration
+	// ExchangeInterval is the time between exchanges with a worker that has no
+	// new orders.
+	ExchangeInterval time.Duration
+	// UnresponsiveAfter is the time without a report after which a worker gets
+	// no new tasks.
+	UnresponsiveAfter time.Duration
+	// Margin is added to the end of leases, as clocks run at different rates.
 	Margin time.Duration
-	// UsageLag is how old the usage in reports is.
+	// UsageLag is the age of the usage measurements in a report.
 	UsageLag time.Duration
 }
 
-// DefaultTiming is for a thousand workers.
+// DefaultTiming suits cells of up to a thousand workers.
 var DefaultTiming = Timing{
-	Tick:     50 * time.Millisecond,
-	Batch:    100 * time.Millisecond,
-	Exchange: time.Second,
-	Silent:   3 * time.Second,
-	Margin:   500 * time.Millisecond,
-	UsageLag: 2 * time.Second,
+	Tick:              50 * time.Millisecond,
+	BatchInterval:     100 * time.Millisecond,
+	ExchangeInterval:  time.Second,
+	UnresponsiveAfter: 3 * time.Second,
+	Margin:            500 * time.Millisecond,
+	UsageLag:          2 * time.Second,
 }
 
-// maxLease bounds the lease settings; a new owner waits for leases that the
-// former one may have given, whatever its settings were.
+// maxLease limits the lease settings. A new owner waits this long for leases of
+// the former owner, whose settings it does not know.
 const maxLease = time.Minute
 
-// decideEvery is how often decisions are looked for when nothing changed.
-const decideEvery = 500 * time.Millisecond
+// decideInterval is the time between decisions while nothing has changed.
+const decideInterval = 500 * time.Millisecond
 
-// openTime bounds opening the journal, so that a host that waited long for the
-// table looks first whether it still owns the cell.
-const openTime = 10 * time.Second
+// openTimeout limits opening the journal, so that a host that waits long for
+// the table checks whether it still owns the cell before it tries again.
+const openTimeout = 10 * time.Second
 
-// ErrNotOwner is returned by calls on a cell that this host does not run.
+// ErrNotOwner is returned by calls on a host that does not run the cell.
 var ErrNotOwner = errors.New("not the owner of the cell")
 
-// Run opens the journal and runs the cell until ctx ends or the host ceases
-// to own it.
+// Run opens the journal and runs the cell. It returns nil when ctx ends, and
+// otherwise an error: [ErrNotOwner] when the host no longer owns the cell, or
+// the error of opening the journal or of an append.
 func (ow *Owner) Run(ctx context.Context) error {
 	if ow.Timing == (Timing{}) {
 		ow.Timing = DefaultTiming
@@ -126,7 +136,7 @@
 	if ow.Log == nil {
 		ow.Log = slog.New(slog.DiscardHandler)
 	}
-	octx, cancel := context.WithTimeout(ctx, openTime)
+	octx, cancel := context.WithTimeout(ctx, openTimeout)
 	st, err := ow.Journal.Open(octx, ow.Self, ow.Epoch)
 	cancel()
 	if err != nil {
@@ -134,21 +144,21 @@
 	}
 	ow.mu.Lock()
 	ow.st = st
-	ow.contacts = map[string]*contact{}
+	ow.statuses = map[string]*workerStatus{}
 	ow.shares = map[string]float64{}
 	ow.wake = make(chan struct{}, 1)
-	ow.inherited = time.Now().Add(maxLease + ow.Timing.Margin)
+	ow.inheritedLeaseEnd = time.Now().Add(maxLease + ow.Timing.Margin)
 	ow.term = ow.Journal.Term()
 	ow.dirty = true
 	ow.mu.Unlock()
-	ow.Log.Info("cell opened", "cell", ow.Cell, "epoch", ow.Epoch, "seq", st.Seq, "tasks", len(st.Tasks))
+	ow.Log.Info("opened journal of the cell", "cell", ow.Cell, "epoch", ow.Epoch, "seq", st.Seq, "tasks", len(st.Tasks))
 	return ow.loop(ctx)
 }
 
 func (ow *Owner) loop(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer ow.refuseAll()
+	defer ow.rejectCommands()
 	ti := time.NewTicker(ow.Timing.Tick)
 	defer ti.Stop()
 	for {
@@ -156,7 +166,7 @@
 			return fmt.Errorf("cell %s: %w", ow.Cell, ErrNotOwner)
 		}
 		ow.mu.Lock()
-		err := ow.failed
+		err := ow.journalErr
 		if err == nil {
 			ow.step(ctx)
 		}
@@ -173,112 +183,113 @@
 	}
 }
 
-// nudge has the loop look again at once.
-func (ow *Owner) nudge() {
+// signal starts the next step of the loop at once.
+func (ow *Owner) signal() {
 	select {
 	case ow.wake <- struct{}{}:
 	default:
 	}
 }
 
-// step sends what is due and, unless an append is under way, journals what
-// has happened and what is decided.
+// step sends due exchanges. Unless an append is in progress, it also journals
+// events and decisions.
 func (ow *Owner) step(ctx context.Context) {
-	if ow.appending.IsZero() && time.Since(ow.appended) >= ow.Timing.Batch {
-		ow.journal(ctx)
+	if ow.appendStarted.IsZero() && time.Since(ow.lastAppend) >= ow.Timing.BatchInterval {
+		ow.startAppend(ctx)
 	}
-	ow.exchangeDue(ctx)
+	ow.sendDueExchanges(ctx)
 }
 
-// journal starts the append of all that is to be noted now.
-func (ow *Owner) journal(ctx context.Context) {
-	// Going through all workers and tasks costs milliseconds for a thousand
-	// workers; it is done when something has changed, and now and then for
-	// what only time brings.
-	if !ow.dirty && len(ow.commands) == 0 && time.Since(ow.decided) < decideEvery {
+// startAppend collects the records of the next batch and starts its append.
+func (ow *Owner) startAppend(ctx context.Context) {
+	// A pass over all workers and tasks takes milliseconds for a thousand
+	// workers. It runs when something has changed, and at decideInterval for
+	// changes that come with time alone, such as the expiry of leases.
+	if !ow.dirty && len(ow.commands) == 0 && time.Since(ow.lastDecision) < decideInterval {
 		return
 	}
-	records := ow.hostRecords()
+	records := ow.workerRecords()
 	records = append(records, ow.endRecords()...)
 	records = append(records, ow.commandRecords()...)
-	// Decided on the state before the records above. A start that they make
-	// void is left out when the batch is applied; room that they make is
-	// found the next time.
+	// Decisions use the state before the records above. A start that those
+	// records invalidate has no effect when the batch is applied; resources
+	// that they free are used by the next decision.
 	records = append(records, ow.decide()...)
 	if len(records) == 0 {
 		return
 	}
-	ow.appending = time.Now()
-	ow.appended = ow.appending
-	ow.Journal.Snapshotted(ow.snapSeq)
-	go ow.append(ctx, records)
+	ow.appendStarted = time.Now()
+	ow.lastAppend = ow.appendStarted
+	ow.Journal.RecordSnapshot(ow.snapshotSeq)
+	go ow.appendBatch(ctx, records)
 }
 
-// append writes a batch, applies it, and lets workers hear of it.
-func (ow *Owner) append(ctx context.Context, records []Record) {
+// appendBatch writes a batch, applies it, and requests exchanges with the
+// workers that it concerns.
+func (ow *Owner) appendBatch(ctx context.Context, records []Record) {
 	ba, err := ow.Journal.Append(ctx, records)
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
-	ow.appending = time.Time{}
+	ow.appendStarted = time.Time{}
 	if err != nil {
-		ow.failed = err
-		ow.answerCommands(err)
-		ow.nudge()
+		ow.journalErr = err
+		ow.completeCommands(err)
+		ow.signal()
 		return
 	}
 	ow.Metrics.Add(telemetry.JournalRows, 1, "cell", ow.Cell)
 	ow.st.Apply(ba)
 	ow.dirty = true
-	ow.answerCommands(nil)
-	ow.hurry(records)
+	ow.completeCommands(nil)
+	ow.expedite(records)
 	ow.snapshot(ctx)
-	ow.nudge()
+	ow.signal()
 }
 
-// snapshot begins to write a snapshot, if one is due. The object store may
-// hang, so that nothing waits for it; the next append makes it known.
+// snapshot starts to write a snapshot if one is due. Nothing waits for it, as
+// the object store may hang; the next append writes its number to the head row.
 func (ow *Owner) snapshot(ctx context.Context) {
-	if !ow.Journal.SnapshotDue() || time.Since(ow.snapTried) < snapshotRetry {
+	if !ow.Journal.SnapshotDue() || time.Since(ow.snapshotStarted) < snapshotRetryInterval {
 		return
 	}
-	ow.snapTried = time.Now()
+	ow.snapshotStarted = time.Now()
 	seq := ow.st.Seq
 	data, err := json.Marshal(ow.st)
 	if err != nil {
-		ow.Log.Error("snapshot", "cell", ow.Cell, "err", err)
+		ow.Log.Error("cannot encode snapshot of the cell", "cell", ow.Cell, "err", err)
 		return
 	}
 	go func() {
-		sctx, cancel := context.WithTimeout(ctx, snapshotRetry)
+		sctx, cancel := context.WithTimeout(ctx, snapshotRetryInterval)
 		defer cancel()
-		if err := ow.Journal.Snapshot(sctx, seq, data); err != nil {
-			ow.Log.Warn("snapshot", "cell", ow.Cell, "err", err)
+		if err := ow.Journal.WriteSnapshot(sctx, seq, data); err != nil {
+			ow.Log.Warn("cannot write snapshot of the cell", "cell", ow.Cell, "err", err)
 			return
 		}
 		ow.mu.Lock()
 		defer ow.mu.Unlock()
-		ow.snapSeq = max(ow.snapSeq, seq)
+		ow.snapshotSeq = max(ow.snapshotSeq, seq)
 	}()
 }
 
-// hurry has workers with new orders contacted at once.
-func (ow *Owner) hurry(records []Record) {
+// expedite requests an exchange at once with each worker that has a new order.
+func (ow *Owner) expedite(records []Record) {
 	for _, rec := range records {
 		if rec.Kind != KindStart && rec.Kind != KindStop {
 			continue
 		}
 		ow.Metrics.Add(telemetry.TaskEvents, 1, "event", string(rec.Kind))
 		if ta := ow.st.Tasks[rec.Task]; ta != nil {
-			if co := ow.contacts[ta.Worker]; co != nil {
-				co.hurry = true
+			if ws := ow.statuses[ta.Worker]; ws != nil {
+				ws.sendNow = true
 			}
 		}
 	}
 }
 
-// hostRecords enters workers that are new on the list and removes those that
-// are gone and run nothing.
-func (ow *Owner) hostRecords() []Record {
+// workerRecords adds or changes workers as listed by the platform, and removes
+// those that are no longer listed and have no active task.
+func (ow *Owner) workerRecords() []Record {
 	hosts, ok := ow.Hosts()
 	if !ok {
 		return nil
@@ -289,33 +300,33 @@
 		listed[ho.ID] = true
 		wo := Worker{
 			ID: ho.ID, Rack: ho.Rack, Addr: ho.Addr,
-			Holds: worker.Resources{MilliCores: ho.MilliCores, MemMB: ho.MemMB, Accels: ho.Accels},
+			Capacity: worker.Resources{MilliCores: ho.MilliCores, MemMB: ho.MemMB, Accels: ho.Accels},
 		}
-		co := ow.contact(ho.ID)
-		co.leaving = ho.State == store.HostLeaving
+		ws := ow.status(ho.ID)
+		ws.leaving = ho.State == store.HostLeaving
 		old := ow.st.Workers[ho.ID]
-		if old == nil || old.Addr != wo.Addr || old.Holds != wo.Holds || old.Rack != wo.Rack {
+		if old == nil || old.Addr != wo.Addr || old.Capacity != wo.Capacity || old.Rack != wo.Rack {
 			records = append(records, Record{Kind: KindWorker, Host: &wo})
 		}
 	}
 	for id := range ow.st.Workers {
-		co := ow.contact(id)
-		co.unlisted = !listed[id]
-		if co.unlisted && len(ow.st.held[id]) == 0 {
-			records = append(records, Record{Kind: KindGone, Worker: id})
+		ws := ow.status(id)
+		ws.unlisted = !listed[id]
+		if ws.unlisted && len(ow.st.activeTasks[id]) == 0 {
+			records = append(records, Record{Kind: KindRemove, Worker: id})
 		}
 	}
 	return records
 }
 
-// endRecords notes attempts that have ended: on the worker's word, or because
-// their lease has surely lapsed.
+// endRecords records attempts that have ended: those that the worker reports as
+// ended, and those whose lease has certainly expired.
 func (ow *Owner) endRecords() []Record {
 	var records []Record
 	now := time.Now()
-	for _, tasks := range ow.st.held {
+	for _, tasks := range ow.st.activeTasks {
 		for id, ta := range tasks {
-			if rec, ended := ow.ended(id, ta, now); ended {
+			if rec, ended := ow.endRecord(id, ta, now); ended {
 				records = append(records, rec)
 				ow.Metrics.Add(telemetry.TaskEvents, 1, "event", string(rec.End))
 			}
@@ -324,33 +335,37 @@
 	return records
 }
 
-func (ow *Owner) ended(id string, ta *Task, now time.Time) (Record, bool) {
+// endRecord returns the record of an attempt's end, or false if the attempt may
+// still run.
+func (ow *Owner) endRecord(id string, ta *Task, now time.Time) (Record, bool) {
 	rec := Record{Kind: KindEnd, Task: id, Attempt: ta.Attempt, End: worker.StateLapsed}
-	co := ow.contact(ta.Worker)
-	if co.incarnation != "" && co.incarnation != ta.Incarnation {
-		// Another process: the one that had the task is no more.
+	ws := ow.status(ta.Worker)
+	if ws.incarnation != "" && ws.incarnation != ta.Incarnation {
+		// The process that ran the task was replaced by another one.
 		return rec, true
 	}
-	if tr, ok := co.tasks[id]; ok && tr.Attempt == ta.Attempt {
+	if tr, ok := ws.tasks[id]; ok && tr.Attempt == ta.Attempt {
 		rec.CheckpointMS = tr.CheckpointMS
 		if tr.State != worker.StateRunning {
 			rec.End, rec.Result = tr.State, tr.Result
 			return rec, true
 		}
 	}
-	return rec, now.After(ow.lapse(co, ow.st.Jobs[ta.Job].Spec.Service))
+	return rec, now.After(ow.leaseExpiry(ws, ow.st.Jobs[ta.Job].Spec.Service))
 }
 
-// lapse returns when a worker's leases of a class have surely lapsed, if it
-// is not heard of again.
-func (ow *Owner) lapse(co *contact, service bool) time.Time {
-	end := co.leaseEnd[leaseIndex(service)]
-	if co.incarnation == "" {
-		end = ow.inherited
+// leaseExpiry returns the time after which a worker's batch or service leases
+// have certainly expired if it is not heard from again. Before its first report
+// those of a former owner count.
+func (ow *Owner) leaseExpiry(ws *workerStatus, service bool) time.Time {
+	end := ws.leaseEnd[leaseIndex(service)]
+	if ws.incarnation == "" {
+		end = ow.inheritedLeaseEnd
 	}
 	return end.Add(ow.Timing.Margin)
 }
 
+// leaseIndex returns the index in leaseEnd.
 func leaseIndex(service bool) int {
 	if service {
 		return 1
@@ -358,23 +373,25 @@
 	return 0
 }
 
-// Summary counts what a cell has.
+// Summary has the counts of a cell.
 type Summary struct {
-	// Cell, Owner and Epoch say whose it is.
+	// Cell is the cell's name, Owner the id of its owner, Epoch that of the
+	// owner's assignment.
 	Cell  string `json:"cell"`
 	Owner string `json:"owner"`
 	Epoch int64  `json:"epoch"`
-	// Seq is the last batch.
+	// Seq is the number of the last journal batch.
 	Seq int64 `json:"seq"`
-	// Workers and Tasks count by state.
+	// Workers and Tasks are counts by state.
 	Workers map[string]int `json:"workers"`
 	Tasks   map[string]int `json:"tasks"`
-	// Holds is what all workers have, Used what tasks are given.
-	Holds worker.Resources `json:"holds"`
-	Used  worker.Resources `json:"used"`
+	// Capacity is the total of all workers, Reserved what active tasks
+	// reserve of it.
+	Capacity worker.Resources `json:"holds"`
+	Reserved worker.Resources `json:"used"`
 }
 
-// Summary returns the cell's counts.
+// Summary returns the counts of the cell, or [ErrNotOwner].
 func (ow *Owner) Summary() (Summary, error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
@@ -387,45 +404,47 @@
 	}
 	for id, wo := range ow.st.Workers {
 		su.Workers[ow.workerState(id, wo)]++
-		su.Holds = su.Holds.Add(wo.Holds)
+		su.Capacity = su.Capacity.Add(wo.Capacity)
 	}
 	for _, ta := range ow.st.Tasks {
 		su.Tasks[string(ta.State)]++
 	}
-	for _, used := range ow.st.Used() {
-		su.Used = su.Used.Add(used)
+	for _, used := range ow.st.ReservedByWorker() {
+		su.Reserved = su.Reserved.Add(used)
 	}
 	return su, nil
 }
 
-// serving reports whether calls on the cell can be answered here.
+// serving reports whether this owner may answer calls on the cell.
 func (ow *Owner) serving() bool {
 	return ow.st != nil && !ow.closed && ow.Owns()
 }
 
-// workerState names the state of a worker, for people.
+// workerState returns the state of a worker as shown to operators.
 func (ow *Owner) workerState(id string, wo *Worker) string {
-	co := ow.contact(id)
+	ws := ow.status(id)
 	switch {
 	case wo.Drained:
 		return "drained"
-	case co.leaving, co.unlisted:
+	case ws.leaving, ws.unlisted:
 		return "leaving"
-	case time.Since(co.heard) > ow.Timing.Silent:
+	case time.Since(ws.lastReport) > ow.Timing.UnresponsiveAfter:
 		return "silent"
-	case len(wo.FailedJobs) >= asideAfter:
+	case len(wo.FailedJobs) >= quarantineAfter:
 		return "aside"
 	}
 	return "live"
 }
 
-// NamedTask is a task with its id.
+// NamedTask is a [Task] with its id.
 type NamedTask struct {
 	ID string `json:"id"`
 	Task
 }
 
-// Tasks returns the tasks of a job, or of all jobs.
+// Tasks returns the tasks of a job, or of all jobs if job is empty, in no
+// particular order. It returns [ErrNotOwner] on a host that does not run the
+// cell.
 func (ow *Owner) Tasks(job string) ([]NamedTask, error) {
 	ow.mu.Lock()
 	defer ow.mu.Unlock()
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -20,17 +20,17 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// Intervals of the loops.
+// Intervals of the loops, and the timeout of a poll.
 const (
-	listEvery   = time.Second
-	configEvery = time.Second
-	tellEvery   = 100 * time.Millisecond
-	retryEvery  = 500 * time.Millisecond
-	pollTime    = 2 * time.Second
+	listInterval      = time.Second
+	configInterval    = time.Second
+	peersInterval     = 100 * time.Millisecond
+	joinRetryInterval = 500 * time.Millisecond
+	pollTimeout       = 2 * time.Second
 )
 
-// every calls fn at once and then at the interval, until ctx ends.
-func every(ctx context.Context, d time.Duration, fn func(context.Context)) {
+// repeat calls fn at once, and again d after each return, until ctx ends.
+func repeat(ctx context.Context, d time.Duration, fn func(context.Context)) {
 	for {
 		fn(ctx)
 		if !clock.Sleep(ctx, d) {
@@ -39,11 +39,11 @@
 	}
 }
 
-// pollLists reads the platform's list of the data centre.
+// pollLists polls the platform's list of the data centre's hosts.
 func (ho *Host) pollLists(ctx context.Context) {
 	filter := &store.ListFilter{}
-	every(ctx, listEvery, func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, pollTime)
+	repeat(ctx, listInterval, func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		reply, err := ho.hosts.ListFunc(ctx, store.HostsRequest{DC: ho.set.DC})
 		if err != nil {
@@ -52,7 +52,7 @@
 		}
 		hosts := filter.Accept(reply.Hosts)
 		if len(hosts) > len(reply.Hosts) {
-			ho.log.Warn("host list lost most hosts at once", "listed", len(reply.Hosts), "kept", len(hosts))
+			ho.log.Warn("platform list lacks most hosts at once, keeping the missing ones", "listed", len(reply.Hosts), "kept", len(hosts))
 			ho.metrics.Add(telemetry.TableErrors, 1, "step", "doubtful-list")
 		}
 		workers := slices.DeleteFunc(slices.Clone(hosts), func(pl store.Host) bool {
@@ -60,25 +60,26 @@
 		})
 		ho.workerList.Store(&workers)
 		ho.registry.SetList(hosts)
-		ho.listed.Store(true)
+		ho.listLoaded.Store(true)
 	})
 }
 
-// pollConfig looks at the configuration's row.
+// pollConfig polls the configuration in the table.
 func (ho *Host) pollConfig(ctx context.Context) {
-	every(ctx, configEvery, func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, pollTime)
+	repeat(ctx, configInterval, func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		if err := ho.config.Poll(ctx); err != nil {
 			ho.metrics.Add(telemetry.TableErrors, 1, "step", "read-config")
 			return
 		}
-		ho.tableOK.Store(time.Now().UnixNano())
+		ho.tableAnswered.Store(time.Now().UnixNano())
 	})
 }
 
-// heard takes a peer's greeting: a later configuration is fetched from it.
-func (ho *Host) heard(he peer.Hello) {
+// onHello handles a peer's hello: if the peer has a newer configuration, this host
+// fetches it.
+func (ho *Host) onHello(he peer.Hello) {
 	doc, ok := ho.config.Current()
 	if he.ConfigVersion < 0 || (ok && he.ConfigVersion <= doc.Version) {
 		return
@@ -86,7 +87,7 @@
 	go ho.fetchConfig(he.Addr)
 }
 
-// applyConfig puts a version of the configuration in force.
+// applyConfig applies a version of the configuration on this host.
 func (ho *Host) applyConfig(doc config.Doc) {
 	ho.router.SetPolicy(route.Policy{QueueLimit: doc.Int(config.QueueLimit), BatchEvery: doc.Int(config.BatchEvery)})
 	ho.router.Budget.SetRatio(doc.Float(config.RetryRatio))
@@ -94,7 +95,7 @@
 	ho.log.Info("configuration in force", "version", doc.Version)
 }
 
-// rebuild gives the router the runners whose primary this host is.
+// rebuild passes the runners for which this host is the primary to the router.
 func (ho *Host) rebuild() {
 	byService := map[string][]upstream.Runner{}
 	for _, ru := range ho.registry.Runners() {
@@ -103,14 +104,13 @@
 	hosts := ho.primaries()
 	members := make(map[string][]route.Member, len(byService))
 	for service, runners := range byService {
-		members[service] = ho.own(runners, hosts)
+		members[service] = ho.primaryMembers(runners, hosts)
 	}
 	ho.router.SetMembers(members)
 }
 
-// primaries returns the ids of the data centre's entry hosts among which
-// runners are divided. A host that stops leaves its runners to the others, if
-// there are others.
+// primaries returns the ids of the data centre's entry hosts among which runners
+// are divided. A stopping host is not one of them, unless it is the only host.
 func (ho *Host) primaries() []string {
 	var hosts []string
 	for _, he := range ho.mesh.Live() {
@@ -124,7 +124,8 @@
 	return hosts
 }
 
-func (ho *Host) own(runners []upstream.Runner, hosts []string) []route.Member {
+// primaryMembers returns the usable runners for which this host is the primary.
+func (ho *Host) primaryMembers(runners []upstream.Runner, hosts []string) []route.Member {
 	var ids []string
 	for _, ru := range runners {
 		if ru.State != upstream.Leaving {
@@ -144,9 +145,9 @@
 	return members
 }
 
-// tellPeers keeps the router's view of runners and peers up to date.
-func (ho *Host) tellPeers(ctx context.Context) {
-	every(ctx, tellEvery, func(context.Context) {
+// updatePeers passes the runners, and the loads of live peers, to the router.
+func (ho *Host) updatePeers(ctx context.Context) {
+	repeat(ctx, peersInterval, func(context.Context) {
 		near, far := map[string]map[string]route.Load{}, map[string]map[string]route.Load{}
 		for _, he := range ho.mesh.Live() {
 			switch {
@@ -162,16 +163,16 @@
 	})
 }
 
-// keepLease is a member for as long as the host runs. After a takeover it is
-// a new member under a new id, since it cannot speak for its former self.
-func (ho *Host) keepLease(ctx context.Context) {
+// maintainMembership keeps this host a member while it runs. After a takeover
+// the host joins under a new id, as it may no longer act for the former member.
+func (ho *Host) maintainMembership(ctx context.Context) {
 	for n := 1; ctx.Err() == nil; n++ {
 		ke := ho.newKeeper(n)
-		// The same member tries again: an attempt that was not heard of may
-		// have entered it.
+		// Retries use the same member id, as an attempt without a reply may
+		// have succeeded.
 		for err := ke.Join(ctx); err != nil; err = ke.Join(ctx) {
-			ho.log.Warn("join", "err", err)
-			if !clock.Sleep(ctx, retryEvery) {
+			ho.log.Warn("cannot join as a member", "err", err)
+			if !clock.Sleep(ctx, joinRetryInterval) {
 				return
 			}
 		}
@@ -180,7 +181,7 @@
 		if errors.Is(err, lease.ErrTakenOver) && ho.stopping.Load() {
 			return
 		}
-		ho.log.Warn("lease ended", "err", err)
+		ho.log.Warn("membership ended", "err", err)
 	}
 }
 
@@ -198,7 +199,7 @@
 	}
 }
 
-// members returns the members of this host's data centre.
+// members returns the members of this host's data centre, or errNotMember.
 func (ho *Host) members(ctx context.Context) ([]lease.Member, error) {
 	ke := ho.keeper.Load()
 	if ke == nil {
@@ -207,7 +208,8 @@
 	return ke.Members(ctx)
 }
 
-// declareDead removes a member of this host's data centre.
+// declareDead removes a member of this host's data centre, unless it has renewed
+// its membership since beat.
 func (ho *Host) declareDead(ctx context.Context, id string, beat int64) error {
 	ke := ho.keeper.Load()
 	if ke == nil {
@@ -216,10 +218,10 @@
 	return ke.DeclareDead(ctx, id, beat)
 }
 
-// errNotMember is returned before the host has joined.
-var errNotMember = errors.New("this host is not a member yet")
+// errNotMember is returned before this host has joined.
+var errNotMember = errors.New("this host has not joined as a member yet")
 
-// memberID names the n-th membership of a process.
+// memberID returns the id of the n-th membership of a process, from 1.
 func memberID(id string, n int) string {
 	if n == 1 {
 		return id
@@ -227,6 +229,7 @@
 	return fmt.Sprintf("%s.%d", id, n)
 }
 
+// leaseEvent counts and logs an event of the lease keeper.
 func (ho *Host) leaseEvent(ev lease.Event) {
 	switch ev.Kind {
 	case "took-over":
@@ -237,9 +240,9 @@
 	ho.log.Info("lease", "event", ev.Kind, "peer", ev.Peer)
 }
 
-// runCell runs the data centre's cell while this host owns it.
+// runCell runs the data centre's cell whenever this host owns it.
 func (ho *Host) runCell(ctx context.Context) {
-	every(ctx, cellEvery, func(ctx context.Context) {
+	repeat(ctx, cellPollInterval, func(ctx context.Context) {
 		ke := ho.keeper.Load()
 		resource := lease.CellResource(ho.set.DC)
 		if ke == nil || !ke.Owns(resource) || ho.stopping.Load() {
@@ -250,16 +253,17 @@
 		err := ow.Run(ctx)
 		ho.owner.Store(nil)
 		if ctx.Err() == nil {
-			ho.log.Warn("cell ended", "cell", ho.set.DC, "err", err)
+			ho.log.Warn("no longer running the cell", "cell", ho.set.DC, "err", err)
 		}
 	})
 }
 
-const cellEvery = 200 * time.Millisecond
+// cellPollInterval is the time between checks whether this host owns the cell.
+const cellPollInterval = 200 * time.Millisecond
 
 func (ho *Host) newOwner(ke *lease.Keeper, resource string) *cell.Owner {
 	timing := cell.DefaultTiming
-	timing.Batch = ho.set.CellInterval
+	timing.BatchInterval = ho.set.CellInterval
 	return &cell.Owner{
 		Cell: ho.set.DC, Self: ke.ID, Epoch: ke.Since(resource).Epoch,
 		Owns:    func() bool { return ke.Owns(resource) && !ho.stopping.Load() },
--- a/internal/entry/silent_test.go
+++ b/internal/entry/stalledconn_test.go
@@ -16,30 +16,22 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// TestCallsAfterConnectionsWentSilent is the story of an entry host whose connections to
-// the table go silent together.
-//
-// What operators would see: a change of the configuration that one host follows many
-// seconds later than the others, if no peer tells it. Order of events: requests that came
-// at once have left eight connections; all go silent, and new ones work. The client keeps
-// idle connections without asking whether they answer, so that each costs one look its
-// whole time.
-//
-// Evidence: the second call below ran into its deadline like the first.
-//
-// The cause was a client of the standard library as it is. The host now has the one that
-// gives up what nothing uses once a call ran into its deadline.
-func TestCallsAfterConnectionsWentSilent(t *testing.T) {
+// TestTableReadAfterAllConnectionsStall guards against an entry host that applies a change
+// of the configuration many seconds late. Concurrent requests leave eight idle connections
+// to the table, and all of them stall while new ones work. A plain client of the standard
+// library tries one stalled connection per poll, each until the poll's timeout. The host's
+// client must time out once only.
+func TestTableReadAfterAllConnectionsStall(t *testing.T) {
 	const conns = 8
 	var table standin.Table
-	ha, hold := table.Handler(), make(chan struct{})
+	ha, release := table.Handler(), make(chan struct{})
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-hold
+		<-release
 		ha.ServeHTTP(w, r)
 	}))
 	t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
 	ln := linetest.NewLine(t, hs.Listener.Addr().String())
-	tbl := store.NewTable("http://"+ln.Addr(), newWeb(slog.New(slog.DiscardHandler)))
+	tbl := store.NewTable("http://"+ln.Addr(), newHTTPClient(slog.New(slog.DiscardHandler)))
 	read := func(timeout time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
@@ -51,9 +43,9 @@
 		wg.Go(func() { qt.Check(t, read(linetest.EndsWithin), qt.IsNil) })
 	}
 	time.Sleep(100 * time.Millisecond)
-	close(hold)
+	close(release)
 	wg.Wait()
 	qt.Assert(t, ln.Silence(), qt.Equals, conns)
 	qt.Assert(t, read(200*time.Millisecond), qt.IsNotNil)
-	qt.Assert(t, read(pollTime), qt.IsNil)
+	qt.Assert(t, read(pollTimeout), qt.IsNil)
 }
