--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -50,6 +50,6 @@
 	defer stop()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	go ho.Follow(ctx, rc.Settings, hup)
+	go ho.WatchSettings(ctx, rc.Settings, hup)
 	return ho.Run(ctx)
 }
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -49,10 +49,10 @@
 
 // CodeUnconfirmed is the reason given to callers for whose request there is no queue as
 // far as a host knows that is out of touch.
-const CodeUnconfirmed = "config-not-confirmed"
+const CodeConfigNotConfirmed = "config-not-confirmed"
 
-// Door takes jobs in. Set the fields, then use it from any goroutine.
-type Door struct {
+// FrontEnd takes jobs in. Set the fields, then use it from any goroutine.
+type FrontEnd struct {
 	// Cell names the cell.
 	Cell string
 	// Table is the store's.
@@ -81,10 +81,10 @@
 }
 
 // Config returns the configuration in force, or nil before the first.
-func (do *Door) Config() *queue.Config { return do.ConfigFunc() }
+func (do *FrontEnd) Config() *queue.Config { return do.ConfigFunc() }
 
-// Malformed notes a job that cannot be read.
-func (do *Door) Malformed(id string, err error) {
+// RecordMalformed notes a job that cannot be read.
+func (do *FrontEnd) RecordMalformed(id string, err error) {
 	do.Log.Info("job refused", "job", id, "reason", "malformed", "err", err)
 	do.Metrics.Add(telemetry.JobRequests, 1, "kind", "submit", "outcome", "malformed")
 }
@@ -92,17 +92,17 @@
 // textMost bounds what a line quotes of a request, in bytes.
 const textMost = 200
 
-// NoQueue notes a request that the configuration in force has no queue for, and reports
+// RecordNoQueue notes a request that the configuration in force has no queue for, and reports
 // whether that can be said: callers do not come back after it, so a host that is out of
 // touch with the store has them come back instead. One added since would be refused for
 // good, 5 s and more after the store last answered.
-func (do *Door) NoQueue(host, name string) bool {
+func (do *FrontEnd) RecordNoQueue(host, name string) bool {
 	age := watch.Age(do.confirmed())
 	certain := age < confirmedMost
 	do.Log.Info("no queue for a request", "host", cut(host), "path", cut(name), "config", do.ConfigVersion(), "confirmed_age", age, "certain", certain)
 	reason := "no-queue"
 	if !certain {
-		reason = CodeUnconfirmed
+		reason = CodeConfigNotConfirmed
 	}
 	do.Metrics.Add(telemetry.JobRequests, 1, "kind", "any", "outcome", "refused", "reason", reason)
 	return certain
@@ -110,7 +110,7 @@
 
 // confirmed returns when the call was sent by which the store last confirmed the
 // configuration, or zero.
-func (do *Door) confirmed() time.Time {
+func (do *FrontEnd) confirmed() time.Time {
 	if do.ContactFunc == nil {
 		return time.Time{}
 	}
@@ -121,20 +121,20 @@
 func cut(text string) string { return text[:min(len(text), textMost)] }
 
 // Check returns an error for a job that is not taken whatever happens.
-func (do *Door) Check(id string, qu queue.Queue, sp job.Spec) error {
+func (do *FrontEnd) Check(id string, qu queue.Queue, sp job.Spec) error {
 	err := sp.Check()
 	if qu.Advised {
 		err = errors.Join(err, fmt.Errorf("%w: queue %s wants advice", job.ErrUnsupported, qu.Name))
 	}
 	if err != nil {
-		do.Malformed(id, err)
+		do.RecordMalformed(id, err)
 	}
 	return err
 }
 
 // call asks the owner, on this host or another. The error is [errNotDelivered]
 // in the chain if the request certainly had no effect.
-func call[Req, Resp any](ctx context.Context, do *Door, path string, req Req, local func(context.Context, *sched.Owner) (Resp, error)) (Resp, error) {
+func call[Req, Resp any](ctx context.Context, do *FrontEnd, path string, req Req, local func(context.Context, *sched.Owner) (Resp, error)) (Resp, error) {
 	var zero Resp
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
@@ -172,7 +172,7 @@
 }
 
 // Submit takes a job in.
-func (do *Door) Submit(ctx context.Context, id string, te job.Terms, sp job.Spec) sched.Verdict {
+func (do *FrontEnd) Submit(ctx context.Context, id string, te job.Terms, sp job.Spec) sched.Verdict {
 	start := time.Now()
 	ve, err := call(ctx, do, pathSubmit, submission{ID: id, Terms: te, Spec: sp}, func(ctx context.Context, ow *sched.Owner) (sched.Verdict, error) {
 		return ow.Submit(ctx, id, te, sp)
@@ -196,7 +196,7 @@
 
 // inItsPlace reports whether a job that the owner refused, as the store does not
 // take its writes, can be written by this host: if the store answers it.
-func (do *Door) inItsPlace(ve sched.Verdict) bool {
+func (do *FrontEnd) inItsPlace(ve sched.Verdict) bool {
 	if ve.Outcome != sched.Refused || ve.Reason != sched.ReasonStoreUnavailable || do.Local() != nil {
 		return false
 	}
@@ -205,21 +205,21 @@
 
 // doubt keeps from trying the store in an owner's place for a while, if it did not
 // take a job: it may be away for all.
-func (do *Door) doubt(ve sched.Verdict) {
+func (do *FrontEnd) doubt(ve sched.Verdict) {
 	if ve.Outcome != sched.Accepted {
 		do.doubtUntil.Store(time.Now().Add(doubtFor).UnixNano())
 	}
 }
 
 // note logs and counts the answer to a request.
-func (do *Door) note(kind, id, qu, way string, ve sched.Verdict, start time.Time, err error) {
+func (do *FrontEnd) note(kind, id, qu, way string, ve sched.Verdict, start time.Time, err error) {
 	do.Log.Info("request answered", "kind", kind, "job", id, "queue", qu, "way", way, "outcome", ve.Outcome, "reason", ve.Reason,
 		"took", time.Since(start), "config", do.ConfigVersion(), "err", err)
 	do.Metrics.Add(telemetry.JobRequests, 1, "kind", kind, "outcome", string(ve.Outcome), "reason", string(ve.Reason))
 }
 
 // ConfigVersion returns the version in force, or 0 before the first.
-func (do *Door) ConfigVersion() int64 {
+func (do *FrontEnd) ConfigVersion() int64 {
 	if co := do.Config(); co != nil {
 		return co.Version
 	}
@@ -228,7 +228,7 @@
 
 // intake writes a row for the next owner. Clean is set if nothing tried before
 // can take effect.
-func (do *Door) intake(ctx context.Context, key, id string, row sched.IntakeRow, clean bool) sched.Verdict {
+func (do *FrontEnd) intake(ctx context.Context, key, id string, row sched.IntakeRow, clean bool) sched.Verdict {
 	value, err := json.Marshal(row)
 	if err != nil {
 		do.Log.Error("row cannot be encoded", "job", id, "err", err)
@@ -254,14 +254,16 @@
 }
 
 // giveUp is the answer when nothing worked.
-func (do *Door) giveUp(clean bool) sched.Verdict {
+func (do *FrontEnd) giveUp(clean bool) sched.Verdict {
 	if clean {
 		return sched.Verdict{Outcome: sched.Refused, Reason: sched.ReasonUnreachable, RetryAfter: retryAfter}
 	}
 	return sched.Verdict{Outcome: sched.Unknown, Reason: sched.ReasonUnreachable, RetryAfter: retryAfter}
 }
 
-func (do *Door) progressKey(id string) string { return sched.ProgressTable + "/" + do.Cell + "/" + id }
+func (do *FrontEnd) progressKey(id string) string {
+	return sched.ProgressTable + "/" + do.Cell + "/" + id
+}
 
 // reference names a job on its way to the owner.
 type reference struct {
@@ -269,7 +271,7 @@
 }
 
 // Cancel ends a job for its caller.
-func (do *Door) Cancel(ctx context.Context, id string) sched.Verdict {
+func (do *FrontEnd) Cancel(ctx context.Context, id string) sched.Verdict {
 	start := time.Now()
 	way := "owner"
 	ve, err := call(ctx, do, pathCancel, reference{ID: id}, func(ctx context.Context, ow *sched.Owner) (sched.Verdict, error) {
@@ -302,7 +304,7 @@
 }
 
 // State returns a job's state; known is false if there is no such job.
-func (do *Door) State(ctx context.Context, id string) (state job.State, known bool, err error) {
+func (do *FrontEnd) State(ctx context.Context, id string) (state job.State, known bool, err error) {
 	re, err := call(ctx, do, pathState, reference{ID: id}, func(ctx context.Context, ow *sched.Owner) (stateReply, error) {
 		state, ok, err := ow.State(ctx, id)
 		return stateReply{State: state, Known: ok}, err
@@ -321,7 +323,7 @@
 }
 
 // stored returns a job's state as the store has it.
-func (do *Door) stored(ctx context.Context, id string) (job.State, bool, error) {
+func (do *FrontEnd) stored(ctx context.Context, id string) (job.State, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	// The intake first: an owner that takes the job over moves it on.
@@ -344,7 +346,7 @@
 }
 
 // List returns the jobs that the cell's owner remembers.
-func (do *Door) List(ctx context.Context) ([]sched.Summary, error) {
+func (do *FrontEnd) List(ctx context.Context) ([]sched.Summary, error) {
 	re, err := call(ctx, do, pathList, struct{}{}, func(ctx context.Context, ow *sched.Owner) (listReply, error) {
 		jobs, err := ow.List(ctx)
 		return listReply{Jobs: jobs}, err
@@ -367,7 +369,7 @@
 }
 
 // Pending counts the jobs of a queue none of whose tasks has begun.
-func (do *Door) Pending(ctx context.Context, qu string) (int, error) {
+func (do *FrontEnd) Pending(ctx context.Context, qu string) (int, error) {
 	re, err := call(ctx, do, pathPending, pendingRequest{Queue: qu}, func(ctx context.Context, ow *sched.Owner) (pendingReply, error) {
 		n, err := ow.Pending(ctx, qu)
 		return pendingReply{Pending: n}, err
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -29,7 +29,7 @@
 type hall struct {
 	t     *testing.T
 	table standin.Table
-	door  *Door
+	door  *FrontEnd
 	owner atomic.Pointer[sched.Owner]
 }
 
@@ -37,7 +37,7 @@
 	t.Helper()
 	ha := &hall{t: t}
 	log := slog.New(slog.DiscardHandler)
-	ha.door = &Door{
+	ha.door = &FrontEnd{
 		Cell: "c0", Table: ha.table.Client(), Keeper: &tenure.Keeper{Cell: "c0", Self: "e1", Process: "e1-1", Log: log},
 		Peers: http.DefaultClient,
 		Local: ha.owner.Load, ConfigFunc: func() *queue.Config { return nil }, Log: log,
--- a/internal/door/narrow_test.go
+++ b/internal/door/narrow_test.go
@@ -81,7 +81,7 @@
 	// out and in are its link.
 	out, in *pipe
 	// door is that of its process now.
-	door  atomic.Pointer[Door]
+	door  atomic.Pointer[FrontEnd]
 	owner atomic.Pointer[sched.Owner]
 	end   context.CancelFunc
 	lives int
@@ -210,11 +210,11 @@
 	ke := &tenure.Keeper{
 		Cell: "c0", Self: st.name, Process: fmt.Sprint(st.name, "-", st.lives), Addr: st.name, Table: st.table(), Serve: st.serve, Log: st.to.log,
 	}
-	do := &Door{
+	do := &FrontEnd{
 		Cell: "c0", Table: st.table(), Keeper: ke, Peers: &http.Client{Transport: st}, Local: st.owner.Load,
 		ConfigFunc: func() *queue.Config { return nil }, Log: st.to.log,
 	}
-	ke.AskFunc = do.Ask
+	ke.AskFunc = do.ProbeHost
 	st.door.Store(do)
 	go ke.Run(ctx)
 }
--- a/internal/door/peer.go
+++ b/internal/door/peer.go
@@ -31,7 +31,7 @@
 )
 
 // Handler serves other entry hosts.
-func (do *Door) Handler() http.Handler {
+func (do *FrontEnd) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+pathSubmit, handle(do, func(ctx context.Context, ow *sched.Owner, req submission) (sched.Verdict, error) {
 		return ow.Submit(ctx, req.ID, req.Terms, req.Spec)
@@ -92,22 +92,22 @@
 // ceilMS returns a time in milliseconds, rounded up.
 func ceilMS(d time.Duration) int64 { return (d + time.Millisecond - 1).Milliseconds() }
 
-// Ask tells the entry host at addr of a new owner and returns what it says of
+// ProbeHost tells the entry host at addr of a new owner and returns what it says of
 // itself.
-func (do *Door) Ask(ctx context.Context, addr string, epoch int64) (tenure.HostStatus, error) {
+func (do *FrontEnd) ProbeHost(ctx context.Context, addr string, epoch int64) (tenure.HostStatus, error) {
 	re, err := wire.Post[replacement, processReply](ctx, do.Peers, "http://"+addr+pathProcess, replacement{Epoch: epoch})
 	since, left := time.Duration(max(re.SinceLeaseMS, 0))*time.Millisecond, time.Duration(max(re.LeasesLeftMS, 0))*time.Millisecond
 	return tenure.HostStatus{Host: re.Host, Process: re.Process, Refused: re.Refused, SinceLease: since, LeasesLeft: left}, err
 }
 
-// Vouch asks a process on the entry host at addr whether it confirms the owner of an epoch.
-func (do *Door) Vouch(ctx context.Context, addr string, epoch int64, process string) (bool, error) {
+// ConfirmOwner asks a process on the entry host at addr whether it confirms the owner of an epoch.
+func (do *FrontEnd) ConfirmOwner(ctx context.Context, addr string, epoch int64, process string) (bool, error) {
 	re, err := wire.Post[confirmation, confirmationReply](ctx, do.Peers, "http://"+addr+pathVouch, confirmation{Epoch: epoch, Process: process})
 	return re.Confirmed, err
 }
 
 // handle serves one kind of request on the cell's owner.
-func handle[Req, Resp any](do *Door, fn func(context.Context, *sched.Owner, Req) (Resp, error)) http.Handler {
+func handle[Req, Resp any](do *FrontEnd, fn func(context.Context, *sched.Owner, Req) (Resp, error)) http.Handler {
 	return wire.Handle(func(ctx context.Context, req Req) (Resp, error) {
 		var zero Resp
 		ow := do.Local()
--- a/internal/door/stall_test.go
+++ b/internal/door/stall_test.go
@@ -33,9 +33,9 @@
 func TestHostThatStandsStillWhenAsked(t *testing.T) {
 	_, addr := owned(t)
 	linetest.Check(t, addr, func(addr string) linetest.Call {
-		do := &Door{Peers: transport.NewClient(2, nil)}
+		do := &FrontEnd{Peers: transport.NewClient(2, nil)}
 		return func(ctx context.Context) error {
-			_, err := do.Ask(ctx, addr, 0)
+			_, err := do.ProbeHost(ctx, addr, 0)
 			return err
 		}
 	})
@@ -87,7 +87,7 @@
 	qt.Assert(t, err, qt.IsNil)
 	ke := ha.door.Keeper
 	ke.Table = ha.table.Client()
-	ke.AskFunc = ha.door.Ask
+	ke.AskFunc = ha.door.ProbeHost
 	ke.Serve = func(ctx context.Context, _ tenure.Tenure) (map[string]int64, error) {
 		<-ctx.Done()
 		return nil, nil
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -55,7 +55,7 @@
 
 // Handler serves the interface. The owner of the cell is asked for the list,
 // which another host cannot give.
-func Handler(do *door.Door) http.Handler {
+func Handler(do *door.FrontEnd) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+pathSubmit, wire.Handle(func(ctx context.Context, su Submission) (sched.Verdict, error) {
 		return submit(ctx, do, su)
@@ -74,7 +74,7 @@
 	return mux
 }
 
-func submit(ctx context.Context, do *door.Door, su Submission) (sched.Verdict, error) {
+func submit(ctx context.Context, do *door.FrontEnd, su Submission) (sched.Verdict, error) {
 	co := do.Config()
 	if co == nil {
 		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: "not-ready", Message: "no configuration yet", RetryAfter: time.Second}
@@ -84,8 +84,8 @@
 	}
 	qu, ok := co.Queue(su.Queue)
 	switch {
-	case !ok && !do.NoQueue("", su.Queue):
-		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: door.CodeUnconfirmed, Message: "no queue " + su.Queue + " as far as is known", RetryAfter: time.Second}
+	case !ok && !do.RecordNoQueue("", su.Queue):
+		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: door.CodeConfigNotConfirmed, Message: "no queue " + su.Queue + " as far as is known", RetryAfter: time.Second}
 	case !ok:
 		return sched.Verdict{}, &wire.Error{Status: http.StatusNotFound, Code: "no-queue", Message: "no queue " + su.Queue}
 	}
--- a/internal/jobhost/cell.go
+++ b/internal/jobhost/cell.go
@@ -18,14 +18,14 @@
 // member is this host as the list of entry hosts has it.
 func (ho *Host) member() registry.Member {
 	se := ho.se.Load()
-	return registry.Member{Name: se.Name, Process: ho.keeper.Process, Addr: se.PeerAddr(), DataCentre: se.DataCentre, Cores: se.Processor()}
+	return registry.Member{Name: se.Name, Process: ho.keeper.Process, Addr: se.PeerAddr(), DataCentre: se.DataCentre, Cores: se.EffectiveCores()}
 }
 
 // serveCell runs the cell during a tenure.
 func (ho *Host) serveCell(ctx context.Context, te tenure.Tenure) (map[string]int64, error) {
 	se := ho.se.Load()
 	po := &relay.Pool{
-		Self: se.Name, Cores: se.Processor(), Epoch: te.Epoch, HTTP: ho.streams, Direct: platform.NewAgent(ho.workers),
+		Self: se.Name, Cores: se.EffectiveCores(), Epoch: te.Epoch, HTTP: ho.streams, Direct: platform.NewAgent(ho.workers),
 		Former: te.Former.Owner, FormerProcess: te.Former.Process, Metrics: ho.metrics, Log: ho.log,
 	}
 	workers := &watch.Watch{Table: ho.table, Name: platform.WorkerTable, Under: platform.WorkerPrefix, Log: ho.log}
--- a/internal/jobhost/host.go
+++ b/internal/jobhost/host.go
@@ -69,7 +69,7 @@
 	table   store.Table
 	workers *http.Client
 	keeper  *tenure.Keeper
-	door    *door.Door
+	door    *door.FrontEnd
 
 	relay   *relay.Server
 	streams *http.Client
@@ -94,14 +94,14 @@
 	})
 	ho.follow = ho.followConfig()
 	ho.keeper = &tenure.Keeper{
-		Cell: cellName, Self: se.Name, Process: se.Name + "-" + uuid.NewString()[:8], Addr: se.PeerAddr(), Cores: se.Processor(),
+		Cell: cellName, Self: se.Name, Process: se.Name + "-" + uuid.NewString()[:8], Addr: se.PeerAddr(), Cores: se.EffectiveCores(),
 		Table: ho.table, Serve: ho.serveCell, BootFunc: clock.Boot, Log: log,
 	}
-	ho.door = &door.Door{
+	ho.door = &door.FrontEnd{
 		Cell: cellName, Table: ho.table, Keeper: ho.keeper, Peers: transport.NewClient(peerConns, log),
 		Local: ho.owner.Load, ConfigFunc: ho.config.Load, ContactFunc: ho.follow.Contact, Metrics: me, Log: log,
 	}
-	ho.keeper.AskFunc, ho.keeper.ConfirmFunc = ho.door.Ask, ho.door.Vouch
+	ho.keeper.AskFunc, ho.keeper.ConfirmFunc = ho.door.ProbeHost, ho.door.ConfirmOwner
 	ho.relay = &relay.Server{Agent: platform.NewAgent(ho.workers), Log: log}
 	ho.streams = transport.NewClient(1, log)
 	return ho, nil
@@ -125,7 +125,7 @@
 
 // callers serves callers.
 func (ho *Host) callers() http.Handler {
-	return port.Timed(platform.Front{Door: ho.door}, bodyWait, answerWait)
+	return port.Timed(platform.CallerHandler{FrontEnd: ho.door}, bodyWait, answerWait)
 }
 
 // peers serves other entry hosts, and the product's own interface.
--- a/internal/jobhost/reload.go
+++ b/internal/jobhost/reload.go
@@ -11,9 +11,9 @@
 // without a signal.
 const rereadEvery = time.Second
 
-// Follow reads the settings file again at each signal, and when it has
+// WatchSettings reads the settings file again at each signal, and when it has
 // changed, until ctx ends. What cannot be used is logged and left.
-func (ho *Host) Follow(ctx context.Context, path string, signals <-chan os.Signal) {
+func (ho *Host) WatchSettings(ctx context.Context, path string, signals <-chan os.Signal) {
 	ti := time.NewTicker(rereadEvery)
 	defer ti.Stop()
 	last, err := os.ReadFile(path)
--- a/internal/jobhost/reload_test.go
+++ b/internal/jobhost/reload_test.go
@@ -34,7 +34,7 @@
 		qt.Assert(t, err, qt.IsNil)
 		ctx, end := context.WithCancel(context.Background())
 		signals := make(chan os.Signal)
-		go ho.Follow(ctx, path, signals)
+		go ho.WatchSettings(ctx, path, signals)
 		synctest.Wait()
 
 		se.StoreAddr = "127.0.0.1:10"
--- a/internal/jobhost/settings.go
+++ b/internal/jobhost/settings.go
@@ -83,8 +83,8 @@
 	return errors.Join(errs...)
 }
 
-// Processor is what the process may use, in usual cores; 0 is not known.
-func (se Settings) Processor() float64 {
+// EffectiveCores is what the process may use, in usual cores; 0 is not known.
+func (se Settings) EffectiveCores() float64 {
 	if se.Speed == 0 {
 		return se.Cores
 	}
