--- a/internal/door/history_test.go
+++ b/internal/door/history_test.go
@@ -19,44 +19,46 @@
 	"github.com/pepperhatch/pepperhatch/internal/watch"
 )
 
-// phase is what is known of one job's id: it is nowhere, accepted, cancelled, or
-// cancelled and once shown as such, after which it is never shown as live.
-type phase int
+// jobPhase is the phase of one job: it doesn't exist, is active, was cancelled, or was
+// cancelled and reported as such, after which it must not be reported as active again.
+type jobPhase int
 
 const (
-	nowhere phase = iota
-	live
+	absent jobPhase = iota
+	active
 	cancelled
-	shownCancelled
+	reportedCancelled
 )
 
-// question is what a caller wants of the id, answer what it was told.
-type question string
+// request is the kind of a caller's request.
+type request string
 
 const (
-	wantSubmit question = "submit"
-	wantCancel question = "cancel"
-	wantState  question = "state"
+	submitRequest request = "submit"
+	cancelRequest request = "cancel"
+	stateRequest  request = "state"
 )
 
+// answer is the answer to a request; outcome is set for changes, state and known for
+// requests of the state.
 type answer struct {
 	outcome sched.Outcome
 	state   job.State
 	known   bool
 }
 
-// jobModel says what callers of one id may be told.
+// jobModel is the sequential specification of requests about one job.
 var jobModel = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{nowhere} },
+	Init: func() []any { return []any{absent} },
 	Step: func(state, input, output any) []any {
-		ph, _ := state.(phase)
-		in, _ := input.(question)
+		ph, _ := state.(jobPhase)
+		in, _ := input.(request)
 		out, _ := output.(answer)
 		switch in {
-		case wantSubmit:
-			return afterChange(out.outcome, ph, max(ph, live), true)
-		case wantCancel:
-			if ph == nowhere {
+		case submitRequest:
+			return afterChange(out.outcome, ph, max(ph, active), true)
+		case cancelRequest:
+			if ph == absent {
 				return afterChange(out.outcome, ph, ph, false)
 			}
 			return afterChange(out.outcome, ph, max(ph, cancelled), true)
@@ -66,9 +68,10 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// afterChange returns what may hold after a request to change something, which
-// leads to another phase if it takes effect; applies is false if there is no job.
-func afterChange(out sched.Outcome, before, after phase, applies bool) []any {
+// afterChange returns the possible phases after a request that changes the phase from
+// before to after if it takes effect; applies is false if there is no job to change. It
+// returns none if the outcome contradicts the phase.
+func afterChange(out sched.Outcome, before, after jobPhase, applies bool) []any {
 	switch {
 	case out == sched.Accepted && applies:
 		return []any{after}
@@ -80,62 +83,65 @@
 	return nil
 }
 
-func afterState(out answer, ph phase) []any {
+// afterState returns the possible phases after the state was read, or none if the answer
+// contradicts the phase.
+func afterState(out answer, ph jobPhase) []any {
 	switch {
-	case !out.known && ph == nowhere:
+	case !out.known && ph == absent:
 		return []any{ph}
 	case out.known && out.state == job.Cancelled && ph >= cancelled:
-		return []any{shownCancelled}
-	case out.known && out.state != job.Cancelled && (ph == live || ph == cancelled):
+		return []any{reportedCancelled}
+	case out.known && out.state != job.Cancelled && (ph == active || ph == cancelled):
 		return []any{ph}
 	}
 	return nil
 }
 
-// TestCallersOfOneJobAreToldOneStory has callers hand a job in, cancel it and ask
-// for it at the same time, while owners come and go and the store is slow, away or
-// loses answers.
-func TestCallersOfOneJobAreToldOneStory(t *testing.T) {
+// TestConcurrentCallersSeeConsistentStates checks that concurrent submissions, cancellations
+// and reads of one job are linearizable while owners change and the store is slow,
+// unavailable or loses answers.
+func TestConcurrentCallersSeeConsistentStates(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 150}, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.SampledFrom([]standin.Fault{
 			{}, {}, {Mode: standin.ModeLost, Count: 1}, {Mode: standin.ModeDown, Count: 2},
 			{Mode: standin.ModeSlow, DelayMS: 200}, {Mode: standin.ModeLost, Count: 3},
 		}), 10, 20).Draw(rt, "faults")
 		owned := rapid.SliceOfN(rapid.Bool(), 10, 10).Draw(rt, "owned")
-		asked := rapid.SliceOfN(rapid.SampledFrom([]question{wantSubmit, wantCancel, wantState, wantState}), 18, 18).Draw(rt, "asked")
+		asked := rapid.SliceOfN(rapid.SampledFrom([]request{submitRequest, cancelRequest, stateRequest, stateRequest}), 18, 18).Draw(rt, "asked")
 		pauses := rapid.SliceOfN(rapid.IntRange(0, 600), 18, 18).Draw(rt, "pauses")
 		var history []porcupine.Operation
-		proptest.InBubble(t, func() { history = tell(t, faults, owned, asked, pauses) })
+		proptest.InBubble(t, func() { history = runCallers(t, faults, owned, asked, pauses) })
 		if !porcupine.CheckOperations(jobModel.ToModel(), history) {
-			rt.Fatalf("no order of one after the other explains: %+v", history)
+			rt.Fatalf("history is not linearizable: %+v", history)
 		}
 	})
 }
 
-// tell plays three callers and returns what they were told.
-func tell(t *testing.T, faults []standin.Fault, owned []bool, asked []question, pauses []int) []porcupine.Operation {
+// runCallers runs three concurrent callers and returns their requests and answers. Each
+// fault of the store lasts 250 ms.
+func runCallers(t *testing.T, faults []standin.Fault, owned []bool, asked []request, pauses []int) []porcupine.Operation {
 	t.Helper()
 	const callers = 3
-	ha := newHall(t)
-	begun := time.Now()
+	th := newTestHost(t)
+	started := time.Now()
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for _, fault := range faults {
-			ha.table.Gate.Set(fault)
+			th.table.Gate.Set(fault)
 			time.Sleep(250 * time.Millisecond)
 		}
-		ha.table.Gate.Set(standin.Fault{})
+		th.table.Gate.Set(standin.Fault{})
 	})
-	wg.Go(func() { ha.ownInTurn(owned) })
+	wg.Go(func() { th.alternateOwnership(owned) })
 	for caller := range callers {
 		wg.Go(func() {
 			for i := caller; i < len(asked); i += callers {
 				time.Sleep(time.Duration(pauses[i]) * time.Millisecond)
-				op, told := ha.askOne(asked[i], begun)
+				op, ok := th.sendRequest(asked[i], started)
 				op.ClientId = caller
-				if !told {
+				if !ok {
 					continue
 				}
 				mu.Lock()
@@ -148,53 +154,53 @@
 	return history
 }
 
-// askOne makes one request; told is false if the answer says nothing.
-func (ha *hall) askOne(qu question, begun time.Time) (op porcupine.Operation, told bool) {
+// sendRequest sends one request; ok is false if it failed without an answer.
+func (th *testHost) sendRequest(kind request, started time.Time) (op porcupine.Operation, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	op = porcupine.Operation{Input: qu, Call: time.Since(begun).Nanoseconds()}
+	op = porcupine.Operation{Input: kind, Call: time.Since(started).Nanoseconds()}
 	var an answer
-	switch qu {
-	case wantSubmit:
-		an.outcome = ha.door.Submit(ctx, testID, job.Terms{Queue: "q", MaxFailures: 1}, testSpec).Outcome
-	case wantCancel:
-		an.outcome = ha.door.Cancel(ctx, testID).Outcome
+	switch kind {
+	case submitRequest:
+		an.outcome = th.frontEnd.Submit(ctx, testID, job.Terms{Queue: "q", MaxFailures: 1}, testSpec).Outcome
+	case cancelRequest:
+		an.outcome = th.frontEnd.Cancel(ctx, testID).Outcome
 	default:
 		var err error
-		if an.state, an.known, err = ha.door.State(ctx, testID); err != nil {
+		if an.state, an.known, err = th.frontEnd.State(ctx, testID); err != nil {
 			return op, false
 		}
 	}
-	op.Output, op.Return = an, time.Since(begun).Nanoseconds()
+	op.Output, op.Return = an, time.Since(started).Nanoseconds()
 	if an.outcome == sched.Unknown {
-		// It may take effect at any time.
+		// The request may take effect at any later time.
 		op.Return = math.MaxInt64
 	}
 	return op, true
 }
 
-// ownInTurn has the host own the cell, or not, for half a second each.
-func (ha *hall) ownInTurn(owned []bool) {
+// alternateOwnership runs an owner on the host, or none, for half a second each.
+func (th *testHost) alternateOwnership(owned []bool) {
 	for _, own := range owned {
 		ctx, end := context.WithTimeout(context.Background(), 500*time.Millisecond)
 		if own {
-			ha.ownUntil(ctx)
+			th.runOwnerUntil(ctx)
 		}
 		<-ctx.Done()
 		end()
 	}
 }
 
-// ownUntil runs an owner that also takes over what entry hosts wrote.
-func (ha *hall) ownUntil(ctx context.Context) {
+// runOwnerUntil runs an owner that also imports intake rows, until ctx ends.
+func (th *testHost) runOwnerUntil(ctx context.Context) {
 	te := tenure.Tenure{Epoch: 1, Key: "cells/c0/owner", Confirmed: time.Now, HeartbeatWritten: time.Now, FormerEnded: time.Now, End: func(error) {}}
-	ow := sched.New(&sched.Owner{Cell: "c0", Tenure: te, Table: ha.table.Client(), Log: ha.door.Log, Limits: sched.Limits{MaxLease: time.Second, KeepEnded: time.Minute}})
-	intake := watch.Watch{Table: ha.table.Client(), Name: sched.IntakeTable, Under: sched.IntakePrefix("c0"), Log: ha.door.Log,
+	ow := sched.New(&sched.Owner{Cell: "c0", Tenure: te, Table: th.table.Client(), Log: th.frontEnd.Log, Limits: sched.Limits{MaxLease: time.Second, KeepEnded: time.Minute}})
+	intake := watch.Watch{Table: th.table.Client(), Name: sched.IntakeTable, Under: sched.IntakePrefix("c0"), Log: th.frontEnd.Log,
 		OnRows: func(rows []store.FeedRow, _ bool) { ow.Import(rows) }}
 	loaded := func() {
-		ha.owner.Store(ow)
+		th.owner.Store(ow)
 		go intake.Run(ctx)
 	}
 	_ = ow.Run(ctx, loaded)
-	ha.owner.Store(nil)
+	th.owner.Store(nil)
 }
--- /dev/null
+++ b/internal/door/reported_states.go
@@ -0,0 +1,33 @@
+package door
+
+import (
+	"sync"
+
+	"github.com/pepperhatch/pepperhatch/internal/job"
+)
+
+// maxReportedStates bounds the jobs whose last reported state is kept.
+const maxReportedStates = 4096
+
+// reportedStates holds the state that was last reported of each job. Callers poll each
+// job four times a second, so only a changed state is logged above debug level. The zero
+// value is ready for use.
+type reportedStates struct {
+	mu     sync.Mutex
+	states map[string]job.State
+}
+
+// changed records the state reported of a job, and reports whether it differs from the
+// last one.
+func (ts *reportedStates) changed(id string, state job.State) bool {
+	ts.mu.Lock()
+	defer ts.mu.Unlock()
+	if known, ok := ts.states[id]; ok && known == state {
+		return false
+	}
+	if ts.states == nil || len(ts.states) >= maxReportedStates {
+		ts.states = map[string]job.State{}
+	}
+	ts.states[id] = state
+	return true
+}
--- a/internal/door/stall_test.go
+++ b/internal/door/stall_test.go
@@ -20,41 +20,43 @@
 
 var errNotAccepted = errors.New("not accepted")
 
-// owned returns a host that owns its cell, and the address of its peers' port.
-func owned(t *testing.T) (ha *hall, addr string) {
+// newOwnerHost returns a host that owns its cell, and the address at which it serves other
+// entry hosts.
+func newOwnerHost(t *testing.T) (th *testHost, addr string) {
 	t.Helper()
-	ha = newHall(t)
-	t.Cleanup(ha.own())
-	hs := httptest.NewServer(ha.door.Handler())
+	th = newTestHost(t)
+	t.Cleanup(th.runOwner())
+	hs := httptest.NewServer(th.frontEnd.Handler())
 	t.Cleanup(hs.Close)
-	return ha, hs.Listener.Addr().String()
+	return th, hs.Listener.Addr().String()
 }
 
-func TestHostThatStandsStillWhenAsked(t *testing.T) {
-	_, addr := owned(t)
+func TestProbedHostStalls(t *testing.T) {
+	_, addr := newOwnerHost(t)
 	linetest.Check(t, addr, func(addr string) linetest.Call {
-		do := &FrontEnd{Peers: transport.NewClient(2, nil)}
+		fe := &FrontEnd{Peers: transport.NewClient(2, nil)}
 		return func(ctx context.Context) error {
-			_, err := do.ProbeHost(ctx, addr, 0)
+			_, err := fe.ProbeHost(ctx, addr, 0)
 			return err
 		}
 	})
 }
 
-// TestOwnerThatStandsStill has the owner stall for a host beside it: a job is taken
-// in its place, or by it once it goes on.
-func TestOwnerThatStandsStill(t *testing.T) {
+// TestOwnerStalls checks that another host accepts jobs while the owner is stalled, by
+// writing them to the intake table, and reads their state from there. Once the owner
+// resumes, jobs must reach it again.
+func TestOwnerStalls(t *testing.T) {
 	for _, st := range standin.Stalls {
 		t.Run(string(st), func(t *testing.T) {
 			t.Parallel()
-			owner, addr := owned(t)
+			owner, addr := newOwnerHost(t)
 			ln := linetest.NewLine(t, addr)
-			beside := newHall(t)
-			beside.door.Peers = transport.NewClient(2, nil)
-			know(t, beside, ln.Addr())
+			other := newTestHost(t)
+			other.frontEnd.Peers = transport.NewClient(2, nil)
+			learnOwner(t, other, ln.Addr())
 			submit := func(n int) error {
 				id := fmt.Sprintf("%016x", n)
-				ve := beside.door.Submit(context.Background(), id, job.Terms{Queue: "q", MaxFailures: 1}, testSpec)
+				ve := other.frontEnd.Submit(context.Background(), id, job.Terms{Queue: "q", MaxFailures: 1}, testSpec)
 				if ve.Outcome != sched.Accepted {
 					return fmt.Errorf("%s: %w", ve.Reason, errNotAccepted)
 				}
@@ -62,9 +64,9 @@
 			}
 			qt.Assert(t, submit(1), qt.IsNil)
 			qt.Assert(t, ln.Stall(st), qt.IsNil)
-			linetest.Ends(t, "submission", func() { qt.Check(t, submit(2), qt.IsNil) })
-			linetest.Ends(t, "question", func() {
-				state, known, err := beside.door.State(context.Background(), fmt.Sprintf("%016x", 2))
+			linetest.Ends(t, "submission during the stall", func() { qt.Check(t, submit(2), qt.IsNil) })
+			linetest.Ends(t, "state during the stall", func() {
+				state, known, err := other.frontEnd.State(context.Background(), fmt.Sprintf("%016x", 2))
 				qt.Check(t, err, qt.IsNil)
 				qt.Check(t, known, qt.IsTrue)
 				qt.Check(t, state, qt.Equals, job.Queued)
@@ -78,16 +80,16 @@
 	}
 }
 
-// know has a host know the cell's owner by the store.
-func know(t *testing.T, ha *hall, addr string) {
+// learnOwner has a host learn from the store that the owner of the cell is at addr.
+func learnOwner(t *testing.T, th *testHost, addr string) {
 	t.Helper()
 	txn, err := store.NewTxn().WithPut("cells/c0/owner", 0, tenure.OwnerRow{Owner: "e2", Process: "e2-1", Addr: addr, Epoch: 1})
 	qt.Assert(t, err, qt.IsNil)
-	_, err = ha.table.Client().Commit(context.Background(), txn)
+	_, err = th.table.Client().Commit(context.Background(), txn)
 	qt.Assert(t, err, qt.IsNil)
-	ke := ha.door.Keeper
-	ke.Table = ha.table.Client()
-	ke.AskFunc = ha.door.ProbeHost
+	ke := th.frontEnd.Keeper
+	ke.Table = th.table.Client()
+	ke.AskFunc = th.frontEnd.ProbeHost
 	ke.Serve = func(ctx context.Context, _ tenure.Tenure) (map[string]int64, error) {
 		<-ctx.Done()
 		return nil, nil
