--- a/internal/jobhost/cell.go
+++ b/internal/jobhost/cell.go
@@ -15,17 +15,18 @@
 	"github.com/pepperhatch/pepperhatch/platform"
 )
 
-// member is this host as the list of entry hosts has it.
+// member returns this host's entry in the list of entry hosts.
 func (ho *Host) member() registry.Member {
-	se := ho.se.Load()
+	se := ho.settings.Load()
 	return registry.Member{Name: se.Name, Process: ho.keeper.Process, Addr: se.PeerAddr(), DataCentre: se.DataCentre, Cores: se.EffectiveCores()}
 }
 
-// serveCell runs the cell during a tenure.
+// serveCell runs the owner of the cell and its relays during a tenure. It returns the
+// owner's handover data; see [sched.Owner.Handover].
 func (ho *Host) serveCell(ctx context.Context, te tenure.Tenure) (map[string]int64, error) {
-	se := ho.se.Load()
+	se := ho.settings.Load()
 	po := &relay.Pool{
-		Self: se.Name, Cores: se.EffectiveCores(), Epoch: te.Epoch, HTTP: ho.streams, Direct: platform.NewAgent(ho.workers),
+		Self: se.Name, Cores: se.EffectiveCores(), Epoch: te.Epoch, HTTP: ho.relayClient, Direct: platform.NewAgent(ho.workerClient),
 		Former: te.Former.Owner, FormerProcess: te.Former.Process, Metrics: ho.metrics, Log: ho.log,
 	}
 	workers := &watch.Watch{Table: ho.table, Name: platform.WorkerTable, Under: platform.WorkerPrefix, Log: ho.log}
@@ -54,8 +55,8 @@
 	return ow.Handover(), err
 }
 
-// watchCell hands the owner's relays and its tenure the list of entry hosts, and the owner
-// what other hosts took in.
+// watchCell passes the list of entry hosts to the relay pool and the tenure, and the intake
+// rows that other hosts wrote to the owner, until ctx ends.
 func (ho *Host) watchCell(ctx context.Context, ow *sched.Owner, po *relay.Pool, setHosts membersFunc) {
 	hosts := watch.Watch{Table: ho.table, Name: registry.Table, Under: registry.Prefix, Log: ho.log,
 		OnRows: func(rows []store.FeedRow, whole bool) { ho.onMembers(rows, whole, po.SetMembers, setHosts) }}
@@ -65,15 +66,17 @@
 	go intake.Run(ctx)
 }
 
-// membersFunc takes in rows of the list of entry hosts.
-type membersFunc func(listed []registry.Member, gone []string, whole bool)
+// membersFunc handles changes of the list of entry hosts: entries that were added or
+// changed, and names that were removed. If whole is set, listed is the complete list.
+type membersFunc func(listed []registry.Member, removed []string, whole bool)
 
-func (ho *Host) onMembers(rows []store.FeedRow, whole bool, takers ...membersFunc) {
+// onMembers decodes rows of the list of entry hosts and passes them to the handlers.
+func (ho *Host) onMembers(rows []store.FeedRow, whole bool, handlers ...membersFunc) {
 	var listed []registry.Member
-	var gone []string
+	var removed []string
 	for _, row := range rows {
 		if row.Gone {
-			gone = append(gone, strings.TrimPrefix(row.Key, registry.Prefix))
+			removed = append(removed, strings.TrimPrefix(row.Key, registry.Prefix))
 			continue
 		}
 		me, err := registry.Decode(row.Row)
@@ -83,22 +86,23 @@
 		}
 		listed = append(listed, me)
 	}
-	for _, take := range takers {
-		take(listed, gone, whole)
+	for _, handle := range handlers {
+		handle(listed, removed, whole)
 	}
 }
 
+// onWorkers decodes rows of the list of workers and passes them to the owner and its relays.
 func (ho *Host) onWorkers(ow *sched.Owner, po *relay.Pool, rows []store.FeedRow, whole bool) {
 	var listed []sched.WorkerEntry
-	var names, gone []string
+	var names, removed []string
 	for _, row := range rows {
 		if row.Gone {
-			gone = append(gone, platform.WorkerID(row.Key))
+			removed = append(removed, platform.WorkerID(row.Key))
 			continue
 		}
 		li, err := platform.DecodeWorker(row.Row)
 		if err != nil {
-			// Its row is there all the same: it has not left.
+			// A worker whose row can't be decoded is still listed: it has not left.
 			ho.log.Error("worker's row cannot be read", "err", err)
 			listed = append(listed, sched.WorkerEntry{Addr: worker.Addr{Incarnation: worker.Incarnation{ID: platform.WorkerID(row.Key)}}, Undecodable: true})
 			continue
@@ -106,9 +110,9 @@
 		listed = append(listed, li)
 		names = append(names, li.Incarnation.String())
 	}
-	// The owner reaches workers without an entry for as long as they run something, and
-	// drops them itself: an outage of the store that takes all entries must not have it
-	// give up its relays.
+	// Removed entries are not passed to the relays. The owner polls workers without an
+	// entry for as long as they run tasks, and drops them itself. An outage of the store
+	// after which all entries have lapsed must not make the owner stop using its relays.
 	po.SetWorkers(names, nil, false)
-	ow.SetWorkers(listed, gone, whole)
+	ow.SetWorkers(listed, removed, whole)
 }
--- a/internal/jobhost/follow.go
+++ b/internal/jobhost/config.go
@@ -9,14 +9,16 @@
 	"github.com/pepperhatch/pepperhatch/platform"
 )
 
-// followConfig returns what follows the configuration.
-func (ho *Host) followConfig() *watch.Watch {
+// newConfigWatch returns the watch of the operator's configuration.
+func (ho *Host) newConfigWatch() *watch.Watch {
 	return &watch.Watch{
 		Table: ho.table, Name: platform.ConfigTable, Under: platform.ConfigPrefix, Relist: true, Log: ho.log,
-		OnRows: ho.onConfig, OnContact: ho.onConfirmed,
+		OnRows: ho.onConfig, OnContact: ho.recordConfirmed,
 	}
 }
 
+// onConfig puts a newer configuration in force. One that can't be decoded is logged and
+// ignored.
 func (ho *Host) onConfig(rows []store.FeedRow, _ bool) {
 	for _, row := range rows {
 		if row.Key != platform.ConfigKey || row.Gone {
@@ -24,22 +26,22 @@
 		}
 		co, err := platform.DecodeConfig(row.Row)
 		if err != nil {
-			ho.log.Error("configuration cannot be read", "row_version", row.Version, "config", ho.door.ConfigVersion(), "err", err)
+			ho.log.Error("configuration cannot be read", "row_version", row.Version, "config", ho.frontEnd.ConfigVersion(), "err", err)
 			continue
 		}
 		old := ho.config.Load()
 		if old != nil && old.Version >= co.Version {
 			continue
 		}
-		last, _ := ho.follow.Contact()
-		ho.log.Info("configuration in force", "config", co.Version, "was", ho.door.ConfigVersion(), "row_version", row.Version,
+		last, _ := ho.configWatch.Contact()
+		ho.log.Info("configuration in force", "config", co.Version, "was", ho.frontEnd.ConfigVersion(), "row_version", row.Version,
 			"confirmed_age", watch.Age(last))
 		ho.config.Store(co)
 		ho.metrics.Set(telemetry.ConfigVersion, co.Version)
 	}
 }
 
-// onConfirmed notes that the configuration was current when a call was sent.
-func (ho *Host) onConfirmed(sent time.Time) {
+// recordConfirmed records that the configuration was the latest when a call was sent.
+func (ho *Host) recordConfirmed(sent time.Time) {
 	ho.metrics.Set(telemetry.ConfigConfirmed, sent.Unix())
 }
--- a/internal/jobhost/host.go
+++ b/internal/jobhost/host.go
@@ -28,89 +28,91 @@
 	"github.com/pepperhatch/pepperhatch/platform"
 )
 
-// cellName is the one cell of a deployment.
+// cellName is the name of the only cell of a deployment.
 const cellName = "c0"
 
-// Bounds of a process.
+// Limits of a process.
 const (
-	// storeConns, workerConns and peerConns are idle connections kept to each
-	// address.
+	// storeConns, workerConns and peerConns are the numbers of idle connections kept
+	// per address.
 	storeConns  = 6
 	workerConns = 10
 	peerConns   = 8
-	// stopReserve is kept of the time to stop for closing connections.
-	stopReserve = 1500 * time.Millisecond
-	// endReserve is kept of the time to stop for the end of the process, once the cell
-	// is given up.
-	endReserve = 500 * time.Millisecond
-	// headerMost and idleMost are the users' limits on connections.
-	headerMost = 16 << 10
-	idleMost   = 15 * time.Second
-	headerWait = 3 * time.Second
-	// bodyWait is how long a request's body may take: the 3 s that callers wait for
-	// their answer, and some for a link that is full.
-	bodyWait = 5 * time.Second
-	// answerWait is how long a part of an answer may wait to be taken: a list of all
-	// jobs is 2 MB, and a link that is full takes 100 kB a second.
-	answerWait = 30 * time.Second
-	// metricsPort is where the deploy file says metrics are.
+	// closeReserve is the part of the stop's grace period that is reserved for closing
+	// connections.
+	closeReserve = 1500 * time.Millisecond
+	// exitReserve is the part of the grace period that is reserved for the exit of the
+	// process after the cell was released.
+	exitReserve = 500 * time.Millisecond
+	// maxHeaderBytes and idleTimeout are required by the users' platform.
+	maxHeaderBytes = 16 << 10
+	idleTimeout    = 15 * time.Second
+	headerTimeout  = 3 * time.Second
+	// bodyTimeout bounds the time to receive a request's body: the 3 s that callers wait
+	// for an answer, plus a margin for a saturated link.
+	bodyTimeout = 5 * time.Second
+	// replyTimeout bounds the time to send a part of an answer: a list of all jobs is
+	// 2 MB, and a saturated link transfers 100 kB per second.
+	replyTimeout = 30 * time.Second
+	// metricsPort is the port that the deployment file declares for metrics.
 	metricsPort = 9464
 )
 
-// Host is an entry host. Make one with [New], then call [Host.Run].
+// Host is an entry host for jobs. Create one with [New], then call [Host.Run].
 type Host struct {
-	// Without has the mechanisms of the owner that are switched off, for trials.
+	// Without is the set of the owner's mechanisms that are disabled, for experiments.
 	Without sched.Mechanism
 
-	se      atomic.Pointer[Settings]
-	log     *slog.Logger
-	metrics *telemetry.Metrics
-	scrape  http.Handler
-	table   store.Table
-	workers *http.Client
-	keeper  *tenure.Keeper
-	door    *door.FrontEnd
-
-	relay   *relay.Server
-	streams *http.Client
-
-	config   atomic.Pointer[queue.Config]
-	follow   *watch.Watch
-	owner    atomic.Pointer[sched.Owner]
-	stopping atomic.Bool
+	settings       atomic.Pointer[Settings]
+	log            *slog.Logger
+	metrics        *telemetry.Metrics
+	metricsHandler http.Handler
+	table          store.Table
+	workerClient   *http.Client
+	keeper         *tenure.Keeper
+	frontEnd       *door.FrontEnd
+
+	relay       *relay.Server
+	relayClient *http.Client
+
+	config      atomic.Pointer[queue.Config]
+	configWatch *watch.Watch
+	owner       atomic.Pointer[sched.Owner]
+	stopping    atomic.Bool
 }
 
-// New puts a host together.
+// New returns a host with the given settings. It doesn't listen or connect yet.
 func New(se Settings, log *slog.Logger) (*Host, error) {
-	me, scrape, err := telemetry.New()
+	me, metricsHandler, err := telemetry.New()
 	if err != nil {
 		return nil, err
 	}
 	sched.ResetGauges(me)
-	ho := &Host{log: log, metrics: me, scrape: scrape, workers: transport.NewClient(workerConns, log)}
-	ho.se.Store(&se)
+	ho := &Host{log: log, metrics: me, metricsHandler: metricsHandler, workerClient: transport.NewClient(workerConns, log)}
+	ho.settings.Store(&se)
 	ho.table = platform.NewTable(platform.Client{
-		HTTP: transport.NewClient(storeConns, log), StoreAddrFunc: func() string { return ho.se.Load().StoreAddr },
+		HTTP: transport.NewClient(storeConns, log), StoreAddrFunc: func() string { return ho.settings.Load().StoreAddr },
 	})
-	ho.follow = ho.followConfig()
+	ho.configWatch = ho.newConfigWatch()
 	ho.keeper = &tenure.Keeper{
 		Cell: cellName, Self: se.Name, Process: se.Name + "-" + uuid.NewString()[:8], Addr: se.PeerAddr(), Cores: se.EffectiveCores(),
 		Table: ho.table, Serve: ho.serveCell, BootFunc: clock.Boot, Log: log,
 	}
-	ho.door = &door.FrontEnd{
+	ho.frontEnd = &door.FrontEnd{
 		Cell: cellName, Table: ho.table, Keeper: ho.keeper, Peers: transport.NewClient(peerConns, log),
-		Local: ho.owner.Load, ConfigFunc: ho.config.Load, ContactFunc: ho.follow.Contact, Metrics: me, Log: log,
+		Local: ho.owner.Load, ConfigFunc: ho.config.Load, ContactFunc: ho.configWatch.Contact, Metrics: me, Log: log,
 	}
-	ho.keeper.AskFunc, ho.keeper.ConfirmFunc = ho.door.ProbeHost, ho.door.ConfirmOwner
-	ho.relay = &relay.Server{Agent: platform.NewAgent(ho.workers), Log: log}
-	ho.streams = transport.NewClient(1, log)
+	ho.keeper.AskFunc, ho.keeper.ConfirmFunc = ho.frontEnd.ProbeHost, ho.frontEnd.ConfirmOwner
+	ho.relay = &relay.Server{Agent: platform.NewAgent(ho.workerClient), Log: log}
+	ho.relayClient = transport.NewClient(1, log)
 	return ho, nil
 }
 
-// ready reports whether the host takes requests.
+// ready reports whether the host accepts requests: it has a configuration and isn't
+// stopping.
 func (ho *Host) ready() bool { return ho.config.Load() != nil && !ho.stopping.Load() }
 
-// server is one listening address.
+// server is an HTTP server and the address at which it listens.
 type server struct {
 	addr string
 	hs   *http.Server
@@ -118,33 +120,35 @@
 
 func newServer(addr string, ha http.Handler) server {
 	return server{addr: addr, hs: &http.Server{
-		Handler: ha, ReadHeaderTimeout: headerWait, IdleTimeout: idleMost, MaxHeaderBytes: headerMost,
+		Handler: ha, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug),
 	}}
 }
 
-// callers serves callers.
-func (ho *Host) callers() http.Handler {
-	return port.Timed(platform.CallerHandler{FrontEnd: ho.door}, bodyWait, answerWait)
+// callerHandler returns the handler of callers' requests.
+func (ho *Host) callerHandler() http.Handler {
+	return port.Timed(platform.CallerHandler{FrontEnd: ho.frontEnd}, bodyTimeout, replyTimeout)
 }
 
-// peers serves other entry hosts, and the product's own interface.
-func (ho *Host) peers() http.Handler {
+// peerHandler returns the handler of requests of other entry hosts, owners that use this
+// host as a relay, and clients of the job API.
+func (ho *Host) peerHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/cell/", port.Timed(ho.door.Handler(), bodyWait, answerWait))
-	mux.Handle("/jobs/", port.Timed(jobapi.Handler(ho.door), bodyWait, answerWait))
+	mux.Handle("/cell/", port.Timed(ho.frontEnd.Handler(), bodyTimeout, replyTimeout))
+	mux.Handle("/jobs/", port.Timed(jobapi.Handler(ho.frontEnd), bodyTimeout, replyTimeout))
 	mux.Handle(relay.Path, ho.relay)
 	return mux
 }
 
-// Run serves until ctx ends, and then makes a planned stop.
+// Run serves until ctx ends, and then makes a planned stop. The error is that of a server
+// that can't listen or serve.
 func (ho *Host) Run(ctx context.Context) error {
-	se := ho.se.Load()
+	se := ho.settings.Load()
 	servers := []server{
-		newServer(se.CallerAddr, ho.callers()),
+		newServer(se.CallerAddr, ho.callerHandler()),
 		newServer(se.ReadyAddr, platform.Readiness(ho.ready)),
-		newServer(se.PeerAddr(), ho.peers()),
-		newServer(net.JoinHostPort(se.IP, fmt.Sprint(metricsPort)), ho.scrape),
+		newServer(se.PeerAddr(), ho.peerHandler()),
+		newServer(net.JoinHostPort(se.IP, fmt.Sprint(metricsPort)), ho.metricsHandler),
 	}
 	failed := make(chan error, len(servers))
 	var lc net.ListenConfig
@@ -159,7 +163,7 @@
 	wctx, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var wg sync.WaitGroup
-	wg.Go(func() { ho.follow.Run(wctx) })
+	wg.Go(func() { ho.configWatch.Run(wctx) })
 	wg.Go(func() { ho.keeper.Run(wctx) })
 	wg.Go(func() { registry.Announce(ctx, ho.table, ho.member(), ho.log) })
 	select {
@@ -174,25 +178,25 @@
 	return nil
 }
 
-// stop makes a planned stop: the cell goes to another host at once, and
-// callers are served until most of the time to stop is over.
+// stop makes a planned stop: the cell is released to another host at once, and callers are
+// served until only closeReserve is left of the grace period.
 func (ho *Host) stop(ctx context.Context, servers []server) {
-	se := ho.se.Load()
+	se := ho.settings.Load()
 	ho.log.Info("stopping", "name", se.Name, "grace_s", se.GraceS)
 	ho.stopping.Store(true)
-	ho.keeper.Release(releaseTime(seconds(se.GraceS)))
+	ho.keeper.Release(releaseTimeout(seconds(se.GraceS)))
 	ho.relay.Leave()
 	go registry.Withdraw(ctx, ho.table, se.Name, ho.log)
 	callers := servers[0].hs
 	callers.SetKeepAlivesEnabled(false)
-	clock.Sleep(ctx, max(seconds(se.GraceS)-stopReserve, 0))
-	sctx, cancel := context.WithTimeout(ctx, stopReserve/2)
+	clock.Sleep(ctx, max(seconds(se.GraceS)-closeReserve, 0))
+	sctx, cancel := context.WithTimeout(ctx, closeReserve/2)
 	defer cancel()
 	if err := callers.Shutdown(sctx); err != nil {
-		ho.log.Warn("callers cut off at the end of the stop", "err", err)
+		ho.log.Warn("callers' connections closed at the end of the grace period", "err", err)
 	}
 }
 
-// releaseTime returns how long a host with so much time to stop tries to give its cell
-// up. One with hardly any takes half of it.
-func releaseTime(grace time.Duration) time.Duration { return max(grace-endReserve, grace/2) }
+// releaseTimeout returns how long a host tries to release its cell during a stop with the
+// given grace period: all but exitReserve, and at least half of it.
+func releaseTimeout(grace time.Duration) time.Duration { return max(grace-exitReserve, grace/2) }
--- a/internal/jobhost/input_test.go
+++ b/internal/jobhost/input_test.go
@@ -8,11 +8,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestBadInput checks that what cannot be a job gets the status for it and
-// leaves nothing behind.
-func TestBadInput(t *testing.T) {
-	to := newTown(t, 1)
-	to.configure()
+// TestInvalidRequests checks that requests which can't be jobs get the right status, and
+// that none of them creates a job.
+func TestInvalidRequests(t *testing.T) {
+	th := newTestHost(t, 1)
+	th.configure()
 	step := func(edit func(map[string]any)) map[string]any {
 		body := jobBody(1)
 		edit(body["steps"].([]any)[0].(map[string]any))
@@ -29,25 +29,25 @@
 		{"id of wrong form", "/depot/0123", jobBody(1), http.StatusBadRequest},
 		{"id in capitals", "/depot/0123456789ABCDEF", jobBody(1), http.StatusBadRequest},
 		{"negative size", id, step(func(st map[string]any) { st["cpu"] = -1 }), http.StatusBadRequest},
-		{"absurd count", id, step(func(st map[string]any) { st["count"] = 1 << 40 }), http.StatusBadRequest},
+		{"excessive count", id, step(func(st map[string]any) { st["count"] = 1 << 40 }), http.StatusBadRequest},
 		{"cycle", id, step(func(st map[string]any) { st["start-after"] = []int{0} }), http.StatusBadRequest},
 		{"later step", id, step(func(st map[string]any) { st["start-after"] = []int{1} }), http.StatusBadRequest},
 		{"payload too long", id, map[string]any{"spec": strings.Repeat("x", 4001), "steps": jobBody(1)["steps"]}, http.StatusBadRequest},
 		{"body too large", id, map[string]any{"spec": strings.Repeat("x", 300_000)}, http.StatusRequestEntityTooLarge},
 		{"gang", id, step(func(st map[string]any) { st["gang"] = true }), http.StatusUnprocessableEntity},
-		{"repeated", id, map[string]any{"steps": jobBody(1)["steps"], "times": 3}, http.StatusUnprocessableEntity},
+		{"recurring job", id, map[string]any{"steps": jobBody(1)["steps"], "times": 3}, http.StatusUnprocessableEntity},
 		{"unknown queue", "/lost/0123456789abcdef", jobBody(1), http.StatusNotFound},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			status, answer := to.do(http.MethodPost, tc.path, tc.body)
+			status, answer := th.do(http.MethodPost, tc.path, tc.body)
 			qt.Assert(t, status, qt.Equals, tc.status, qt.Commentf("%s", answer))
 		})
 	}
-	qt.Assert(t, to.state("0123456789abcdef"), qt.Equals, "410")
-	qt.Assert(t, to.fleet.Runs(), qt.HasLen, 0)
+	qt.Assert(t, th.state("0123456789abcdef"), qt.Equals, "410")
+	qt.Assert(t, th.fleet.Runs(), qt.HasLen, 0)
 }
 
-func TestSettingsNameEveryMistake(t *testing.T) {
+func TestSettingsErrorsNameEachField(t *testing.T) {
 	err := Settings{IP: "host", Ports: []int{5}, CallerAddr: "x:1"}.Check()
 	qt.Assert(t, err, qt.IsNotNil)
 	for _, name := range []string{"name", "data_centre", "ip", "ports", "caller_addr", "ready_addr", "store_addr", "max_lease_ms", "stop_ms", "grace_s", "keep_ended_s", "harm_ms"} {
--- a/internal/jobhost/jobapi_test.go
+++ b/internal/jobhost/jobapi_test.go
@@ -16,10 +16,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-func TestOwnInterface(t *testing.T) {
-	to := newTown(t, 2)
-	to.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return -1, "" }
-	sv := httptest.NewServer(to.host.peers())
+// TestJobAPI checks the job API from submission to cancellation, and its error codes.
+func TestJobAPI(t *testing.T) {
+	th := newTestHost(t, 2)
+	th.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return -1, "" }
+	sv := httptest.NewServer(th.host.peerHandler())
 	t.Cleanup(func() { sv.CloseClientConnections(); sv.Close() })
 	cl := jobapi.Client{HTTP: http.DefaultClient, Addr: sv.Listener.Addr().String()}
 	ctx := context.Background()
@@ -27,12 +28,12 @@
 	su := jobapi.Submission{ID: id, Queue: "q", Spec: job.Spec{Steps: []job.Step{{Tasks: 2, Each: worker.Resources{MilliCores: 100}, Endless: true}}}}
 	_, err := cl.Submit(ctx, su)
 	qt.Assert(t, wire.Code(err), qt.Equals, "not-ready")
-	to.configure()
+	th.configure()
 
 	ve, err := cl.Submit(ctx, su)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, ve.Outcome, qt.Equals, sched.Accepted)
-	to.eventually("running", func() bool {
+	th.eventually("running", func() bool {
 		jobs, err := cl.List(ctx)
 		return err == nil && len(jobs) == 1 && jobs[0].Running == 2 && jobs[0].Tasks == 2 && jobs[0].State == job.Running
 	})
--- a/internal/jobhost/reload.go
+++ b/internal/jobhost/reload.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// rereadEvery is how often the settings file is looked at: it may change
-// without a signal.
-const rereadEvery = time.Second
+// rereadInterval is how often the settings file is checked for changes that came without
+// a signal.
+const rereadInterval = time.Second
 
-// WatchSettings reads the settings file again at each signal, and when it has
-// changed, until ctx ends. What cannot be used is logged and left.
+// WatchSettings reloads the settings file on each signal, and when its content has changed,
+// until ctx ends. A file that can't be read or is invalid is logged, and the old settings
+// stay in force.
 func (ho *Host) WatchSettings(ctx context.Context, path string, signals <-chan os.Signal) {
-	ti := time.NewTicker(rereadEvery)
+	ti := time.NewTicker(rereadInterval)
 	defer ti.Stop()
 	last, err := os.ReadFile(path)
 	if err != nil {
-		ho.log.Error("settings cannot be read again", "path", path, "err", err)
+		ho.log.Error("settings file cannot be read", "path", path, "err", err)
 	}
 	for {
 		signalled := false
@@ -31,7 +32,7 @@
 		}
 		data, err := os.ReadFile(path)
 		if err != nil {
-			ho.log.Error("settings cannot be read again", "path", path, "err", err)
+			ho.log.Error("settings file cannot be read", "path", path, "err", err)
 			continue
 		}
 		if signalled || !bytes.Equal(data, last) {
@@ -41,17 +42,16 @@
 	}
 }
 
-// reload takes the settings that can change while the host runs: the store's
-// address at once, what the owner of a cell is bound to with the next tenure,
-// the time to stop at the stop. Addresses that the host listens at need a new
-// process.
+// reload replaces the settings of the running host. The address of the store takes effect
+// at once, limits of the owner with the next tenure, and the grace period at the stop.
+// Addresses at which the host listens need a restart of the process.
 func (ho *Host) reload(path string) {
 	se, err := ReadSettings(path)
 	if err != nil {
 		ho.log.Error("settings not reloaded", "path", path, "err", err)
 		return
 	}
-	old := ho.se.Swap(&se)
+	old := ho.settings.Swap(&se)
 	ho.log.Info("settings reloaded", "path", path, "store", se.StoreAddr, "store_was", old.StoreAddr,
 		"restart_needed", old.CallerAddr != se.CallerAddr || old.ReadyAddr != se.ReadyAddr || old.PeerAddr() != se.PeerAddr())
 }
--- a/internal/jobhost/stall_test.go
+++ b/internal/jobhost/stall_test.go
@@ -15,23 +15,17 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin/linetest"
 )
 
-// TestRequestsThatStopHalfway is the story of peers that go silent within a request.
-//
-// What a user would see: an entry host whose connections and memory grow with each
-// frozen caller, and a planned stop that says "callers cut off". Order of events: a
-// caller, or another entry host, sends the header and half the body, and goes silent;
-// its kernel goes on, so that no probe of the connection fails. The header had a
-// limit, the wait for the owner's answer had one, but the handler first reads the
-// whole body, by no deadline.
-//
-// Evidence: the connections below get no answer, nor their end.
-func TestRequestsThatStopHalfway(t *testing.T) {
-	to := newTown(t, 1)
-	to.configure()
-	peers := httptest.NewServer(to.host.peers())
+// TestUnfinishedRequests guards against requests whose body never completes. A client that
+// freezes after half the body keeps its connection alive, as its kernel still answers
+// keep-alive probes. Without a deadline for the body, the host's connections and memory
+// grow with each such client, and a planned stop has to cut them off.
+func TestUnfinishedRequests(t *testing.T) {
+	th := newTestHost(t, 1)
+	th.configure()
+	peers := httptest.NewServer(th.host.peerHandler())
 	t.Cleanup(func() { peers.CloseClientConnections(); peers.Close() })
 	for _, tc := range []struct{ name, addr, path string }{
-		{"caller", strings.TrimPrefix(to.url, "http://"), "/depot/0123456789abcdef"},
+		{"caller", strings.TrimPrefix(th.url, "http://"), "/depot/0123456789abcdef"},
 		{"entry host", peers.Listener.Addr().String(), "/cell/submit"},
 		{"command line", peers.Listener.Addr().String(), "/jobs/submit"},
 	} {
