--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -1,6 +1,6 @@
-// Package jobapi is the product's own interface to jobs: JSON over HTTP, on the
-// port where entry hosts meet. The command line uses it; the users' platform
-// has a form of its own.
+// Package jobapi is the job API of the command line: JSON over HTTP, on the port for requests
+// between entry hosts. Callers on the users' platform use the format of that platform
+// instead; see package platform.
 package jobapi
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Paths of the interface.
+// Paths of the API.
 const (
 	pathSubmit = "/jobs/submit"
 	pathState  = "/jobs/state"
@@ -24,37 +24,37 @@
 	pathList   = "/jobs/list"
 )
 
-// Submission is a job handed in.
+// Submission is a request to submit a job.
 type Submission struct {
-	// ID has 16 hex digits and is the caller's; handed in twice it stays one
-	// job.
+	// ID is chosen by the caller and has 16 hex digits. Submitting the same id again
+	// doesn't create another job.
 	ID string `json:"id"`
-	// Queue names a queue of the configuration.
+	// Queue is the name of a queue of the configuration.
 	Queue string `json:"queue"`
-	// Spec is the job.
+	// Spec describes the steps of the job and their resources.
 	Spec job.Spec `json:"spec"`
 }
 
-// Reference names a job.
+// Reference is a request about one job.
 type Reference struct {
-	// ID is the job's.
+	// ID is the id of the job.
 	ID string `json:"id"`
 }
 
-// State is a job's state.
+// State is the answer to a request for a job's state.
 type State struct {
 	// State is empty if there is no such job.
 	State job.State `json:"state,omitempty"`
 }
 
-// Listing has the jobs that the cell's owner remembers.
+// Listing is the answer to a request for the jobs of the cell.
 type Listing struct {
-	// Jobs are in order of arrival.
+	// Jobs are the jobs that the owner of the cell retains, in order of arrival.
 	Jobs []sched.Summary `json:"jobs"`
 }
 
-// Handler serves the interface. The owner of the cell is asked for the list,
-// which another host cannot give.
+// Handler returns the handler of the API. A list needs a reachable owner of the cell; other
+// requests are also answered without.
 func Handler(do *door.FrontEnd) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+pathSubmit, wire.Handle(func(ctx context.Context, su Submission) (sched.Verdict, error) {
@@ -74,6 +74,7 @@
 	return mux
 }
 
+// submit validates a job and passes it to the front end. The errors are [wire.Error] values.
 func submit(ctx context.Context, do *door.FrontEnd, su Submission) (sched.Verdict, error) {
 	co := do.Config()
 	if co == nil {
@@ -85,7 +86,7 @@
 	qu, ok := co.Queue(su.Queue)
 	switch {
 	case !ok && !do.RecordNoQueue("", su.Queue):
-		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: door.CodeConfigNotConfirmed, Message: "no queue " + su.Queue + " as far as is known", RetryAfter: time.Second}
+		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: door.CodeConfigNotConfirmed, Message: "no queue " + su.Queue + " in a configuration that was not confirmed recently", RetryAfter: time.Second}
 	case !ok:
 		return sched.Verdict{}, &wire.Error{Status: http.StatusNotFound, Code: "no-queue", Message: "no queue " + su.Queue}
 	}
@@ -95,6 +96,7 @@
 	return do.Submit(ctx, su.ID, qu.Terms(), su.Spec), nil
 }
 
+// malformed returns the answer to an invalid or unsupported job.
 func malformed(err error) error {
 	status := http.StatusBadRequest
 	if errors.Is(err, job.ErrUnsupported) {
@@ -103,30 +105,30 @@
 	return &wire.Error{Status: status, Code: wire.CodeMalformed, Message: err.Error()}
 }
 
-// Client talks to an entry host.
+// Client calls the API of an entry host.
 type Client struct {
-	// HTTP is the client used, Addr the host's IP number and port.
+	// HTTP is the HTTP client, Addr the IP address and port of the host.
 	HTTP *http.Client
 	Addr string
 }
 
-// Submit hands a job in.
+// Submit submits a job.
 func (cl Client) Submit(ctx context.Context, su Submission) (sched.Verdict, error) {
 	return wire.Post[Submission, sched.Verdict](ctx, cl.HTTP, cl.url(pathSubmit), su)
 }
 
-// State returns a job's state, empty if there is no such job.
+// State returns the state of a job, empty if there is no such job.
 func (cl Client) State(ctx context.Context, id string) (job.State, error) {
 	st, err := wire.Post[Reference, State](ctx, cl.HTTP, cl.url(pathState), Reference{ID: id})
 	return st.State, err
 }
 
-// Cancel ends a job.
+// Cancel cancels a job.
 func (cl Client) Cancel(ctx context.Context, id string) (sched.Verdict, error) {
 	return wire.Post[Reference, sched.Verdict](ctx, cl.HTTP, cl.url(pathCancel), Reference{ID: id})
 }
 
-// List returns the jobs that the cell's owner remembers.
+// List returns the jobs that the owner of the cell retains.
 func (cl Client) List(ctx context.Context) ([]sched.Summary, error) {
 	li, err := wire.Post[struct{}, Listing](ctx, cl.HTTP, cl.url(pathList), struct{}{})
 	return li.Jobs, err
