--- a/internal/jobhost/config_delay_test.go
+++ b/internal/jobhost/config_delay_test.go
@@ -17,7 +17,7 @@
 var rounds = flag.Int("change.rounds", 1, "how often each kind of lost contact with the store is measured")
 
 // silence is a stall in which all open connections stay unresponsive while new ones work.
-const silence standin.Stall = "silent for good"
+const silence standin.Stall = "permanently unresponsive"
 
 // TestDelayUntilChangeIsInForce measures on real connections how long it takes from the end
 // of a stall of the network path to the store until a change of the configuration, made
