--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -76,7 +76,7 @@
 		return strings.Count(cl.cli(2, "job", "tasks", "--job", "depot"), ":ok") == 30
 	})
 	spans := cl.spans()
-	c.Assert(standin.Overlaps(spans), qt.HasLen, 0)
+	c.Assert(standin.SpanViolations(spans), qt.HasLen, 0)
 	for id, sps := range spans {
 		if strings.HasPrefix(id, "routedesk/") {
 			c.Assert(sps, qt.HasLen, 1, qt.Commentf("a service task was started again"))
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -26,9 +26,9 @@
 	cl := startJobCluster(c)
 	const id = "00000000000000ff"
 	crashes := job.New(id, job.Terms{}, job.Spec{Steps: []job.Step{{Tasks: 1}}}).TaskID(job.TaskRef{})
-	cl.fleet.SetRun(func(at worker.Attempt) (time.Duration, string) {
+	cl.fleet.SetRunFunc(func(at worker.Attempt) (time.Duration, string) {
 		if at.Task == crashes {
-			return 10 * time.Millisecond, standin.Crashes
+			return 10 * time.Millisecond, standin.OutcomeCrash
 		}
 		return -1, ""
 	})
--- a/e2e/freeze_test.go
+++ b/e2e/freeze_test.go
@@ -190,7 +190,7 @@
 // all that were there.
 func (cl *jobCluster) obeying(before map[worker.Incarnation]int64) int {
 	most, n := slices.Max(slices.Collect(maps.Values(before))), 0
-	for _, fence := range cl.fleet.Fences() {
+	for _, fence := range cl.fleet.FencingTokens() {
 		if fence > most {
 			n++
 		}
@@ -211,7 +211,7 @@
 		return time.Since(since) > maxLease+time.Second
 	})
 	cl.await("all hosts are ready", cl.allReady)
-	cl.c.Assert(standin.RunProblems(cl.fleet.Runs()), qt.HasLen, 0)
+	cl.c.Assert(standin.RunViolations(cl.fleet.Runs()), qt.HasLen, 0)
 	cl.c.Logf("%d of %d tasks began again", len(cl.fleet.Runs())-endlessTasks, endlessTasks)
 }
 
@@ -233,7 +233,7 @@
 	cl := startJobCluster(c)
 	begun := time.Now()
 	for range 2 {
-		frozen, before := cl.owner(), cl.fleet.Fences()
+		frozen, before := cl.owner(), cl.fleet.FencingTokens()
 		cl.freeze(frozen, frozenFor, begun)
 		cl.await("another host owns the cell", func() bool { return cl.owner() != frozen })
 		cl.await("the new owner orders all workers", func() bool { return cl.obeying(before) == fleetWorkers })
--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -96,7 +96,7 @@
 		_, err := to.confirm("batch", batchJob("j", 2, 40*time.Second))
 		c.Assert(err, qt.IsNil)
 		time.Sleep(3 * time.Second)
-		tc.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		tc.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		// No new tasks start. Running tasks keep their leases for as long as
 		// the host owns the cell.
 		time.Sleep(5 * time.Second)
@@ -112,7 +112,7 @@
 				c.Assert(sp.State == worker.StateRunning || sp.State == worker.StateDone, qt.IsTrue, qt.Commentf("%v", sp))
 			}
 		}
-		tc.table.Gate.Set(standin.Fault{})
+		tc.table.Faults.Set(standin.Fault{})
 		time.Sleep(10 * time.Second)
 		assertStates(c, to, map[string]int{"running": 2, "done": 3})
 		con, err := to.confirm("later", Command{Cancel: "k"})
@@ -129,7 +129,7 @@
 		to := tc.startOwner(false)
 		time.Sleep(2 * time.Second)
 		for i := range 5 {
-			tc.table.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
+			tc.table.Faults.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
 			_, err := to.confirm(fmt.Sprintf("p%d", i), batchJob(fmt.Sprintf("j%d", i), 2, time.Second))
 			c.Assert(err, qt.IsNil)
 			time.Sleep(2 * time.Second)
@@ -141,7 +141,7 @@
 
 func TestFailingWorkerIsQuarantined(t *testing.T) {
 	runCell(t, 4, func(c *qt.C, tc *testCell) {
-		tc.workers["w0"].proc.Gate.Set(standin.Fault{Mode: standin.ModeFailTasks})
+		tc.workers["w0"].proc.Faults.Set(standin.Fault{Mode: standin.ModeFailTasks})
 		to := tc.startOwner(false)
 		time.Sleep(3 * time.Second)
 		for i := range 6 {
@@ -160,7 +160,7 @@
 func TestTaskFailsForGoodAfterThreeWorkers(t *testing.T) {
 	runCell(t, 4, func(c *qt.C, tc *testCell) {
 		for _, tw := range tc.workers {
-			tw.proc.Gate.Set(standin.Fault{Mode: standin.ModeFailTasks})
+			tw.proc.Faults.Set(standin.Fault{Mode: standin.ModeFailTasks})
 		}
 		to := startWithJob(c, tc, batchJob("j", 1, time.Second))
 		time.Sleep(20 * time.Second)
@@ -335,7 +335,7 @@
 func TestObjectStoreUnavailable(t *testing.T) {
 	runCell(t, 2, func(c *qt.C, tc *testCell) {
 		to := startWithJob(c, tc, service("s", 4))
-		tc.objects.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		tc.objects.Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 		resize := func(plan string, n int) {
 			started := time.Now()
 			_, err := to.confirm(plan, Command{Resize: &Resize{Name: "s", Tasks: n}})
@@ -350,7 +350,7 @@
 		to = tc.startOwner(false)
 		time.Sleep(5 * time.Second)
 		assertStates(c, to, map[string]int{"running": 4})
-		tc.objects.Gate.Set(standin.Fault{})
+		tc.objects.Faults.Set(standin.Fault{})
 		time.Sleep(snapshotRetryInterval)
 		for i := range 60 {
 			resize(fmt.Sprintf("q%d", i), 3+i%2)
--- a/internal/cell/cluster_test.go
+++ b/internal/cell/cluster_test.go
@@ -94,9 +94,9 @@
 			}
 			tw.earlierSpans = append(tw.earlierSpans, sp)
 		}
-		tw.overfull += tw.proc.Overfull()
+		tw.overfull += tw.proc.Overcommits()
 	}
-	tw.proc = standin.NewWorker(standin.WorkerSettings{ID: tw.host.ID, Holds: workerCapacity, CheckpointEvery: time.Second})
+	tw.proc = standin.NewWorker(standin.WorkerSettings{ID: tw.host.ID, Capacity: workerCapacity, CheckpointEvery: time.Second})
 }
 
 // exchange sends a message to a worker, subject to its faults. A delayed message
@@ -164,8 +164,8 @@
 	for _, to := range tc.owners {
 		to.cancel()
 	}
-	tc.table.Gate.Set(standin.Fault{})
-	tc.objects.Gate.Set(standin.Fault{})
+	tc.table.Faults.Set(standin.Fault{})
+	tc.objects.Faults.Set(standin.Fault{})
 	time.Sleep(2 * time.Minute)
 }
 
@@ -175,14 +175,14 @@
 	var violations []string
 	spans := map[string][]standin.TaskSpan{}
 	for id, tw := range tc.workers {
-		if n := tw.overfull + tw.proc.Overfull(); n > 0 {
+		if n := tw.overfull + tw.proc.Overcommits(); n > 0 {
 			violations = append(violations, fmt.Sprintf("worker %s was overfull %d times", id, n))
 		}
 		for _, sp := range append(slices.Clone(tw.earlierSpans), tw.proc.Log()...) {
 			spans[sp.Task] = append(spans[sp.Task], sp)
 		}
 	}
-	return append(violations, standin.Overlaps(spans)...)
+	return append(violations, standin.SpanViolations(spans)...)
 }
 
 // confirm plans a command and confirms it under the plan id.
--- a/internal/cell/invariants_test.go
+++ b/internal/cell/invariants_test.go
@@ -73,7 +73,7 @@
 		"owner": func(rt *rapid.T) { tc.startOwner(rapid.Bool().Draw(rt, "keep former owner")) },
 		"table": func(rt *rapid.T) {
 			mode := rapid.SampledFrom([]standin.Mode{standin.ModeOK, standin.ModeOK, standin.ModeDown, standin.ModeLost}).Draw(rt, "mode")
-			tc.table.Gate.Set(standin.Fault{Mode: mode})
+			tc.table.Faults.Set(standin.Fault{Mode: mode})
 		},
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -108,7 +108,7 @@
 		"restart": func(rt *rapid.T) { mo.restart(pick(rt, "host")) },
 		"fault": func(rt *rapid.T) {
 			mode := rapid.SampledFrom([]standin.Mode{standin.ModeOK, standin.ModeDown, standin.ModeLost}).Draw(rt, "mode")
-			mo.table.Gate.Set(standin.Fault{Mode: mode, Count: rapid.IntRange(0, 3).Draw(rt, "count")})
+			mo.table.Faults.Set(standin.Fault{Mode: mode, Count: rapid.IntRange(0, 3).Draw(rt, "count")})
 		},
 		"": mo.check,
 	}
--- a/internal/config/history_test.go
+++ b/internal/config/history_test.go
@@ -90,10 +90,10 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for _, fault := range faults {
-			table.Gate.Set(fault)
+			table.Faults.Set(fault)
 			time.Sleep(200 * time.Millisecond)
 		}
-		table.Gate.Set(standin.Fault{})
+		table.Faults.Set(standin.Fault{})
 	})
 	for op := range operators {
 		wg.Go(func() {
--- a/internal/dev/check.go
+++ b/internal/dev/check.go
@@ -155,12 +155,12 @@
 	var broken []string
 	spans := map[string][]standin.TaskSpan{}
 	for i, st := range wo.workers {
-		if n := st.Overfull(); n > 0 {
+		if n := st.Overcommits(); n > 0 {
 			broken = append(broken, fmt.Sprintf("worker %d was overfull %d times", i, n))
 		}
 		for _, sp := range st.Log() {
 			spans[sp.Task] = append(spans[sp.Task], sp)
 		}
 	}
-	return append(broken, standin.Overlaps(spans)...)
+	return append(broken, standin.SpanViolations(spans)...)
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -170,7 +170,7 @@
 func (wo *world) addWorker(dc string, i int) error {
 	id := fmt.Sprintf("%s-worker%d", dc[:1], i+1)
 	holds := worker.Resources{MilliCores: 30_000, MemMB: 125_000}
-	st := standin.NewWorker(standin.WorkerSettings{ID: id, Holds: holds, Lag: time.Second, CheckpointEvery: time.Second})
+	st := standin.NewWorker(standin.WorkerSettings{ID: id, Capacity: holds, Lag: time.Second, CheckpointEvery: time.Second})
 	addr, err := wo.serve(st.Handler())
 	if err != nil {
 		return err
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -32,10 +32,10 @@
 	for range 2 {
 		ru := standin.NewRunner(standin.RunnerSettings{ID: "r"})
 		wo.runners = append(wo.runners, ru)
-		ru.Note(plain)
+		ru.RecordRun(plain)
 	}
 	c.Assert(wo.runTwice(), qt.HasLen, 0)
-	wo.runners[0].Note(once)
-	wo.runners[1].Note(once)
+	wo.runners[0].RecordRun(once)
+	wo.runners[1].RecordRun(once)
 	c.Assert(wo.runTwice(), qt.HasLen, 1)
 }
--- a/internal/dev/jobs.go
+++ b/internal/dev/jobs.go
@@ -90,8 +90,8 @@
 func (ya *yard) hire() {
 	for i := range jobWorkers {
 		fw := &standin.FleetWorker{
-			Addr:  worker.Addr{HostPort: fmt.Sprintf("yard-worker%d:80", i+1), Incarnation: worker.Incarnation{ID: fmt.Sprintf("yard-worker%d", i+1)}},
-			Holds: worker.Resources{MilliCores: 30_000, MemMB: 125_000},
+			Addr:     worker.Addr{HostPort: fmt.Sprintf("yard-worker%d:80", i+1), Incarnation: worker.Incarnation{ID: fmt.Sprintf("yard-worker%d", i+1)}},
+			Capacity: worker.Resources{MilliCores: 30_000, MemMB: 125_000},
 		}
 		ya.fleet.Add(fw)
 		ya.crew = append(ya.crew, fw)
@@ -104,7 +104,7 @@
 	defer ya.mu.Unlock()
 	var list []sched.WorkerEntry
 	for i, fw := range ya.crew {
-		list = append(list, sched.WorkerEntry{Addr: fw.Addr, Service: service, Rack: fmt.Sprintf("r%d", i/workersRack+1), Capacity: fw.Holds})
+		list = append(list, sched.WorkerEntry{Addr: fw.Addr, Service: service, Rack: fmt.Sprintf("r%d", i/workersRack+1), Capacity: fw.Capacity})
 	}
 	return list
 }
@@ -160,7 +160,7 @@
 			se.done++
 		}
 	}
-	se.twice = len(standin.RunProblems(ya.fleet.Runs()))
+	se.twice = len(standin.RunViolations(ya.fleet.Runs()))
 	return se
 }
 
--- a/internal/door/frontend_test.go
+++ b/internal/door/frontend_test.go
@@ -122,13 +122,13 @@
 				if owned {
 					end = th.runOwner()
 				}
-				th.table.Gate.Set(fault)
+				th.table.Faults.Set(fault)
 				time.AfterFunc(200*time.Millisecond, end)
 				start := time.Now()
 				ve := th.submit()
 				qt.Check(t, time.Since(start) < 1500*time.Millisecond, qt.IsTrue)
 				time.Sleep(10 * time.Second)
-				th.table.Gate.Set(standin.Fault{})
+				th.table.Faults.Set(standin.Fault{})
 				th.owner.Store(nil)
 				_, known, err := th.frontEnd.State(context.Background(), testID)
 				qt.Assert(t, err, qt.IsNil)
@@ -154,9 +154,9 @@
 		th := newTestHost(t)
 		end := th.runOwner()
 		defer end()
-		th.table.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
+		th.table.Faults.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
 		time.AfterFunc(10*time.Millisecond, func() {
-			th.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+			th.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 			end()
 		})
 		ve := th.submit()
--- a/internal/door/history_test.go
+++ b/internal/door/history_test.go
@@ -129,10 +129,10 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for _, fault := range faults {
-			th.table.Gate.Set(fault)
+			th.table.Faults.Set(fault)
 			time.Sleep(250 * time.Millisecond)
 		}
-		th.table.Gate.Set(standin.Fault{})
+		th.table.Faults.Set(standin.Fault{})
 	})
 	wg.Go(func() { th.alternateOwnership(owned) })
 	for caller := range callers {
--- a/internal/door/slow_links_test.go
+++ b/internal/door/slow_links_test.go
@@ -242,17 +242,17 @@
 // newTestCluster returns a cluster whose hosts have links of the given rate.
 func newTestCluster(hosts, workers, rate int) *testCluster {
 	cl := &testCluster{log: slog.New(slog.DiscardHandler), specs: map[string]job.Spec{}}
-	cl.fleet.RoomFunc = func(at worker.Attempt) worker.Resources {
+	cl.fleet.ResourcesFunc = func(at worker.Attempt) worker.Resources {
 		id, ref, _ := job.ParseTaskID(at.Task)
 		return cl.spec(id).Steps[ref.Step].Reserved()
 	}
 	for i := range workers {
 		fw := &standin.FleetWorker{
-			Addr:  worker.Addr{HostPort: fmt.Sprintf("10.0.0.%d:80", i), Incarnation: worker.Incarnation{ID: fmt.Sprint("i-", i)}},
-			Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000},
+			Addr:     worker.Addr{HostPort: fmt.Sprintf("10.0.0.%d:80", i), Incarnation: worker.Incarnation{ID: fmt.Sprint("i-", i)}},
+			Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000},
 		}
 		cl.fleet.Add(fw)
-		cl.workers = append(cl.workers, sched.WorkerEntry{Addr: fw.Addr, Service: "routedesk", Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Holds})
+		cl.workers = append(cl.workers, sched.WorkerEntry{Addr: fw.Addr, Service: "routedesk", Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Capacity})
 	}
 	for i := range hosts {
 		ho := &clusterHost{cluster: cl, name: fmt.Sprint("e", i), out: newLinkDirection(rate), in: newLinkDirection(rate)}
@@ -327,7 +327,7 @@
 	for i, outcome := range outcomes {
 		cl.check(rt, jobID(i), outcome)
 	}
-	for _, problem := range standin.RunProblems(cl.fleet.Runs()) {
+	for _, problem := range standin.RunViolations(cl.fleet.Runs()) {
 		rt.Error(problem)
 	}
 }
--- a/internal/door/stall_test.go
+++ b/internal/door/stall_test.go
@@ -50,7 +50,7 @@
 		t.Run(string(st), func(t *testing.T) {
 			t.Parallel()
 			owner, addr := newOwnerHost(t)
-			ln := linetest.NewLine(t, addr)
+			ln := linetest.NewProxy(t, addr)
 			other := newTestHost(t)
 			other.frontEnd.Peers = transport.NewClient(2, nil)
 			learnOwner(t, other, ln.Addr())
@@ -64,14 +64,14 @@
 			}
 			qt.Assert(t, submit(1), qt.IsNil)
 			qt.Assert(t, ln.Stall(st), qt.IsNil)
-			linetest.Ends(t, "submission during the stall", func() { qt.Check(t, submit(2), qt.IsNil) })
-			linetest.Ends(t, "state during the stall", func() {
+			linetest.MustReturn(t, "submission during the stall", func() { qt.Check(t, submit(2), qt.IsNil) })
+			linetest.MustReturn(t, "state during the stall", func() {
 				state, known, err := other.frontEnd.State(context.Background(), fmt.Sprintf("%016x", 2))
 				qt.Check(t, err, qt.IsNil)
 				qt.Check(t, known, qt.IsTrue)
 				qt.Check(t, state, qt.Equals, job.Queued)
 			})
-			ln.Thaw()
+			ln.Resume()
 			qt.Assert(t, submit(3), qt.IsNil)
 			_, known, err := owner.owner.Load().State(context.Background(), fmt.Sprintf("%016x", 3))
 			qt.Assert(t, err, qt.IsNil)
--- a/internal/entry/stalledconn_test.go
+++ b/internal/entry/stalledconn_test.go
@@ -30,7 +30,7 @@
 		ha.ServeHTTP(w, r)
 	}))
 	t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
-	ln := linetest.NewLine(t, hs.Listener.Addr().String())
+	ln := linetest.NewProxy(t, hs.Listener.Addr().String())
 	tbl := store.NewTable("http://"+ln.Addr(), newHTTPClient(slog.New(slog.DiscardHandler)))
 	read := func(timeout time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), timeout)
@@ -40,12 +40,12 @@
 	}
 	var wg sync.WaitGroup
 	for range conns {
-		wg.Go(func() { qt.Check(t, read(linetest.EndsWithin), qt.IsNil) })
+		wg.Go(func() { qt.Check(t, read(linetest.HangTimeout), qt.IsNil) })
 	}
 	time.Sleep(100 * time.Millisecond)
 	close(release)
 	wg.Wait()
-	qt.Assert(t, ln.Silence(), qt.Equals, conns)
+	qt.Assert(t, ln.Blackhole(), qt.Equals, conns)
 	qt.Assert(t, read(200*time.Millisecond), qt.IsNotNil)
 	qt.Assert(t, read(pollTimeout), qt.IsNil)
 }
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -75,7 +75,7 @@
 	list := []upstream.Runner{{Host: store.Host{ID: "r", Service: "s"}, State: upstream.Live}}
 	sh.relay = &session.Relay{
 		Runners: runner.Client{SessionFunc: es.session}, List: func() []upstream.Runner { return list },
-		MaxSessions: 8, PerRunner: 8, RunnerWait: linetest.EndsWithin, Metrics: me,
+		MaxSessions: 8, PerRunner: 8, RunnerWait: linetest.HangTimeout, Metrics: me,
 	}
 	ha := sh.callerHandler()
 	hs := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -140,7 +140,7 @@
 				t.Parallel()
 				es := &eventService{}
 				one, other := newSessionHost(t, es), newSessionHost(t, es)
-				ln := linetest.NewLine(t, one.addr)
+				ln := linetest.NewProxy(t, one.addr)
 				if !open {
 					qt.Assert(t, ln.Stall(st), qt.IsNil)
 				}
@@ -154,7 +154,7 @@
 				}
 				es.published.Store(6)
 				linetest.Eventually(t, "events received during the stall", func() bool { return rc.exactly(6) })
-				ln.Thaw()
+				ln.Resume()
 				es.published.Store(9)
 				linetest.Eventually(t, "events received after the stall", func() bool { return rc.exactly(9) })
 			})
@@ -163,7 +163,7 @@
 }
 
 // idlePeriod is longer than a caller waits for heartbeats, and shorter than
-// [linetest.EndsWithin].
+// [linetest.HangTimeout].
 const idlePeriod = 4500 * time.Millisecond
 
 // TestIdleWatchIsKeptOpen guards against a caller that leaves a host whose session merely
@@ -234,7 +234,7 @@
 			t.Parallel()
 			es := &eventService{}
 			one, other := newSessionHost(t, es), newSessionHost(t, es)
-			ln := linetest.NewLine(t, one.addr)
+			ln := linetest.NewProxy(t, one.addr)
 			rc := startWatch(t, other.addr, ln.Addr())
 			for n := range totalEvents {
 				es.published.Store(uint64(n + 1))
@@ -243,7 +243,7 @@
 				}
 				time.Sleep(eventEvery)
 			}
-			ln.Thaw()
+			ln.Resume()
 			linetest.Eventually(t, "all events received", func() bool { return rc.exactly(totalEvents) })
 		})
 	}
--- a/internal/jobhost/config_delay_test.go
+++ b/internal/jobhost/config_delay_test.go
@@ -44,21 +44,21 @@
 // configuration is in force.
 func delayUntilInForce(t *testing.T, st standin.Stall) time.Duration {
 	t.Helper()
-	var ln *standin.Line
+	var ln *standin.Proxy
 	th := newTestHostOver(t, 1, func(store string) string {
-		ln = linetest.NewLine(t, store)
+		ln = linetest.NewProxy(t, store)
 		return ln.Addr()
 	})
 	th.configure()
 	time.Sleep(time.Duration(rand.Int64N(int64(2 * time.Second))))
 	if st == silence {
-		ln.Silence()
+		ln.Blackhole()
 		th.change(firstConfig + 1)
 	} else {
 		qt.Assert(t, ln.Stall(st), qt.IsNil)
 		th.change(firstConfig + 1)
 		time.Sleep(time.Duration(rand.Int64N(int64(4 * time.Second))))
-		ln.Thaw()
+		ln.Resume()
 	}
 	began := time.Now()
 	for th.host.config.Load().Version == firstConfig {
--- a/internal/jobhost/stall_test.go
+++ b/internal/jobhost/stall_test.go
@@ -36,7 +36,7 @@
 			defer func() { _ = nc.Close() }()
 			_, err = io.WriteString(nc, "POST "+tc.path+" HTTP/1.1\r\nHost: "+tc.addr+"\r\nContent-Length: 100\r\n\r\n{\"spec\":")
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, nc.SetReadDeadline(time.Now().Add(linetest.EndsWithin)), qt.IsNil)
+			qt.Assert(t, nc.SetReadDeadline(time.Now().Add(linetest.HangTimeout)), qt.IsNil)
 			resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, resp.Body.Close(), qt.IsNil)
--- a/internal/jobhost/stop_test.go
+++ b/internal/jobhost/stop_test.go
@@ -32,7 +32,7 @@
 	t     *testing.T
 	table standin.Table
 	fleet standin.Fleet
-	lines []*standin.Line
+	lines []*standin.Proxy
 	host  *Host
 }
 
@@ -89,7 +89,7 @@
 
 // line returns the address of a new line to addr.
 func (te *testEnv) line(addr string) string {
-	ln := linetest.NewLine(te.t, addr)
+	ln := linetest.NewProxy(te.t, addr)
 	te.lines = append(te.lines, ln)
 	return ln.Addr()
 }
@@ -122,7 +122,7 @@
 					qt.Assert(t, ln.Stall(st), qt.IsNil)
 				}
 				stop()
-				linetest.Ends(t, "planned stop", func() { qt.Check(t, <-ended, qt.IsNil) })
+				linetest.MustReturn(t, "planned stop", func() { qt.Check(t, <-ended, qt.IsNil) })
 			})
 		}
 	}
--- a/internal/jobhost/worker_list_test.go
+++ b/internal/jobhost/worker_list_test.go
@@ -138,7 +138,7 @@
 	removedAt := time.Now()
 	th.eventually("it runs elsewhere", func() bool { return len(th.fleet.Runs()) == 2 })
 	runs := th.fleet.Runs()
-	qt.Check(t, runs[0].How, qt.Equals, "stopped")
+	qt.Check(t, runs[0].Outcome, qt.Equals, "stopped")
 	qt.Check(t, runs[1].Worker, qt.Not(qt.Equals), runs[0].Worker)
 	qt.Check(t, runs[1].From.Sub(removedAt) > 2900*time.Millisecond, qt.IsTrue, qt.Commentf("%v", runs[1].From.Sub(removedAt)))
 	t.Logf("moved after %v", runs[1].From.Sub(removedAt))
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -73,7 +73,7 @@
 			pl := newPlay(mi, seed+1, Variant{Name: "real"})
 			re, err := pl.run(t.Context())
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, standin.RunProblems(pl.fleet.Runs()), qt.HasLen, 0)
+			qt.Check(t, standin.RunViolations(pl.fleet.Runs()), qt.HasLen, 0)
 			qt.Check(t, re.Worth() > 0.3, qt.IsTrue, qt.Commentf("worth %.3f", re.Worth()))
 			synctest.Wait()
 		})
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -78,8 +78,8 @@
 	if va.KnowsTimes {
 		pl.day.declareTrueTimes()
 	}
-	pl.fleet.World = pl.world(seed)
-	pl.fleet.RoomFunc = func(at worker.Attempt) worker.Resources { return pl.step(at).Reserved() }
+	pl.fleet.Interference = pl.world(seed)
+	pl.fleet.ResourcesFunc = func(at worker.Attempt) worker.Resources { return pl.step(at).Reserved() }
 	pl.fleet.RunFunc = pl.runOf
 	return pl
 }
@@ -109,8 +109,8 @@
 }
 
 // world is how tasks disturb each other.
-func (pl *play) world(seed uint64) *standin.World {
-	return &standin.World{
+func (pl *play) world(seed uint64) *standin.Interference {
+	return &standin.Interference{
 		StepFunc: pl.step,
 		DropFunc: func(service, filler string) float64 {
 			if pl.va.Undisturbed {
@@ -122,7 +122,7 @@
 			id, _, _ := job.ParseTaskID(at.Task)
 			return pl.day.load(pl.day.byID[id], now.Sub(pl.began))
 		},
-		Most: pl.day.mix.Services.Headroom, Rough: pl.day.mix.Rough, Rng: rand.New(rand.NewPCG(seed, 2)),
+		MaxHeadroom: pl.day.mix.Services.Headroom, Noise: pl.day.mix.Rough, Rand: rand.New(rand.NewPCG(seed, 2)),
 	}
 }
 
@@ -151,7 +151,7 @@
 			holds = worker.Resources{MilliCores: mi.MilliCores * 3 / 2, MemMB: mi.MemMB * 3 / 2}
 		}
 		ad := worker.Addr{HostPort: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Incarnation: worker.Incarnation{ID: fmt.Sprintf("i-%03d", i)}}
-		fw := &standin.FleetWorker{Addr: ad, Holds: holds}
+		fw := &standin.FleetWorker{Addr: ad, Capacity: holds}
 		pl.fleet.Add(fw)
 		pl.crew, pl.racks = append(pl.crew, fw), append(pl.racks, fmt.Sprintf("r%d", i/8))
 	}
@@ -165,7 +165,7 @@
 // entry is a worker as it is listed.
 func (pl *play) entry(i int) sched.WorkerEntry {
 	fw, rack := pl.crew[i], pl.racks[i]
-	return sched.WorkerEntry{Addr: fw.Addr, Service: service, Rack: rack, Labels: []string{"a", rack}, Capacity: fw.Holds}
+	return sched.WorkerEntry{Addr: fw.Addr, Service: service, Rack: rack, Labels: []string{"a", rack}, Capacity: fw.Capacity}
 }
 
 // restarts has workers restart until ctx ends.
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -66,13 +66,13 @@
 	for _, ru := range pl.fleet.Runs() {
 		id, _, _ := job.ParseTaskID(ru.Task)
 		re.Starts++
-		if ru.How == "stopped" {
+		if ru.Outcome == "stopped" {
 			re.Stopped++
 		}
-		re.Served += ru.Served
-		re.OverByFillers += ru.OverByFillers
-		re.OverAlone += ru.OverAlone
-		if ru.How == "done" {
+		re.Served += ru.ServingTime
+		re.OverByFillers += ru.OverTargetByFillers
+		re.OverAlone += ru.OverTargetByLoad
+		if ru.Outcome == "done" {
 			done[id]++
 			if ru.Until.After(until[id]) {
 				until[id] = ru.Until
--- a/internal/port/port_test.go
+++ b/internal/port/port_test.go
@@ -134,7 +134,7 @@
 	defer func() { _ = conn.Close() }()
 	_, err = conn.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	c.Assert(err, qt.IsNil)
-	linetest.Ends(t, "answer", func() { <-ended })
+	linetest.MustReturn(t, "answer", func() { <-ended })
 }
 
 // TestWriteTimeoutOverEachProtocol covers an answer that pauses for longer than the
@@ -169,7 +169,7 @@
 				}
 			}, answerLimits)
 			get(c, protocols, url)
-			linetest.Ends(t, "answer", func() { <-ended })
+			linetest.MustReturn(t, "answer", func() { <-ended })
 		})
 	}
 }
--- a/internal/relay/norelay_test.go
+++ b/internal/relay/norelay_test.go
@@ -114,7 +114,7 @@
 	nt.pool.links["r0"].bo.Reset()
 	nt.pool.mu.Unlock()
 	nt.eventually("the second stream has failed", func() bool { return nt.streamsOpened("r0") == 2 && !nt.hasStream("r0") })
-	nt.lines[0].Thaw()
+	nt.lines[0].Resume()
 	nt.pool.SetMembers(nil, []string{"r1"}, false)
 	nt.eventually("the host is used again", func() bool { return nt.usable("r0") })
 }
--- a/internal/relay/reconnect_test.go
+++ b/internal/relay/reconnect_test.go
@@ -49,7 +49,7 @@
 		ad := nt.add()
 		used := int(ad.Via[1] - '0')
 		nt.lines[used].Freeze()
-		t.Cleanup(nt.lines[used].Thaw)
+		t.Cleanup(nt.lines[used].Resume)
 		qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNotNil)
 		nt.eventually("the host is not used", func() bool { return !nt.usable(ad.Via) })
 		nt.pool.SetMembers(nt.members, nil, true)
@@ -72,7 +72,7 @@
 	nt := newNetwork(t, 1)
 	ad := nt.add()
 	qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNil)
-	nt.lines[0].Silence()
+	nt.lines[0].Blackhole()
 	nt.eventually("no relay is assigned", func() bool { return nt.pool.RelayFor("i-0", "a") == "" })
 	before := nt.notifications()
 	nt.eventually("the owner is notified", func() bool { return nt.usable("r0") && nt.notifications() > before })
@@ -86,7 +86,7 @@
 	ad := nt.add()
 	used := int(ad.Via[1] - '0')
 	nt.lines[used].Freeze()
-	t.Cleanup(nt.lines[used].Thaw)
+	t.Cleanup(nt.lines[used].Resume)
 	qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNotNil)
 	nt.eventually("the host is not used", func() bool { return !nt.usable(ad.Via) })
 	before := nt.notifications()
@@ -135,7 +135,7 @@
 	qt.Assert(t, direct(), qt.Equals, 0)
 	for i, ln := range nt.lines {
 		ln.Freeze()
-		t.Cleanup(ln.Thaw)
+		t.Cleanup(ln.Resume)
 		ad.Via = nt.members[i].Name
 		qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNotNil)
 	}
@@ -146,7 +146,7 @@
 	err := nt.launch(ad, "b", "x")
 	qt.Check(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
 	for _, ln := range nt.lines {
-		ln.Thaw()
+		ln.Resume()
 	}
 	nt.eventually("all workers are reached through relays", func() bool { return direct() == 0 && nt.usable(nt.pool.RelayFor("i-49", "a")) })
 }
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -92,9 +92,9 @@
 func TestFullQueueEndsStream(t *testing.T) {
 	ow := newSlowOwner(t)
 	ow.flood()
-	linetest.Ends(t, "waiting until the relay gives up the stream", func() { ow.sendUntil(ow.gaveUp) })
+	linetest.MustReturn(t, "waiting until the relay gives up the stream", func() { ow.sendUntil(ow.gaveUp) })
 	go func() { _, _ = io.Copy(io.Discard, ow.conn) }()
-	linetest.Ends(t, "stream", func() { ow.sendUntil(func() bool { return !servesStream(ow.relay) }) })
+	linetest.MustReturn(t, "stream", func() { ow.sendUntil(func() bool { return !servesStream(ow.relay) }) })
 }
 
 // TestOpenStreamStalls stalls the connection to a relay while a stream is open: both sides
@@ -109,7 +109,7 @@
 			qt.Assert(t, err, qt.IsNil)
 			used := int(ad.Via[1] - '0')
 			qt.Assert(t, nt.lines[used].Stall(st), qt.IsNil)
-			t.Cleanup(nt.lines[used].Thaw)
+			t.Cleanup(nt.lines[used].Resume)
 			nt.eventually("the worker is assigned another relay", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
 			nt.eventually("the relay serves no stream", func() bool { return !servesStream(nt.relays[used]) })
 			ad.Via = nt.pool.RelayFor("i-0", "a")
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -28,7 +28,7 @@
 	pool  *Pool
 	// relays are the relay hosts, lines the connections to them.
 	relays  []*Server
-	lines   []*standin.Line
+	lines   []*standin.Proxy
 	members []registry.Member
 
 	mu      sync.Mutex
@@ -88,7 +88,7 @@
 		mux.Handle(Path, sv)
 		hs := httptest.NewServer(mux)
 		nt.t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
-		ln, err := standin.NewLine(hs.Listener.Addr().String())
+		ln, err := standin.NewProxy(hs.Listener.Addr().String())
 		qt.Assert(nt.t, err, qt.IsNil)
 		nt.t.Cleanup(func() { _ = ln.Close() })
 		nt.relays, nt.lines = append(nt.relays, sv), append(nt.lines, ln)
@@ -130,7 +130,7 @@
 // add adds a worker and returns its address with the relay that the pool assigns.
 func (nt *network) add() worker.Addr {
 	ad := worker.Addr{HostPort: "10.0.0.1:80", Incarnation: worker.Incarnation{ID: "i-0", StartedMS: 1}}
-	nt.fleet.Add(&standin.FleetWorker{Addr: ad, Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}})
+	nt.fleet.Add(&standin.FleetWorker{Addr: ad, Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}})
 	ad.Via = nt.pool.RelayFor("i-0", "a")
 	return ad
 }
@@ -249,7 +249,7 @@
 	used := int(ad.Via[1] - '0')
 
 	t.Run("a connection that goes silent is detected, and orders in progress get no answer", func(t *testing.T) {
-		qt.Assert(t, nt.lines[used].Silence() > 0, qt.IsTrue)
+		qt.Assert(t, nt.lines[used].Blackhole() > 0, qt.IsTrue)
 		err := nt.launch(ad, "a", "x")
 		qt.Assert(t, err, qt.IsNotNil)
 		qt.Assert(t, errors.Is(err, worker.ErrNotSent), qt.IsFalse, qt.Commentf("%v", err))
--- a/internal/relay/unresponsive_test.go
+++ b/internal/relay/unresponsive_test.go
@@ -28,7 +28,7 @@
 	ad := nt.add()
 	used := int(ad.Via[1] - '0')
 	nt.lines[used].Freeze()
-	t.Cleanup(nt.lines[used].Thaw)
+	t.Cleanup(nt.lines[used].Resume)
 
 	err := nt.launch(ad, "a", "x")
 	qt.Assert(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
@@ -48,7 +48,7 @@
 	nt.pool.FormerOwner, nt.pool.FormerOwnerProcess = "r0", "p"
 	nt.pool.SetMembers(nt.members, nil, true)
 	qt.Assert(t, nt.pool.RelayFor("i-0", "a"), qt.Equals, "r1")
-	nt.lines[0].Thaw()
+	nt.lines[0].Resume()
 	nt.eventually("the host is used again", func() bool { return nt.usable("r0") })
 }
 
--- a/internal/runner/client_test.go
+++ b/internal/runner/client_test.go
@@ -80,10 +80,10 @@
 			// The second iteration reuses a connection, where net/http is most
 			// likely to retry.
 			for range 2 {
-				rh.ru.Gate.Set(standin.Fault{})
+				rh.ru.Faults.Set(standin.Fault{})
 				_, _, err := rh.run(ctx, []byte("x"))
 				c.Assert(err, qt.IsNil)
-				rh.ru.Gate.Set(standin.Fault{Mode: mode})
+				rh.ru.Faults.Set(standin.Fault{Mode: mode})
 				id, _, err := rh.run(ctx, []byte("x"))
 				assertUnknown(c, err)
 				c.Assert(rh.runs(id) <= 1, qt.IsTrue)
@@ -92,7 +92,7 @@
 	}
 	c.Run("refused", func(c *qt.C) {
 		rh := newRunnerHarness(c)
-		rh.ru.Gate.Set(standin.Fault{Mode: standin.ModeRefuse})
+		rh.ru.Faults.Set(standin.Fault{Mode: standin.ModeRefuse})
 		_, _, err := rh.run(ctx, nil)
 		assertNotRun(c, err, "refuse")
 	})
@@ -123,7 +123,7 @@
 		for range rapid.IntRange(1, 12).Draw(rt, "requests") {
 			mode := rapid.SampledFrom(modes).Draw(rt, "mode")
 			body := bytes.Repeat([]byte("b"), rapid.SampledFrom([]int{0, 1, 100, 100_000}).Draw(rt, "size"))
-			rh.ru.Gate.Set(standin.Fault{Mode: mode})
+			rh.ru.Faults.Set(standin.Fault{Mode: mode})
 			if rapid.Bool().Draw(rt, "close idle") {
 				rh.srv.CloseClientConnections()
 			}
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -84,7 +84,7 @@
 			ow, end := la.startOwner()
 			defer end()
 			time.Sleep(200 * time.Millisecond)
-			la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 12})
+			la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 12})
 			n := 0
 			for b.Loop() {
 				n++
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -37,8 +37,8 @@
 	t.Helper()
 	ca := &capacityLab{lab: newLab(t, workers), reported: map[worker.Incarnation][]capacityReport{}}
 	for _, fw := range ca.fleetWorkers {
-		ca.record(fw, fw.Holds)
-		fw.Holds = worker.Resources{MilliCores: 1 << 40, MemMB: 1 << 40}
+		ca.record(fw, fw.Capacity)
+		fw.Capacity = worker.Resources{MilliCores: 1 << 40, MemMB: 1 << 40}
 	}
 	ca.own()
 	return ca
@@ -98,7 +98,7 @@
 		for _, other := range runs {
 			beside := other.Worker == ru.Worker && !other.From.After(ru.From) && (other.Until.IsZero() || other.Until.After(ru.From))
 			if beside {
-				sum += ca.fleet.RoomFunc(other.Attempt).MilliCores
+				sum += ca.fleet.ResourcesFunc(other.Attempt).MilliCores
 			}
 		}
 		if sum > ca.maxReported(ru.Worker, ru.From) {
--- a/internal/sched/cluster_test.go
+++ b/internal/sched/cluster_test.go
@@ -41,7 +41,7 @@
 	keeper *tenure.Keeper
 	end    context.CancelFunc
 	// gate injects faults into its connection to the store.
-	gate standin.Gate
+	gate standin.FaultInjector
 	// ow is the owner that it runs while it owns the cell, else nil.
 	ow atomic.Pointer[Owner]
 
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -104,7 +104,7 @@
 		short := cr.fleet.RunFunc
 		cr.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 			if at.Task == firstTask() {
-				return 400 * time.Millisecond, standin.Crashes
+				return 400 * time.Millisecond, standin.OutcomeCrash
 			}
 			return short(at)
 		}
@@ -229,7 +229,7 @@
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 100})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 100})
 		go la.submit(ow, 1, batch(1, 1))
 		time.Sleep(99 * time.Millisecond)
 		la.replaceProcess(0)
@@ -320,9 +320,9 @@
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(300 * time.Millisecond)
 		unresponsive, _ := la.busiest()
-		unresponsive.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		unresponsive.Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(10 * time.Second)
-		unresponsive.Gate.Set(standin.Fault{})
+		unresponsive.Faults.Set(standin.Fault{})
 		time.Sleep(20 * time.Second)
 		qt.Check(t, la.state(ow, 1), qt.Equals, job.Failed)
 		qt.Check(t, la.fleet.Runs(), qt.HasLen, 3)
--- a/internal/sched/crashcost_test.go
+++ b/internal/sched/crashcost_test.go
@@ -54,7 +54,7 @@
 	cc.workers = cr.crashed
 	cr.mu.Unlock()
 	for _, ru := range cr.fleet.Runs() {
-		if id, _, _ := job.ParseTaskID(ru.Task); !isCrash(jobNumber(id)) && ru.How == "killed" {
+		if id, _, _ := job.ParseTaskID(ru.Task); !isCrash(jobNumber(id)) && ru.Outcome == "killed" {
 			cc.lost++
 		}
 	}
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -134,7 +134,7 @@
 func (cr *crashLab) restartProcess(fw *standin.FleetWorker, was WorkerEntry) {
 	cr.mu.Lock()
 	cr.restarts++
-	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", cr.restarts)}}, Holds: fw.Holds}
+	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", cr.restarts)}}, Capacity: fw.Capacity}
 	if cr.newAddress {
 		next.Addr.HostPort = fmt.Sprintf("10.1.0.%d:80", cr.restarts)
 	}
@@ -168,7 +168,7 @@
 		id, ref, _ := job.ParseTaskID(at.Task)
 		switch {
 		case crash(id, ref):
-			return crashDelay, standin.Crashes
+			return crashDelay, standin.OutcomeCrash
 		case cr.spec(id).Steps[ref.Step].Endless:
 			return -1, ""
 		}
@@ -211,7 +211,7 @@
 	crashed := map[int]int{}
 	for _, ru := range cr.fleet.Runs() {
 		id, _, _ := job.ParseTaskID(ru.Task)
-		if ru.How == "killed" || ru.How == standin.Crashes {
+		if ru.Outcome == "killed" || ru.Outcome == standin.OutcomeCrash {
 			ends[ru.Task]++
 			crashed[jobNumber(id)] = max(crashed[jobNumber(id)], ends[ru.Task])
 		}
--- a/internal/sched/death_test.go
+++ b/internal/sched/death_test.go
@@ -27,7 +27,7 @@
 		time.Sleep(time.Second)
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(time.Second)
-		next := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
+		next := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Capacity: was.Capacity}
 		la.fleet.Add(next)
 		la.fleetWorkers[0] = next
 		ow.SetWorkers(la.listed(), nil, false)
--- a/internal/sched/formerprocess_test.go
+++ b/internal/sched/formerprocess_test.go
@@ -20,7 +20,7 @@
 	former = la.listed()[i]
 	fw := la.fleetWorkers[i]
 	la.fleet.Kill(fw)
-	fresh := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fw.Addr.Incarnation.ID + "b"}}, Holds: fw.Holds}
+	fresh := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fw.Addr.Incarnation.ID + "b"}}, Capacity: fw.Capacity}
 	la.fleet.Add(fresh)
 	la.fleetWorkers[i] = fresh
 	la.formerEntries = append(la.formerEntries, former)
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -71,7 +71,7 @@
 func newLab(tb testing.TB, workers int) *lab {
 	tb.Helper()
 	la := &lab{t: tb, specs: map[string]job.Spec{}, log: slog.New(slog.DiscardHandler)}
-	la.fleet.RoomFunc = func(at worker.Attempt) worker.Resources {
+	la.fleet.ResourcesFunc = func(at worker.Attempt) worker.Resources {
 		id, ref, _ := job.ParseTaskID(at.Task)
 		return la.spec(id).Steps[ref.Step].Reserved()
 	}
@@ -107,8 +107,8 @@
 // addWorker adds a worker at an address of its own.
 func (la *lab) addWorker(i int) {
 	fw := &standin.FleetWorker{
-		Addr:  worker.Addr{HostPort: fmt.Sprintf("10.0.0.%d:80", i), Incarnation: worker.Incarnation{ID: fmt.Sprintf("i-%d", i)}},
-		Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000},
+		Addr:     worker.Addr{HostPort: fmt.Sprintf("10.0.0.%d:80", i), Incarnation: worker.Incarnation{ID: fmt.Sprintf("i-%d", i)}},
+		Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000},
 	}
 	la.fleet.Add(fw)
 	la.fleetWorkers = append(la.fleetWorkers, fw)
@@ -117,7 +117,7 @@
 func (la *lab) listed() []WorkerEntry {
 	var list []WorkerEntry
 	for _, fw := range la.fleetWorkers {
-		list = append(list, WorkerEntry{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Holds})
+		list = append(list, WorkerEntry{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Capacity})
 	}
 	return list
 }
@@ -240,10 +240,10 @@
 // runProblems lists the violations of these rules.
 func (la *lab) runProblems() []string {
 	runs := la.fleet.Runs()
-	list := standin.RunProblems(runs)
+	list := standin.RunViolations(runs)
 	doneAt := map[string]time.Time{}
 	for _, ru := range runs {
-		if ru.How == "done" {
+		if ru.Outcome == "done" {
 			doneAt[ru.Task] = ru.Until
 		}
 	}
--- a/internal/sched/lateend_test.go
+++ b/internal/sched/lateend_test.go
@@ -25,7 +25,7 @@
 	time.Sleep(time.Second)
 	qt.Assert(la.t, la.submit(ow, 1, batch(1, 1)).Outcome, qt.Equals, Accepted)
 	time.Sleep(300 * time.Millisecond)
-	la.fleetWorkers[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+	la.fleetWorkers[0].Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 	time.Sleep(10 * time.Second)
 }
 
@@ -46,7 +46,7 @@
 		ow, end := la.startOwner()
 		defer end()
 		freezeUntilLapsed(la, ow)
-		la.fleetWorkers[0].Gate.Set(standin.Fault{})
+		la.fleetWorkers[0].Faults.Set(standin.Fault{})
 		time.Sleep(2 * time.Second)
 		assertRunOnce(la, ow)
 	})
@@ -64,15 +64,15 @@
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(300 * time.Millisecond)
-		la.fleetWorkers[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		la.fleetWorkers[0].Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(3 * time.Second)
 		// The attempt is given up, and this is not written yet when its end is listed.
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		time.Sleep(7 * time.Second)
-		la.fleetWorkers[0].Gate.Set(standin.Fault{})
+		la.fleetWorkers[0].Faults.Set(standin.Fault{})
 		time.Sleep(time.Second)
 		end()
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		ow, end = la.startOwner()
 		defer end()
 		time.Sleep(4 * time.Second)
@@ -95,10 +95,10 @@
 			la.submit(ow, 1, batch(1, 1))
 			time.Sleep(500 * time.Millisecond)
 			unresponsive, _ := la.busiest()
-			unresponsive.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+			unresponsive.Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 			time.Sleep(9 * time.Second)
 			qt.Assert(t, la.fleet.Runs(), qt.HasLen, 2)
-			unresponsive.Gate.Set(standin.Fault{})
+			unresponsive.Faults.Set(standin.Fault{})
 			time.Sleep(500 * time.Millisecond)
 			if replaced {
 				end()
@@ -127,7 +127,7 @@
 			ow, end := la.startOwner()
 			defer func() { end() }()
 			time.Sleep(time.Second)
-			la.fleet.SetLate(la.fleetWorkers[0], 3*time.Second)
+			la.fleet.SetOrderDelay(la.fleetWorkers[0], 3*time.Second)
 			la.submit(ow, 1, longRunning(1))
 			time.Sleep(500 * time.Millisecond)
 			ve, err := ow.Cancel(t.Context(), jobID(1))
@@ -139,7 +139,7 @@
 			}
 			time.Sleep(2700 * time.Millisecond)
 			// Stop orders sent before were delayed too.
-			la.fleet.SetLate(la.fleetWorkers[0], 0)
+			la.fleet.SetOrderDelay(la.fleetWorkers[0], 0)
 			time.Sleep(idlePollWait + pollGrace + ow.Limits.StopTime)
 			// A worker that obeys the next owner's fencing token refuses orders of the former
 			// owner.
--- a/internal/sched/leasewait_test.go
+++ b/internal/sched/leasewait_test.go
@@ -37,7 +37,7 @@
 func TestHandedOverWaitsElapse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 		te := tenure.Tenure{Epoch: 2, Former: tenure.OwnerRow{LeaseLapseMS: map[string]int64{"i-7": 5000, "i-8": 1000}}}
 		ow := New(&Owner{Cell: "c0", Tenure: te, Table: la.table.Client(), Log: la.log})
 		ctx, end := context.WithCancel(context.Background())
@@ -139,7 +139,7 @@
 		opened := time.Now()
 		ow, end = la.startOwner()
 		defer end()
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 		qt.Assert(t, pr.firstExtension.Sub(opened), qt.Equals, pr.firstAfter(opened).Sub(opened))
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -198,7 +198,7 @@
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 		before, err := call(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
 		qt.Assert(t, err, qt.IsNil)
 		for n := range 20 {
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -53,7 +53,7 @@
 		id, ref, _ := job.ParseTaskID(at.Task)
 		switch {
 		case ref == (job.TaskRef{}) && crashesWorkers(jobNumber(id)):
-			return crashDelay, standin.Crashes
+			return crashDelay, standin.OutcomeCrash
 		case fr.spec(id).Steps[0].Endless:
 			return -1, ""
 		case at.Number == 1 && at.Task[15]%4 == 0:
@@ -66,8 +66,8 @@
 		defer fr.crashedMu.Unlock()
 		fr.crashed = append(fr.crashed, fw)
 	}
-	fr.fleet.Remembers = rapid.Bool().Draw(rt, "workers remember acknowledgements")
-	fr.fleet.Untold = rapid.Bool().Draw(rt, "orders omit incarnations")
+	fr.fleet.ApplyAckToLaterEnds = rapid.Bool().Draw(rt, "workers remember acknowledgements")
+	fr.fleet.OmitStartTime = rapid.Bool().Draw(rt, "orders omit incarnations")
 	fr.ow, fr.stopOwner = fr.startOwner()
 	time.Sleep(time.Second)
 	return fr
@@ -105,21 +105,21 @@
 	case "kill, entry stays":
 		fr.replaceProcess(rapid.IntRange(0, len(fr.fleetWorkers)-1).Draw(fr.rt, "worker"), true)
 	case "freeze":
-		fr.randomWorker().Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		fr.randomWorker().Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 	case "lose":
-		fr.randomWorker().Gate.Set(standin.Fault{Mode: standin.ModeLost})
+		fr.randomWorker().Faults.Set(standin.Fault{Mode: standin.ModeLost})
 	case "late":
 		fr.setLate(fr.randomWorker(), 3*time.Second)
 	case "heal":
 		fr.heal()
 	case "store down":
-		fr.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		fr.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 	case "store lost":
-		fr.table.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 3})
+		fr.table.Faults.Set(standin.Fault{Mode: standin.ModeLost, Count: 3})
 	case "store slow":
-		fr.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
+		fr.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 	case "store heal":
-		fr.table.Gate.Set(standin.Fault{})
+		fr.table.Faults.Set(standin.Fault{})
 	case "replace":
 		fr.replaceOwner()
 	case "look":
@@ -158,7 +158,7 @@
 	former, fw := fr.listed()[i], fr.fleetWorkers[i]
 	fr.fleet.Kill(fw)
 	downFor := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(fr.rt, "away")) * time.Millisecond
-	if fr.fleet.Remembers {
+	if fr.fleet.ApplyAckToLaterEnds {
 		// A poll that follows an answer within that time may reach the next process.
 		downFor = max(downFor, ackWithin+pollGrace)
 	}
@@ -177,11 +177,11 @@
 	return fr.fleetWorkers[rapid.IntRange(0, len(fr.fleetWorkers)-1).Draw(fr.rt, "worker")]
 }
 
-func (fr *faultRun) setLate(fw *standin.FleetWorker, d time.Duration) { fr.fleet.SetLate(fw, d) }
+func (fr *faultRun) setLate(fw *standin.FleetWorker, d time.Duration) { fr.fleet.SetOrderDelay(fw, d) }
 
 func (fr *faultRun) heal() {
 	for _, fw := range fr.fleetWorkers {
-		fw.Gate.Set(standin.Fault{})
+		fw.Faults.Set(standin.Fault{})
 		fr.setLate(fw, 0)
 	}
 }
@@ -227,7 +227,7 @@
 	fw, former := fr.fleetWorkers[i], fr.listed()[i]
 	fr.fleet.Kill(fw)
 	fr.replacements++
-	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", fr.replacements)}}, Holds: fw.Holds}
+	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", fr.replacements)}}, Capacity: fw.Capacity}
 	fr.fleet.Add(next)
 	fr.fleetWorkers[i] = next
 	list := fr.listed()
@@ -255,7 +255,7 @@
 
 // replaceOwner stops the owner and starts another, after it has repaired the store.
 func (fr *faultRun) replaceOwner() {
-	fr.table.Gate.Set(standin.Fault{})
+	fr.table.Faults.Set(standin.Fault{})
 	fr.stopOwner()
 	fr.ow, fr.stopOwner = fr.startOwner()
 }
@@ -277,7 +277,7 @@
 
 // healAndCheck ends all faults, waits, and checks the final states and all runs.
 func (fr *faultRun) healAndCheck() {
-	fr.table.Gate.Set(standin.Fault{})
+	fr.table.Faults.Set(standin.Fault{})
 	fr.heal()
 	fr.ow.SetWorkers(fr.listed(), nil, true)
 	for range 45 {
@@ -317,7 +317,7 @@
 	for _, ru := range fr.fleet.Runs() {
 		if id, _, _ := job.ParseTaskID(ru.Task); id == jobID(n) {
 			fmt.Fprintf(&sb, "%s %d at %s from %s to %s: %s, noted %s %v; ", ru.Task, ru.Number, ru.Worker,
-				ru.From.Format("05.000"), ru.Until.Format("05.000"), ru.How, ru.Noted.Format("05.000"), ru.Seen)
+				ru.From.Format("05.000"), ru.Until.Format("05.000"), ru.Outcome, ru.AckedAt.Format("05.000"), ru.AckedInLease)
 		}
 	}
 	return sb.String()
@@ -328,7 +328,7 @@
 func (fr *faultRun) crashedUnder(n int) int {
 	counts, most := map[string]int{}, 0
 	for _, ru := range fr.fleet.Runs() {
-		if id, _, _ := job.ParseTaskID(ru.Task); id == jobID(n) && (ru.How == "killed" || ru.How == standin.Crashes) {
+		if id, _, _ := job.ParseTaskID(ru.Task); id == jobID(n) && (ru.Outcome == "killed" || ru.Outcome == standin.OutcomeCrash) {
 			counts[ru.Task]++
 			most = max(most, counts[ru.Task])
 		}
@@ -341,7 +341,7 @@
 func (fr *faultRun) checkStarts() {
 	counts := map[string]int{}
 	for _, ru := range fr.fleet.Runs() {
-		if ru.How == standin.Crashes {
+		if ru.Outcome == standin.OutcomeCrash {
 			counts[ru.Task]++
 		}
 	}
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -124,7 +124,7 @@
 		defer end()
 		time.Sleep(time.Second)
 		for _, fw := range la.fleetWorkers {
-			fw.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
+			fw.Faults.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
 		}
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, li.matching("worker does not answer"), qt.HasLen, 4)
@@ -172,7 +172,7 @@
 		time.Sleep(time.Second)
 		la.submit(ow, 1, longRunning(2*16))
 		time.Sleep(time.Second)
-		la.fleetWorkers[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		la.fleetWorkers[0].Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, li.matching("worker does not answer", "worker=i-0"), qt.HasLen, 1)
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -192,19 +192,19 @@
 		for late := 50 * time.Millisecond; late < time.Second; late += 50 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 3)
-				la.fleet.Untold = noStartTime
+				la.fleet.OmitStartTime = noStartTime
 				la.wrapAgentFunc = slowFirstPolls(200 * time.Millisecond)
 				la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
 				ow, end := la.startOwner()
 				defer end()
 				time.Sleep(time.Second)
 				for _, fw := range la.fleetWorkers {
-					la.fleet.SetLate(fw, late)
+					la.fleet.SetOrderDelay(fw, late)
 				}
 				la.submit(ow, 1, batch(1, 12))
 				time.Sleep(10 * time.Millisecond)
 				for _, fw := range la.fleetWorkers {
-					la.fleet.SetLate(fw, 0)
+					la.fleet.SetOrderDelay(fw, 0)
 				}
 				la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
 				time.Sleep(2 * time.Second)
@@ -229,7 +229,7 @@
 			ow, end := la.startOwner()
 			time.Sleep(time.Second)
 			for _, fw := range la.fleetWorkers {
-				la.fleet.SetLate(fw, late)
+				la.fleet.SetOrderDelay(fw, late)
 			}
 			la.submit(ow, 1, batch(1, 12))
 			time.Sleep(10 * time.Millisecond)
@@ -262,7 +262,7 @@
 		la.submit(ow, 1, batch(1, tasks))
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		la.fleet.SetLate(la.fleetWorkers[0], 50*time.Millisecond)
+		la.fleet.SetOrderDelay(la.fleetWorkers[0], 50*time.Millisecond)
 		la.submit(ow, 2, batch(1, 12))
 		time.Sleep(10 * time.Millisecond)
 		la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
@@ -303,7 +303,7 @@
 		runs := la.fleet.Runs()
 		qt.Assert(t, runs, qt.HasLen, 4)
 		for _, ru := range runs {
-			qt.Check(t, ru.Noted.IsZero(), qt.IsFalse)
+			qt.Check(t, ru.AckedAt.IsZero(), qt.IsFalse)
 		}
 		// The owner may still be blocked in a sleep, which ends only while time passes.
 		time.Sleep(time.Second)
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -75,7 +75,7 @@
 		la := newLab(t, 2)
 		ow := la.withLasting(31)
 		leaving, _ := la.busiest()
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 		unplaceable := batch(1, 1)
 		unplaceable.Steps[0].Label = "on no worker"
 		go func() {
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -33,7 +33,7 @@
 	counts := map[string]int{}
 	for _, ru := range la.fleet.Runs() {
 		if !ru.Until.IsZero() {
-			counts[ru.How]++
+			counts[ru.Outcome]++
 		}
 	}
 	return counts
@@ -83,11 +83,11 @@
 func TestEntriesExpireDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 4, 24)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		// A pending write lets the owner notice the outage.
 		la.submit(ow, 2, longRunning(1))
 		time.Sleep(8 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
 		for _, li := range la.listed() {
 			time.Sleep(500 * time.Millisecond)
@@ -107,10 +107,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 4, 24)
 		lost, _ := la.busiest()
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, longRunning(1))
 		time.Sleep(8 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		back := time.Now()
 		ow.SetWorkers(nil, nil, true)
 		time.Sleep(2 * time.Second)
@@ -140,15 +140,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 3, 12)
 		was := la.fleetWorkers[0]
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, longRunning(1))
 		time.Sleep(time.Second)
 		la.fleet.Kill(was)
-		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
+		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Capacity: was.Capacity}
 		la.fleet.Add(now)
 		la.fleetWorkers[0] = now
 		time.Sleep(2 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
 		time.Sleep(2 * time.Second)
 		ow.SetWorkers(la.listed(), nil, true)
@@ -302,7 +302,7 @@
 			ow, end := la.startOwner()
 			defer end()
 			time.Sleep(time.Second)
-			la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
+			la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 			go la.submit(ow, 1, batch(1, 20))
 			time.Sleep(200 * time.Millisecond)
 			list := la.listed()
@@ -346,12 +346,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLastingLab(t, 3, 12)
 		worker, n := la.busiest()
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		go la.submit(ow, 2, longRunning(1))
 		time.Sleep(time.Second)
 		ow.SetWorkers(nil, []string{worker.Addr.Incarnation.ID}, false)
 		time.Sleep(6 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		time.Sleep(2900 * time.Millisecond)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
 		time.Sleep(3 * time.Second)
--- a/internal/sched/workers_test.go
+++ b/internal/sched/workers_test.go
@@ -92,11 +92,11 @@
 		la.submit(ow, 1, longRunning(4))
 		time.Sleep(time.Second)
 		for _, fw := range la.fleetWorkers {
-			fw.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+			fw.Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 		}
 		time.Sleep(3 * time.Second)
 		for _, fw := range la.fleetWorkers {
-			fw.Gate.Set(standin.Fault{})
+			fw.Faults.Set(standin.Fault{})
 		}
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, len(la.fleet.Runs()), qt.Equals, 4)
@@ -113,12 +113,12 @@
 		defer end()
 		time.Sleep(time.Second)
 		for _, fw := range la.fleetWorkers {
-			fw.Gate.Set(standin.Fault{Mode: standin.ModeLost})
+			fw.Faults.Set(standin.Fault{Mode: standin.ModeLost})
 		}
 		la.submit(ow, 1, batch(2, 4))
 		time.Sleep(2 * time.Second)
 		for _, fw := range la.fleetWorkers {
-			fw.Gate.Set(standin.Fault{})
+			fw.Faults.Set(standin.Fault{})
 		}
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
@@ -134,10 +134,10 @@
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.fleet.SetLate(la.fleetWorkers[0], 3*time.Second)
+		la.fleet.SetOrderDelay(la.fleetWorkers[0], 3*time.Second)
 		la.submit(ow, 1, batch(2, 16))
 		time.Sleep(8 * time.Second)
-		la.fleet.SetLate(la.fleetWorkers[0], 0)
+		la.fleet.SetOrderDelay(la.fleetWorkers[0], 0)
 		time.Sleep(12 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 		la.assertRunsConsistent()
@@ -192,7 +192,7 @@
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 4))
 		time.Sleep(time.Second)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, batch(1, 4))
 		time.Sleep(time.Second)
 		start := time.Now()
@@ -201,7 +201,7 @@
 		qt.Assert(t, ve.RetryAfter > 0, qt.IsTrue)
 		qt.Assert(t, time.Since(start) < 100*time.Millisecond, qt.IsTrue)
 		time.Sleep(8 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 		qt.Assert(t, la.state(ow, 3), qt.Equals, job.State(""))
@@ -218,7 +218,7 @@
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 3})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeLost, Count: 3})
 		la.submit(ow, 1, batch(3, 4))
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
@@ -315,9 +315,9 @@
 		time.Sleep(500 * time.Millisecond)
 		la.assertRunning(8)
 		for _, ru := range la.fleet.Runs() {
-			qt.Check(t, ru.How, qt.Not(qt.Equals), "killed", qt.Commentf("%s", ru.Task))
+			qt.Check(t, ru.Outcome, qt.Not(qt.Equals), "killed", qt.Commentf("%s", ru.Task))
 			if ru.Task[:16] == jobID(2) {
-				qt.Check(t, ru.How, qt.Equals, "done")
+				qt.Check(t, ru.Outcome, qt.Equals, "done")
 			}
 		}
 	})
--- a/internal/session/stall_test.go
+++ b/internal/session/stall_test.go
@@ -28,19 +28,19 @@
 		t.Run(string(st), func(t *testing.T) {
 			t.Parallel()
 			var list []upstream.Runner
-			lines := map[string]*standin.Line{}
+			lines := map[string]*standin.Proxy{}
 			for _, id := range []string{"a", "b"} {
 				hs := httptest.NewServer(standin.NewRunner(standin.RunnerSettings{ID: id, Tick: 10 * time.Millisecond}).Handler())
 				t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
-				lines[id] = linetest.NewLine(t, hs.Listener.Addr().String())
+				lines[id] = linetest.NewProxy(t, hs.Listener.Addr().String())
 				list = append(list, upstream.Runner{Host: store.Host{ID: id, Addr: lines[id].Addr(), Service: "s"}, State: upstream.Live})
 			}
 			re := &Relay{
 				Runners: runner.NewClient(runner.Limits{}), List: func() []upstream.Runner { return list },
-				MaxSessions: 2, PerRunner: 2, RunnerWait: linetest.EndsWithin,
+				MaxSessions: 2, PerRunner: 2, RunnerWait: linetest.HangTimeout,
 			}
 			used := ""
-			linetest.Ends(t, "session", func() {
+			linetest.MustReturn(t, "session", func() {
 				err := re.Serve(context.Background(), Request{Service: "s", Topic: "t"}, func(ev Event) error {
 					po, err := parseToken(ev.Token)
 					switch {
@@ -49,7 +49,7 @@
 					case used == "":
 						used = po.Runner
 						return lines[used].Stall(st)
-					case po.Runner != used, st == standin.LoseRequests && ev.Seq > eventsAfterStall:
+					case po.Runner != used, st == standin.DropRequests && ev.Seq > eventsAfterStall:
 						return errDone
 					}
 					return nil
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -157,7 +157,7 @@
 		host.Kind, host.Service, host.Slots = store.KindRunner, rc.Service, rc.Slots
 		hosts = append(hosts, host)
 		handlers[host.Addr] = NewRunner(RunnerSettings{
-			ID: host.ID, Slots: rc.Slots, Mean: rc.Mean, Sigma: rc.Sigma, Tick: rc.Tick, LogTo: logTo,
+			ID: host.ID, Slots: rc.Slots, Mean: rc.Mean, Sigma: rc.Sigma, Tick: rc.Tick, LogWriter: logTo,
 		}).Handler()
 	})
 	if err != nil {
@@ -201,7 +201,7 @@
 		host.Kind = store.KindWorker
 		host.MilliCores, host.MemMB, host.Accels = holds.MilliCores, holds.MemMB, holds.Accels
 		hosts = append(hosts, host)
-		handlers[host.Addr] = NewWorker(WorkerSettings{ID: host.ID, Holds: holds, Lag: wc.Lag, Pace: wc.Pace}).Handler()
+		handlers[host.Addr] = NewWorker(WorkerSettings{ID: host.ID, Capacity: holds, Lag: wc.Lag, Speed: wc.Pace}).Handler()
 	})
 	if err != nil {
 		return err
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -46,14 +46,14 @@
 }
 
 // Gate puts a fault before a handler. The zero value is [ModeOK].
-type Gate struct {
+type FaultInjector struct {
 	mu      sync.Mutex
 	fault   Fault
 	changed chan struct{}
 }
 
 // Set changes the fault.
-func (ga *Gate) Set(fault Fault) {
+func (ga *FaultInjector) Set(fault Fault) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.fault = fault
@@ -64,7 +64,7 @@
 }
 
 // take returns the fault for one message, and what is closed at its change.
-func (ga *Gate) take() (Fault, <-chan struct{}) {
+func (ga *FaultInjector) take() (Fault, <-chan struct{}) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if ga.changed == nil {
@@ -82,7 +82,7 @@
 
 // Before does what the fault wants done before the message is handled. It
 // reports whether the answer is to be lost.
-func (ga *Gate) Before(ctx context.Context) (lost bool, err error) {
+func (ga *FaultInjector) Before(ctx context.Context) (lost bool, err error) {
 	fault, changed := ga.take()
 	switch fault.Mode {
 	case ModeDown:
@@ -106,7 +106,7 @@
 }
 
 // Wrap returns h behind the gate.
-func (ga *Gate) Wrap(h http.Handler) http.Handler {
+func (ga *FaultInjector) Wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		lost, err := ga.Before(r.Context())
 		if err != nil {
@@ -123,7 +123,7 @@
 }
 
 // Handle returns the handler of /fault.
-func (ga *Gate) Handle() http.Handler {
+func (ga *FaultInjector) Handle() http.Handler {
 	return wire.Handle(func(_ context.Context, fault Fault) (Fault, error) {
 		ga.Set(fault)
 		return fault, nil
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -12,9 +12,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Crashes is how a task ends that ends its worker's process with it: nothing is told of
+// OutcomeCrash is how a task ends that ends its worker's process with it: nothing is told of
 // that to anybody.
-const Crashes = "crashes"
+const OutcomeCrash = "crashes"
 
 // FleetRun is one run of a task at a worker of a [Fleet], for checks afterwards.
 type FleetRun struct {
@@ -27,16 +27,16 @@
 	// From and Until are when it ran; Until is zero while it does.
 	From, Until time.Time
 	// How is how it ended.
-	How string
-	// Seen is set once the owner acknowledged the end, unless the worker's
+	Outcome string
+	// AckedInLease is set once the owner acknowledged the end, unless the worker's
 	// leases had lapsed in between: the owner may then have given it up.
-	Seen bool
-	// Noted is when the owner acknowledged the end, whatever became of the leases,
+	AckedInLease bool
+	// AckedAt is when the owner acknowledged the end, whatever became of the leases,
 	// or zero.
-	Noted time.Time
-	// Served is how long it served in a [World]; OverByFillers and OverAlone are
+	AckedAt time.Time
+	// ServingTime is how long it served in a [Interference]; OverTargetByFillers and OverTargetByLoad are
 	// how long it was over its target, through fillers and by its own load.
-	Served, OverByFillers, OverAlone time.Duration
+	ServingTime, OverTargetByFillers, OverTargetByLoad time.Duration
 
 	lapsed bool
 }
@@ -47,18 +47,18 @@
 	// RunFunc returns how long a task works and how it then ends; a negative
 	// time is endless.
 	RunFunc func(at worker.Attempt) (time.Duration, string)
-	// World has tasks disturb each other, if set.
-	World *World
+	// Interference has tasks disturb each other, if set.
+	Interference *Interference
 	// CrashedFunc is told of a worker that a task crashed, if set.
 	CrashedFunc func(fw *FleetWorker)
-	// RoomFunc returns what a task takes of a worker's room.
-	RoomFunc func(at worker.Attempt) worker.Resources
-	// Remembers has workers never list an end whose number was acknowledged before it came;
+	// ResourcesFunc returns what a task takes of a worker's room.
+	ResourcesFunc func(at worker.Attempt) worker.Resources
+	// ApplyAckToLaterEnds has workers never list an end whose number was acknowledged before it came;
 	// otherwise they forget those that have come by then.
-	Remembers bool
-	// Untold has the answers to orders not tell when the worker's process started; those
+	ApplyAckToLaterEnds bool
+	// OmitStartTime has the answers to orders not tell when the worker's process started; those
 	// to looks always do.
-	Untold bool
+	OmitStartTime bool
 
 	mu      sync.Mutex
 	workers map[string]*FleetWorker
@@ -70,12 +70,12 @@
 	// Addr is where it listens, by name, and which life it is. Add sets when that was
 	// Born, unless it is set.
 	Addr worker.Addr
-	// Holds is its room.
-	Holds worker.Resources
+	// Capacity is its room.
+	Capacity worker.Resources
 	// Gate is its fault.
-	Gate Gate
-	// Late has orders answered not at all and carried out so much later.
-	Late time.Duration
+	Faults FaultInjector
+	// OrderDelay has orders answered not at all and carried out so much later.
+	OrderDelay time.Duration
 	// ClockRate is how fast its clock runs; 0 means right.
 	ClockRate float64
 	// RunFunc, if set, goes before that of the fleet.
@@ -135,7 +135,7 @@
 // of day of its host was stepped by so much.
 func (fl *Fleet) Restart(fw *FleetWorker, hostPort string, stepped time.Duration) *FleetWorker {
 	fl.Kill(fw)
-	next := &FleetWorker{Addr: fw.Addr, Holds: fw.Holds}
+	next := &FleetWorker{Addr: fw.Addr, Capacity: fw.Capacity}
 	next.Addr.HostPort = hostPort
 	next.Addr.Incarnation.StartedMS = time.Now().Add(stepped).UnixMilli()
 	if next.Addr.Incarnation == fw.Addr.Incarnation {
@@ -164,23 +164,23 @@
 
 // crash ends the worker's process by the doing of a task.
 func (fw *FleetWorker) crash(task string) {
-	fw.end(task, Crashes)
+	fw.end(task, OutcomeCrash)
 	fw.kill()
 	if fw.fl.CrashedFunc != nil {
 		go fw.fl.CrashedFunc(fw)
 	}
 }
 
-// SetLate has a worker's orders answered not at all and carried out so much
+// SetOrderDelay has a worker's orders answered not at all and carried out so much
 // later, or at once if d is 0.
-func (fl *Fleet) SetLate(fw *FleetWorker, d time.Duration) {
+func (fl *Fleet) SetOrderDelay(fw *FleetWorker, d time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fw.Late = d
+	fw.OrderDelay = d
 }
 
-// SetRun changes RunFunc while workers are at work.
-func (fl *Fleet) SetRun(run func(at worker.Attempt) (time.Duration, string)) {
+// SetRunFunc changes RunFunc while workers are at work.
+func (fl *Fleet) SetRunFunc(run func(at worker.Attempt) (time.Duration, string)) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.RunFunc = run
@@ -199,7 +199,7 @@
 
 // Fences returns the highest fencing token of the orders that each worker has had,
 // by incarnation.
-func (fl *Fleet) Fences() map[worker.Incarnation]int64 {
+func (fl *Fleet) FencingTokens() map[worker.Incarnation]int64 {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fences := map[worker.Incarnation]int64{}
@@ -276,14 +276,14 @@
 }
 
 func (fl *Fleet) room(at worker.Attempt) worker.Resources {
-	if fl.RoomFunc == nil {
+	if fl.ResourcesFunc == nil {
 		return worker.Resources{}
 	}
-	return fl.RoomFunc(at)
+	return fl.ResourcesFunc(at)
 }
 
 func (fw *FleetWorker) free() worker.Resources {
-	free := fw.Holds
+	free := fw.Capacity
 	for _, ta := range fw.running {
 		free = free.Sub(ta.takes)
 	}
@@ -306,7 +306,7 @@
 	if work < 0 {
 		return
 	}
-	if wo := fw.fl.World; wo != nil && wo.StepFunc(la.Attempt).Filler {
+	if wo := fw.fl.Interference; wo != nil && wo.StepFunc(la.Attempt).Filler {
 		ta.worked = resumed(la.Checkpoint)
 		return
 	}
@@ -315,7 +315,7 @@
 		defer fw.fl.mu.Unlock()
 		switch {
 		case fw.running[la.Task] != ta:
-		case how == Crashes:
+		case how == OutcomeCrash:
 			fw.crash(la.Task)
 		default:
 			fw.end(la.Task, how)
@@ -330,12 +330,12 @@
 	if ta.timer != nil {
 		ta.timer.Stop()
 	}
-	ta.run.Until, ta.run.How = time.Now(), how
+	ta.run.Until, ta.run.Outcome = time.Now(), how
 	fw.last[name] = max(fw.last[name], ta.run.Number)
 	fw.ends++
 	fw.ended = append(fw.ended, worker.EndedAttempt{Attempt: ta.run.Attempt, EndNumber: fw.ends, Outcome: how, Checkpoint: ta.checkpoint()})
 	fw.endedRuns = append(fw.endedRuns, ta.run)
-	if fw.fl.Remembers {
+	if fw.fl.ApplyAckToLaterEnds {
 		fw.forget(fw.told)
 	}
 	close(fw.wake)
@@ -345,7 +345,7 @@
 // forget forgets the ends up to a number, as they were acknowledged.
 func (fw *FleetWorker) forget(number int64) {
 	for len(fw.ended) > 0 && fw.ended[0].EndNumber <= number {
-		fw.endedRuns[0].Seen, fw.endedRuns[0].Noted = !fw.endedRuns[0].lapsed, time.Now()
+		fw.endedRuns[0].AckedInLease, fw.endedRuns[0].AckedAt = !fw.endedRuns[0].lapsed, time.Now()
 		fw.ended, fw.endedRuns = fw.ended[1:], fw.endedRuns[1:]
 	}
 }
@@ -405,7 +405,7 @@
 	if err != nil {
 		return worker.PollResult{}, err
 	}
-	return gated(ctx, &fw.Gate, func() (worker.PollResult, error) {
+	return gated(ctx, &fw.Faults, func() (worker.PollResult, error) {
 		wake, err := fw.prepare(lo)
 		if err != nil {
 			return worker.PollResult{}, cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.StartedMS), err)
--- a/internal/standin/fleetagent.go
+++ b/internal/standin/fleetagent.go
@@ -61,13 +61,13 @@
 			return worker.Ack{}, errReset(ad)
 		}
 		ack, err := fn(fw)
-		if !fl.Untold {
+		if !fl.OmitStartTime {
 			err = cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.StartedMS), err)
 		}
 		return ack, err
 	}
 	fl.mu.Lock()
-	late := fw.Late
+	late := fw.OrderDelay
 	fl.mu.Unlock()
 	if late > 0 {
 		time.AfterFunc(late, func() {
@@ -79,7 +79,7 @@
 		<-ctx.Done()
 		return worker.Ack{}, ctx.Err()
 	}
-	return gated(ctx, &fw.Gate, locked)
+	return gated(ctx, &fw.Faults, locked)
 }
 
 // nextLife returns the process that has a dead worker's id and address, if a late order
--- a/internal/standin/hosts.go
+++ b/internal/standin/hosts.go
@@ -15,7 +15,7 @@
 // Hosts stands in for the platform's host list. Changes show after the lag.
 type Hosts struct {
 	// Gate is the list's fault.
-	Gate Gate
+	Faults FaultInjector
 	// Lag is how long a change takes to show.
 	Lag time.Duration
 
@@ -50,7 +50,7 @@
 // Client returns a client of the list in the same process.
 func (ho *Hosts) Client() store.Hosts {
 	return store.Hosts{ListFunc: func(ctx context.Context, req store.HostsRequest) (store.HostsReply, error) {
-		return gated(ctx, &ho.Gate, func() (store.HostsReply, error) { return ho.list(ctx, req) })
+		return gated(ctx, &ho.Faults, func() (store.HostsReply, error) { return ho.list(ctx, req) })
 	}}
 }
 
@@ -58,7 +58,7 @@
 // /hosts/remove, and the fault at /fault.
 func (ho *Hosts) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /hosts/list", ho.Gate.Wrap(wire.Handle(ho.list)))
+	mux.Handle("POST /hosts/list", ho.Faults.Wrap(wire.Handle(ho.list)))
 	mux.Handle("POST /hosts/put", wire.Handle(func(_ context.Context, host store.Host) (store.Host, error) {
 		ho.Put(host)
 		return host, nil
@@ -67,7 +67,7 @@
 		ho.Remove(host.ID)
 		return host, nil
 	}))
-	mux.Handle("POST /fault", ho.Gate.Handle())
+	mux.Handle("POST /fault", ho.Faults.Handle())
 	return mux
 }
 
--- a/internal/standin/line.go
+++ b/internal/standin/line.go
@@ -9,8 +9,8 @@
 )
 
 // Line is a TCP proxy on loopback before one address, which injects faults of the
-// network. Make one with [NewLine].
-type Line struct {
+// network. Make one with [NewProxy].
+type Proxy struct {
 	to string
 	li net.Listener
 	// accepted counts connections that the line took.
@@ -28,29 +28,29 @@
 
 // lineConn is one connection through a line, both ends.
 type lineConn struct {
-	ln        *Line
+	ln        *Proxy
 	near, far net.Conn
 
 	mu     sync.Mutex
 	silent bool
 }
 
-// NewLine returns a line to an address, which listens until it is closed.
-func NewLine(to string) (*Line, error) {
+// NewProxy returns a line to an address, which listens until it is closed.
+func NewProxy(to string) (*Proxy, error) {
 	var lc net.ListenConfig
 	li, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	ln := &Line{to: to, li: li}
+	ln := &Proxy{to: to, li: li}
 	go ln.accept()
 	return ln, nil
 }
 
 // Addr is where the line listens.
-func (ln *Line) Addr() string { return ln.li.Addr().String() }
+func (ln *Proxy) Addr() string { return ln.li.Addr().String() }
 
-func (ln *Line) accept() {
+func (ln *Proxy) accept() {
 	for {
 		near, err := ln.li.Accept()
 		if err != nil {
@@ -129,7 +129,7 @@
 
 // Silence has the connections that are open now go silent for good, without a
 // reset; new ones work. It returns how many there were.
-func (ln *Line) Silence() int {
+func (ln *Proxy) Blackhole() int {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	for _, lc := range ln.conns {
@@ -142,24 +142,24 @@
 	return n
 }
 
-// Freeze has the host behind the line stand still until [Line.Thaw], as a machine
+// Freeze has the host behind the line stand still until [Proxy.Resume], as a machine
 // does whose kernel goes on: connections can be opened, and what is sent waits.
-func (ln *Line) Freeze() {
+func (ln *Proxy) Freeze() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	ln.stop(StallAccept)
 }
 
 // stop begins a stall; ln.mu is held.
-func (ln *Line) stop(st Stall) {
+func (ln *Proxy) stop(st Stall) {
 	ln.stall = st
 	if ln.thawed == nil {
 		ln.thawed = make(chan struct{})
 	}
 }
 
-// Thaw has the host behind the line go on.
-func (ln *Line) Thaw() {
+// Resume has the host behind the line go on.
+func (ln *Proxy) Resume() {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	if ln.thawed == nil {
@@ -173,13 +173,13 @@
 }
 
 // stalled returns the line's stall, if there is one, and what is closed at its end.
-func (ln *Line) stalled() (Stall, <-chan struct{}) {
+func (ln *Proxy) stalled() (Stall, <-chan struct{}) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.stall, ln.thawed
 }
 
 // Close ends the line; open connections stay until their ends close them.
-func (ln *Line) Close() error { return ln.li.Close() }
+func (ln *Proxy) Close() error { return ln.li.Close() }
 
-var _ io.Closer = (*Line)(nil)
+var _ io.Closer = (*Proxy)(nil)
--- a/internal/standin/linetest/linetest.go
+++ b/internal/standin/linetest/linetest.go
@@ -2,7 +2,7 @@
 // of a connection that happens in, a call ends with an error by its own deadline,
 // and the next one works once the peer goes on.
 //
-// Nothing is measured: [EndsWithin] only tells what ends from what never does.
+// Nothing is measured: [HangTimeout] only tells what ends from what never does.
 package linetest
 
 import (
@@ -17,8 +17,8 @@
 )
 
 const (
-	// EndsWithin is some ten times as long as what is bounded at all.
-	EndsWithin = 10 * time.Second
+	// HangTimeout is some ten times as long as what is bounded at all.
+	HangTimeout = 10 * time.Second
 	// callTimeout is the deadline of a call that is not answered, answerTimeout that
 	// of one that is to be.
 	callTimeout   = 300 * time.Millisecond
@@ -37,31 +37,31 @@
 		for _, kept := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, connection kept %t", st, kept), func(t *testing.T) {
 				t.Parallel()
-				ln := NewLine(t, to)
+				ln := NewProxy(t, to)
 				check(t, ln, connect(ln.Addr()), st, kept)
 			})
 		}
 	}
 }
 
-// NewLine returns a line to an address, which ends with the test.
-func NewLine(tb testing.TB, to string) *standin.Line {
+// NewProxy returns a line to an address, which ends with the test.
+func NewProxy(tb testing.TB, to string) *standin.Proxy {
 	tb.Helper()
-	ln, err := standin.NewLine(to)
+	ln, err := standin.NewProxy(to)
 	qt.Assert(tb, err, qt.IsNil)
 	tb.Cleanup(func() { _ = ln.Close() })
-	tb.Cleanup(ln.Thaw)
+	tb.Cleanup(ln.Resume)
 	return ln
 }
 
-func check(t *testing.T, ln *standin.Line, call Call, st standin.Stall, kept bool) {
+func check(t *testing.T, ln *standin.Proxy, call Call, st standin.Stall, kept bool) {
 	t.Helper()
 	if kept {
 		qt.Assert(t, within(t, call, answerTimeout), qt.IsNil)
 	}
 	qt.Assert(t, ln.Stall(st), qt.IsNil)
 	qt.Assert(t, within(t, call, callTimeout), qt.IsNotNil)
-	ln.Thaw()
+	ln.Resume()
 	qt.Assert(t, within(t, call, answerTimeout), qt.IsNil)
 }
 
@@ -69,7 +69,7 @@
 func within(t *testing.T, call Call, timeout time.Duration) error {
 	t.Helper()
 	var err error
-	Ends(t, "call", func() {
+	MustReturn(t, "call", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), timeout)
 		defer cancel()
 		err = call(ctx)
@@ -78,7 +78,7 @@
 }
 
 // Ends fails the test if fn does not return.
-func Ends(t *testing.T, what string, fn func()) {
+func MustReturn(t *testing.T, what string, fn func()) {
 	t.Helper()
 	ended := make(chan struct{})
 	go func() {
@@ -87,7 +87,7 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(EndsWithin):
+	case <-time.After(HangTimeout):
 		t.Fatalf("%s does not end", what)
 	}
 }
@@ -98,7 +98,7 @@
 // Eventually fails the test if something never is so.
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(EndsWithin); time.Now().Before(end); time.Sleep(lookEvery) {
+	for end := time.Now().Add(HangTimeout); time.Now().Before(end); time.Sleep(lookEvery) {
 		if ok() {
 			return
 		}
--- a/internal/standin/overlap.go
+++ b/internal/standin/overlap.go
@@ -9,7 +9,7 @@
 
 // Overlaps looks for attempts of a task that ran at the same time, and for
 // attempts that did not begin from a checkpoint of the one before.
-func Overlaps(byTask map[string][]TaskSpan) []string {
+func SpanViolations(byTask map[string][]TaskSpan) []string {
 	var broken []string
 	for id, spans := range byTask {
 		slices.SortFunc(spans, func(a, b TaskSpan) int { return cmp.Compare(a.Start, b.Start) })
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -48,9 +48,9 @@
 	Sigma float64
 	// Tick is the time between a session's events.
 	Tick time.Duration
-	// LogTo gets a line with the id of each request as its run begins, for
+	// LogWriter gets a line with the id of each request as its run begins, for
 	// trials in which the process is killed; nil gets none.
-	LogTo io.Writer
+	LogWriter io.Writer
 }
 
 // Run is one entry of a runner's log.
@@ -68,7 +68,7 @@
 // Runner stands in for a runner. Make one with [NewRunner].
 type Runner struct {
 	// Gate is the runner's fault.
-	Gate Gate
+	Faults FaultInjector
 
 	set RunnerSettings
 
@@ -111,7 +111,7 @@
 		ru.Order(or)
 		return or, nil
 	}))
-	mux.Handle("POST /fault", ru.Gate.Handle())
+	mux.Handle("POST /fault", ru.Faults.Handle())
 	return mux
 }
 
@@ -156,14 +156,14 @@
 	}
 	ru.busy++
 	ru.note(id)
-	if ru.set.LogTo != nil {
-		_, _ = fmt.Fprintln(ru.set.LogTo, id)
+	if ru.set.LogWriter != nil {
+		_, _ = fmt.Fprintln(ru.set.LogWriter, id)
 	}
 	return len(ru.log) - 1, ru.serviceTime(), ""
 }
 
 // Note enters a run into the log, as if the request had begun to run.
-func (ru *Runner) Note(id string) {
+func (ru *Runner) RecordRun(id string) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.note(id)
@@ -191,7 +191,7 @@
 }
 
 func (ru *Runner) serveRun(w http.ResponseWriter, r *http.Request) {
-	fault, _ := ru.Gate.take()
+	fault, _ := ru.Faults.take()
 	if fault.Mode == ModeCloseUnread || fault.Mode == ModeDown {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/runs.go
+++ b/internal/standin/runs.go
@@ -21,15 +21,15 @@
 	rh := runHistory{byTask: map[string][]FleetRun{}, notedAt: map[string]time.Time{}, knownAt: map[string]time.Time{}}
 	for _, ru := range runs {
 		rh.byTask[ru.Task] = append(rh.byTask[ru.Task], ru)
-		if ru.How != "done" {
+		if ru.Outcome != "done" {
 			continue
 		}
 		// An end that was lost with its worker is not known to anybody.
-		if ru.Seen {
+		if ru.AckedInLease {
 			earliest(rh.notedAt, ru.Task, ru.Until)
 		}
-		if !ru.Noted.IsZero() {
-			earliest(rh.knownAt, ru.Task, ru.Noted)
+		if !ru.AckedAt.IsZero() {
+			earliest(rh.knownAt, ru.Task, ru.AckedAt)
 		}
 	}
 	return rh
@@ -42,9 +42,9 @@
 	}
 }
 
-// RunProblems lists tasks that ran in two places at once, or began again once their
+// RunViolations lists tasks that ran in two places at once, or began again once their
 // owner knew that they were done. The runs are those of a [Fleet], in order.
-func RunProblems(runs []FleetRun) []string {
+func RunViolations(runs []FleetRun) []string {
 	var list []string
 	rh := newRunHistory(runs)
 	for task, runs := range rh.byTask {
--- a/internal/standin/runs_test.go
+++ b/internal/standin/runs_test.go
@@ -14,12 +14,12 @@
 	done := func(number int, from time.Duration) FleetRun {
 		until := at.Add(from + time.Second)
 		return FleetRun{
-			Attempt: worker.Attempt{Task: "t", Number: number}, From: at.Add(from), Until: until, How: "done", Seen: true, Noted: until,
+			Attempt: worker.Attempt{Task: "t", Number: number}, From: at.Add(from), Until: until, Outcome: "done", AckedInLease: true, AckedAt: until,
 		}
 	}
-	qt.Check(t, RunProblems([]FleetRun{done(1, 0)}), qt.HasLen, 0)
+	qt.Check(t, RunViolations([]FleetRun{done(1, 0)}), qt.HasLen, 0)
 	again := []FleetRun{done(1, 0), done(2, 3*time.Second)}
-	qt.Check(t, RunProblems(again), qt.HasLen, 2)
-	again[1].Seen, again[1].Noted = false, time.Time{}
-	qt.Check(t, RunProblems(again), qt.HasLen, 2)
+	qt.Check(t, RunViolations(again), qt.HasLen, 2)
+	again[1].AckedInLease, again[1].AckedAt = false, time.Time{}
+	qt.Check(t, RunViolations(again), qt.HasLen, 2)
 }
--- a/internal/standin/stall.go
+++ b/internal/standin/stall.go
@@ -24,14 +24,14 @@
 	// StallHeader and StallBody: the answer has begun.
 	StallHeader Stall = "half a header"
 	StallBody   Stall = "half a body"
-	// LoseRequests and LoseAnswers: one way only is silent, as after a cut of the
+	// DropRequests and DropAnswers: one way only is silent, as after a cut of the
 	// network in one direction.
-	LoseRequests Stall = "requests lost"
-	LoseAnswers  Stall = "answers lost"
+	DropRequests Stall = "requests lost"
+	DropAnswers  Stall = "answers lost"
 )
 
 // Stalls are all stalls, for tests to range over.
-var Stalls = []Stall{StallDial, StallAccept, StallAnswer, StallHeader, StallBody, LoseRequests, LoseAnswers}
+var Stalls = []Stall{StallDial, StallAccept, StallAnswer, StallHeader, StallBody, DropRequests, DropAnswers}
 
 // headerPart is how many bytes [StallHeader] lets through: a status line is longer.
 const headerPart = 12
@@ -42,11 +42,11 @@
 	switch st {
 	case StallDial, StallAccept:
 		return 0
-	case StallAnswer, LoseAnswers:
+	case StallAnswer, DropAnswers:
 		if answers {
 			return 0
 		}
-	case LoseRequests:
+	case DropRequests:
 		if !answers {
 			return 0
 		}
@@ -63,7 +63,7 @@
 }
 
 // loses reports whether what does not pass is lost, rather than late.
-func (st Stall) loses() bool { return st == LoseRequests || st == LoseAnswers }
+func (st Stall) loses() bool { return st == DropRequests || st == DropAnswers }
 
 // halfBody returns the length of the header in data and half of what follows.
 func halfBody(data []byte) int {
@@ -74,9 +74,9 @@
 	return len(data) - (len(body)+1)/2
 }
 
-// Stall has the peer stand still in one state of a connection until [Line.Thaw].
+// Stall has the peer stand still in one state of a connection until [Proxy.Resume].
 // Connections that are open already stall too.
-func (ln *Line) Stall(st Stall) error {
+func (ln *Proxy) Stall(st Stall) error {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	ln.stop(st)
@@ -104,7 +104,7 @@
 
 // fill fills the kernel's queue of connections that wait to be accepted; ln.mu is
 // held, so that the line takes one more at the most.
-func (ln *Line) fill() error {
+func (ln *Proxy) fill() error {
 	if err := ln.queue(queueLeast); err != nil {
 		return err
 	}
@@ -123,7 +123,7 @@
 }
 
 // fillOne puts one connection into the queue, and reports whether that is full.
-func (ln *Line) fillOne() (full bool, err error) {
+func (ln *Proxy) fillOne() (full bool, err error) {
 	di := net.Dialer{Timeout: hangsAfter}
 	nc, err := di.DialContext(context.Background(), "tcp", ln.Addr())
 	var ne net.Error
@@ -138,7 +138,7 @@
 }
 
 // queue sets the length of the kernel's queue of connections.
-func (ln *Line) queue(n int) error {
+func (ln *Proxy) queue(n int) error {
 	li, ok := ln.li.(syscall.Conn)
 	if !ok {
 		return fmt.Errorf("listener of type %T has no queue", ln.li)
@@ -156,7 +156,7 @@
 }
 
 // reopen has connections be accepted again; ln.mu is held.
-func (ln *Line) reopen() {
+func (ln *Proxy) reopen() {
 	if err := ln.queue(queueUsual); err != nil {
 		_ = ln.li.Close()
 	}
--- a/internal/standin/stall_test.go
+++ b/internal/standin/stall_test.go
@@ -54,8 +54,8 @@
 		{StallAnswer, reached{dialled: true, asked: true}},
 		{StallHeader, reached{dialled: true, asked: true}},
 		{StallBody, reached{dialled: true, asked: true, header: true}},
-		{LoseRequests, reached{dialled: true}},
-		{LoseAnswers, reached{dialled: true, asked: true}},
+		{DropRequests, reached{dialled: true}},
+		{DropAnswers, reached{dialled: true, asked: true}},
 	} {
 		t.Run(string(tc.st), func(t *testing.T) {
 			t.Parallel()
@@ -65,14 +65,14 @@
 				_, _ = w.Write([]byte("answer"))
 			}))
 			defer hs.Close()
-			ln, err := NewLine(hs.Listener.Addr().String())
+			ln, err := NewProxy(hs.Listener.Addr().String())
 			qt.Assert(t, err, qt.IsNil)
 			defer func() { _ = ln.Close() }()
 			whole := reached{dialled: true, asked: true, header: true, whole: true}
 			qt.Assert(t, reach(t, ln.Addr(), &asked, 5*time.Second), qt.Equals, whole)
 			qt.Assert(t, ln.Stall(tc.st), qt.IsNil)
 			qt.Check(t, reach(t, ln.Addr(), &asked, time.Second), qt.Equals, tc.want)
-			ln.Thaw()
+			ln.Resume()
 			qt.Check(t, reach(t, ln.Addr(), &asked, 5*time.Second), qt.Equals, whole)
 		})
 	}
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -17,7 +17,7 @@
 // Table stands in for the table service. The zero value is an empty table.
 type Table struct {
 	// Gate is the table's fault.
-	Gate Gate
+	Faults FaultInjector
 
 	mu      sync.Mutex
 	rows    map[string]store.Row
@@ -44,10 +44,10 @@
 func (ta *Table) Client() store.Table {
 	return store.Table{
 		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
-			return gated(ctx, &ta.Gate, func() (store.ReadReply, error) { return ta.read(ctx, req) })
+			return gated(ctx, &ta.Faults, func() (store.ReadReply, error) { return ta.read(ctx, req) })
 		},
 		CommitFunc: func(ctx context.Context, txn store.Txn) (store.CommitReply, error) {
-			reply, err := gated(ctx, &ta.Gate, func() (store.CommitReply, error) { return ta.commit(ctx, txn) })
+			reply, err := gated(ctx, &ta.Faults, func() (store.CommitReply, error) { return ta.commit(ctx, txn) })
 			switch wire.Code(err) {
 			case store.CodeConflict:
 				err = &store.ConflictError{Rows: ta.rowsOf(txn)}
@@ -57,7 +57,7 @@
 			return reply, err
 		},
 		FeedFunc: func(ctx context.Context, req store.FeedRequest) (store.FeedReply, error) {
-			return gated(ctx, &ta.Gate, func() (store.FeedReply, error) { return ta.feed(ctx, req) })
+			return gated(ctx, &ta.Faults, func() (store.FeedReply, error) { return ta.feed(ctx, req) })
 		},
 	}
 }
@@ -129,7 +129,7 @@
 }
 
 // gated runs fn behind a gate; a lost answer is the error of a cut connection.
-func gated[T any](ctx context.Context, ga *Gate, fn func() (T, error)) (T, error) {
+func gated[T any](ctx context.Context, ga *FaultInjector, fn func() (T, error)) (T, error) {
 	var zero T
 	lost, err := ga.Before(ctx)
 	if err != nil {
@@ -146,9 +146,9 @@
 // /table/counts.
 func (ta *Table) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /table/read", ta.Gate.Wrap(wire.Handle(ta.read)))
-	mux.Handle("POST /table/commit", ta.Gate.Wrap(wire.Handle(ta.commit)))
-	mux.Handle("POST /table/feed", ta.Gate.Wrap(wire.Handle(func(ctx context.Context, req store.FeedRequest) (store.FeedReply, error) {
+	mux.Handle("POST /table/read", ta.Faults.Wrap(wire.Handle(ta.read)))
+	mux.Handle("POST /table/commit", ta.Faults.Wrap(wire.Handle(ta.commit)))
+	mux.Handle("POST /table/feed", ta.Faults.Wrap(wire.Handle(func(ctx context.Context, req store.FeedRequest) (store.FeedReply, error) {
 		reply, err := ta.feed(ctx, req)
 		if errors.Is(err, store.ErrHistoryGone) {
 			err = &wire.Error{Status: http.StatusGone, Code: store.CodeHistoryGone, Message: err.Error()}
@@ -158,7 +158,7 @@
 	mux.Handle("POST /table/counts", wire.Handle(func(context.Context, struct{}) (TableCounts, error) {
 		return ta.Counts(), nil
 	}))
-	mux.Handle("POST /fault", ta.Gate.Handle())
+	mux.Handle("POST /fault", ta.Faults.Handle())
 	return mux
 }
 
@@ -238,7 +238,7 @@
 // Objects stands in for the object store. The zero value is empty.
 type Objects struct {
 	// Gate is the store's fault.
-	Gate Gate
+	Faults FaultInjector
 
 	mu   sync.Mutex
 	data map[string][]byte
@@ -248,7 +248,7 @@
 func (ob *Objects) Client() store.Objects {
 	return store.Objects{
 		GetFunc: func(ctx context.Context, key string) ([]byte, error) {
-			reply, err := gated(ctx, &ob.Gate, func() (store.ObjectMessage, error) {
+			reply, err := gated(ctx, &ob.Faults, func() (store.ObjectMessage, error) {
 				return ob.get(ctx, store.ObjectMessage{Key: key})
 			})
 			if err == nil && !reply.Found {
@@ -257,7 +257,7 @@
 			return reply.Data, err
 		},
 		PutFunc: func(ctx context.Context, key string, data []byte) error {
-			_, err := gated(ctx, &ob.Gate, func() (store.ObjectMessage, error) {
+			_, err := gated(ctx, &ob.Faults, func() (store.ObjectMessage, error) {
 				return ob.put(ctx, store.ObjectMessage{Key: key, Data: data})
 			})
 			return err
@@ -268,9 +268,9 @@
 // Handler serves the store, and its fault at /fault.
 func (ob *Objects) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /objects/get", ob.Gate.Wrap(wire.Handle(ob.get)))
-	mux.Handle("POST /objects/put", ob.Gate.Wrap(wire.Handle(ob.put)))
-	mux.Handle("POST /fault", ob.Gate.Handle())
+	mux.Handle("POST /objects/get", ob.Faults.Wrap(wire.Handle(ob.get)))
+	mux.Handle("POST /objects/put", ob.Faults.Wrap(wire.Handle(ob.put)))
+	mux.Handle("POST /fault", ob.Faults.Handle())
 	return mux
 }
 
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -22,13 +22,13 @@
 	// ID names the worker.
 	ID string
 	// Each is what it holds.
-	Holds worker.Resources
+	Capacity worker.Resources
 	// Lag is how old the usage in its reports is.
 	Lag time.Duration
 	// CheckpointEvery is the time between a task's own checkpoints.
 	CheckpointEvery time.Duration
 	// Pace multiplies the speed of batch tasks, to shorten trials.
-	Pace float64
+	Speed float64
 }
 
 // TaskSpan is one entry of a worker's log: one attempt of a task, with the
@@ -51,7 +51,7 @@
 // Worker stands in for a worker. Make one with [NewWorker].
 type Worker struct {
 	// Gate is the worker's fault.
-	Gate Gate
+	Faults FaultInjector
 
 	set         WorkerSettings
 	incarnation string
@@ -80,8 +80,8 @@
 
 // NewWorker returns a worker that runs nothing.
 func NewWorker(set WorkerSettings) *Worker {
-	if set.Pace == 0 {
-		set.Pace = 1
+	if set.Speed == 0 {
+		set.Speed = 1
 	}
 	if set.CheckpointEvery == 0 {
 		set.CheckpointEvery = 5 * time.Second
@@ -92,9 +92,9 @@
 // Handler serves exchanges, the log at /log and the fault at /fault.
 func (wo *Worker) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /exchange", wo.Gate.Wrap(wire.Handle(wo.Exchange)))
+	mux.Handle("POST /exchange", wo.Faults.Wrap(wire.Handle(wo.Exchange)))
 	mux.Handle("POST /log", wire.Handle(func(context.Context, struct{}) ([]TaskSpan, error) { return wo.Log(), nil }))
-	mux.Handle("POST /fault", wo.Gate.Handle())
+	mux.Handle("POST /fault", wo.Faults.Handle())
 	return mux
 }
 
@@ -106,8 +106,8 @@
 	return append([]TaskSpan{}, wo.log...)
 }
 
-// Overfull returns how often a start was ordered that did not fit.
-func (wo *Worker) Overfull() int {
+// Overcommits returns how often a start was ordered that did not fit.
+func (wo *Worker) Overcommits() int {
 	wo.mu.Lock()
 	defer wo.mu.Unlock()
 	return wo.over
@@ -175,7 +175,7 @@
 	if ta := wo.tasks[or.Task]; ta != nil && ta.order.Attempt >= or.Attempt {
 		return
 	}
-	free := wo.set.Holds
+	free := wo.set.Capacity
 	for _, ta := range wo.tasks {
 		if ta.state == worker.StateRunning {
 			free = free.Sub(ta.order.Each)
@@ -193,13 +193,13 @@
 		Start: now.UnixNano(), FromMS: or.FromMS, State: worker.StateRunning,
 	})
 	wo.tasks[or.Task] = ta
-	if wo.Gate.mode() == ModeFailTasks {
+	if wo.Faults.mode() == ModeFailTasks {
 		wo.end(ta, worker.StateFailed, now)
 	}
 }
 
 // mode returns the fault's mode without using it up.
-func (ga *Gate) mode() Mode {
+func (ga *FaultInjector) mode() Mode {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.fault.Mode
@@ -252,9 +252,9 @@
 	if ta.state != worker.StateRunning || !upTo.After(ta.at) {
 		return
 	}
-	ta.done += float64(upTo.Sub(ta.at).Milliseconds()) * ta.share * wo.set.Pace
+	ta.done += float64(upTo.Sub(ta.at).Milliseconds()) * ta.share * wo.set.Speed
 	ta.at = upTo
-	every := float64(wo.set.CheckpointEvery.Milliseconds()) * wo.set.Pace
+	every := float64(wo.set.CheckpointEvery.Milliseconds()) * wo.set.Speed
 	for ta.checked+every <= ta.done {
 		ta.checked += every
 	}
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -9,7 +9,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// World has the tasks on each worker of a [Fleet] disturb each other, as the
+// Interference has the tasks on each worker of a [Fleet] disturb each other, as the
 // users describe it: services share the processors that they were given, fillers
 // get what the others leave idle, and both lengthen the tails of services. Set its
 // fields, put it into the fleet, and call [Fleet.Advance] again and again.
@@ -17,7 +17,7 @@
 // A service's headroom, its target over its tail, starts from Most at no load,
 // falls with its own load, and falls by so much per share of the worker's
 // processors that each filler takes.
-type World struct {
+type Interference struct {
 	// StepFunc returns what a task is.
 	StepFunc func(at worker.Attempt) *job.Step
 	// DropFunc returns by how much the headroom of a service's image falls if a
@@ -26,11 +26,11 @@
 	// LoadFunc returns the share of its processors that a service uses now.
 	LoadFunc func(at worker.Attempt, now time.Time) float64
 	// Most is the headroom at no load.
-	Most float64
+	MaxHeadroom float64
 	// Rough is the part by which figures are off.
-	Rough float64
+	Noise float64
 	// Rng draws what is rough; it must be set if Rough is.
-	Rng *rand.Rand
+	Rand *rand.Rand
 }
 
 // leastHeadroom bounds tails: one is this many times over its target at most.
@@ -43,15 +43,15 @@
 	defer fl.mu.Unlock()
 	for _, fw := range fl.workers {
 		if !fw.dead {
-			fl.World.advance(fw, d)
+			fl.Interference.advance(fw, d)
 		}
 	}
 }
 
 // advance lets time pass on one worker.
-func (wo *World) advance(fw *FleetWorker, d time.Duration) {
+func (wo *Interference) advance(fw *FleetWorker, d time.Duration) {
 	now := time.Now()
-	idle, wanted := float64(fw.Holds.MilliCores), 0.0
+	idle, wanted := float64(fw.Capacity.MilliCores), 0.0
 	for _, ta := range fw.running {
 		st := wo.StepFunc(ta.run.Attempt)
 		each := float64(st.Each.MilliCores)
@@ -73,7 +73,7 @@
 }
 
 // work has the fillers work at a part of their pace.
-func (wo *World) work(fw *FleetWorker, got float64, d time.Duration) {
+func (wo *Interference) work(fw *FleetWorker, got float64, d time.Duration) {
 	for name, ta := range fw.running {
 		st := wo.StepFunc(ta.run.Attempt)
 		if !st.Filler {
@@ -89,43 +89,43 @@
 }
 
 // serve has the services serve beside the fillers.
-func (wo *World) serve(fw *FleetWorker, now time.Time, d time.Duration) {
+func (wo *Interference) serve(fw *FleetWorker, now time.Time, d time.Duration) {
 	for _, ta := range fw.running {
 		st := wo.StepFunc(ta.run.Attempt)
 		if !st.HasTarget() {
 			continue
 		}
-		alone := wo.Most * (1 - wo.LoadFunc(ta.run.Attempt, now))
+		alone := wo.MaxHeadroom * (1 - wo.LoadFunc(ta.run.Attempt, now))
 		left := alone - wo.drops(fw, st.Image)
 		ta.usage = max(int64(float64(st.TargetMS)/max(left, leastHeadroom)*wo.rough()), 1)
-		ta.run.Served += d
+		ta.run.ServingTime += d
 		switch {
 		case left >= 1:
 		case alone >= 1:
-			ta.run.OverByFillers += d
+			ta.run.OverTargetByFillers += d
 		default:
-			ta.run.OverAlone += d
+			ta.run.OverTargetByLoad += d
 		}
 	}
 }
 
 // drops is by how much the fillers at work lower a service's headroom.
-func (wo *World) drops(fw *FleetWorker, image string) float64 {
+func (wo *Interference) drops(fw *FleetWorker, image string) float64 {
 	sum := 0.0
 	for _, ta := range fw.running {
 		if st := wo.StepFunc(ta.run.Attempt); st.Filler {
-			sum += wo.DropFunc(image, st.Image) * ta.used / float64(fw.Holds.MilliCores)
+			sum += wo.DropFunc(image, st.Image) * ta.used / float64(fw.Capacity.MilliCores)
 		}
 	}
 	return sum
 }
 
 // rough is a factor about 1.
-func (wo *World) rough() float64 {
-	if wo.Rough == 0 {
+func (wo *Interference) rough() float64 {
+	if wo.Noise == 0 {
 		return 1
 	}
-	return math.Exp(wo.Rough * wo.Rng.NormFloat64())
+	return math.Exp(wo.Noise * wo.Rand.NormFloat64())
 }
 
 // speed is the part of its speed at which a task was told to work.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -31,7 +31,7 @@
 		})
 	}
 	run("answer lost after the write", func(c *qt.C, ta *standin.Table, ctx context.Context) {
-		ta.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 3})
+		ta.Faults.Set(standin.Fault{Mode: standin.ModeLost, Count: 3})
 		version, err := ta.Client().Settle(ctx, put(c, "k"))
 		c.Assert(err, qt.IsNil)
 		c.Assert(version, qt.Equals, int64(1))
@@ -43,19 +43,19 @@
 		c.Assert(errors.Is(err, store.ErrConflict), qt.IsTrue)
 	})
 	run("table down, then up again", func(c *qt.C, ta *standin.Table, ctx context.Context) {
-		ta.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		ta.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		go func() {
 			time.Sleep(10 * time.Second)
-			ta.Gate.Set(standin.Fault{})
+			ta.Faults.Set(standin.Fault{})
 		}()
 		_, err := ta.Client().Settle(ctx, put(c, "k"))
 		c.Assert(err, qt.IsNil)
 	})
 	run("table frozen, then running again", func(c *qt.C, ta *standin.Table, ctx context.Context) {
-		ta.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		ta.Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 		go func() {
 			time.Sleep(10 * time.Second)
-			ta.Gate.Set(standin.Fault{})
+			ta.Faults.Set(standin.Fault{})
 		}()
 		_, err := ta.Client().Settle(ctx, put(c, "k"))
 		c.Assert(err, qt.IsNil)
--- a/internal/tenure/stop_test.go
+++ b/internal/tenure/stop_test.go
@@ -156,14 +156,14 @@
 		t.Run(name, func(t *testing.T) {
 			withCluster(t, 3, func(cl *cluster) {
 				first := cl.owner()
-				cl.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+				cl.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 				if before {
 					first.endTenure(errors.New("write of another owner"))
 					time.Sleep(2 * time.Second)
 				}
 				release(first, 10*time.Second)
 				time.Sleep(5 * time.Second)
-				cl.table.Gate.Set(standin.Fault{})
+				cl.table.Faults.Set(standin.Fault{})
 				time.Sleep(time.Second)
 				qt.Assert(cl.t, cl.owner(), qt.Not(qt.Equals), first)
 			})
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -45,7 +45,7 @@
 	keeper  *Keeper
 	end     context.CancelFunc
 	// gate injects faults between this host and the store.
-	gate standin.Gate
+	gate standin.FaultInjector
 	// unreachable hosts do not answer others.
 	unreachable bool
 	// stopped is closed once the keeper has stopped.
@@ -339,10 +339,10 @@
 func TestOwnerKeptWhileStoreUnavailable(t *testing.T) {
 	withCluster(t, 3, func(cl *cluster) {
 		first := cl.owner()
-		cl.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		cl.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		time.Sleep(20 * time.Second)
 		qt.Assert(t, first.serving(), qt.IsTrue)
-		cl.table.Gate.Set(standin.Fault{})
+		cl.table.Faults.Set(standin.Fault{})
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, cl.owner(), qt.Equals, first)
 	})
@@ -351,7 +351,7 @@
 func TestOwnerKeptWhileStoreSlow(t *testing.T) {
 	withCluster(t, 3, func(cl *cluster) {
 		first := cl.owner()
-		cl.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 700})
+		cl.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 700})
 		time.Sleep(20 * time.Second)
 		qt.Assert(t, cl.owner(), qt.Equals, first)
 	})
--- a/internal/transport/stall_test.go
+++ b/internal/transport/stall_test.go
@@ -53,12 +53,12 @@
 	resp, err := cl.hc.Do(req)
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = resp.Body.Close() }()
-	qt.Assert(t, cl.line.Silence(), qt.Equals, idleConns)
+	qt.Assert(t, cl.line.Blackhole(), qt.Equals, idleConns)
 	_, err = io.ReadAll(resp.Body)
 	qt.Assert(t, err, qt.IsNotNil)
 	// The next request must not use another silent connection.
 	qt.Assert(t, cl.get("/", 2*time.Second), qt.IsNil)
-	qt.Assert(t, cl.line.Silence(), qt.Equals, 1)
+	qt.Assert(t, cl.line.Blackhole(), qt.Equals, 1)
 }
 
 // TestTimeoutDoesNotCutOffOtherAnswers guards against a long list that never completes
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -20,7 +20,7 @@
 type testClient struct {
 	t    *testing.T
 	hc   *http.Client
-	line *standin.Line
+	line *standin.Proxy
 	// hold keeps requests to /hold waiting until it is closed.
 	hold chan struct{}
 }
@@ -39,7 +39,7 @@
 	hs := httptest.NewServer(mux)
 	t.Cleanup(hs.Close)
 	t.Cleanup(hs.CloseClientConnections)
-	ln, err := standin.NewLine(hs.Listener.Addr().String())
+	ln, err := standin.NewProxy(hs.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
 	t.Cleanup(func() { _ = ln.Close() })
 	cl.line = ln
@@ -73,11 +73,11 @@
 func TestIdleConnectionsAreClosedAfterTimeout(t *testing.T) {
 	cl := newTestClient(t)
 	cl.warm()
-	qt.Assert(t, cl.line.Silence(), qt.Equals, idleConns)
+	qt.Assert(t, cl.line.Blackhole(), qt.Equals, idleConns)
 	qt.Assert(t, cl.get("/", 200*time.Millisecond), qt.IsNotNil)
 	// The next request must not use another silent connection.
 	qt.Assert(t, cl.get("/", 2*time.Second), qt.IsNil)
-	qt.Assert(t, cl.line.Silence(), qt.Equals, 1)
+	qt.Assert(t, cl.line.Blackhole(), qt.Equals, 1)
 }
 
 func TestRequestsInFlightAreNotClosed(t *testing.T) {
--- a/internal/watch/stall_test.go
+++ b/internal/watch/stall_test.go
@@ -24,7 +24,7 @@
 			mi := &mirror{t: t, rows: map[string]string{}}
 			hs := httptest.NewServer(mi.table.Handler())
 			t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
-			ln := linetest.NewLine(t, hs.Listener.Addr().String())
+			ln := linetest.NewProxy(t, hs.Listener.Addr().String())
 			table := store.NewTable("http://"+ln.Addr(), &http.Client{Transport: &http.Transport{}})
 			mi.watch = Watch{Table: table, TableName: "op", Prefix: "op/c0/", OnRows: mi.onRows, Log: slog.New(slog.DiscardHandler)}
 			ctx, cancel := context.WithCancel(context.Background())
@@ -39,11 +39,11 @@
 			qt.Assert(t, ln.Stall(st), qt.IsNil)
 			mi.write("op/c0/a", 2)
 			linetest.Eventually(t, "missing answers detected", func() bool { return !mi.watch.Answering() })
-			ln.Thaw()
+			ln.Resume()
 			linetest.Eventually(t, "second change reported", func() bool { return mi.watch.Answering() && mi.row("op/c0/a") == "2" })
 			qt.Assert(t, ln.Stall(st), qt.IsNil)
 			cancel()
-			linetest.Ends(t, "watch", func() { <-done })
+			linetest.MustReturn(t, "watch", func() { <-done })
 		})
 	}
 }
