--- a/internal/standin/linetest/linetest.go
+++ b/internal/standin/linetest/linetest.go
@@ -1,8 +1,9 @@
-// Package linetest checks clients against peers that stand still: whatever state
-// of a connection that happens in, a call ends with an error by its own deadline,
-// and the next one works once the peer goes on.
+// Package linetest checks clients against peers that stall. At whatever stage of a
+// connection the peer stalls, a call must fail by its own deadline, and the next call
+// must work once the peer responds again.
 //
-// Nothing is measured: [HangTimeout] only tells what ends from what never does.
+// It doesn't check how long a call takes: [HangTimeout] only separates calls that
+// return from calls that hang.
 package linetest
 
 import (
@@ -17,56 +18,59 @@
 )
 
 const (
-	// HangTimeout is some ten times as long as what is bounded at all.
+	// HangTimeout is the time after which a call counts as hung, about ten times the
+	// longest timeout in the code under test.
 	HangTimeout = 10 * time.Second
-	// callTimeout is the deadline of a call that is not answered, answerTimeout that
-	// of one that is to be.
+	// callTimeout is the deadline of a call that gets no answer, and answerTimeout of
+	// one that must be answered.
 	callTimeout   = 300 * time.Millisecond
 	answerTimeout = 5 * time.Second
 )
 
-// Call makes one call.
+// Call sends one request with the client under test and returns its error.
 type Call func(ctx context.Context) error
 
-// Check has the peer at an address stall in each way, before its first connection
-// and with one that is kept. Connect returns the calls of a new client to an
-// address.
+// Check runs a subtest for every stall of the peer at an address, on a new connection
+// and on one that was used before. Connect returns the call of a new client for the
+// address that it is given.
 func Check(t *testing.T, to string, connect func(addr string) Call) {
 	t.Helper()
 	for _, st := range standin.Stalls {
-		for _, kept := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s, connection kept %t", st, kept), func(t *testing.T) {
+		for _, reused := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, connection reused %t", st, reused), func(t *testing.T) {
 				t.Parallel()
-				ln := NewProxy(t, to)
-				check(t, ln, connect(ln.Addr()), st, kept)
+				pr := NewProxy(t, to)
+				check(t, pr, connect(pr.Addr()), st, reused)
 			})
 		}
 	}
 }
 
-// NewProxy returns a line to an address, which ends with the test.
+// NewProxy returns a proxy to an address, which is resumed and closed at the end of the
+// test.
 func NewProxy(tb testing.TB, to string) *standin.Proxy {
 	tb.Helper()
-	ln, err := standin.NewProxy(to)
+	pr, err := standin.NewProxy(to)
 	qt.Assert(tb, err, qt.IsNil)
-	tb.Cleanup(func() { _ = ln.Close() })
-	tb.Cleanup(ln.Resume)
-	return ln
+	tb.Cleanup(func() { _ = pr.Close() })
+	tb.Cleanup(pr.Resume)
+	return pr
 }
 
-func check(t *testing.T, ln *standin.Proxy, call Call, st standin.Stall, kept bool) {
+func check(t *testing.T, pr *standin.Proxy, call Call, st standin.Stall, reused bool) {
 	t.Helper()
-	if kept {
-		qt.Assert(t, within(t, call, answerTimeout), qt.IsNil)
+	if reused {
+		qt.Assert(t, callWithin(t, call, answerTimeout), qt.IsNil)
 	}
-	qt.Assert(t, ln.Stall(st), qt.IsNil)
-	qt.Assert(t, within(t, call, callTimeout), qt.IsNotNil)
-	ln.Resume()
-	qt.Assert(t, within(t, call, answerTimeout), qt.IsNil)
+	qt.Assert(t, pr.Stall(st), qt.IsNil)
+	qt.Assert(t, callWithin(t, call, callTimeout), qt.IsNotNil)
+	pr.Resume()
+	qt.Assert(t, callWithin(t, call, answerTimeout), qt.IsNil)
 }
 
-// within makes a call with a deadline, and fails the test if that never ends.
-func within(t *testing.T, call Call, timeout time.Duration) error {
+// callWithin makes a call with a deadline and returns its error. It fails the test if
+// the call hangs.
+func callWithin(t *testing.T, call Call, timeout time.Duration) error {
 	t.Helper()
 	var err error
 	MustReturn(t, "call", func() {
@@ -77,31 +81,31 @@
 	return err
 }
 
-// Ends fails the test if fn does not return.
+// MustReturn fails the test if fn doesn't return within [HangTimeout].
 func MustReturn(t *testing.T, what string, fn func()) {
 	t.Helper()
-	ended := make(chan struct{})
+	returned := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(returned)
 		fn()
 	}()
 	select {
-	case <-ended:
+	case <-returned:
 	case <-time.After(HangTimeout):
-		t.Fatalf("%s does not end", what)
+		t.Fatalf("%s did not return", what)
 	}
 }
 
-// lookEvery is the time between looks of [Eventually].
-const lookEvery = 5 * time.Millisecond
+// pollInterval is the time between two checks of [Eventually].
+const pollInterval = 5 * time.Millisecond
 
-// Eventually fails the test if something never is so.
+// Eventually fails the test if a condition doesn't hold within [HangTimeout].
 func Eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(HangTimeout); time.Now().Before(end); time.Sleep(lookEvery) {
+	for end := time.Now().Add(HangTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("never so: %s", what)
+	t.Fatalf("condition not met: %s", what)
 }
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -8,178 +8,181 @@
 	"sync/atomic"
 )
 
-// Line is a TCP proxy on loopback before one address, which injects faults of the
-// network. Make one with [NewProxy].
+// Proxy is a TCP proxy on loopback in front of one address that injects network
+// faults. Create one with [NewProxy].
 type Proxy struct {
-	to string
-	li net.Listener
-	// accepted counts connections that the line took.
+	target string
+	lis    net.Listener
+	// accepted counts the connections accepted so far.
 	accepted atomic.Int64
 
 	mu    sync.Mutex
-	conns []*lineConn
-	// queued fill the kernel's queue of connections during [StallDial].
-	queued []net.Conn
-	// stall is what the peer does, thawed is closed at its end; both are zero while
-	// the peer answers.
-	stall  Stall
-	thawed chan struct{}
+	conns []*proxyConn
+	// backlog holds the connections that fill the kernel's accept queue during
+	// [StallDial].
+	backlog []net.Conn
+	// stall is the fault in force, and resumed is closed at its end. Both are zero
+	// while traffic passes.
+	stall   Stall
+	resumed chan struct{}
 }
 
-// lineConn is one connection through a line, both ends.
-type lineConn struct {
-	ln        *Proxy
-	near, far net.Conn
+// proxyConn is one connection through a proxy: its client side and its server side.
+type proxyConn struct {
+	pr             *Proxy
+	client, server net.Conn
 
-	mu     sync.Mutex
-	silent bool
+	mu         sync.Mutex
+	blackholed bool
 }
 
-// NewProxy returns a line to an address, which listens until it is closed.
-func NewProxy(to string) (*Proxy, error) {
+// NewProxy returns a proxy that forwards to an address and listens until it is closed.
+func NewProxy(target string) (*Proxy, error) {
 	var lc net.ListenConfig
-	li, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	lis, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	ln := &Proxy{to: to, li: li}
-	go ln.accept()
-	return ln, nil
+	pr := &Proxy{target: target, lis: lis}
+	go pr.accept()
+	return pr, nil
 }
 
-// Addr is where the line listens.
-func (ln *Proxy) Addr() string { return ln.li.Addr().String() }
+// Addr returns the host and port at which the proxy listens.
+func (pr *Proxy) Addr() string { return pr.lis.Addr().String() }
 
-func (ln *Proxy) accept() {
+func (pr *Proxy) accept() {
 	for {
-		near, err := ln.li.Accept()
+		client, err := pr.lis.Accept()
 		if err != nil {
 			return
 		}
-		ln.accepted.Add(1)
-		if st, thawed := ln.stalled(); st == StallDial || st == StallAccept {
-			<-thawed
+		pr.accepted.Add(1)
+		if st, resumed := pr.currentStall(); st == StallDial || st == StallAccept {
+			<-resumed
 		}
 		var di net.Dialer
-		far, err := di.DialContext(context.Background(), "tcp", ln.to)
+		server, err := di.DialContext(context.Background(), "tcp", pr.target)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		lc := &lineConn{ln: ln, near: near, far: far}
-		ln.mu.Lock()
-		ln.conns = append(ln.conns, lc)
-		ln.mu.Unlock()
-		go lc.pass(near, far, false)
-		go lc.pass(far, near, true)
+		pc := &proxyConn{pr: pr, client: client, server: server}
+		pr.mu.Lock()
+		pr.conns = append(pr.conns, pc)
+		pr.mu.Unlock()
+		go pc.forward(client, server, false)
+		go pc.forward(server, client, true)
 	}
 }
 
-// pass passes bytes on until either end closes; those of a silent connection are
-// taken and lost, and so is its end.
-func (lc *lineConn) pass(from, to net.Conn, answers bool) {
+// forward copies bytes until either side closes. It reads and discards those of a
+// blackholed connection, and doesn't pass on that it was closed.
+func (pc *proxyConn) forward(from, to net.Conn, fromServer bool) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		werr := lc.through(buf[:n], to, answers)
-		if lc.isSilent() {
+		werr := pc.forwardChunk(buf[:n], to, fromServer)
+		if pc.isBlackholed() {
 			if err != nil {
 				return
 			}
 			continue
 		}
 		if err != nil || werr != nil {
-			_, _ = lc.near.Close(), lc.far.Close()
+			_, _ = pc.client.Close(), pc.server.Close()
 			return
 		}
 	}
 }
 
-// through passes data on as far as the line's stall lets it. The rest is lost, or
-// waits until the stall is over, and so does the end of the connection.
-func (lc *lineConn) through(data []byte, to net.Conn, answers bool) error {
-	st, thawed := lc.ln.stalled()
-	n := st.lets(data, answers)
+// forwardChunk writes as much of data as the stall lets pass. The rest is dropped or
+// waits until the stall ends, as does the close of the connection, for which data is
+// empty.
+func (pc *proxyConn) forwardChunk(data []byte, to net.Conn, fromServer bool) error {
+	st, resumed := pc.pr.currentStall()
+	n := st.passBytes(data, fromServer)
 	if n < 0 {
-		return lc.write(to, data)
+		return pc.write(to, data)
 	}
-	if err := lc.write(to, data[:n]); err != nil {
+	if err := pc.write(to, data[:n]); err != nil {
 		return err
 	}
-	if st.loses() && len(data) > 0 {
+	if st.drops() && len(data) > 0 {
 		return nil
 	}
-	<-thawed
-	return lc.write(to, data[n:])
+	<-resumed
+	return pc.write(to, data[n:])
 }
 
-func (lc *lineConn) write(to net.Conn, data []byte) error {
-	if len(data) == 0 || lc.isSilent() {
+func (pc *proxyConn) write(to net.Conn, data []byte) error {
+	if len(data) == 0 || pc.isBlackholed() {
 		return nil
 	}
 	_, err := to.Write(data)
 	return err
 }
 
-func (lc *lineConn) isSilent() bool {
-	lc.mu.Lock()
-	defer lc.mu.Unlock()
-	return lc.silent
+func (pc *proxyConn) isBlackholed() bool {
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	return pc.blackholed
 }
 
-// Silence has the connections that are open now go silent for good, without a
-// reset; new ones work. It returns how many there were.
-func (ln *Proxy) Blackhole() int {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	for _, lc := range ln.conns {
-		lc.mu.Lock()
-		lc.silent = true
-		lc.mu.Unlock()
+// Blackhole drops all further traffic of the connections that are open now, without
+// resetting them; new connections work. It returns their number.
+func (pr *Proxy) Blackhole() int {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	for _, pc := range pr.conns {
+		pc.mu.Lock()
+		pc.blackholed = true
+		pc.mu.Unlock()
 	}
-	n := len(ln.conns)
-	ln.conns = nil
+	n := len(pr.conns)
+	pr.conns = nil
 	return n
 }
 
-// Freeze has the host behind the line stand still until [Proxy.Resume], as a machine
-// does whose kernel goes on: connections can be opened, and what is sent waits.
-func (ln *Proxy) Freeze() {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	ln.stop(StallAccept)
+// Freeze makes the server appear frozen until [Proxy.Resume], as if its process were
+// stopped while its kernel runs: connections can be opened, and what is sent waits.
+func (pr *Proxy) Freeze() {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	pr.startStall(StallAccept)
 }
 
-// stop begins a stall; ln.mu is held.
-func (ln *Proxy) stop(st Stall) {
-	ln.stall = st
-	if ln.thawed == nil {
-		ln.thawed = make(chan struct{})
+// startStall begins a stall; the caller holds pr.mu.
+func (pr *Proxy) startStall(st Stall) {
+	pr.stall = st
+	if pr.resumed == nil {
+		pr.resumed = make(chan struct{})
 	}
 }
 
-// Resume has the host behind the line go on.
-func (ln *Proxy) Resume() {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	if ln.thawed == nil {
+// Resume ends a stall. What was held back is delivered; what was dropped is not.
+func (pr *Proxy) Resume() {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	if pr.resumed == nil {
 		return
 	}
-	if ln.stall == StallDial {
-		ln.reopen()
+	if pr.stall == StallDial {
+		pr.restoreBacklog()
 	}
-	close(ln.thawed)
-	ln.stall, ln.thawed = "", nil
+	close(pr.resumed)
+	pr.stall, pr.resumed = "", nil
 }
 
-// stalled returns the line's stall, if there is one, and what is closed at its end.
-func (ln *Proxy) stalled() (Stall, <-chan struct{}) {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	return ln.stall, ln.thawed
+// currentStall returns the stall in force, "" if there is none, and the channel that
+// is closed at its end.
+func (pr *Proxy) currentStall() (Stall, <-chan struct{}) {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	return pr.stall, pr.resumed
 }
 
-// Close ends the line; open connections stay until their ends close them.
-func (ln *Proxy) Close() error { return ln.li.Close() }
+// Close stops listening; open connections stay until one of their sides closes them.
+func (pr *Proxy) Close() error { return pr.lis.Close() }
 
 var _ io.Closer = (*Proxy)(nil)
--- a/internal/standin/stall.go
+++ b/internal/standin/stall.go
@@ -10,62 +10,67 @@
 	"time"
 )
 
-// Stall is the state of a connection in which a peer stands still, without a reset.
+// Stall is a fault in which a peer stops responding at one stage of a connection,
+// without a reset. Its text names the subtests of package linetest.
 type Stall string
 
-// The stalls.
+// The stages at which a peer can stall.
 const (
 	// StallDial: opening a connection hangs.
-	StallDial Stall = "dialling hangs"
-	// StallAccept: the kernel accepts and takes bytes, and nobody reads them.
-	StallAccept Stall = "accepted and not read"
-	// StallAnswer: the request is taken, and may be carried out.
+	StallDial Stall = "dial hangs"
+	// StallAccept: the kernel accepts the connection and buffers bytes that the
+	// process never reads.
+	StallAccept Stall = "accepted but not read"
+	// StallAnswer: the request arrives and may be carried out, but no byte of the
+	// answer passes.
 	StallAnswer Stall = "no answer"
-	// StallHeader and StallBody: the answer has begun.
-	StallHeader Stall = "half a header"
-	StallBody   Stall = "half a body"
-	// DropRequests and DropAnswers: one way only is silent, as after a cut of the
-	// network in one direction.
+	// StallHeader and StallBody: the answer stops in its header or its body.
+	StallHeader Stall = "partial header"
+	StallBody   Stall = "partial body"
+	// DropRequests and DropAnswers: bytes are dropped in one direction only, as in a
+	// one-way network partition.
 	DropRequests Stall = "requests lost"
 	DropAnswers  Stall = "answers lost"
 )
 
-// Stalls are all stalls, for tests to range over.
+// Stalls lists every stall, for tests to range over.
 var Stalls = []Stall{StallDial, StallAccept, StallAnswer, StallHeader, StallBody, DropRequests, DropAnswers}
 
-// headerPart is how many bytes [StallHeader] lets through: a status line is longer.
-const headerPart = 12
+// partialHeaderBytes is the number of bytes that [StallHeader] lets through. An HTTP
+// status line is longer.
+const partialHeaderBytes = 12
 
-// lets returns how many bytes of data pass, or -1 if the stall is none of its
-// direction's.
-func (st Stall) lets(data []byte, answers bool) int {
+// passBytes returns how many bytes of data pass, or -1 if the stall doesn't affect
+// this direction.
+func (st Stall) passBytes(data []byte, fromServer bool) int {
 	switch st {
 	case StallDial, StallAccept:
 		return 0
 	case StallAnswer, DropAnswers:
-		if answers {
+		if fromServer {
 			return 0
 		}
 	case DropRequests:
-		if !answers {
+		if !fromServer {
 			return 0
 		}
 	case StallHeader:
-		if answers {
-			return min(headerPart, len(data))
+		if fromServer {
+			return min(partialHeaderBytes, len(data))
 		}
 	case StallBody:
-		if answers {
+		if fromServer {
 			return halfBody(data)
 		}
 	}
 	return -1
 }
 
-// loses reports whether what does not pass is lost, rather than late.
-func (st Stall) loses() bool { return st == DropRequests || st == DropAnswers }
+// drops reports whether bytes that don't pass are dropped rather than delayed.
+func (st Stall) drops() bool { return st == DropRequests || st == DropAnswers }
 
-// halfBody returns the length of the header in data and half of what follows.
+// halfBody returns the length of the HTTP header in data plus half of the bytes after
+// it. Without the end of a header all of data counts as body.
 func halfBody(data []byte) int {
 	_, body, found := bytes.Cut(data, []byte("\r\n\r\n"))
 	if !found {
@@ -74,94 +79,97 @@
 	return len(data) - (len(body)+1)/2
 }
 
-// Stall has the peer stand still in one state of a connection until [Proxy.Resume].
-// Connections that are open already stall too.
-func (ln *Proxy) Stall(st Stall) error {
-	ln.mu.Lock()
-	defer ln.mu.Unlock()
-	ln.stop(st)
+// Stall makes the peer stall at one stage of a connection until [Proxy.Resume].
+// Connections that are already open stall too.
+func (pr *Proxy) Stall(st Stall) error {
+	pr.mu.Lock()
+	defer pr.mu.Unlock()
+	pr.startStall(st)
 	if st != StallDial {
 		return nil
 	}
-	return ln.fill()
+	return pr.fillBacklog()
 }
 
-// Numbers of a queue of connections that is full.
+// Limits for filling the kernel's accept queue.
 const (
-	// queueLeast and queueUsual are lengths of the kernel's queue.
-	queueLeast = 0
-	queueUsual = 128
-	// queuedMost is how many connections are tried to fill the least one.
-	queuedMost = 16
-	// hangsAfter is how long opening a connection takes on loopback at the most.
-	hangsAfter = 150 * time.Millisecond
-	// takesMost is how long the line takes to take a connection, if it takes any.
-	takesMost = 2 * time.Second
+	// minBacklog and normalBacklog are lengths of the accept queue, in connections.
+	minBacklog    = 0
+	normalBacklog = 128
+	// maxFillConns is how many connections are opened at most to fill a queue of
+	// minBacklog.
+	maxFillConns = 16
+	// dialTimeout is the longest that opening a connection takes on loopback; one
+	// that takes longer means that the queue is full.
+	dialTimeout = 150 * time.Millisecond
+	// acceptTimeout is how long to wait until the proxy has accepted a connection.
+	acceptTimeout = 2 * time.Second
 )
 
-// errNotFilled: the kernel's queue took more connections than it should.
-var errNotFilled = errors.New("queue of connections does not fill up")
+// errBacklogNotFull means that maxFillConns connections didn't fill the accept queue.
+var errBacklogNotFull = errors.New("accept queue of the listener did not fill up")
 
-// fill fills the kernel's queue of connections that wait to be accepted; ln.mu is
-// held, so that the line takes one more at the most.
-func (ln *Proxy) fill() error {
-	if err := ln.queue(queueLeast); err != nil {
+// fillBacklog fills the kernel's accept queue. The caller holds pr.mu, so the proxy
+// accepts one more connection at most.
+func (pr *Proxy) fillBacklog() error {
+	if err := pr.setBacklog(minBacklog); err != nil {
 		return err
 	}
-	before := ln.accepted.Load()
-	for range queuedMost {
-		full, err := ln.fillOne()
+	before := pr.accepted.Load()
+	for range maxFillConns {
+		full, err := pr.addToBacklog()
 		if full || err != nil {
 			return err
 		}
-		// A queue that is full before the line has taken its one more has room later.
-		for end := time.Now().Add(takesMost); ln.accepted.Load() == before && time.Now().Before(end); {
+		// Wait for that accept: it frees a place in a queue that was full before it.
+		for end := time.Now().Add(acceptTimeout); pr.accepted.Load() == before && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	return errNotFilled
+	return errBacklogNotFull
 }
 
-// fillOne puts one connection into the queue, and reports whether that is full.
-func (ln *Proxy) fillOne() (full bool, err error) {
-	di := net.Dialer{Timeout: hangsAfter}
-	nc, err := di.DialContext(context.Background(), "tcp", ln.Addr())
+// addToBacklog puts one connection into the accept queue, or reports that it is full.
+func (pr *Proxy) addToBacklog() (full bool, err error) {
+	di := net.Dialer{Timeout: dialTimeout}
+	nc, err := di.DialContext(context.Background(), "tcp", pr.Addr())
 	var ne net.Error
 	if errors.As(err, &ne) && ne.Timeout() {
 		return true, nil
 	}
 	if err != nil {
-		return false, fmt.Errorf("fill queue of connections: %w", err)
+		return false, fmt.Errorf("fill accept queue: %w", err)
 	}
-	ln.queued = append(ln.queued, nc)
+	pr.backlog = append(pr.backlog, nc)
 	return false, nil
 }
 
-// queue sets the length of the kernel's queue of connections.
-func (ln *Proxy) queue(n int) error {
-	li, ok := ln.li.(syscall.Conn)
+// setBacklog sets the length of the kernel's accept queue by another listen(2) call.
+func (pr *Proxy) setBacklog(n int) error {
+	co, ok := pr.lis.(syscall.Conn)
 	if !ok {
-		return fmt.Errorf("listener of type %T has no queue", ln.li)
+		return fmt.Errorf("listener of type %T gives no access to its socket", pr.lis)
 	}
-	rc, err := li.SyscallConn()
+	rc, err := co.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("queue of connections: %w", err)
+		return fmt.Errorf("get socket of listener: %w", err)
 	}
 	var lerr error
 	err = rc.Control(func(fd uintptr) { lerr = syscall.Listen(int(fd), n) })
 	if err := errors.Join(err, lerr); err != nil {
-		return fmt.Errorf("queue of connections: %w", err)
+		return fmt.Errorf("set length of accept queue to %d: %w", n, err)
 	}
 	return nil
 }
 
-// reopen has connections be accepted again; ln.mu is held.
-func (ln *Proxy) reopen() {
-	if err := ln.queue(queueUsual); err != nil {
-		_ = ln.li.Close()
+// restoreBacklog lets connections be accepted again, and closes the listener if that
+// fails; the caller holds pr.mu.
+func (pr *Proxy) restoreBacklog() {
+	if err := pr.setBacklog(normalBacklog); err != nil {
+		_ = pr.lis.Close()
 	}
-	for _, nc := range ln.queued {
+	for _, nc := range pr.backlog {
 		_ = nc.Close()
 	}
-	ln.queued = nil
+	pr.backlog = nil
 }
