--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -22,7 +22,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// maxConns bounds the connections of stand-ins that need no bound of their own.
+// maxConns is the limit of open connections of the fakes that have no setting for it.
 const maxConns = 1000
 
 // Main runs the command line of cmd/standin and returns its exit code.
@@ -48,8 +48,8 @@
 	return 0
 }
 
-// serveAll serves handlers at addresses until a signal to stop, each with so
-// many connections at most.
+// serveAll serves handlers by address until SIGINT or SIGTERM, or until one fails. Each
+// address accepts at most conns connections at a time.
 func serveAll(handlers map[string]http.Handler, conns int) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -86,18 +86,18 @@
 	}, maxConns)
 }
 
-// hostOptions are what runners and workers have in common.
+// hostOptions are the flags that runners and workers have in common.
 type hostOptions struct {
-	Addr  string `long:"addr" required:"true" description:"IP number and port of the first"`
-	Count int    `long:"count" default:"1" description:"how many, on consecutive ports"`
+	Addr  string `long:"addr" required:"true" description:"IP address and port of the first"`
+	Count int    `long:"count" default:"1" description:"how many to run, on consecutive ports"`
 	Name  string `long:"name" required:"true" description:"name; with --count, numbers follow it"`
 	DC    string `long:"data-centre" required:"true" description:"data centre"`
 	Rack  string `long:"rack" default:"r1" description:"rack"`
-	Hosts string `long:"hosts" default:"http://127.0.0.1:7002" description:"URL of the host list, where they are entered"`
+	Hosts string `long:"hosts" default:"http://127.0.0.1:7002" description:"URL of the host list to register with"`
 }
 
-// each calls fn with the host entry of each of count hosts.
-func (ho hostOptions) each(fn func(store.Host)) error {
+// forEachHost calls fn with the host entry of each of Count hosts.
+func (ho hostOptions) forEachHost(fn func(store.Host)) error {
 	ip, portText, err := net.SplitHostPort(ho.Addr)
 	if err != nil {
 		return fmt.Errorf("--addr: %w", err)
@@ -119,8 +119,9 @@
 	return nil
 }
 
-// enter puts hosts on the list, which may still be starting.
-func (ho hostOptions) enter(hosts []store.Host) error {
+// register puts hosts on the host list, and retries since the list may still be
+// starting.
+func (ho hostOptions) register(hosts []store.Host) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	var errs []error
@@ -137,40 +138,40 @@
 	hostOptions
 
 	Service string        `long:"service" required:"true" description:"service"`
-	Slots   int           `long:"slots" default:"8" description:"requests at a time"`
+	Slots   int           `long:"slots" default:"8" description:"requests that run at the same time"`
 	Mean    time.Duration `long:"mean" default:"20ms" description:"mean service time"`
 	Sigma   float64       `long:"sigma" default:"0.5" description:"log-normal spread of the service time"`
 	Tick    time.Duration `long:"tick" default:"100ms" description:"time between a session's events"`
-	Conns   int           `long:"conns" default:"60" description:"connections at a time"`
-	Log     string        `long:"log" description:"file that gets the id of each request as its run begins"`
+	Conns   int           `long:"conns" default:"60" description:"open connections at most"`
+	Log     string        `long:"log" description:"file to append the id of each request to when its run starts"`
 }
 
 // Execute implements flags.Commander.
 func (rc *runnerCommand) Execute([]string) error {
 	handlers := map[string]http.Handler{}
 	var hosts []store.Host
-	logTo, err := rc.openLog()
+	logWriter, err := rc.openLog()
 	if err != nil {
 		return err
 	}
-	err = rc.each(func(host store.Host) {
+	err = rc.forEachHost(func(host store.Host) {
 		host.Kind, host.Service, host.Slots = store.KindRunner, rc.Service, rc.Slots
 		hosts = append(hosts, host)
 		handlers[host.Addr] = NewRunner(RunnerSettings{
-			ID: host.ID, Slots: rc.Slots, Mean: rc.Mean, Sigma: rc.Sigma, Tick: rc.Tick, LogWriter: logTo,
+			ID: host.ID, Slots: rc.Slots, Mean: rc.Mean, Sigma: rc.Sigma, Tick: rc.Tick, LogWriter: logWriter,
 		}).Handler()
 	})
 	if err != nil {
 		return err
 	}
-	if err := rc.enter(hosts); err != nil {
+	if err := rc.register(hosts); err != nil {
 		return err
 	}
 	return serveAll(handlers, rc.Conns)
 }
 
-// openLog opens the file of --log. Each line is one write, so that a kill
-// loses none that was written.
+// openLog opens the file of --log, or returns nil if none is set. Each line is one
+// write, so killing the process loses no line already written.
 func (rc *runnerCommand) openLog() (io.Writer, error) {
 	if rc.Log == "" {
 		return nil, nil
@@ -189,24 +190,24 @@
 	Mem    int64         `long:"mem" default:"125000" description:"memory in MiB"`
 	Accels int64         `long:"accels" default:"0" description:"accelerators"`
 	Lag    time.Duration `long:"lag" default:"2s" description:"lag of reported usage"`
-	Pace   float64       `long:"pace" default:"1" description:"speed of batch tasks"`
+	Pace   float64       `long:"pace" default:"1" description:"factor on the speed of batch tasks"`
 }
 
 // Execute implements flags.Commander.
 func (wc *workerCommand) Execute([]string) error {
 	handlers := map[string]http.Handler{}
 	var hosts []store.Host
-	holds := worker.Resources{MilliCores: wc.Cores * 1000, MemMB: wc.Mem, Accels: wc.Accels}
-	err := wc.each(func(host store.Host) {
+	capacity := worker.Resources{MilliCores: wc.Cores * 1000, MemMB: wc.Mem, Accels: wc.Accels}
+	err := wc.forEachHost(func(host store.Host) {
 		host.Kind = store.KindWorker
-		host.MilliCores, host.MemMB, host.Accels = holds.MilliCores, holds.MemMB, holds.Accels
+		host.MilliCores, host.MemMB, host.Accels = capacity.MilliCores, capacity.MemMB, capacity.Accels
 		hosts = append(hosts, host)
-		handlers[host.Addr] = NewWorker(WorkerSettings{ID: host.ID, Capacity: holds, Lag: wc.Lag, Speed: wc.Pace}).Handler()
+		handlers[host.Addr] = NewWorker(WorkerSettings{ID: host.ID, Capacity: capacity, Lag: wc.Lag, Speed: wc.Pace}).Handler()
 	})
 	if err != nil {
 		return err
 	}
-	if err := wc.enter(hosts); err != nil {
+	if err := wc.register(hosts); err != nil {
 		return err
 	}
 	return serveAll(handlers, maxConns)
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -1,10 +1,10 @@
-// Package standin has small stand-ins for the outside systems: the platform's
-// table, object store and host list, runners and workers. They speak the same
-// messages over the same ports, keep everything in memory, and can be told to
-// misbehave. The program cmd/standin runs them as processes; `pepperhatch dev`
-// and tests run them in their own.
+// Package standin has fakes of the external systems: the platform's table, object
+// store and host list, runners and workers. They speak the same protocols as the
+// real ones, keep all state in memory and can inject faults, so that tests and
+// `pepperhatch dev` need no other process. The program cmd/standin runs them as
+// processes.
 //
-// They are fakes at the interfaces: none models a machine or a network.
+// They only fake the interfaces: none models the behaviour of a machine or a network.
 package standin
 
 import (
@@ -19,85 +19,87 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Mode is a way to misbehave.
+// Mode is a kind of fault.
 type Mode string
 
-// The modes; a stand-in that has no use for one treats it as [ModeOK].
+// Modes of every fake. A fake treats a mode that doesn't apply to it as [ModeOK].
 const (
 	ModeOK Mode = "ok"
-	// ModeDown refuses every message without handling it.
+	// ModeDown rejects every message without handling it.
 	ModeDown Mode = "down"
 	// ModeSlow delays every message by the fault's delay.
 	ModeSlow Mode = "slow"
-	// ModeLost handles the message, then drops the connection.
+	// ModeLost handles the message, then closes the connection without an answer.
 	ModeLost Mode = "lost"
 	// ModeFreeze holds every message until the mode changes.
 	ModeFreeze Mode = "freeze"
 )
 
-// Fault is what a stand-in is told at /fault.
+// Fault is a fault to inject; it is the body of requests to /fault.
 type Fault struct {
-	// Mode is the way to misbehave.
+	// Mode is the kind of fault.
 	Mode Mode `json:"mode"`
 	// DelayMS is the delay of ModeSlow in milliseconds.
 	DelayMS int64 `json:"delay_ms,omitempty"`
-	// Count limits the fault to so many messages; 0 means until told.
+	// Count limits the fault to that many messages; 0 means until it is changed.
 	Count int `json:"count,omitempty"`
 }
 
-// Gate puts a fault before a handler. The zero value is [ModeOK].
+// FaultInjector applies a fault to the messages of a handler. The zero value is in
+// [ModeOK].
 type FaultInjector struct {
 	mu      sync.Mutex
 	fault   Fault
 	changed chan struct{}
 }
 
-// Set changes the fault.
-func (ga *FaultInjector) Set(fault Fault) {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	ga.fault = fault
-	if ga.changed != nil {
-		close(ga.changed)
-		ga.changed = nil
+// Set replaces the fault, and releases the messages that [ModeFreeze] holds.
+func (fi *FaultInjector) Set(fault Fault) {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	fi.fault = fault
+	if fi.changed != nil {
+		close(fi.changed)
+		fi.changed = nil
 	}
 }
 
-// take returns the fault for one message, and what is closed at its change.
-func (ga *FaultInjector) take() (Fault, <-chan struct{}) {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	if ga.changed == nil {
-		ga.changed = make(chan struct{})
+// next returns the fault for one message, and a channel that is closed when the fault
+// is replaced. It counts the message against the fault's limit.
+func (fi *FaultInjector) next() (Fault, <-chan struct{}) {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	if fi.changed == nil {
+		fi.changed = make(chan struct{})
 	}
-	fault := ga.fault
+	fault := fi.fault
 	if fault.Count > 0 {
-		ga.fault.Count--
-		if ga.fault.Count == 0 {
-			ga.fault = Fault{}
+		fi.fault.Count--
+		if fi.fault.Count == 0 {
+			fi.fault = Fault{}
 		}
 	}
-	return fault, ga.changed
+	return fault, fi.changed
 }
 
-// Before does what the fault wants done before the message is handled. It
-// reports whether the answer is to be lost.
-func (ga *FaultInjector) Before(ctx context.Context) (lost bool, err error) {
-	fault, changed := ga.take()
+// Before applies the part of the fault that comes before a message is handled: a
+// delay or an error. It reports whether the answer is to be dropped.
+func (fi *FaultInjector) Before(ctx context.Context) (lost bool, err error) {
+	fault, changed := fi.next()
 	switch fault.Mode {
 	case ModeDown:
-		return false, &wire.Error{Status: http.StatusServiceUnavailable, Code: store.CodeDown, Message: "down by order"}
+		return false, &wire.Error{Status: http.StatusServiceUnavailable, Code: store.CodeDown, Message: "down: injected fault"}
 	case ModeSlow:
 		if !clock.Sleep(ctx, time.Duration(fault.DelayMS)*time.Millisecond) {
-			return false, fmt.Errorf("slow: %w", ctx.Err())
+			return false, fmt.Errorf("delayed by an injected fault: %w", ctx.Err())
 		}
 		return false, nil
 	case ModeFreeze:
 		select {
 		case <-changed:
-			return ga.Before(ctx)
+			return fi.Before(ctx)
 		case <-ctx.Done():
-			return false, fmt.Errorf("frozen: %w", ctx.Err())
+			return false, fmt.Errorf("frozen by an injected fault: %w", ctx.Err())
 		}
 	case ModeLost:
 		return true, nil
@@ -105,10 +107,10 @@
 	return false, nil
 }
 
-// Wrap returns h behind the gate.
-func (ga *FaultInjector) Wrap(h http.Handler) http.Handler {
+// Wrap returns a handler that applies the fault to the messages for h.
+func (fi *FaultInjector) Wrap(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		lost, err := ga.Before(r.Context())
+		lost, err := fi.Before(r.Context())
 		if err != nil {
 			wire.WriteError(w, err)
 			return
@@ -117,22 +119,22 @@
 			h.ServeHTTP(w, r)
 			return
 		}
-		h.ServeHTTP(&discard{header: http.Header{}}, r)
+		h.ServeHTTP(&discardWriter{header: http.Header{}}, r)
 		panic(http.ErrAbortHandler)
 	})
 }
 
-// Handle returns the handler of /fault.
-func (ga *FaultInjector) Handle() http.Handler {
+// Handle returns the handler of /fault, which replaces the fault.
+func (fi *FaultInjector) Handle() http.Handler {
 	return wire.Handle(func(_ context.Context, fault Fault) (Fault, error) {
-		ga.Set(fault)
+		fi.Set(fault)
 		return fault, nil
 	})
 }
 
-// discard is a response that nobody gets.
-type discard struct{ header http.Header }
+// discardWriter is a response writer that drops the response.
+type discardWriter struct{ header http.Header }
 
-func (di *discard) Header() http.Header            { return di.header }
-func (di *discard) Write(data []byte) (int, error) { return len(data), nil }
-func (di *discard) WriteHeader(int)                {}
+func (dw *discardWriter) Header() http.Header            { return dw.header }
+func (dw *discardWriter) Write(data []byte) (int, error) { return len(data), nil }
+func (dw *discardWriter) WriteHeader(int)                {}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -12,52 +12,56 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// OutcomeCrash is how a task ends that ends its worker's process with it: nothing is told of
-// that to anybody.
+// OutcomeCrash is the outcome of a task that crashes its worker's process. The worker
+// reports neither that end nor any other.
 const OutcomeCrash = "crashes"
 
-// FleetRun is one run of a task at a worker of a [Fleet], for checks afterwards.
+// FleetRun is one run of an attempt at a worker of a [Fleet], recorded for checks.
 type FleetRun struct {
 	worker.Attempt
 
-	// Worker is the incarnation.
+	// Worker is the incarnation of the worker that ran it.
 	Worker worker.Incarnation
-	// Payload and Checkpoint are what it was started with.
+	// Payload and Checkpoint are those of the order that launched it.
 	Payload, Checkpoint string
-	// From and Until are when it ran; Until is zero while it does.
+	// From and Until are its start and end; Until is zero while it runs.
 	From, Until time.Time
-	// How is how it ended.
+	// Outcome is how it ended, "" while it runs.
 	Outcome string
-	// AckedInLease is set once the owner acknowledged the end, unless the worker's
-	// leases had lapsed in between: the owner may then have given it up.
+	// AckedInLease is set once the owner has acknowledged the end, unless the worker's
+	// lease expired between the end and the acknowledgement: the owner may then have
+	// given up the attempt.
 	AckedInLease bool
-	// AckedAt is when the owner acknowledged the end, whatever became of the leases,
-	// or zero.
+	// AckedAt is when the owner acknowledged the end, also after the lease expired, or
+	// zero.
 	AckedAt time.Time
-	// ServingTime is how long it served in a [Interference]; OverTargetByFillers and OverTargetByLoad are
-	// how long it was over its target, through fillers and by its own load.
+	// ServingTime is how long a service ran under the model of [Interference].
+	// OverTargetByFillers and OverTargetByLoad are how long its tail latency was over
+	// its target because of fillers and because of its own load alone.
 	ServingTime, OverTargetByFillers, OverTargetByLoad time.Duration
 
+	// lapsed is set if the lease expired while the end was not yet acknowledged.
 	lapsed bool
 }
 
-// Fleet stands in for workers that are ordered task by task. The zero value
-// has none; tasks run for a second unless RunFunc says otherwise.
+// Fleet is a fake of workers that are polled and get one order per attempt. The zero value
+// has no workers.
 type Fleet struct {
-	// RunFunc returns how long a task works and how it then ends; a negative
-	// time is endless.
+	// RunFunc returns how long an attempt runs, where a negative time means until it
+	// is stopped, and its outcome. If it is nil, tasks are done after a second.
 	RunFunc func(at worker.Attempt) (time.Duration, string)
-	// Interference has tasks disturb each other, if set.
+	// Interference, if set, makes fillers and services slow each other down.
 	Interference *Interference
-	// CrashedFunc is told of a worker that a task crashed, if set.
+	// CrashedFunc, if set, is called with each worker that a task crashed.
 	CrashedFunc func(fw *FleetWorker)
-	// ResourcesFunc returns what a task takes of a worker's room.
+	// ResourcesFunc returns the resources that an attempt takes; nil means none.
 	ResourcesFunc func(at worker.Attempt) worker.Resources
-	// ApplyAckToLaterEnds has workers never list an end whose number was acknowledged before it came;
-	// otherwise they forget those that have come by then.
+	// ApplyAckToLaterEnds makes an acknowledgement also cover ends that happen after it
+	// and have a number up to the acknowledged one: workers never list them. Otherwise
+	// an acknowledgement only removes ends that are already listed.
 	ApplyAckToLaterEnds bool
-	// OmitStartTime has the answers to orders not tell when the worker's process started; those
-	// to looks always do.
+	// OmitStartTime leaves the start time of the worker's process out of answers to
+	// orders; answers to polls always have it.
 	OmitStartTime bool
 
 	mu      sync.Mutex
@@ -67,47 +71,57 @@
 
 // FleetWorker is one worker of a fleet.
 type FleetWorker struct {
-	// Addr is where it listens, by name, and which life it is. Add sets when that was
-	// Born, unless it is set.
+	// Addr is the address at which it listens and its incarnation. Add sets the
+	// incarnation's start time unless it is set.
 	Addr worker.Addr
-	// Capacity is its room.
+	// Capacity is the resources that it offers to tasks.
 	Capacity worker.Resources
-	// Gate is its fault.
+	// Faults injects faults into orders and polls.
 	Faults FaultInjector
-	// OrderDelay has orders answered not at all and carried out so much later.
+	// OrderDelay, if not 0, is the time after which the worker carries out an order,
+	// which it then leaves without an answer.
 	OrderDelay time.Duration
-	// ClockRate is how fast its clock runs; 0 means right.
+	// ClockRate is the speed of its clock relative to real time; 0 means 1.
 	ClockRate float64
-	// RunFunc, if set, goes before that of the fleet.
+	// RunFunc, if set, overrides that of the fleet.
 	RunFunc func(at worker.Attempt) (time.Duration, string)
 
-	fl    *Fleet
-	since time.Time
-	dead  bool
+	fl        *Fleet
+	startedAt time.Time
+	dead      bool
+	// fence is the highest fencing token seen.
 	fence int64
-	lease int64
-	// told is the highest number of an end that may be forgotten, seen so far.
-	told    int64
-	running map[string]*fleetTask
-	// last has the highest attempt of each task that ended or was kept from
-	// starting.
-	last  map[string]int
-	ended []worker.EndedAttempt
-	// endedRuns are the runs of ended.
+	// leaseUntil is the end of the lease in milliseconds of the worker's clock.
+	leaseUntil int64
+	// maxAckedEnd is the highest number of an end that was acknowledged.
+	maxAckedEnd int64
+	running     map[string]*fleetTask
+	// lastAttempt is the highest attempt of each task that ended or was stopped before
+	// it started.
+	lastAttempt map[string]int
+	ended       []worker.EndedAttempt
+	// endedRuns holds the runs of ended, in the same order.
 	endedRuns []*FleetRun
-	ends      int64
-	wake      chan struct{}
+	// ends is the number of the last end.
+	ends int64
+	// wake is closed at the next end, to answer polls that wait.
+	wake chan struct{}
 }
 
+// fleetTask is an attempt that runs at a worker.
 type fleetTask struct {
-	run    *FleetRun
-	takes  worker.Resources
-	timer  *time.Timer
-	target time.Duration
-	how    string
-	// worked is how much of target a filler has worked in a world, used the
-	// processor time it gets, usage its rough figure, and pace what it was told,
-	// if it was.
+	run       *FleetRun
+	resources worker.Resources
+	timer     *time.Timer
+	// target is how long the attempt is to run at full speed, and outcome how it then
+	// ends.
+	target  time.Duration
+	outcome string
+	// The next fields are set under the model of [Interference]. worked is how much of
+	// target a filler has worked, and used the processors it gets, in millicores. usage
+	// is the reported figure, with noise: that of a filler is in millicores, that of a
+	// service its tail latency in milliseconds. pace is the ordered speed in percent if
+	// paced is set.
 	worked time.Duration
 	used   float64
 	usage  int64
@@ -115,24 +129,24 @@
 	paced  bool
 }
 
-// Add adds a worker.
+// Add adds a worker and starts its clock.
 func (fl *Fleet) Add(fw *FleetWorker) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if fl.workers == nil {
 		fl.workers = map[string]*FleetWorker{}
 	}
-	fw.fl, fw.since = fl, time.Now()
+	fw.fl, fw.startedAt = fl, time.Now()
 	if fw.Addr.Incarnation.StartedMS == 0 {
-		fw.Addr.Incarnation.StartedMS = fw.since.UnixMilli()
+		fw.Addr.Incarnation.StartedMS = fw.startedAt.UnixMilli()
 	}
-	fw.running, fw.last, fw.wake = map[string]*fleetTask{}, map[string]int{}, make(chan struct{})
+	fw.running, fw.lastAttempt, fw.wake = map[string]*fleetTask{}, map[string]int{}, make(chan struct{})
 	fl.workers[fw.Addr.HostPort] = fw
 }
 
-// Restart ends a worker's process, and has it start again under its id at an address: it
-// knows nothing of before, and its clock and the numbers of its ends begin anew. The time
-// of day of its host was stepped by so much.
+// Restart kills a worker's process and starts a new one with the same id at an address.
+// The new process has no state of the old one, and its clock and the numbers of its ends
+// restart. The wall clock of its host was stepped by the given time in between.
 func (fl *Fleet) Restart(fw *FleetWorker, hostPort string, stepped time.Duration) *FleetWorker {
 	fl.Kill(fw)
 	next := &FleetWorker{Addr: fw.Addr, Capacity: fw.Capacity}
@@ -145,7 +159,7 @@
 	return next
 }
 
-// Kill ends a worker's process, and all that runs there.
+// Kill kills a worker's process and all that runs there.
 func (fl *Fleet) Kill(fw *FleetWorker) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -157,12 +171,12 @@
 	for name := range fw.running {
 		fw.end(name, "killed")
 	}
-	// Its connections break off, also those of looks that wait.
+	// The connections of a killed process break, including those of polls that wait.
 	close(fw.wake)
 	fw.wake = make(chan struct{})
 }
 
-// crash ends the worker's process by the doing of a task.
+// crash kills the worker's process because of a task.
 func (fw *FleetWorker) crash(task string) {
 	fw.end(task, OutcomeCrash)
 	fw.kill()
@@ -171,22 +185,21 @@
 	}
 }
 
-// SetOrderDelay has a worker's orders answered not at all and carried out so much
-// later, or at once if d is 0.
+// SetOrderDelay sets the OrderDelay of a worker while it runs.
 func (fl *Fleet) SetOrderDelay(fw *FleetWorker, d time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fw.OrderDelay = d
 }
 
-// SetRunFunc changes RunFunc while workers are at work.
+// SetRunFunc sets RunFunc while workers run.
 func (fl *Fleet) SetRunFunc(run func(at worker.Attempt) (time.Duration, string)) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.RunFunc = run
 }
 
-// Runs returns all runs so far.
+// Runs returns copies of all runs so far in the order of their starts.
 func (fl *Fleet) Runs() []FleetRun {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -197,8 +210,8 @@
 	return runs
 }
 
-// Fences returns the highest fencing token of the orders that each worker has had,
-// by incarnation.
+// FencingTokens returns the highest fencing token that each worker has received, by
+// incarnation.
 func (fl *Fleet) FencingTokens() map[worker.Incarnation]int64 {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -209,33 +222,34 @@
 	return fences
 }
 
-// clock is the worker's clock in milliseconds.
+// clock returns the worker's clock in milliseconds. It is 1000 when the worker starts.
 func (fw *FleetWorker) clock() int64 {
 	rate := fw.ClockRate
 	if rate == 0 {
 		rate = 1
 	}
-	return 1000 + int64(float64(time.Since(fw.since).Milliseconds())*rate)
+	return 1000 + int64(float64(time.Since(fw.startedAt).Milliseconds())*rate)
 }
 
-// extend takes a lease, which ends no earlier than the one before.
-func (fw *FleetWorker) extend(until int64) {
-	if until <= fw.lease {
+// extendLease sets the end of the lease, in milliseconds of the worker's clock, unless it
+// is earlier than the current one.
+func (fw *FleetWorker) extendLease(until int64) {
+	if until <= fw.leaseUntil {
 		return
 	}
-	fw.lease = until
+	fw.leaseUntil = until
 	rate := fw.ClockRate
 	if rate == 0 {
 		rate = 1
 	}
-	time.AfterFunc(time.Duration(float64(until-fw.clock())/rate)*time.Millisecond+time.Millisecond, fw.lapse)
+	time.AfterFunc(time.Duration(float64(until-fw.clock())/rate)*time.Millisecond+time.Millisecond, fw.expireLease)
 }
 
-// lapse ends all runs if the lease is over.
-func (fw *FleetWorker) lapse() {
+// expireLease ends all runs if the lease has expired.
+func (fw *FleetWorker) expireLease() {
 	fw.fl.mu.Lock()
 	defer fw.fl.mu.Unlock()
-	if fw.dead || fw.clock() < fw.lease {
+	if fw.dead || fw.clock() < fw.leaseUntil {
 		return
 	}
 	for name := range fw.running {
@@ -248,34 +262,36 @@
 
 func (fw *FleetWorker) ack() worker.Ack { return worker.Ack{ClockMS: fw.clock()} }
 
-func (fw *FleetWorker) fenced(fence int64) bool {
+// isFenced records a fencing token and reports whether a higher one was seen before.
+func (fw *FleetWorker) isFenced(fence int64) bool {
 	fw.fence = max(fw.fence, fence)
 	return fence < fw.fence
 }
 
 func (fw *FleetWorker) launch(la worker.Launch) (worker.Ack, error) {
-	if fw.fenced(la.Fence) {
+	if fw.isFenced(la.Fence) {
 		return fw.ack(), worker.ErrFenced
 	}
 	if ta := fw.running[la.Task]; ta != nil && ta.run.Number == la.Number {
 		return fw.ack(), nil
 	}
-	fw.extend(la.LeaseUntilMS)
+	fw.extendLease(la.LeaseUntilMS)
 	switch {
-	case fw.running[la.Task] != nil || la.Number <= fw.last[la.Task]:
+	case fw.running[la.Task] != nil || la.Number <= fw.lastAttempt[la.Task]:
 		return fw.ack(), worker.ErrStaleAttempt
-	case fw.lease <= fw.clock():
+	case fw.leaseUntil <= fw.clock():
 		return fw.ack(), worker.ErrLeaseExpired
 	}
-	takes := fw.fl.room(la.Attempt)
-	if !takes.Fits(fw.free()) {
+	resources := fw.fl.resourcesOf(la.Attempt)
+	if !resources.Fits(fw.free()) {
 		return fw.ack(), worker.ErrNoCapacity
 	}
-	fw.start(la, takes)
+	fw.start(la, resources)
 	return fw.ack(), nil
 }
 
-func (fl *Fleet) room(at worker.Attempt) worker.Resources {
+// resourcesOf returns the resources that an attempt takes.
+func (fl *Fleet) resourcesOf(at worker.Attempt) worker.Resources {
 	if fl.ResourcesFunc == nil {
 		return worker.Resources{}
 	}
@@ -285,29 +301,31 @@
 func (fw *FleetWorker) free() worker.Resources {
 	free := fw.Capacity
 	for _, ta := range fw.running {
-		free = free.Sub(ta.takes)
+		free = free.Sub(ta.resources)
 	}
 	return free
 }
 
-func (fw *FleetWorker) start(la worker.Launch, takes worker.Resources) {
-	work, how := time.Second, "done"
+// start starts an attempt. Under the model of [Interference] a filler ends when its work
+// is done rather than after a time.
+func (fw *FleetWorker) start(la worker.Launch, resources worker.Resources) {
+	work, outcome := time.Second, "done"
 	run := fw.fl.RunFunc
 	if fw.RunFunc != nil {
 		run = fw.RunFunc
 	}
 	if run != nil {
-		work, how = run(la.Attempt)
+		work, outcome = run(la.Attempt)
 	}
 	ru := &FleetRun{Attempt: la.Attempt, Worker: fw.Addr.Incarnation, Payload: la.Payload, Checkpoint: la.Checkpoint, From: time.Now()}
 	fw.fl.runs = append(fw.fl.runs, ru)
-	ta := &fleetTask{run: ru, takes: takes, target: work, how: how}
+	ta := &fleetTask{run: ru, resources: resources, target: work, outcome: outcome}
 	fw.running[la.Task] = ta
 	if work < 0 {
 		return
 	}
-	if wo := fw.fl.Interference; wo != nil && wo.StepFunc(la.Attempt).Filler {
-		ta.worked = resumed(la.Checkpoint)
+	if in := fw.fl.Interference; in != nil && in.StepFunc(la.Attempt).Filler {
+		ta.worked = workedUntil(la.Checkpoint)
 		return
 	}
 	ta.timer = time.AfterFunc(work, func() {
@@ -315,42 +333,44 @@
 		defer fw.fl.mu.Unlock()
 		switch {
 		case fw.running[la.Task] != ta:
-		case how == OutcomeCrash:
+		case outcome == OutcomeCrash:
 			fw.crash(la.Task)
 		default:
-			fw.end(la.Task, how)
+			fw.end(la.Task, outcome)
 		}
 	})
 }
 
-// end ends a run and lists its end.
-func (fw *FleetWorker) end(name, how string) {
+// end ends a run, lists its end and answers the polls that wait.
+func (fw *FleetWorker) end(name, outcome string) {
 	ta := fw.running[name]
 	delete(fw.running, name)
 	if ta.timer != nil {
 		ta.timer.Stop()
 	}
-	ta.run.Until, ta.run.Outcome = time.Now(), how
-	fw.last[name] = max(fw.last[name], ta.run.Number)
+	ta.run.Until, ta.run.Outcome = time.Now(), outcome
+	fw.lastAttempt[name] = max(fw.lastAttempt[name], ta.run.Number)
 	fw.ends++
-	fw.ended = append(fw.ended, worker.EndedAttempt{Attempt: ta.run.Attempt, EndNumber: fw.ends, Outcome: how, Checkpoint: ta.checkpoint()})
+	fw.ended = append(fw.ended, worker.EndedAttempt{Attempt: ta.run.Attempt, EndNumber: fw.ends, Outcome: outcome, Checkpoint: ta.checkpoint()})
 	fw.endedRuns = append(fw.endedRuns, ta.run)
 	if fw.fl.ApplyAckToLaterEnds {
-		fw.forget(fw.told)
+		fw.removeAcked(fw.maxAckedEnd)
 	}
 	close(fw.wake)
 	fw.wake = make(chan struct{})
 }
 
-// forget forgets the ends up to a number, as they were acknowledged.
-func (fw *FleetWorker) forget(number int64) {
+// removeAcked removes the ends up to an acknowledged number from the list.
+func (fw *FleetWorker) removeAcked(number int64) {
 	for len(fw.ended) > 0 && fw.ended[0].EndNumber <= number {
 		fw.endedRuns[0].AckedInLease, fw.endedRuns[0].AckedAt = !fw.endedRuns[0].lapsed, time.Now()
 		fw.ended, fw.endedRuns = fw.ended[1:], fw.endedRuns[1:]
 	}
 }
 
-// checkpoint names how far a run came, in whole seconds.
+// checkpoint returns a checkpoint with the progress of a run: the time worked in
+// milliseconds for a filler under the model of [Interference], otherwise the time since
+// its start in whole seconds.
 func (ta *fleetTask) checkpoint() string {
 	if ta.worked > 0 {
 		return fmt.Sprintf("%s@%d", ta.run.Task, ta.worked.Milliseconds())
@@ -358,8 +378,9 @@
 	return fmt.Sprintf("%s@%d", ta.run.Task, int(time.Since(ta.run.From).Seconds()))
 }
 
-// resumed is how far a filler in a world had come by a checkpoint.
-func resumed(checkpoint string) time.Duration {
+// workedUntil returns how long a filler had worked at a checkpoint under the model of
+// [Interference], or 0 if there is none.
+func workedUntil(checkpoint string) time.Duration {
 	_, ms, _ := strings.Cut(checkpoint, "@")
 	n, err := strconv.Atoi(ms)
 	if err != nil {
@@ -368,6 +389,7 @@
 	return time.Duration(n) * time.Millisecond
 }
 
+// percent returns the progress of a run in percent.
 func (ta *fleetTask) percent() int {
 	if ta.target <= 0 {
 		return 100
@@ -379,18 +401,18 @@
 }
 
 func (fw *FleetWorker) halt(ha worker.Halt) (worker.Ack, error) {
-	if fw.fenced(ha.Fence) {
+	if fw.isFenced(ha.Fence) {
 		return fw.ack(), worker.ErrFenced
 	}
 	if ta := fw.running[ha.Task]; ta != nil && ta.run.Number == ha.Number {
 		fw.end(ha.Task, "stopped")
 	}
-	fw.last[ha.Task] = max(fw.last[ha.Task], ha.Number)
+	fw.lastAttempt[ha.Task] = max(fw.lastAttempt[ha.Task], ha.Number)
 	return fw.ack(), nil
 }
 
 func (fw *FleetWorker) pace(pa worker.Pace) (worker.Ack, error) {
-	if fw.fenced(pa.Fence) {
+	if fw.isFenced(pa.Fence) {
 		return fw.ack(), worker.ErrFenced
 	}
 	if ta := fw.running[pa.Task]; ta != nil && ta.run.Number == pa.Number {
@@ -399,61 +421,62 @@
 	return fw.ack(), nil
 }
 
-// look answers what runs and what ended, at once or at the next end.
-func (fl *Fleet) look(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-	fw, err := fl.reach(ad)
+// poll returns the attempts that run and the ends that are listed. If no end is listed, it
+// first waits for one as long as the poll says.
+func (fl *Fleet) poll(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
+	fw, err := fl.lookup(ad)
 	if err != nil {
 		return worker.PollResult{}, err
 	}
-	return gated(ctx, &fw.Faults, func() (worker.PollResult, error) {
-		wake, err := fw.prepare(lo)
+	return withFault(ctx, &fw.Faults, func() (worker.PollResult, error) {
+		wake, err := fw.applyPoll(po)
 		if err != nil {
 			return worker.PollResult{}, cmp.Or(worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.StartedMS), err)
 		}
-		if wake != nil && lo.Wait > 0 {
+		if wake != nil && po.Wait > 0 {
 			select {
 			case <-wake:
-			case <-time.After(lo.Wait):
+			case <-time.After(po.Wait):
 			case <-ctx.Done():
 				return worker.PollResult{}, ctx.Err()
 			}
 		}
-		si, err := fw.sight()
+		pr, err := fw.pollResult()
 		if err == nil {
 			err = worker.CheckIncarnation(ad.Incarnation, fw.Addr.Incarnation.StartedMS)
 		}
-		return si, err
+		return pr, err
 	})
 }
 
-// prepare takes in what a look says, and returns what to wait for if no end is
-// listed.
-func (fw *FleetWorker) prepare(lo worker.Poll) (chan struct{}, error) {
+// applyPoll extends the lease and removes acknowledged ends as a poll says. If no end is
+// listed, it returns the channel that is closed at the next one.
+func (fw *FleetWorker) applyPoll(po worker.Poll) (chan struct{}, error) {
 	fw.fl.mu.Lock()
 	defer fw.fl.mu.Unlock()
-	if fw.fenced(lo.Fence) {
+	if fw.isFenced(po.Fence) {
 		return nil, worker.ErrFenced
 	}
-	fw.extend(lo.LeaseUntilMS)
-	fw.told = max(fw.told, lo.AckedEnd)
-	fw.forget(lo.AckedEnd)
+	fw.extendLease(po.LeaseUntilMS)
+	fw.maxAckedEnd = max(fw.maxAckedEnd, po.AckedEnd)
+	fw.removeAcked(po.AckedEnd)
 	if len(fw.ended) > 0 {
 		return nil, nil
 	}
 	return fw.wake, nil
 }
 
-// sight is the answer to a look. A process that ended says nothing, also not of the ends
-// that woke its look.
-func (fw *FleetWorker) sight() (worker.PollResult, error) {
+// pollResult returns the answer to a poll. A killed process doesn't answer, not even with
+// the ends that woke the poll.
+func (fw *FleetWorker) pollResult() (worker.PollResult, error) {
 	fw.fl.mu.Lock()
 	defer fw.fl.mu.Unlock()
 	if fw.dead {
 		return worker.PollResult{}, errReset(fw.Addr)
 	}
-	si := worker.PollResult{ClockMS: fw.clock(), Ended: append([]worker.EndedAttempt(nil), fw.ended...)}
+	pr := worker.PollResult{ClockMS: fw.clock(), Ended: append([]worker.EndedAttempt(nil), fw.ended...)}
 	for _, ta := range fw.running {
-		si.Running = append(si.Running, worker.RunningAttempt{Attempt: ta.run.Attempt, Checkpoint: ta.checkpoint(), Percent: ta.percent(), Usage: ta.usage})
+		pr.Running = append(pr.Running, worker.RunningAttempt{Attempt: ta.run.Attempt, Checkpoint: ta.checkpoint(), Percent: ta.percent(), Usage: ta.usage})
 	}
-	return si, nil
+	return pr, nil
 }
--- a/internal/standin/fleet_agent.go
+++ b/internal/standin/fleet_agent.go
@@ -9,24 +9,25 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Agent returns a client of the workers.
+// Agent returns a client of the fleet's workers in the same process.
 func (fl *Fleet) Agent() worker.Agent {
 	return worker.Agent{
 		LaunchFunc: func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
-			return order(ctx, fl, ad, la.Attempt, func(fw *FleetWorker) (worker.Ack, error) { return fw.launch(la) })
+			return sendOrder(ctx, fl, ad, la.Attempt, func(fw *FleetWorker) (worker.Ack, error) { return fw.launch(la) })
 		},
 		HaltFunc: func(ctx context.Context, ad worker.Addr, ha worker.Halt) (worker.Ack, error) {
-			return order(ctx, fl, ad, ha.Attempt, func(fw *FleetWorker) (worker.Ack, error) { return fw.halt(ha) })
+			return sendOrder(ctx, fl, ad, ha.Attempt, func(fw *FleetWorker) (worker.Ack, error) { return fw.halt(ha) })
 		},
 		PaceFunc: func(ctx context.Context, ad worker.Addr, pa worker.Pace) (worker.Ack, error) {
-			return order(ctx, fl, ad, pa.Attempt, func(fw *FleetWorker) (worker.Ack, error) { return fw.pace(pa) })
+			return sendOrder(ctx, fl, ad, pa.Attempt, func(fw *FleetWorker) (worker.Ack, error) { return fw.pace(pa) })
 		},
-		PollFunc: fl.look,
+		PollFunc: fl.poll,
 	}
 }
 
-// reach returns the worker that an order is for.
-func (fl *Fleet) reach(ad worker.Addr) (*FleetWorker, error) {
+// lookup returns the worker at an address. It returns [worker.ErrNoListener] if none runs
+// there and [worker.ErrOtherIncarnation] if that is another incarnation.
+func (fl *Fleet) lookup(ad worker.Addr) (*FleetWorker, error) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fw := fl.workers[ad.HostPort]
@@ -47,10 +48,10 @@
 	return fmt.Errorf("connection to %s reset: %w", ad.HostPort, worker.ErrConnectionLost)
 }
 
-// order carries out an order about an attempt, or later, or loses its answer, as the
-// worker's faults will have it.
-func order(ctx context.Context, fl *Fleet, ad worker.Addr, at worker.Attempt, fn func(*FleetWorker) (worker.Ack, error)) (worker.Ack, error) {
-	fw, err := fl.reach(ad)
+// sendOrder carries out an order about an attempt subject to the faults and the
+// OrderDelay of the worker.
+func sendOrder(ctx context.Context, fl *Fleet, ad worker.Addr, at worker.Attempt, fn func(*FleetWorker) (worker.Ack, error)) (worker.Ack, error) {
+	fw, err := fl.lookup(ad)
 	if err != nil {
 		return worker.Ack{}, err
 	}
@@ -67,11 +68,11 @@
 		return ack, err
 	}
 	fl.mu.Lock()
-	late := fw.OrderDelay
+	delay := fw.OrderDelay
 	fl.mu.Unlock()
-	if late > 0 {
-		time.AfterFunc(late, func() {
-			if next := fl.nextLife(fw, at); next != nil {
+	if delay > 0 {
+		time.AfterFunc(delay, func() {
+			if next := fl.nextIncarnation(fw, at); next != nil {
 				fw = next
 			}
 			_, _ = locked()
@@ -79,16 +80,18 @@
 		<-ctx.Done()
 		return worker.Ack{}, ctx.Err()
 	}
-	return gated(ctx, &fw.Faults, locked)
+	return withFault(ctx, &fw.Faults, locked)
 }
 
-// nextLife returns the process that has a dead worker's id and address, if a late order
-// about an attempt may reach it: not if the dead one had taken the attempt's stop.
-func (fl *Fleet) nextLife(fw *FleetWorker, at worker.Attempt) *FleetWorker {
-	next, err := fl.reach(fw.Addr)
+// nextIncarnation returns the process that replaced a dead worker at its address under the
+// same id, if a delayed order about an attempt may reach it, and nil otherwise. The order
+// must not reach it if the attempt, or a later one of the task, had ended or been stopped
+// at the dead worker.
+func (fl *Fleet) nextIncarnation(fw *FleetWorker, at worker.Attempt) *FleetWorker {
+	next, err := fl.lookup(fw.Addr)
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	if err != nil || !fw.dead || fw.last[at.Task] >= at.Number {
+	if err != nil || !fw.dead || fw.lastAttempt[at.Task] >= at.Number {
 		return nil
 	}
 	return next
--- a/internal/standin/hosts.go
+++ b/internal/standin/hosts.go
@@ -12,32 +12,33 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Hosts stands in for the platform's host list. Changes show after the lag.
+// Hosts is a fake of the platform's host list. Changes become visible after a lag.
 type Hosts struct {
-	// Gate is the list's fault.
+	// Faults injects faults into requests for the list, but not into changes.
 	Faults FaultInjector
-	// Lag is how long a change takes to show.
+	// Lag is how long a change takes to become visible.
 	Lag time.Duration
 
 	mu      sync.Mutex
 	changes []hostChange
-	shown   map[string]store.Host
+	visible map[string]store.Host
 }
 
+// hostChange is a change that becomes visible at a time.
 type hostChange struct {
-	due  time.Time
-	host store.Host
-	gone bool
+	due     time.Time
+	host    store.Host
+	removed bool
 }
 
-// Put enters or changes a host.
+// Put adds or replaces a host.
 func (ho *Hosts) Put(host store.Host) {
 	ho.change(hostChange{host: host})
 }
 
-// Remove takes a host off the list.
+// Remove removes a host by its id.
 func (ho *Hosts) Remove(id string) {
-	ho.change(hostChange{host: store.Host{ID: id}, gone: true})
+	ho.change(hostChange{host: store.Host{ID: id}, removed: true})
 }
 
 func (ho *Hosts) change(hc hostChange) {
@@ -47,10 +48,11 @@
 	ho.changes = append(ho.changes, hc)
 }
 
-// Client returns a client of the list in the same process.
+// Client returns a client of the list in the same process. Its requests are subject to
+// the fault too.
 func (ho *Hosts) Client() store.Hosts {
 	return store.Hosts{ListFunc: func(ctx context.Context, req store.HostsRequest) (store.HostsReply, error) {
-		return gated(ctx, &ho.Faults, func() (store.HostsReply, error) { return ho.list(ctx, req) })
+		return withFault(ctx, &ho.Faults, func() (store.HostsReply, error) { return ho.list(ctx, req) })
 	}}
 }
 
@@ -74,9 +76,9 @@
 func (ho *Hosts) list(_ context.Context, req store.HostsRequest) (store.HostsReply, error) {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
-	ho.showDue(time.Now())
+	ho.applyDue(time.Now())
 	hosts := []store.Host{}
-	for _, host := range ho.shown {
+	for _, host := range ho.visible {
 		if (req.DC == "" || req.DC == host.DC) && (req.Kind == "" || req.Kind == host.Kind) {
 			hosts = append(hosts, host)
 		}
@@ -85,20 +87,21 @@
 	return store.HostsReply{Hosts: hosts}, nil
 }
 
-func (ho *Hosts) showDue(now time.Time) {
-	if ho.shown == nil {
-		ho.shown = map[string]store.Host{}
+// applyDue makes the changes visible whose lag is over; the caller holds ho.mu.
+func (ho *Hosts) applyDue(now time.Time) {
+	if ho.visible == nil {
+		ho.visible = map[string]store.Host{}
 	}
-	waiting := ho.changes[:0]
+	pending := ho.changes[:0]
 	for _, hc := range ho.changes {
 		switch {
 		case hc.due.After(now):
-			waiting = append(waiting, hc)
-		case hc.gone:
-			delete(ho.shown, hc.host.ID)
+			pending = append(pending, hc)
+		case hc.removed:
+			delete(ho.visible, hc.host.ID)
 		default:
-			ho.shown[hc.host.ID] = hc.host
+			ho.visible[hc.host.ID] = hc.host
 		}
 	}
-	ho.changes = waiting
+	ho.changes = pending
 }
--- a/internal/standin/interference.go
+++ b/internal/standin/interference.go
@@ -9,35 +9,37 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Interference has the tasks on each worker of a [Fleet] disturb each other, as the
-// users describe it: services share the processors that they were given, fillers
-// get what the others leave idle, and both lengthen the tails of services. Set its
-// fields, put it into the fleet, and call [Fleet.Advance] again and again.
+// Interference models how the tasks on each worker of a [Fleet] slow each other down, by
+// the users' description: services share the processors allocated to them, fillers get
+// the processors that the others leave idle, and both increase the tail latency of
+// services. Set its fields, set it in the fleet, and call [Fleet.Advance] repeatedly.
 //
-// A service's headroom, its target over its tail, starts from Most at no load,
-// falls with its own load, and falls by so much per share of the worker's
-// processors that each filler takes.
+// The headroom of a service is its latency target divided by its tail latency. It is
+// MaxHeadroom without load, falls in proportion to its own load, and falls by the result
+// of DropFunc times the share of the worker's processors that each filler uses.
 type Interference struct {
-	// StepFunc returns what a task is.
+	// StepFunc returns the step of an attempt.
 	StepFunc func(at worker.Attempt) *job.Step
-	// DropFunc returns by how much the headroom of a service's image falls if a
-	// filler's image takes a whole worker.
+	// DropFunc returns by how much the headroom of a service falls if a filler uses all
+	// processors of the worker, by the images of both.
 	DropFunc func(service, filler string) float64
-	// LoadFunc returns the share of its processors that a service uses now.
+	// LoadFunc returns the share of its processors that a service uses at a time, from
+	// 0 to 1.
 	LoadFunc func(at worker.Attempt, now time.Time) float64
-	// Most is the headroom at no load.
+	// MaxHeadroom is the headroom of a service without load.
 	MaxHeadroom float64
-	// Rough is the part by which figures are off.
+	// Noise is the standard deviation of the logarithm of the random factor on the
+	// usage and tail latencies that workers report; 0 means none.
 	Noise float64
-	// Rng draws what is rough; it must be set if Rough is.
+	// Rand draws the noise; it must be set if Noise is.
 	Rand *rand.Rand
 }
 
-// leastHeadroom bounds tails: one is this many times over its target at most.
-const leastHeadroom = 0.1
+// minHeadroom limits reported tail latencies to ten times the target.
+const minHeadroom = 0.1
 
-// Advance lets time pass for the fillers and services of all workers. Fillers
-// whose work is done end.
+// Advance computes the next period of length d for the fillers and services of all workers
+// under the fleet's Interference, and ends the fillers whose work is done.
 func (fl *Fleet) Advance(d time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -48,60 +50,62 @@
 	}
 }
 
-// advance lets time pass on one worker.
-func (wo *Interference) advance(fw *FleetWorker, d time.Duration) {
+// advance computes the next period of one worker.
+func (in *Interference) advance(fw *FleetWorker, d time.Duration) {
 	now := time.Now()
 	idle, wanted := float64(fw.Capacity.MilliCores), 0.0
 	for _, ta := range fw.running {
-		st := wo.StepFunc(ta.run.Attempt)
+		st := in.StepFunc(ta.run.Attempt)
 		each := float64(st.Each.MilliCores)
 		switch {
 		case st.Filler:
 			wanted += each * ta.speed()
 		case st.HasTarget():
-			idle -= each * wo.LoadFunc(ta.run.Attempt, now)
+			idle -= each * in.LoadFunc(ta.run.Attempt, now)
 		default:
 			idle -= each
 		}
 	}
-	got := 1.0
+	share := 1.0
 	if wanted > 0 {
-		got = min(max(idle, 0)/wanted, 1)
+		share = min(max(idle, 0)/wanted, 1)
 	}
-	wo.work(fw, got, d)
-	wo.serve(fw, now, d)
+	in.advanceFillers(fw, share, d)
+	in.advanceServices(fw, now, d)
 }
 
-// work has the fillers work at a part of their pace.
-func (wo *Interference) work(fw *FleetWorker, got float64, d time.Duration) {
+// advanceFillers adds the work of the fillers, each of which gets a share of the
+// processors that it wants at its pace, and ends those that are done.
+func (in *Interference) advanceFillers(fw *FleetWorker, share float64, d time.Duration) {
 	for name, ta := range fw.running {
-		st := wo.StepFunc(ta.run.Attempt)
+		st := in.StepFunc(ta.run.Attempt)
 		if !st.Filler {
 			continue
 		}
-		ta.used = float64(st.Each.MilliCores) * ta.speed() * got
-		ta.usage = int64(ta.used * wo.rough())
-		ta.worked += time.Duration(float64(d) * ta.speed() * got)
+		ta.used = float64(st.Each.MilliCores) * ta.speed() * share
+		ta.usage = int64(ta.used * in.noise())
+		ta.worked += time.Duration(float64(d) * ta.speed() * share)
 		if ta.worked >= ta.target {
-			fw.end(name, ta.how)
+			fw.end(name, ta.outcome)
 		}
 	}
 }
 
-// serve has the services serve beside the fillers.
-func (wo *Interference) serve(fw *FleetWorker, now time.Time, d time.Duration) {
+// advanceServices computes the tail latencies of services beside the fillers, and adds up
+// how long they are over their targets.
+func (in *Interference) advanceServices(fw *FleetWorker, now time.Time, d time.Duration) {
 	for _, ta := range fw.running {
-		st := wo.StepFunc(ta.run.Attempt)
+		st := in.StepFunc(ta.run.Attempt)
 		if !st.HasTarget() {
 			continue
 		}
-		alone := wo.MaxHeadroom * (1 - wo.LoadFunc(ta.run.Attempt, now))
-		left := alone - wo.drops(fw, st.Image)
-		ta.usage = max(int64(float64(st.TargetMS)/max(left, leastHeadroom)*wo.rough()), 1)
+		withoutFillers := in.MaxHeadroom * (1 - in.LoadFunc(ta.run.Attempt, now))
+		headroom := withoutFillers - in.headroomDrop(fw, st.Image)
+		ta.usage = max(int64(float64(st.TargetMS)/max(headroom, minHeadroom)*in.noise()), 1)
 		ta.run.ServingTime += d
 		switch {
-		case left >= 1:
-		case alone >= 1:
+		case headroom >= 1:
+		case withoutFillers >= 1:
 			ta.run.OverTargetByFillers += d
 		default:
 			ta.run.OverTargetByLoad += d
@@ -109,26 +113,26 @@
 	}
 }
 
-// drops is by how much the fillers at work lower a service's headroom.
-func (wo *Interference) drops(fw *FleetWorker, image string) float64 {
+// headroomDrop returns by how much the running fillers lower a service's headroom.
+func (in *Interference) headroomDrop(fw *FleetWorker, image string) float64 {
 	sum := 0.0
 	for _, ta := range fw.running {
-		if st := wo.StepFunc(ta.run.Attempt); st.Filler {
-			sum += wo.DropFunc(image, st.Image) * ta.used / float64(fw.Capacity.MilliCores)
+		if st := in.StepFunc(ta.run.Attempt); st.Filler {
+			sum += in.DropFunc(image, st.Image) * ta.used / float64(fw.Capacity.MilliCores)
 		}
 	}
 	return sum
 }
 
-// rough is a factor about 1.
-func (wo *Interference) rough() float64 {
-	if wo.Noise == 0 {
+// noise returns a random factor with a median of 1.
+func (in *Interference) noise() float64 {
+	if in.Noise == 0 {
 		return 1
 	}
-	return math.Exp(wo.Noise * wo.Rand.NormFloat64())
+	return math.Exp(in.Noise * in.Rand.NormFloat64())
 }
 
-// speed is the part of its speed at which a task was told to work.
+// speed returns the ordered pace of a task as a part of its full speed.
 func (ta *fleetTask) speed() float64 {
 	if !ta.paced {
 		return 1
--- a/internal/standin/run_checks_test.go
+++ b/internal/standin/run_checks_test.go
@@ -9,7 +9,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-func TestRunAfterAnAcknowledgedEndIsAProblem(t *testing.T) {
+func TestRunAfterAcknowledgedEndIsViolation(t *testing.T) {
 	at := time.Unix(100, 0)
 	done := func(number int, from time.Duration) FleetRun {
 		until := at.Add(from + time.Second)
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -16,40 +16,43 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Ways for a runner to misbehave, besides those of every stand-in.
+// Modes of a [Runner] in addition to those of every fake.
 const (
-	// ModeRefuse refuses every request before running it.
+	// ModeRefuse refuses every request without running it.
 	ModeRefuse Mode = "refuse"
-	// ModeHang takes requests and never answers.
+	// ModeHang reads requests and never answers them.
 	ModeHang Mode = "hang"
-	// ModeWrong answers fast, without running and without a status.
+	// ModeWrong answers at once with HTTP status 500 and no run status, without
+	// running the request.
 	ModeWrong Mode = "wrong"
-	// ModeForeign answers under another request's id.
+	// ModeForeign answers with the id of another request.
 	ModeForeign Mode = "foreign"
-	// ModeCut runs the request and cuts the answer short.
+	// ModeCut runs the request and truncates the answer.
 	ModeCut Mode = "cut"
 	// ModeCloseUnread closes the connection before reading the body.
 	ModeCloseUnread Mode = "close-unread"
-	// ModeCloseRead closes the connection after reading the body, not run.
+	// ModeCloseRead closes the connection after reading the body, without running the
+	// request.
 	ModeCloseRead Mode = "close-read"
-	// ModeCloseRun closes the connection after running, unanswered.
+	// ModeCloseRun runs the request and closes the connection without an answer.
 	ModeCloseRun Mode = "close-run"
 )
 
-// RunnerSettings say how a runner behaves when all is well.
+// RunnerSettings configure how a runner behaves without faults.
 type RunnerSettings struct {
 	// ID names the runner.
 	ID string
-	// Slots is how many requests run at a time.
+	// Slots is how many requests run at the same time; 0 means 8.
 	Slots int
 	// Mean is the mean service time.
 	Mean time.Duration
-	// Sigma is the shape of its log-normal spread; 0 makes it constant.
+	// Sigma is the shape of the log-normal distribution of the service time; 0 makes
+	// it constant.
 	Sigma float64
-	// Tick is the time between a session's events.
+	// Tick is the time between a session's events; 0 means 100 ms.
 	Tick time.Duration
-	// LogWriter gets a line with the id of each request as its run begins, for
-	// trials in which the process is killed; nil gets none.
+	// LogWriter, if set, gets a line with the id of each request when its run starts,
+	// for tests that kill the process.
 	LogWriter io.Writer
 }
 
@@ -59,44 +62,47 @@
 	ID string `json:"id"`
 	// Runner ran it.
 	Runner string `json:"runner"`
-	// Start is when, in Unix nanoseconds.
+	// Start is when the run started, in Unix nanoseconds.
 	Start int64 `json:"start"`
-	// Done is set once it ran to its end.
+	// Done is set once the run is complete.
 	Done bool `json:"done"`
 }
 
-// Runner stands in for a runner. Make one with [NewRunner].
+// Runner is a fake of a runner. Create one with [NewRunner].
 type Runner struct {
-	// Gate is the runner's fault.
+	// Faults injects faults into requests, but not into sessions.
 	Faults FaultInjector
 
-	set RunnerSettings
+	settings RunnerSettings
 
-	mu      sync.Mutex
-	busy    int
+	mu sync.Mutex
+	// busy is the number of slots in use.
+	busy int
+	// leaving is closed, and left set, once the runner takes no new work.
 	leaving chan struct{}
 	left    bool
 	log     []Run
-	slow    float64
-	refused int64
+	// slowdown multiplies service times.
+	slowdown float64
+	refused  int64
 }
 
-// NewRunner returns a runner.
-func NewRunner(set RunnerSettings) *Runner {
-	if set.Slots == 0 {
-		set.Slots = 8
+// NewRunner returns a runner that runs nothing yet.
+func NewRunner(settings RunnerSettings) *Runner {
+	if settings.Slots == 0 {
+		settings.Slots = 8
 	}
-	if set.Tick == 0 {
-		set.Tick = 100 * time.Millisecond
+	if settings.Tick == 0 {
+		settings.Tick = 100 * time.Millisecond
 	}
-	return &Runner{set: set, leaving: make(chan struct{}), slow: 1}
+	return &Runner{settings: settings, leaving: make(chan struct{}), slowdown: 1}
 }
 
-// RunnerOrder is what a runner is told at /order.
+// RunnerOrder changes how a runner behaves; it is the body of requests to /order.
 type RunnerOrder struct {
 	// Leave makes it take no new work.
 	Leave bool `json:"leave,omitempty"`
-	// Slow multiplies service times; 0 leaves them as they are.
+	// Slow is the factor on service times from now on; 0 leaves the one in force.
 	Slow float64 `json:"slow,omitempty"`
 }
 
@@ -115,7 +121,7 @@
 	return mux
 }
 
-// Order tells the runner something.
+// Order carries out an order.
 func (ru *Runner) Order(or RunnerOrder) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
@@ -124,11 +130,11 @@
 		close(ru.leaving)
 	}
 	if or.Slow > 0 {
-		ru.slow = or.Slow
+		ru.slowdown = or.Slow
 	}
 }
 
-// Log returns all runs begun, in order.
+// Log returns all runs in the order of their starts.
 func (ru *Runner) Log() []Run {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
@@ -142,56 +148,59 @@
 	return ru.refused
 }
 
-// begin takes a slot, or says why not.
-func (ru *Runner) begin(id string) (entry int, service time.Duration, reason string) {
+// acquireSlot takes a slot and records the run. It returns the run's index in the log
+// and its service time, or the reason why the request is refused.
+func (ru *Runner) acquireSlot(id string) (entry int, service time.Duration, reason string) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	if ru.left {
 		ru.refused++
 		return 0, 0, runner.ReasonLeaving
 	}
-	if ru.busy >= ru.set.Slots {
+	if ru.busy >= ru.settings.Slots {
 		ru.refused++
 		return 0, 0, runner.ReasonFull
 	}
 	ru.busy++
-	ru.note(id)
-	if ru.set.LogWriter != nil {
-		_, _ = fmt.Fprintln(ru.set.LogWriter, id)
+	ru.record(id)
+	if ru.settings.LogWriter != nil {
+		_, _ = fmt.Fprintln(ru.settings.LogWriter, id)
 	}
 	return len(ru.log) - 1, ru.serviceTime(), ""
 }
 
-// Note enters a run into the log, as if the request had begun to run.
+// RecordRun adds a run to the log as if the request had started to run.
 func (ru *Runner) RecordRun(id string) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
-	ru.note(id)
+	ru.record(id)
 }
 
-func (ru *Runner) note(id string) {
-	ru.log = append(ru.log, Run{ID: id, Runner: ru.set.ID, Start: time.Now().UnixNano()})
+func (ru *Runner) record(id string) {
+	ru.log = append(ru.log, Run{ID: id, Runner: ru.settings.ID, Start: time.Now().UnixNano()})
 }
 
-func (ru *Runner) end(entry int) {
+// releaseSlot frees the slot of a run and marks the run as done.
+func (ru *Runner) releaseSlot(entry int) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.busy--
 	ru.log[entry].Done = true
 }
 
-// serviceTime draws a log-normal time with the mean set.
+// serviceTime draws a service time from a log-normal distribution whose mean is that of
+// the settings times the slowdown.
 func (ru *Runner) serviceTime() time.Duration {
-	mean := float64(ru.set.Mean) * ru.slow
-	if ru.set.Sigma == 0 {
+	mean := float64(ru.settings.Mean) * ru.slowdown
+	if ru.settings.Sigma == 0 {
 		return time.Duration(mean)
 	}
-	si := ru.set.Sigma
+	si := ru.settings.Sigma
 	return time.Duration(mean * math.Exp(si*rand.NormFloat64()-si*si/2))
 }
 
 func (ru *Runner) serveRun(w http.ResponseWriter, r *http.Request) {
-	fault, _ := ru.Faults.take()
+	fault, _ := ru.Faults.next()
 	if fault.Mode == ModeCloseUnread || fault.Mode == ModeDown {
 		panic(http.ErrAbortHandler)
 	}
@@ -200,7 +209,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	if fault.Mode == ModeFreeze || fault.Mode == ModeHang {
-		// The server sees that the client left only once the body is read.
+		// The server notices that the client closed the connection only once the body
+		// has been read.
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
@@ -219,6 +229,7 @@
 	ru.runAndAnswer(w, id, body, fault.Mode)
 }
 
+// refuse answers that a request was refused and why.
 func refuse(w http.ResponseWriter, id, reason string) {
 	w.Header().Set(runner.HeaderID, id)
 	w.Header().Set(runner.HeaderStatus, runner.StatusRefused)
@@ -230,7 +241,7 @@
 }
 
 func (ru *Runner) runAndAnswer(w http.ResponseWriter, id string, body []byte, mode Mode) {
-	entry, service, reason := ru.begin(id)
+	entry, service, reason := ru.acquireSlot(id)
 	if reason != "" {
 		refuse(w, id, reason)
 		return
@@ -238,7 +249,7 @@
 	if service > 0 {
 		time.Sleep(service)
 	}
-	ru.end(entry)
+	ru.releaseSlot(entry)
 	answer := Answer(id, body)
 	switch mode {
 	case ModeCloseRun:
@@ -256,14 +267,14 @@
 	}
 }
 
-// Answer is the answer of a runner to a request, by which tests tell whose it
-// is.
+// Answer returns the body with which a runner answers a request. It contains the id, so
+// that tests can tell to which request an answer belongs.
 func Answer(id string, body []byte) []byte {
 	return append([]byte(id+" "), body...)
 }
 
-// serveSession streams events from after the sequence number asked for. The
-// state is the topic and number, so that any runner can go on.
+// serveSession streams events after the requested sequence number. An event depends
+// only on the topic and the sequence number, so any runner can continue a session.
 func (ru *Runner) serveSession(w http.ResponseWriter, r *http.Request) {
 	var req runner.SessionRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
@@ -279,16 +290,16 @@
 	}
 	enc := json.NewEncoder(w)
 	rc := http.NewResponseController(w)
-	ti := time.NewTicker(ru.set.Tick)
+	ti := time.NewTicker(ru.settings.Tick)
 	defer ti.Stop()
-	alive := time.NewTicker(time.Second)
-	defer alive.Stop()
-	// The head goes out at once: the opener waits for it.
+	keepAlive := time.NewTicker(time.Second)
+	defer keepAlive.Stop()
+	// Send the header at once, since the client waits for it.
 	_ = rc.Flush()
 	for seq := req.Seq + 1; ; {
 		select {
 		case <-ti.C:
-		case <-alive.C:
+		case <-keepAlive.C:
 			if enc.Encode(runner.SessionEvent{}) != nil || rc.Flush() != nil {
 				return
 			}
@@ -307,7 +318,7 @@
 	}
 }
 
-// SessionBody is the body of a session's event.
+// SessionBody returns the body of the event with a sequence number.
 func SessionBody(topic string, seq uint64) []byte {
 	return fmt.Appendf(nil, "%s/%d", topic, seq)
 }
--- a/internal/standin/table.go
+++ b/internal/standin/table.go
@@ -14,56 +14,57 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// Table stands in for the table service. The zero value is an empty table.
+// Table is a fake of the table service. The zero value is an empty table.
 type Table struct {
-	// Gate is the table's fault.
+	// Faults injects faults into requests to the table.
 	Faults FaultInjector
 
 	mu      sync.Mutex
 	rows    map[string]store.Row
 	version int64
-	// history has every change in order, changed is closed at the next one.
+	// history holds the changes after version trimmed in order; changed is closed at
+	// the next change.
 	history []store.FeedRow
 	changed chan struct{}
-	forgot  int64
+	trimmed int64
 	reads   int64
 	writes  int64
 }
 
-// TableCounts is how often a table was used.
+// TableCounts counts the requests to a table and its rows.
 type TableCounts struct {
-	// Reads and Writes count messages handled.
+	// Reads and Writes count the requests handled; feeds count as reads.
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
-	// Rows is the number of rows now.
+	// Rows is the current number of rows.
 	Rows int `json:"rows"`
 }
 
-// Client returns a client of the table in the same process; it passes the
-// gate as messages over the network do.
+// Client returns a client of the table in the same process. Its requests are subject
+// to the fault, as those over the network are.
 func (ta *Table) Client() store.Table {
 	return store.Table{
 		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
-			return gated(ctx, &ta.Faults, func() (store.ReadReply, error) { return ta.read(ctx, req) })
+			return withFault(ctx, &ta.Faults, func() (store.ReadReply, error) { return ta.read(ctx, req) })
 		},
 		CommitFunc: func(ctx context.Context, txn store.Txn) (store.CommitReply, error) {
-			reply, err := gated(ctx, &ta.Faults, func() (store.CommitReply, error) { return ta.commit(ctx, txn) })
+			reply, err := withFault(ctx, &ta.Faults, func() (store.CommitReply, error) { return ta.commit(ctx, txn) })
 			switch wire.Code(err) {
 			case store.CodeConflict:
-				err = &store.ConflictError{Rows: ta.rowsOf(txn)}
+				err = &store.ConflictError{Rows: ta.conditionRows(txn)}
 			case store.CodeDown:
 				err = store.ErrBusy
 			}
 			return reply, err
 		},
 		FeedFunc: func(ctx context.Context, req store.FeedRequest) (store.FeedReply, error) {
-			return gated(ctx, &ta.Faults, func() (store.FeedReply, error) { return ta.feed(ctx, req) })
+			return withFault(ctx, &ta.Faults, func() (store.FeedReply, error) { return ta.feed(ctx, req) })
 		},
 	}
 }
 
-// rowsOf returns the rows of a write's conditions.
-func (ta *Table) rowsOf(txn store.Txn) []store.Row {
+// conditionRows returns the current rows that the conditions of a write name.
+func (ta *Table) conditionRows(txn store.Txn) []store.Row {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
 	var rows []store.Row
@@ -75,23 +76,25 @@
 	return rows
 }
 
-// ForgetHistory makes every feed from before now fail.
+// ForgetHistory drops the history of changes, so that a feed from an earlier version
+// fails with [store.ErrHistoryGone].
 func (ta *Table) ForgetHistory() {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
-	ta.history, ta.forgot = nil, ta.version
-	ta.wake()
+	ta.history, ta.trimmed = nil, ta.version
+	ta.wakeFeeds()
 }
 
-// wake ends the waits of feeds.
-func (ta *Table) wake() {
+// wakeFeeds wakes the feeds that wait for a change; the caller holds ta.mu.
+func (ta *Table) wakeFeeds() {
 	if ta.changed != nil {
 		close(ta.changed)
 	}
 	ta.changed = make(chan struct{})
 }
 
-// feed waits for a change of a row with the prefix.
+// feed returns the changes of rows with the prefix, and waits for one if there is none
+// yet.
 func (ta *Table) feed(ctx context.Context, req store.FeedRequest) (store.FeedReply, error) {
 	end := time.After(time.Duration(req.WaitMS) * time.Millisecond)
 	for {
@@ -109,6 +112,8 @@
 	}
 }
 
+// changes returns the changes after a version, and a channel that is closed at the
+// next change.
 func (ta *Table) changes(req store.FeedRequest) (store.FeedReply, chan struct{}, error) {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -116,8 +121,8 @@
 	if ta.changed == nil {
 		ta.changed = make(chan struct{})
 	}
-	if req.After < ta.forgot {
-		return store.FeedReply{}, nil, fmt.Errorf("feed after %d: %w", req.After, store.ErrHistoryGone)
+	if req.After < ta.trimmed {
+		return store.FeedReply{}, nil, fmt.Errorf("feed after version %d: %w", req.After, store.ErrHistoryGone)
 	}
 	reply := store.FeedReply{Version: ta.version}
 	for _, row := range ta.history {
@@ -128,10 +133,11 @@
 	return reply, ta.changed, nil
 }
 
-// gated runs fn behind a gate; a lost answer is the error of a cut connection.
-func gated[T any](ctx context.Context, ga *FaultInjector, fn func() (T, error)) (T, error) {
+// withFault runs fn subject to a fault. A dropped answer becomes a timeout error, which
+// leaves the caller in doubt whether fn ran.
+func withFault[T any](ctx context.Context, fi *FaultInjector, fn func() (T, error)) (T, error) {
 	var zero T
-	lost, err := ga.Before(ctx)
+	lost, err := fi.Before(ctx)
 	if err != nil {
 		return zero, err
 	}
@@ -142,8 +148,7 @@
 	return reply, err
 }
 
-// Handler serves the table, its fault at /fault and its counts at
-// /table/counts.
+// Handler serves the table, its fault at /fault and [Table.Counts] at /table/counts.
 func (ta *Table) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /table/read", ta.Faults.Wrap(wire.Handle(ta.read)))
@@ -162,7 +167,7 @@
 	return mux
 }
 
-// Counts returns how often the table was used.
+// Counts returns the numbers of requests and rows.
 func (ta *Table) Counts() TableCounts {
 	ta.mu.Lock()
 	defer ta.mu.Unlock()
@@ -185,11 +190,13 @@
 	return store.ReadReply{Rows: rows, Version: ta.version}, nil
 }
 
-const tableListMax = 1000
+// maxListRows limits the rows that one read by prefix returns.
+const maxListRows = 1000
 
-// historyMost bounds the changes kept for feeds.
-const historyMost = 10_000
+// maxHistory limits the changes that are retained for feeds.
+const maxHistory = 10_000
 
+// list returns the rows with a prefix after a key, sorted by key.
 func (ta *Table) list(req store.ReadRequest) []store.Row {
 	rows := []store.Row{}
 	for key, row := range ta.rows {
@@ -199,8 +206,8 @@
 	}
 	slices.SortFunc(rows, func(a, b store.Row) int { return strings.Compare(a.Key, b.Key) })
 	limit := req.Limit
-	if limit <= 0 || limit > tableListMax {
-		limit = tableListMax
+	if limit <= 0 || limit > maxListRows {
+		limit = maxListRows
 	}
 	return rows[:min(limit, len(rows))]
 }
@@ -211,7 +218,7 @@
 	ta.writes++
 	for _, co := range txn.Conds {
 		if have := ta.rows[co.Key].Version; have != co.Version {
-			return store.CommitReply{}, &wire.Error{Status: http.StatusConflict, Code: store.CodeConflict, Message: "row " + co.Key}
+			return store.CommitReply{}, &wire.Error{Status: http.StatusConflict, Code: store.CodeConflict, Message: "version conflict on row " + co.Key}
 		}
 	}
 	if ta.rows == nil {
@@ -227,28 +234,29 @@
 		}
 		ta.rows[put.Key] = row
 	}
-	if over := len(ta.history) - historyMost; over > 0 {
-		ta.forgot = ta.history[over-1].Version
+	if over := len(ta.history) - maxHistory; over > 0 {
+		ta.trimmed = ta.history[over-1].Version
 		ta.history = slices.Delete(ta.history, 0, over)
 	}
-	ta.wake()
+	ta.wakeFeeds()
 	return store.CommitReply{Version: ta.version}, nil
 }
 
-// Objects stands in for the object store. The zero value is empty.
+// Objects is a fake of the object store. The zero value is an empty store.
 type Objects struct {
-	// Gate is the store's fault.
+	// Faults injects faults into requests to the store.
 	Faults FaultInjector
 
 	mu   sync.Mutex
 	data map[string][]byte
 }
 
-// Client returns a client of the store in the same process.
+// Client returns a client of the store in the same process. Its requests are subject
+// to the fault too.
 func (ob *Objects) Client() store.Objects {
 	return store.Objects{
 		GetFunc: func(ctx context.Context, key string) ([]byte, error) {
-			reply, err := gated(ctx, &ob.Faults, func() (store.ObjectMessage, error) {
+			reply, err := withFault(ctx, &ob.Faults, func() (store.ObjectMessage, error) {
 				return ob.get(ctx, store.ObjectMessage{Key: key})
 			})
 			if err == nil && !reply.Found {
@@ -257,7 +265,7 @@
 			return reply.Data, err
 		},
 		PutFunc: func(ctx context.Context, key string, data []byte) error {
-			_, err := gated(ctx, &ob.Faults, func() (store.ObjectMessage, error) {
+			_, err := withFault(ctx, &ob.Faults, func() (store.ObjectMessage, error) {
 				return ob.put(ctx, store.ObjectMessage{Key: key, Data: data})
 			})
 			return err
