--- a/internal/clock/boot_linux.go
+++ b/internal/clock/boot_linux.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the host was booted, with that of suspensions, which the
-// runtime's clock does not count; or 0 if the system does not tell.
+// Boot returns the time since the host booted, including the time that it was suspended,
+// which the monotonic clock of package time doesn't count. It returns 0 if the system call
+// fails.
 func Boot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/clock/boot_other.go
+++ b/internal/clock/boot_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// Boot returns 0: only Linux is known to tell the time of suspensions.
+// Boot returns 0: the time including suspensions is only read on Linux.
 func Boot() time.Duration { return 0 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock has the one thing that the runtime's clock lacks: a pause that
-// a context can end.
+// Package clock adds to package time a sleep that a context can end, and the time since
+// boot including suspensions. It has no clock of its own that tests could replace.
 package clock
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Sleep waits for d, or returns early if ctx ends. It reports whether it
-// waited.
+// Sleep waits for d, or returns early if ctx ends. It reports whether it waited for all
+// of d.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	ti := time.NewTimer(d)
 	defer ti.Stop()
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,6 +1,6 @@
-// Package proptest runs property tests of package rapid so that they give the
-// same verdict every time: from a fixed seed, which PEPPERHATCH_SEED changes
-// for a search, and leaving no files behind. It is for tests only.
+// Package proptest runs property tests of package rapid reproducibly: with a fixed seed,
+// which PEPPERHATCH_SEED overrides to search for failures, and without files of failed
+// inputs. It is for tests only, and as it sets rapid's global flags, not for parallel ones.
 package proptest
 
 import (
@@ -13,18 +13,20 @@
 	"pgregory.net/rapid"
 )
 
-// defaultSeed is the seed unless PEPPERHATCH_SEED says another.
+// defaultSeed is the seed if PEPPERHATCH_SEED is not set.
 const defaultSeed = "20261202"
 
-// Size says how much is tried; zero fields take rapid's defaults.
+// Size is the number and the length of the inputs to try; zero fields take rapid's
+// defaults.
 type Size struct {
-	// Checks is the number of sequences, Steps their average length.
+	// Checks is the number of inputs, and Steps the average number of actions of a
+	// state machine test in each.
 	Checks int
 	Steps  int
 }
 
-// Seed returns the seed, for tests that are too slow to be tried again and again on
-// smaller inputs, as [Check] does with what fails.
+// Seed returns the seed. It is for random tests that are too slow for [Check], which runs
+// a failed property many times to shrink its input.
 func Seed(t *testing.T) uint64 {
 	t.Helper()
 	text := os.Getenv("PEPPERHATCH_SEED")
@@ -38,7 +40,7 @@
 	return seed
 }
 
-// Check runs a property.
+// Check tests a property with package rapid.
 func Check(t *testing.T, si Size, prop func(*rapid.T)) {
 	t.Helper()
 	set(t, "rapid.seed", strconv.FormatUint(Seed(t), 10))
@@ -52,7 +54,7 @@
 	rapid.Check(t, prop)
 }
 
-// set sets a flag for the time of the test.
+// set sets a command-line flag until the end of the test.
 func set(t *testing.T, name, value string) {
 	t.Helper()
 	before := flag.Lookup(name).Value.String()
@@ -62,17 +64,17 @@
 	t.Cleanup(func() { _ = flag.Set(name, before) })
 }
 
-// InBubble runs part of a property on a clock that moves only when all wait.
-// Rapid ends a sequence by a panic, which leaves the bubble here before it
-// goes on.
+// InBubble runs part of a property in a bubble of package synctest, whose clock advances
+// only when all its goroutines are blocked. Rapid ends an input by a panic: it is
+// recovered in the bubble and raised again outside.
 func InBubble(t *testing.T, fn func()) {
 	t.Helper()
-	var stopped any
+	var panicked any
 	synctest.Test(t, func(*testing.T) {
-		defer func() { stopped = recover() }()
+		defer func() { panicked = recover() }()
 		fn()
 	})
-	if stopped != nil {
-		panic(stopped)
+	if panicked != nil {
+		panic(panicked)
 	}
 }
