--- a/internal/standin/stall.go
+++ b/internal/standin/stall.go
@@ -157,7 +157,7 @@
 	var lerr error
 	err = rc.Control(func(fd uintptr) { lerr = syscall.Listen(int(fd), n) })
 	if err := errors.Join(err, lerr); err != nil {
-		return fmt.Errorf("set length of accept queue to %d: %w", n, err)
+		return fmt.Errorf("set length of accept queue: %w", err)
 	}
 	return nil
 }
