--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -166,7 +166,7 @@
 		}
 	}
 	if len(pl.Steps) == 0 {
-		return pl, fmt.Errorf("member %q does not exist, members are %v: %w", id, ids, cell.ErrImpossible)
+		return pl, fmt.Errorf("member %q does not exist, there are %v: %w", id, ids, cell.ErrImpossible)
 	}
 	return pl, nil
 }
