--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -11,43 +11,44 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// asideFor is how long a worker that fails everything gets nothing.
-const asideFor = time.Minute
+// quarantineTime is how long a quarantined worker gets no task; after it, the
+// worker gets one task at a time until one succeeds.
+const quarantineTime = time.Minute
 
-// decide asks package place what to do and returns the records of it.
-// Throttles are not journalled: a new owner begins with none.
+// decide takes the decisions of package place, and returns the records of
+// those that are journalled. Throttles are not: a new owner starts without.
 func (ow *Owner) decide() []Record {
 	now := time.Now()
-	ow.dirty, ow.decided = false, now
+	ow.dirty, ow.lastDecision = false, now
 	var records []Record
 	for _, dec := range place.Decide(ow.placeSnapshot(now)) {
-		ta, co := ow.st.Tasks[dec.Task], ow.contact(dec.Worker)
-		co.acted = now
+		ta, ws := ow.st.Tasks[dec.Task], ow.status(dec.Worker)
+		ws.lastAction = now
 		switch dec.Verb {
 		case place.Start:
 			records = append(records, Record{
 				Kind: KindStart, Task: dec.Task, Worker: dec.Worker,
-				Incarnation: co.incarnation, Attempt: ta.Attempt + 1,
+				Incarnation: ws.incarnation, Attempt: ta.Attempt + 1,
 			})
 			delete(ow.shares, dec.Task)
 		case place.Throttle:
 			ow.shares[dec.Task] = dec.Share
-			co.hurry = true
+			ws.sendNow = true
 			ow.Metrics.Add(telemetry.TaskEvents, 1, "event", "throttle")
 		case place.Evict, place.Move:
 			records = append(records, Record{Kind: KindStop, Task: dec.Task, Attempt: ta.Attempt})
 			ow.Metrics.Add(telemetry.TaskEvents, 1, "event", "evict")
 			if dec.Verb == place.Evict {
-				ow.evictions.spend(now)
+				ow.evictions.record(now)
 			}
 		}
 	}
-	records = append(records, ow.dropped()...)
+	records = append(records, ow.stopDropped()...)
 	return records
 }
 
-// dropped returns the stops of tasks that are no longer wanted.
-func (ow *Owner) dropped() []Record {
+// stopDropped returns records that stop the running tasks that were dropped.
+func (ow *Owner) stopDropped() []Record {
 	var records []Record
 	for id, ta := range ow.st.Tasks {
 		if ta.Dropped && ta.State == Running {
@@ -57,16 +58,17 @@
 	return records
 }
 
-// placeSnapshot makes the snapshot for a decision.
+// placeSnapshot returns the state of the cell as package place needs it for a
+// decision.
 func (ow *Owner) placeSnapshot(now time.Time) place.Snapshot {
 	doc := ow.Config()
-	used := ow.st.Used()
+	used := ow.st.ReservedByWorker()
 	sn := place.Snapshot{Model: &ow.model, Policy: place.Policy{
 		TailTargetMS:    float64(doc.Duration(config.TailTarget).Milliseconds()),
 		WeightTail:      doc.Float(config.WeightTail),
 		WeightEvictions: doc.Float(config.WeightEvictions),
 		WeightBatch:     doc.Float(config.WeightBatch),
-		Evictions:       ow.evictions.left(now, doc.Int(config.EvictionBudget)),
+		Evictions:       ow.evictions.remaining(now, doc.Int(config.EvictionBudget)),
 		Quotas:          doc.Quotas(),
 		NoControl:       ow.NoControl,
 	}}
@@ -75,7 +77,7 @@
 	}
 	slices.SortFunc(sn.Workers, func(a, b place.Worker) int { return cmp.Compare(a.ID, b.ID) })
 	for id, ta := range ow.st.Tasks {
-		if ta.State == Waiting || ta.Holding() {
+		if ta.State == Waiting || ta.Active() {
 			sn.Tasks = append(sn.Tasks, ow.placeTask(id, ta))
 		}
 	}
@@ -84,24 +86,24 @@
 }
 
 func (ow *Owner) placeWorker(id string, wo *Worker, used worker.Resources, now time.Time) place.Worker {
-	co := ow.contact(id)
-	aside := len(wo.FailedJobs) >= asideAfter
+	ws := ow.status(id)
+	quarantined := len(wo.FailedJobs) >= quarantineAfter
 	switch {
-	case !aside:
-		co.asideAt = time.Time{}
-	case co.asideAt.IsZero():
-		co.asideAt = now
+	case !quarantined:
+		ws.quarantinedAt = time.Time{}
+	case ws.quarantinedAt.IsZero():
+		ws.quarantinedAt = now
 	}
-	onProbation := aside && now.Sub(co.asideAt) > asideFor
+	onProbation := quarantined && now.Sub(ws.quarantinedAt) > quarantineTime
 	if onProbation && used != (worker.Resources{}) {
 		onProbation = false
 	}
-	emptying := wo.Drained || co.leaving || co.unlisted
+	emptying := wo.Drained || ws.leaving || ws.unlisted
 	return place.Worker{
-		ID: id, Rack: wo.Rack, Holds: wo.Holds, Used: used,
-		Emptying:  emptying,
-		Closed:    emptying || now.Sub(co.heard) > ow.Timing.Silent || (aside && !onProbation),
-		Probation: onProbation,
+		ID: id, Rack: wo.Rack, Capacity: wo.Capacity, Used: used,
+		Draining:      emptying,
+		Unschedulable: emptying || now.Sub(ws.lastReport) > ow.Timing.UnresponsiveAfter || (quarantined && !onProbation),
+		Probation:     onProbation,
 	}
 }
 
@@ -117,29 +119,31 @@
 		}
 		pt.Avoid[wo] = true
 	}
-	if !ta.Holding() {
+	if !ta.Active() {
 		return pt
 	}
 	pt.Worker, pt.Stopping = ta.Worker, ta.State == Stopping
 	if share, ok := ow.shares[id]; ok {
 		pt.Share = share
 	}
-	co := ow.contact(ta.Worker)
-	pt.TailMS = co.tasks[id].TailMS
-	pt.Fresh = co.heard.Add(-ow.Timing.UsageLag).After(co.acted)
+	ws := ow.status(ta.Worker)
+	pt.TailMS = ws.tasks[id].TailMS
+	pt.Fresh = ws.lastReport.Add(-ow.Timing.UsageLag).After(ws.lastAction)
 	return pt
 }
 
-// learn takes what a report says of services and their neighbours, if nothing
-// was changed on the worker since what was measured.
-func (ow *Owner) learn(co *contact) {
-	if !co.heard.Add(-ow.Timing.UsageLag).After(co.acted) || co.heard.Sub(co.learnt) < ow.Timing.UsageLag/2 {
+// updateModel trains the interference model with the tail latencies of a
+// report and the batch tasks beside them. A report counts only if no task of
+// the worker was started, stopped or throttled since the usage was measured,
+// which is [Timing.UsageLag] before. At most two reports in that time are used.
+func (ow *Owner) updateModel(ws *workerStatus) {
+	if !ws.lastReport.Add(-ow.Timing.UsageLag).After(ws.lastAction) || ws.lastReport.Sub(ws.modelUpdated) < ow.Timing.UsageLag/2 {
 		return
 	}
-	co.learnt = co.heard
+	ws.modelUpdated = ws.lastReport
 	target := float64(ow.Config().Duration(config.TailTarget).Milliseconds())
 	var neighbours []place.Neighbour
-	for tid, tr := range co.tasks {
+	for tid, tr := range ws.tasks {
 		ta := ow.st.Tasks[tid]
 		if ta == nil || tr.State != worker.StateRunning {
 			continue
@@ -148,7 +152,7 @@
 			neighbours = append(neighbours, place.Neighbour{Kind: sp.Kind, Cores: float64(tr.UsedMilliCores) / 1000})
 		}
 	}
-	for tid, tr := range co.tasks {
+	for tid, tr := range ws.tasks {
 		ta := ow.st.Tasks[tid]
 		if ta == nil || tr.TailMS == 0 {
 			continue
@@ -158,12 +162,13 @@
 	}
 }
 
-// budget bounds evictions to so many a minute.
-type budget struct{ spent []time.Time }
+// evictionBudget limits the evictions per minute; evictedAt has the times of
+// those in the last minute.
+type evictionBudget struct{ evictedAt []time.Time }
 
-func (bu *budget) left(now time.Time, perMinute int) int {
-	bu.spent = slices.DeleteFunc(bu.spent, func(at time.Time) bool { return now.Sub(at) > time.Minute })
-	return perMinute - len(bu.spent)
+func (bu *evictionBudget) remaining(now time.Time, perMinute int) int {
+	bu.evictedAt = slices.DeleteFunc(bu.evictedAt, func(at time.Time) bool { return now.Sub(at) > time.Minute })
+	return perMinute - len(bu.evictedAt)
 }
 
-func (bu *budget) spend(now time.Time) { bu.spent = append(bu.spent, now) }
+func (bu *evictionBudget) record(now time.Time) { bu.evictedAt = append(bu.evictedAt, now) }
--- a/internal/cell/slope_test.go
+++ b/internal/cell/scale_test.go
@@ -12,39 +12,39 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestWritesPerStart adds jobs of 40 tasks, five a second for 20 seconds, and
-// counts the table's writes for all that follows from it.
+// TestWritesPerStart adds five jobs of 40 tasks per second for 20 seconds. The
+// cell may take no more than 10 table writes per second for them.
 func TestWritesPerStart(t *testing.T) {
-	inBubble(t, 20, func(c *qt.C, la *lab) {
-		lo := la.own(false)
+	runCell(t, 20, func(c *qt.C, tc *testCell) {
+		to := tc.startOwner(false)
 		time.Sleep(3 * time.Second)
-		before, begun := la.table.Counts().Writes, time.Now()
+		before, started := tc.table.Counts().Writes, time.Now()
 		const seconds = 20
 		for i := range 5 * seconds {
 			cmd := batchJob(fmt.Sprintf("j%d", i), 40, 500*time.Millisecond)
 			cmd.Add.Each = worker.Resources{MilliCores: 100, MemMB: 10}
 			added := time.Now()
-			_, err := lo.do(cmd.Add.Name, cmd)
+			_, err := to.confirm(cmd.Add.Name, cmd)
 			c.Assert(err, qt.IsNil)
 			time.Sleep(200*time.Millisecond - time.Since(added))
 		}
-		writes := float64(la.table.Counts().Writes-before) / time.Since(begun).Seconds()
+		writes := float64(tc.table.Counts().Writes-before) / time.Since(started).Seconds()
 		starts := 0
-		for _, sl := range la.slots {
-			starts += len(sl.st.Log())
+		for _, tw := range tc.workers {
+			starts += len(tw.proc.Log())
 		}
-		c.Logf("%d starts, %.1f writes a second", starts, writes)
+		c.Logf("%d starts, %.1f table writes per second", starts, writes)
 		c.Assert(starts >= 195*seconds, qt.IsTrue, qt.Commentf("%d starts", starts))
-		c.Assert(writes <= 10, qt.IsTrue, qt.Commentf("%.1f writes a second", writes))
+		c.Assert(writes <= 10, qt.IsTrue, qt.Commentf("%.1f table writes per second", writes))
 	})
 }
 
-// bigState is a cell of n workers with the tasks of the target.
-func bigState(n int) *State {
+// populatedState returns a cell of n workers with about 12 running tasks each.
+func populatedState(n int) *State {
 	st := NewState()
 	var recs []Record
 	for i := range n {
-		recs = append(recs, Record{Kind: KindWorker, Host: &Worker{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%03d", i/8), Holds: worker.Resources{MilliCores: 30_000, MemMB: 125_000}}})
+		recs = append(recs, Record{Kind: KindWorker, Host: &Worker{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%03d", i/8), Capacity: worker.Resources{MilliCores: 30_000, MemMB: 125_000}}})
 	}
 	const perJob = 50
 	for j := range n * 12 / perJob {
@@ -58,11 +58,11 @@
 	return st
 }
 
-// BenchmarkRecover reads a snapshot, which is most of what a new owner does.
+// BenchmarkRecover decodes a snapshot, most of the work of a new owner.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{50, 500, 1022} {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
-			data, err := json.Marshal(bigState(n))
+			data, err := json.Marshal(populatedState(n))
 			qt.Assert(b, err, qt.IsNil)
 			b.ReportMetric(float64(len(data)), "bytes")
 			b.ReportAllocs()
@@ -75,15 +75,14 @@
 	}
 }
 
-// BenchmarkStep is one look of the owner at a cell where nothing happens, and
-// one decision.
+// BenchmarkStep measures the parts of an owner's step in a cell without events.
 func BenchmarkStep(b *testing.B) {
 	for _, n := range []int{50, 500, 1022} {
-		ow := &Owner{st: bigState(n), contacts: map[string]*contact{}, shares: map[string]float64{}, Timing: DefaultTiming}
-		ow.Config = newLab(0).config
+		ow := &Owner{st: populatedState(n), statuses: map[string]*workerStatus{}, shares: map[string]float64{}, Timing: DefaultTiming}
+		ow.Config = newTestCell(0).config
 		now := time.Now()
 		for id := range ow.st.Workers {
-			ow.contacts[id] = &contact{incarnation: "x", heard: now, leaseEnd: [2]time.Time{now.Add(time.Hour), now.Add(time.Hour)}}
+			ow.statuses[id] = &workerStatus{incarnation: "x", lastReport: now, leaseEnd: [2]time.Time{now.Add(time.Hour), now.Add(time.Hour)}}
 		}
 		b.Run(fmt.Sprintf("ends/workers=%d", n), func(b *testing.B) {
 			for range b.N {
@@ -98,30 +97,30 @@
 		})
 		b.Run(fmt.Sprintf("message/workers=%d", n), func(b *testing.B) {
 			for range b.N {
-				ow.message("w0001", ow.contacts["w0001"])
+				ow.buildExchange("w0001", ow.statuses["w0001"])
 			}
 		})
 	}
 }
 
-// TestExchangeSize says how many bytes an exchange with a worker of twelve
-// tasks has when nothing happens.
+// TestExchangeSize checks that an exchange without events with a worker of
+// twelve tasks takes less than 4 KiB in both directions together.
 func TestExchangeSize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		la := newLab(1)
-		defer la.stop()
+		tc := newTestCell(1)
+		defer tc.stop()
 		var ex worker.Exchange
 		re := worker.Report{Worker: "w0", Incarnation: "0190e8a1-0000-7000-8000-000000000000", Term: 12, ClockMS: 123456789, ServiceUntilMS: 1, BatchUntilMS: 1}
 		for i := range 12 {
 			re.Tasks = append(re.Tasks, worker.TaskReport{Task: fmt.Sprintf("job%05d/%d", i, i), Attempt: 1, State: worker.StateRunning, CheckpointMS: 60_000, UsedMilliCores: 2000, TailMS: 61.5})
 		}
 		ex = worker.Exchange{Owner: "e1-0190e8a1", Term: 12, Seq: 123456, Incarnation: re.Incarnation, ServiceUntilMS: 123456789, BatchUntilMS: 123456789}
-		there, err := json.Marshal(ex)
+		request, err := json.Marshal(ex)
 		c.Assert(err, qt.IsNil)
-		back, err := json.Marshal(re)
+		reply, err := json.Marshal(re)
 		c.Assert(err, qt.IsNil)
-		c.Logf("%d bytes there, %d back", len(there), len(back))
-		c.Assert(len(there)+len(back) < 4096, qt.IsTrue)
+		c.Logf("request of %d bytes, reply of %d", len(request), len(reply))
+		c.Assert(len(request)+len(reply) < 4096, qt.IsTrue)
 	})
 }
--- a/internal/dev/jobs.go
+++ b/internal/dev/jobs.go
@@ -37,7 +37,7 @@
 type yard struct {
 	wo    *world
 	fleet standin.Fleet
-	door  *door.Door
+	door  *door.FrontEnd
 	keep  *tenure.Keeper
 	owner atomic.Pointer[sched.Owner]
 	addr  string
@@ -54,9 +54,9 @@
 	co := queue.New(1, 0, []queue.Queue{{Name: jobQueue, Service: service, MaxFailures: 2, Stretch: 2, AllowanceMS: 1000}})
 	ya.keep = &tenure.Keeper{
 		Cell: jobCell, Self: "e1", Process: "e1-dev", Table: wo.table.Client(), Serve: ya.serveCell, Log: wo.set.Log,
-		AskFunc: func(context.Context, string, int64) (tenure.Life, error) { return tenure.Life{}, nil },
+		AskFunc: func(context.Context, string, int64) (tenure.HostStatus, error) { return tenure.HostStatus{}, nil },
 	}
-	ya.door = &door.Door{
+	ya.door = &door.FrontEnd{
 		Cell: jobCell, Table: wo.table.Client(), Keeper: ya.keep, Peers: http.DefaultClient,
 		Local: ya.owner.Load, ConfigFunc: func() *queue.Config { return co }, Log: wo.set.Log,
 	}
@@ -90,8 +90,8 @@
 func (ya *yard) hire() {
 	for i := range jobWorkers {
 		fw := &standin.FleetWorker{
-			Addr:  worker.Addr{HostPort: fmt.Sprintf("yard-worker%d:80", i+1), Incarnation: worker.Incarnation{ID: fmt.Sprintf("yard-worker%d", i+1)}},
-			Holds: worker.Resources{MilliCores: 30_000, MemMB: 125_000},
+			Addr:     worker.Addr{HostPort: fmt.Sprintf("yard-worker%d:80", i+1), Incarnation: worker.Incarnation{ID: fmt.Sprintf("yard-worker%d", i+1)}},
+			Capacity: worker.Resources{MilliCores: 30_000, MemMB: 125_000},
 		}
 		ya.fleet.Add(fw)
 		ya.crew = append(ya.crew, fw)
@@ -99,12 +99,12 @@
 }
 
 // listed are the workers as the owner is told of them.
-func (ya *yard) listed() []sched.Listed {
+func (ya *yard) listed() []sched.WorkerEntry {
 	ya.mu.Lock()
 	defer ya.mu.Unlock()
-	var list []sched.Listed
+	var list []sched.WorkerEntry
 	for i, fw := range ya.crew {
-		list = append(list, sched.Listed{Addr: fw.Addr, Service: service, Rack: fmt.Sprintf("r%d", i/workersRack+1), Holds: fw.Holds})
+		list = append(list, sched.WorkerEntry{Addr: fw.Addr, Service: service, Rack: fmt.Sprintf("r%d", i/workersRack+1), Capacity: fw.Capacity})
 	}
 	return list
 }
@@ -160,7 +160,7 @@
 			se.done++
 		}
 	}
-	se.twice = len(standin.RunProblems(ya.fleet.Runs()))
+	se.twice = len(standin.RunViolations(ya.fleet.Runs()))
 	return se
 }
 
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -1,5 +1,9 @@
-// Package entry puts an entry host together: the slices, their ports, and the
-// loops that keep them fed. It decides nothing itself.
+// Package entry assembles an entry host: it connects the other packages, serves
+// the ports for callers, peers and operators, and runs the loops that poll the
+// platform.
+//
+// The package has no policy of its own: routing, claims, leases and placement are
+// decided by the packages that it connects.
 package entry
 
 import (
@@ -31,138 +35,143 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Host is one entry host. Make one with [New].
+// Host is one entry host. Create it with [New].
 type Host struct {
-	set     settings.Serve
-	id      string
-	log     *slog.Logger
-	table   store.Table
-	objects store.Objects
-	hosts   store.Hosts
-	web     *http.Client
-	// forwards has the connections of requests passed to peers.
-	forwards *http.Client
-	workers  worker.Client
-
-	metrics    *telemetry.Metrics
-	metricPage http.Handler
-	mesh       *peer.Mesh
-	registry   *upstream.Registry
-	router     *route.Router
-	relay      *session.Relay
-	config     *config.Store
-	ledger     *claim.Ledger
-	guard      *claim.Guard
-	desk       *intent.Desk
+	set        settings.Serve
+	id         string
+	log        *slog.Logger
+	table      store.Table
+	objects    store.Objects
+	hosts      store.Hosts
+	httpClient *http.Client
+	// forwardClient sends requests that are forwarded to peers.
+	forwardClient *http.Client
+	workers       worker.Client
+
+	metrics        *telemetry.Metrics
+	metricsHandler http.Handler
+	mesh           *peer.Mesh
+	registry       *upstream.Registry
+	router         *route.Router
+	relay          *session.Relay
+	config         *config.Store
+	ledger         *claim.Ledger
+	guard          *claim.Guard
+	planner        *intent.Planner
 
 	callerPort, peerPort, adminPort *port.Port
 
-	keeper     atomic.Pointer[lease.Keeper]
-	owner      atomic.Pointer[cell.Owner]
-	workerList atomic.Pointer[[]store.Host]
-	listed     atomic.Bool
-	tableOK    atomic.Int64
-	stopping   atomic.Bool
-	done       chan struct{}
+	keeper        atomic.Pointer[lease.Keeper]
+	owner         atomic.Pointer[cell.Owner]
+	workerList    atomic.Pointer[[]store.Host]
+	listLoaded    atomic.Bool
+	tableAnswered atomic.Int64
+	stopping      atomic.Bool
+	stopBegun     chan struct{}
 }
 
-// New makes an entry host and opens its ports.
+// New creates an entry host and opens its ports. It returns an error for invalid
+// settings and for addresses that cannot be listened on.
 func New(set settings.Serve, log *slog.Logger) (*Host, error) {
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	web := newWeb(log)
+	client := newHTTPClient(log)
 	ho := &Host{
-		set: set, id: set.ProcessID(), web: web, forwards: newForwards(), done: make(chan struct{}),
-		table:   store.NewTable(set.TableURL, web),
-		objects: store.NewObjects(set.ObjectsURL, web),
-		hosts:   store.NewHosts(set.HostsURL, web),
-		workers: worker.NewClient(web),
+		set: set, id: set.ProcessID(), httpClient: client, forwardClient: newForwardClient(), stopBegun: make(chan struct{}),
+		table:   store.NewTable(set.TableURL, client),
+		objects: store.NewObjects(set.ObjectsURL, client),
+		hosts:   store.NewHosts(set.HostsURL, client),
+		workers: worker.NewClient(client),
 	}
 	ho.log = log.With("host", ho.id)
 	var err error
-	ho.metrics, ho.metricPage, err = telemetry.New()
+	ho.metrics, ho.metricsHandler, err = telemetry.New()
 	if err != nil {
 		return nil, err
 	}
-	ho.assemble()
+	ho.buildComponents()
 	return ho, ho.listen()
 }
 
-// webConns is how many idle connections are kept to one address.
-const webConns = 64
+// maxIdleConns limits the idle connections to one address.
+const maxIdleConns = 64
 
-// newWeb returns the client of the platform, workers and peers. One that keeps idle
-// connections after a call ran into its deadline lost as many deadlines more as it
-// had, 2 s each for a look at the configuration.
-func newWeb(log *slog.Logger) *http.Client { return transport.NewClient(webConns, log) }
+// newHTTPClient returns the client for the platform, workers and peers. It closes
+// idle connections after a call has timed out: when they stall together, each one
+// kept would cost another timeout, 2 s for a poll of the configuration.
+func newHTTPClient(log *slog.Logger) *http.Client { return transport.NewClient(maxIdleConns, log) }
 
-// newForwards returns the client of requests that are passed to peers. Their deadlines
-// are the callers', and say nothing about the connection.
-func newForwards() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: webConns, IdleConnTimeout: time.Minute}}
+// newForwardClient returns the client for requests that are forwarded to peers. It
+// keeps idle connections after a timeout, as the deadlines are those of callers and do
+// not show whether the connection works.
+func newForwardClient() *http.Client {
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, IdleConnTimeout: time.Minute}}
 }
 
-// assemble makes the slices and ties their seams together.
-func (ho *Host) assemble() {
+// buildComponents creates the host's components and connects them.
+func (ho *Host) buildComponents() {
 	clients := runner.NewClient(runner.Limits{ConnsPerRunner: ho.set.RunnerConns})
 	ho.registry = &upstream.Registry{Changed: ho.rebuild}
 	ho.router = &route.Router{Runners: clients, Registry: ho.registry, Metrics: ho.metrics, Forward: ho.forward}
 	ho.relay = &session.Relay{
 		Runners: clients, List: ho.registry.Runners, DC: ho.set.DC,
 		MaxSessions: ho.set.MaxSessions, PerRunner: ho.set.RunnerSessions,
-		Patience: sessionPatience, Metrics: ho.metrics,
+		RunnerWait: runnerWaitLimit, Metrics: ho.metrics,
 	}
 	ho.config = &config.Store{Table: ho.table, Apply: ho.applyConfig}
 	rules := claim.DefaultRules
-	rules.Most = ho.set.MaxClaims
+	rules.MaxIDs = ho.set.MaxClaims
 	ho.ledger = &claim.Ledger{
 		Owns:  func(re string) bool { ke := ho.keeper.Load(); return ke != nil && ke.Owns(re) },
-		Since: func(re string) lease.Beginning { return ho.since(re) },
+		Since: func(re string) lease.OwnershipStart { return ho.ownershipStart(re) },
 		Rules: rules,
 	}
 	ho.guard = &claim.Guard{DCs: ho.set.DCs, Take: ho.takeClaim, Release: ho.releaseClaim}
-	ho.desk = &intent.Desk{
+	ho.planner = &intent.Planner{
 		Table: ho.table, Config: ho.config,
 		PlanCell: ho.planCell, ConfirmCell: ho.confirmCell, ChooseCell: ho.chooseCell,
 		Members: ho.members, DeclareDead: ho.declareDead,
 	}
-	ho.mesh = &peer.Mesh{Self: ho.hello, Seeds: ho.set.Peers, Send: peer.NewSend(ho.web), OnHello: ho.heard}
+	ho.mesh = &peer.Mesh{Self: ho.hello, Seeds: ho.set.Peers, Send: peer.NewSend(ho.httpClient), OnHello: ho.onHello}
 }
 
-const sessionPatience = 30 * time.Second
+// runnerWaitLimit is how long a session waits for a runner.
+const runnerWaitLimit = 30 * time.Second
 
-func (ho *Host) since(resource string) lease.Beginning {
+// ownershipStart returns since when this host owns a resource; it is zero before
+// the host is a member.
+func (ho *Host) ownershipStart(resource string) lease.OwnershipStart {
 	if ke := ho.keeper.Load(); ke != nil {
 		return ke.Since(resource)
 	}
-	return lease.Beginning{}
+	return lease.OwnershipStart{}
 }
 
 func (ho *Host) callerLimits() port.Limits {
 	return port.Limits{
-		Conns: ho.set.MaxConns, InFlight: ho.set.MaxInFlight, Body: ho.set.MaxBody, Read: bodyTime, Write: answerTime,
+		MaxConns: ho.set.MaxConns, MaxInFlight: ho.set.MaxInFlight, MaxBody: ho.set.MaxBody, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
 		Refuse: ho.refuseCaller,
 	}
 }
 
 func (ho *Host) peerLimits() port.Limits {
-	// A peer's message has the body in base64 and some words around it.
-	return port.Limits{Conns: ho.set.MaxConns, InFlight: ho.set.MaxInFlight, Body: 2*ho.set.MaxBody + peerBody, Read: bodyTime, Write: answerTime}
+	// A forwarded request has its body in base64, and other fields beside it.
+	return port.Limits{MaxConns: ho.set.MaxConns, MaxInFlight: ho.set.MaxInFlight, MaxBody: 2*ho.set.MaxBody + peerBodyOverhead, ReadTimeout: readTimeout, WriteTimeout: writeTimeout}
 }
 
 func (ho *Host) adminLimits() port.Limits {
-	return port.Limits{Conns: adminConns, InFlight: adminInFlight, Body: adminBody, Read: bodyTime, Write: answerTime}
+	return port.Limits{MaxConns: maxAdminConns, MaxInFlight: maxAdminInFlight, MaxBody: maxAdminBody, ReadTimeout: readTimeout, WriteTimeout: writeTimeout}
 }
 
-// Bounds of the ports that are not settings.
+// Limits of the ports that are not settings: timeouts, sizes in bytes, and counts.
 const (
-	bodyTime      = 10 * time.Second
-	answerTime    = 30 * time.Second
-	peerBody      = 8 << 20
-	adminConns    = 200
-	adminInFlight = 100
-	adminBody     = 1 << 20
+	readTimeout      = 10 * time.Second
+	writeTimeout     = 30 * time.Second
+	peerBodyOverhead = 8 << 20
+	maxAdminConns    = 200
+	maxAdminInFlight = 100
+	maxAdminBody     = 1 << 20
 )
 
 func (ho *Host) listen() error {
@@ -173,22 +182,23 @@
 	return errors.Join(errs[:]...)
 }
 
-// ID returns the id of the process.
+// ID returns the id of this process.
 func (ho *Host) ID() string { return ho.id }
 
-// CallerAddr returns the address for callers.
+// CallerAddr returns the address that serves callers.
 func (ho *Host) CallerAddr() string { return ho.callerPort.Addr }
 
-// AdminAddr returns the address for operators.
+// AdminAddr returns the address that serves operators.
 func (ho *Host) AdminAddr() string { return ho.adminPort.Addr }
 
-// PeerAddr returns the address for other entry hosts.
+// PeerAddr returns the address that serves other entry hosts.
 func (ho *Host) PeerAddr() string { return ho.peerPort.Addr }
 
-// Run serves until ctx ends, and then makes a planned stop.
+// Run serves until ctx ends, and then makes a planned stop. It returns the error
+// of the stop, or of a port that fails before.
 func (ho *Host) Run(ctx context.Context) error {
-	// Loops and ports outlive ctx until the stop has run.
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
+	// Loops and ports run until the planned stop is complete.
+	bgCtx, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	ports := make(chan error, 3)
 	serve := func(po *port.Port, h http.Handler, lim port.Limits) {
@@ -198,38 +208,39 @@
 	serve(ho.peerPort, ho.peerHandler(), ho.peerLimits())
 	serve(ho.adminPort, ho.adminHandler(), ho.adminLimits())
 	var loops sync.WaitGroup
-	for _, loop := range []func(context.Context){ho.mesh.Run, ho.pollLists, ho.pollConfig, ho.keepLease, ho.runCell, ho.tellPeers} {
-		loops.Go(func() { loop(life) })
+	for _, loop := range []func(context.Context){ho.mesh.Run, ho.pollLists, ho.pollConfig, ho.maintainMembership, ho.runCell, ho.updatePeers} {
+		loops.Go(func() { loop(bgCtx) })
 	}
 	ho.log.Info("serving", "data_centre", ho.set.DC, "callers", ho.CallerAddr(), "peers", ho.PeerAddr(), "admin", ho.AdminAddr())
 	var err error
 	select {
 	case <-ctx.Done():
-		err = ho.stop(life)
+		err = ho.stop(bgCtx)
 	case err = <-ports:
 	}
 	end()
 	loops.Wait()
-	ho.web.CloseIdleConnections()
-	ho.forwards.CloseIdleConnections()
+	ho.httpClient.CloseIdleConnections()
+	ho.forwardClient.CloseIdleConnections()
 	ho.log.Info("stopped", "err", err)
 	return err
 }
 
-// stop is the planned stop: no longer ready, sessions told to move, what is
-// owned handed over, requests in flight finished.
-func (ho *Host) stop(life context.Context) error {
+// stop makes a planned stop: the host reports that it is not ready, asks sessions
+// to move, finishes requests in flight, and hands over the shards and the cell that
+// it owns.
+func (ho *Host) stop(bgCtx context.Context) error {
 	ho.log.Info("stopping", "delay", ho.set.StopDelay, "grace", ho.set.StopGrace)
 	ho.stopping.Store(true)
-	close(ho.done)
-	ho.mesh.Hurry()
-	ho.callerPort.Retire()
+	close(ho.stopBegun)
+	ho.mesh.SendAll()
+	ho.callerPort.DisableKeepAlives()
 	ho.relay.Stop()
 	ho.rebuild()
-	// The balancer goes on sending requests until it sees the host unready;
-	// they are served meanwhile.
-	clock.Sleep(life, ho.set.StopDelay)
-	ctx, cancel := context.WithTimeout(life, ho.set.StopGrace)
+	// Load balancers send requests until they see that the host is not ready;
+	// these are still served.
+	clock.Sleep(bgCtx, ho.set.StopDelay)
+	ctx, cancel := context.WithTimeout(bgCtx, ho.set.StopGrace)
 	defer cancel()
 	err := ho.callerPort.Stop(ctx)
 	if ke := ho.keeper.Load(); ke != nil {
@@ -238,7 +249,7 @@
 	return errors.Join(err, ho.adminPort.Stop(ctx), ho.peerPort.Stop(ctx))
 }
 
-// ready reports whether the balancer may send requests.
+// ready reports whether load balancers may send requests to this host.
 func (ho *Host) ready() bool {
 	_, ok := ho.config.Current()
 	return ok && !ho.stopping.Load()
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -22,29 +22,30 @@
 
 func (ho *Host) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	path, h := pepperhatchv1connect.NewOperatorServiceHandler(&operatorService{ho: ho}, connect.WithReadMaxBytes(adminBody))
+	path, h := pepperhatchv1connect.NewOperatorServiceHandler(&operatorService{ho: ho}, connect.WithReadMaxBytes(maxAdminBody))
 	mux.Handle(path, h)
-	mux.Handle("GET /metrics", ho.metricPage)
+	mux.Handle("GET /metrics", ho.metricsHandler)
 	ho.handleHealth(mux)
 	return mux
 }
 
-// operatorService serves operators.
+// operatorService implements the service for operators.
 type operatorService struct{ ho *Host }
 
-// operatorTime bounds a call of an operator.
-const operatorTime = 10 * time.Second
+// operatorTimeout limits a call of an operator.
+const operatorTimeout = 10 * time.Second
 
-// operatorCodes pairs errors with connect codes.
+// operatorCodes pairs errors with connect codes. Other errors are reported as
+// unavailable.
 var operatorCodes = []struct {
 	err  error
 	code connect.Code
 }{
 	{cell.ErrImpossible, connect.CodeInvalidArgument},
-	{intent.ErrBadIntent, connect.CodeInvalidArgument},
-	{intent.ErrNoPlan, connect.CodeNotFound},
+	{intent.ErrInvalidIntent, connect.CodeInvalidArgument},
+	{intent.ErrPlanNotFound, connect.CodeNotFound},
 	{config.ErrConflict, connect.CodeAborted},
-	{cell.ErrUnsettled, connect.CodeUnknown},
+	{cell.ErrOutcomeUnknown, connect.CodeUnknown},
 }
 
 func operatorError(err error) error {
@@ -56,11 +57,11 @@
 	return connect.NewError(connect.CodeUnavailable, err)
 }
 
-// Plan works out what an intent would change.
+// Plan returns what an intent would change.
 func (os *operatorService) Plan(ctx context.Context, creq *connect.Request[pb.PlanRequest]) (*connect.Response[pb.PlanResponse], error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	pl, err := os.ho.desk.Plan(ctx, creq.Msg.GetIntent())
+	pl, err := os.ho.planner.Plan(ctx, creq.Msg.GetIntent())
 	if err != nil {
 		return nil, operatorError(err)
 	}
@@ -71,33 +72,34 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Confirm carries out a plan if its basis still holds.
+// Confirm carries out a plan if its basis has not changed.
 func (os *operatorService) Confirm(ctx context.Context, creq *connect.Request[pb.ConfirmRequest]) (*connect.Response[pb.ConfirmResponse], error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	res, err := os.ho.desk.Confirm(ctx, creq.Msg.GetId())
+	res, err := os.ho.planner.Confirm(ctx, creq.Msg.GetId())
 	if err != nil {
 		return nil, operatorError(err)
 	}
 	if res.Applied {
-		// A change of configuration is told to peers at once.
-		os.ho.mesh.Hurry()
+		// Sends a hello to peers at once, so that they fetch a changed
+		// configuration.
+		os.ho.mesh.SendAll()
 	}
 	return connect.NewResponse(&pb.ConfirmResponse{Applied: res.Applied, Conflict: res.Changed, Version: res.Version}), nil
 }
 
-// tableFresh is how old the last answer of the table may be for the platform
-// to count as there.
-const tableFresh = 5 * time.Second
+// tableAnswerMaxAge is the age of the table's last answer above which the platform
+// counts as unavailable.
+const tableAnswerMaxAge = 5 * time.Second
 
-// Status shows the state as this host sees it.
+// Status returns the state as known to this host.
 func (os *operatorService) Status(ctx context.Context, _ *connect.Request[pb.StatusRequest]) (*connect.Response[pb.StatusResponse], error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	ho := os.ho
 	resp := &pb.StatusResponse{
 		AnsweredBy: ho.id,
-		PlatformOk: time.Since(time.Unix(0, ho.tableOK.Load())) < tableFresh,
+		PlatformOk: time.Since(time.Unix(0, ho.tableAnswered.Load())) < tableAnswerMaxAge,
 	}
 	resp.Entries = ho.entryStatus()
 	for _, en := range resp.GetEntries() {
@@ -119,7 +121,7 @@
 	live := append(ho.mesh.Live(), ho.hello())
 	entries := make([]*pb.EntryStatus, 0, len(live))
 	for _, he := range live {
-		entries = append(entries, entryOf(he))
+		entries = append(entries, entryStatusOf(he))
 	}
 	slices.SortFunc(entries, func(a, b *pb.EntryStatus) int {
 		return strings.Compare(a.GetDataCentre()+a.GetId(), b.GetDataCentre()+b.GetId())
@@ -127,7 +129,7 @@
 	return entries
 }
 
-func entryOf(he peer.Hello) *pb.EntryStatus {
+func entryStatusOf(he peer.Hello) *pb.EntryStatus {
 	return &pb.EntryStatus{
 		Id: he.ID, DataCentre: he.DC, Reachable: true, ConfigVersion: he.ConfigVersion,
 		Shards: uint32(he.Shards), Cells: he.Cells, Stopping: he.Stopping,
@@ -140,7 +142,7 @@
 	for _, ru := range runners {
 		ids = append(ids, ru.ID)
 	}
-	primary := spread.Even(ids, ho.primaries())
+	primary := spread.AssignEvenly(ids, ho.primaries())
 	statuses := make([]*pb.RunnerStatus, 0, len(runners))
 	for _, ru := range runners {
 		rs := &pb.RunnerStatus{
@@ -163,7 +165,7 @@
 	return &pb.CellStatus{
 		Name: name, Owner: su.Owner, Epoch: su.Epoch, Journal: su.Seq,
 		Workers: counts(su.Workers), Tasks: counts(su.Tasks),
-		Capacity: resources(su.Holds), Reserved: resources(su.Used),
+		Capacity: resources(su.Capacity), Reserved: resources(su.Reserved),
 	}
 }
 
@@ -179,9 +181,9 @@
 	return &pb.Resources{MilliCores: re.MilliCores, MemMb: re.MemMB, Accels: re.Accels}
 }
 
-// Tasks lists the tasks of a cell, or of all.
+// Tasks lists the tasks of a cell, or of all cells that answer.
 func (os *operatorService) Tasks(ctx context.Context, creq *connect.Request[pb.TasksRequest]) (*connect.Response[pb.TasksResponse], error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	names := os.ho.set.DCs
 	if one := creq.Msg.GetCell(); one != "" {
@@ -206,13 +208,13 @@
 		Id: ta.ID, Job: ta.Job, State: string(ta.State), Attempt: uint32(ta.Attempt),
 		Evictions: uint32(ta.Evictions), Result: ta.Result, Cell: name,
 	}
-	if ta.Holding() {
+	if ta.Active() {
 		ts.Worker = ta.Worker
 	}
 	return ts
 }
 
-// Config returns the configuration in force here.
+// Config returns the configuration in force on this host.
 func (os *operatorService) Config(context.Context, *connect.Request[pb.ConfigRequest]) (*connect.Response[pb.ConfigResponse], error) {
 	doc, ok := os.ho.config.Current()
 	if !ok {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -59,7 +59,7 @@
 		qt.Assert(t, free.Served > 0, qt.IsTrue)
 	})
 	t.Run("fillers that nobody slows disturb", func(t *testing.T) {
-		rough := playIn(t, mi, 1, Variant{Without: sched.MechPace | sched.MechHold | sched.MechPatience | sched.MechMove})
+		rough := playIn(t, mi, 1, Variant{Without: sched.MechPace | sched.MechHold | sched.MechFillerWait | sched.MechMove})
 		qt.Assert(t, rough.OverByFillers > usual.OverByFillers, qt.IsTrue, qt.Commentf("%v, usual %v", rough.OverByFillers, usual.OverByFillers))
 	})
 }
@@ -73,7 +73,7 @@
 			pl := newPlay(mi, seed+1, Variant{Name: "real"})
 			re, err := pl.run(t.Context())
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, standin.RunProblems(pl.fleet.Runs()), qt.HasLen, 0)
+			qt.Check(t, standin.RunViolations(pl.fleet.Runs()), qt.HasLen, 0)
 			qt.Check(t, re.Worth() > 0.3, qt.IsTrue, qt.Commentf("worth %.3f", re.Worth()))
 			synctest.Wait()
 		})
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -78,8 +78,8 @@
 	if va.KnowsTimes {
 		pl.day.declareTrueTimes()
 	}
-	pl.fleet.World = pl.world(seed)
-	pl.fleet.RoomFunc = func(at worker.Attempt) worker.Resources { return pl.step(at).Reserved() }
+	pl.fleet.Interference = pl.world(seed)
+	pl.fleet.ResourcesFunc = func(at worker.Attempt) worker.Resources { return pl.step(at).Reserved() }
 	pl.fleet.RunFunc = pl.runOf
 	return pl
 }
@@ -109,8 +109,8 @@
 }
 
 // world is how tasks disturb each other.
-func (pl *play) world(seed uint64) *standin.World {
-	return &standin.World{
+func (pl *play) world(seed uint64) *standin.Interference {
+	return &standin.Interference{
 		StepFunc: pl.step,
 		DropFunc: func(service, filler string) float64 {
 			if pl.va.Undisturbed {
@@ -122,7 +122,7 @@
 			id, _, _ := job.ParseTaskID(at.Task)
 			return pl.day.load(pl.day.byID[id], now.Sub(pl.began))
 		},
-		Most: pl.day.mix.Services.Headroom, Rough: pl.day.mix.Rough, Rng: rand.New(rand.NewPCG(seed, 2)),
+		MaxHeadroom: pl.day.mix.Services.Headroom, Noise: pl.day.mix.Rough, Rand: rand.New(rand.NewPCG(seed, 2)),
 	}
 }
 
@@ -143,7 +143,7 @@
 }
 
 // workers enters the workers and returns the list of them.
-func (pl *play) workers() []sched.Listed {
+func (pl *play) workers() []sched.WorkerEntry {
 	mi := &pl.day.mix
 	for i := range mi.Workers {
 		holds := worker.Resources{MilliCores: mi.MilliCores, MemMB: mi.MemMB}
@@ -151,11 +151,11 @@
 			holds = worker.Resources{MilliCores: mi.MilliCores * 3 / 2, MemMB: mi.MemMB * 3 / 2}
 		}
 		ad := worker.Addr{HostPort: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Incarnation: worker.Incarnation{ID: fmt.Sprintf("i-%03d", i)}}
-		fw := &standin.FleetWorker{Addr: ad, Holds: holds}
+		fw := &standin.FleetWorker{Addr: ad, Capacity: holds}
 		pl.fleet.Add(fw)
 		pl.crew, pl.racks = append(pl.crew, fw), append(pl.racks, fmt.Sprintf("r%d", i/8))
 	}
-	list := make([]sched.Listed, len(pl.crew))
+	list := make([]sched.WorkerEntry, len(pl.crew))
 	for i := range list {
 		list[i] = pl.entry(i)
 	}
@@ -163,9 +163,9 @@
 }
 
 // entry is a worker as it is listed.
-func (pl *play) entry(i int) sched.Listed {
+func (pl *play) entry(i int) sched.WorkerEntry {
 	fw, rack := pl.crew[i], pl.racks[i]
-	return sched.Listed{Addr: fw.Addr, Service: service, Rack: rack, Labels: []string{"a", rack}, Holds: fw.Holds}
+	return sched.WorkerEntry{Addr: fw.Addr, Service: service, Rack: rack, Labels: []string{"a", rack}, Capacity: fw.Capacity}
 }
 
 // restarts has workers restart until ctx ends.
@@ -194,7 +194,7 @@
 		defer pl.mu.Unlock()
 		if pl.crew[i] == fw {
 			pl.crew[i] = pl.fleet.Restart(fw, fw.Addr.HostPort, 0)
-			ow.SetWorkers([]sched.Listed{pl.entry(i)}, nil, false)
+			ow.SetWorkers([]sched.WorkerEntry{pl.entry(i)}, nil, false)
 		}
 	})
 }
@@ -215,7 +215,7 @@
 	if err := pl.tellPairs(ctx); err != nil {
 		return nil, err
 	}
-	te := tenure.Tenure{Epoch: 1, Key: ownerKey, Version: version, FormerEnded: time.Now, Confirmed: time.Now, Written: time.Now, Renounce: func(error) {}}
+	te := tenure.Tenure{Epoch: 1, Key: ownerKey, Version: version, FormerEnded: time.Now, Confirmed: time.Now, HeartbeatWritten: time.Now, End: func(error) {}}
 	ow := sched.New(&sched.Owner{
 		Cell: "c0", Tenure: te, Table: pl.table.Client(), Agent: pl.fleet.Agent(), Log: pl.log, Without: pl.va.Without,
 		Limits: sched.Limits{MaxLease: 10 * time.Second, StopTime: 900 * time.Millisecond, HarmAfter: 4 * time.Second, KeepEnded: 2 * time.Minute},
@@ -239,17 +239,17 @@
 		return nil
 	}
 	var row struct {
-		Pairs []interfere.Learnt `json:"pairs"`
+		Pairs []interfere.PairEstimate `json:"pairs"`
 	}
 	for pa, drop := range pl.day.drops {
-		row.Pairs = append(row.Pairs, interfere.Learnt{Pair: pa, Drop: drop})
+		row.Pairs = append(row.Pairs, interfere.PairEstimate{Pair: pa, Drop: drop})
 	}
 	value, err := json.Marshal(row)
 	if err != nil {
 		return fmt.Errorf("encode pairs: %w", err)
 	}
 	txn := store.NewTxn()
-	txn.Puts = []store.Put{{Key: sched.LearntTable + "/c0/pairs", Value: value}}
+	txn.Puts = []store.Put{{Key: sched.InterferenceTable + "/c0/pairs", Value: value}}
 	if _, err := pl.table.Client().Commit(ctx, txn); err != nil {
 		return fmt.Errorf("tell pairs: %w", err)
 	}
--- a/internal/place/bench_test.go
+++ b/internal/place/bench_test.go
@@ -7,20 +7,20 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Tasks per worker at the target: 115,000 on 9,200 workers.
+// The target is 115,000 tasks on 9,200 workers, some 12 on each.
 const (
 	benchRunning = 12
 	benchWaiting = 200
 )
 
-// benchSnapshot is a cell of n workers, nearly full, with tasks waiting.
+// benchSnapshot returns a cell of n nearly full workers, with tasks waiting.
 func benchSnapshot(n int) Snapshot {
 	sn := Snapshot{Policy: Policy{TailTargetMS: 100, WeightTail: 1, WeightEvictions: 1, WeightBatch: 1}, Model: &Model{}}
 	each := worker.Resources{MilliCores: 2000, MemMB: 4000}
 	for i := range n {
-		wo := Worker{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%03d", i/8), Holds: worker.Resources{MilliCores: 30_000, MemMB: 125_000}}
+		wo := Worker{ID: fmt.Sprintf("w%04d", i), Rack: fmt.Sprintf("r%03d", i/8), Capacity: worker.Resources{MilliCores: 30_000, MemMB: 125_000}}
 		for k := range benchRunning {
-			wo.Used = wo.Used.With(each)
+			wo.Used = wo.Used.Add(each)
 			sn.Tasks = append(sn.Tasks, Task{
 				ID: fmt.Sprintf("t%04d-%02d", i, k), Job: fmt.Sprintf("j%d", k), Kind: fmt.Sprintf("k%d", k%5),
 				Service: k < 7, Each: each, Worker: wo.ID, Share: 1, TailMS: 60, Fresh: true,
--- a/internal/relay/outbox.go
+++ b/internal/relay/outbox.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// outboxMost bounds what waits to be sent on a stream: some seconds of the most
-// orders that one owner gives.
-const outboxMost = 10_000
+// maxOutboxItems bounds the items queued on a stream: several seconds of orders at the highest
+// rate of one owner.
+const maxOutboxItems = 10_000
 
-// outbox holds what waits to be sent. Make one with [newOutbox].
+// outbox queues items and sends them in frames. Create one with [newOutbox].
 type outbox[T any] struct {
 	mu    sync.Mutex
 	items []T
@@ -18,11 +18,11 @@
 
 func newOutbox[T any]() *outbox[T] { return &outbox[T]{wake: make(chan struct{}, 1)} }
 
-// put adds an item, and reports whether there was room.
+// put adds an item and reports whether it fitted; it does not if maxOutboxItems are queued.
 func (ob *outbox[T]) put(item T) bool {
 	ob.mu.Lock()
 	defer ob.mu.Unlock()
-	if len(ob.items) >= outboxMost {
+	if len(ob.items) >= maxOutboxItems {
 		return false
 	}
 	ob.items = append(ob.items, item)
@@ -33,7 +33,7 @@
 	return true
 }
 
-func (ob *outbox[T]) take() []T {
+func (ob *outbox[T]) takeAll() []T {
 	ob.mu.Lock()
 	defer ob.mu.Unlock()
 	items := ob.items
@@ -41,24 +41,24 @@
 	return items
 }
 
-// pump sends what is put, many items to a frame, and a frame without any after
-// [beatEvery], until send fails or done is closed.
-func (ob *outbox[T]) pump(done <-chan struct{}, send func([]T) error) error {
-	beat := time.NewTimer(beatEvery)
-	defer beat.Stop()
+// sendLoop sends queued items in batches, and an empty frame after [heartbeatInterval] without
+// items, until send fails or done is closed.
+func (ob *outbox[T]) sendLoop(done <-chan struct{}, send func([]T) error) error {
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
 	var last time.Time
 	for {
 		select {
 		case <-done:
 			return nil
-		case <-beat.C:
+		case <-heartbeat.C:
 		case <-ob.wake:
-			time.Sleep(max(gatherFor, frameEvery-time.Since(last)))
+			time.Sleep(max(batchDelay, minFrameInterval-time.Since(last)))
 		}
 		last = time.Now()
-		if err := send(ob.take()); err != nil {
+		if err := send(ob.takeAll()); err != nil {
 			return err
 		}
-		beat.Reset(beatEvery)
+		heartbeat.Reset(heartbeatInterval)
 	}
 }
--- a/internal/route/budget.go
+++ b/internal/route/budget.go
@@ -2,45 +2,47 @@
 
 import "sync"
 
-// The default budget: one retry for ten requests, and some to begin with.
+// Defaults of a retry budget: one retry per ten requests, and a burst of 20.
 const (
-	defaultRatio = 0.1
-	budgetMost   = 20.0
+	defaultRetryRatio = 0.1
+	maxBudget         = 20.0
 )
 
-// Budget bounds retries by a part of the requests served, so that retries
-// never become the load. The zero value is full.
+// Budget limits retries to a fraction of the requests served, so that retries
+// cannot multiply the load during an outage. The zero value has the full burst
+// available. It is safe for concurrent use.
 type Budget struct {
-	// Ratio is the retries earned by one request; zero means 0.1.
+	// Ratio is the number of retries that one request earns; zero means 0.1.
 	Ratio float64
 
-	mu    sync.Mutex
-	spent float64
+	mu   sync.Mutex
+	used float64
 }
 
-// Earn notes a request that arrived.
-func (bu *Budget) Earn() {
+// Deposit credits the budget for one incoming request.
+func (bu *Budget) Deposit() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	ratio := bu.Ratio
 	if ratio == 0 {
-		ratio = defaultRatio
+		ratio = defaultRetryRatio
 	}
-	bu.spent = max(0, bu.spent-ratio)
+	bu.used = max(0, bu.used-ratio)
 }
 
-// Spend takes one retry, if there is one.
-func (bu *Budget) Spend() bool {
+// TryWithdraw takes one retry from the budget and reports whether one was
+// available.
+func (bu *Budget) TryWithdraw() bool {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
-	if bu.spent+1 > budgetMost {
+	if bu.used+1 > maxBudget {
 		return false
 	}
-	bu.spent++
+	bu.used++
 	return true
 }
 
-// SetRatio changes the ratio.
+// SetRatio sets the number of retries that one request earns.
 func (bu *Budget) SetRatio(ratio float64) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
--- a/internal/route/load.go
+++ b/internal/route/load.go
@@ -6,58 +6,60 @@
 	"github.com/pepperhatch/pepperhatch/internal/runner"
 )
 
-// evenOut works out how much batch to pass to peers in this data centre whose
-// queues are shorter, slot for slot. Without it a host with fewer runners than
-// the others refuses batch for which they have time.
-func (po *Pool) evenOut() {
+// balanceBatch computes how many batch requests to forward to each peer in this
+// data centre whose queue is shorter per slot. Without it a host with fewer
+// runners than its peers refuses batch requests that the peers have time for.
+func (po *Pool) balanceBatch() {
 	slots := po.slots()
 	if slots == 0 {
 		return
 	}
 	own := float64(len(po.queue.heaps[runner.Batch])) / float64(slots)
-	for peer, lo := range po.near {
+	for peer, lo := range po.sameDC {
 		if lo.Slots == 0 {
 			continue
 		}
 		gap := own - float64(lo.Waiting)/float64(lo.Slots)
-		if gap > evenFrom {
-			lo.even = int(gap * float64(lo.Slots) / evenPart)
-			po.near[peer] = lo
+		if gap > balanceThreshold {
+			lo.balance = int(gap * float64(lo.Slots) / balanceDivisor)
+			po.sameDC[peer] = lo
 		}
 	}
 }
 
-// evenFrom is the difference of waiters for one slot from which batch is
-// passed on, evenPart the part of the difference passed on at a time.
+// balanceThreshold is the difference in waiting batch requests per slot above
+// which batch is forwarded; balanceDivisor is the fraction (1/8) of the
+// difference forwarded per exchange of loads.
 const (
-	evenFrom = 1.0
-	evenPart = 8
+	balanceThreshold = 1.0
+	balanceDivisor   = 8
 )
 
-// Load is what a pool tells its peers.
+// Load is the load of one service that an entry host reports to its peers.
 type Load struct {
-	// Free is the number of free slots, less the waiters.
+	// Free is the number of free slots minus the number of waiters, at least 0.
 	Free int `json:"free"`
-	// Yield is how many latency-critical requests it can take all the same,
-	// until it says so again: slots that would go to batch next.
-	Yield int `json:"yield,omitempty"`
-	// Waiting is the number of waiters.
+	// BatchTurns is the number of latency-critical requests that can be served
+	// before the next report in addition to Free, on slots that batch would get
+	// next.
+	BatchTurns int `json:"yield,omitempty"`
+	// Waiting is the number of waiters in both classes.
 	Waiting int `json:"waiting"`
-	// Slots is the number of slots.
+	// Slots is the number of slots of all runners of this host.
 	Slots int `json:"slots"`
 
-	// even is how many batch requests to pass to the peer to even out the
-	// queues; the pool that is told the load works it out.
-	even int
+	// balance is the number of batch requests to forward to the peer to even
+	// out the queues. It is computed by the receiver of the load and not sent.
+	balance int
 }
 
-// Load returns the pool's load.
+// Load returns the pool's current load.
 func (po *Pool) Load() Load {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	lo := Load{Waiting: po.queue.len()}
 	for _, ms := range po.members {
-		if ms.gone {
+		if ms.removed {
 			continue
 		}
 		lo.Slots += ms.limit()
@@ -65,87 +67,89 @@
 	}
 	lo.Free = max(0, lo.Free-lo.Waiting)
 	if len(po.queue.heaps[runner.Batch]) > 0 {
-		lo.Yield = po.surplus()
+		lo.BatchTurns = po.batchSurplus()
 	}
 	return lo
 }
 
-// surplus returns the turns that batch had in the last window beyond its
+// batchSurplus returns the turns that batch had in the last window beyond its
 // minimum share: that many can go to latency-critical requests of peers
-// instead. The slots of a service do not divide evenly among hosts, so that
-// one host can have more latency-critical work than slots while the others
-// serve batch.
-func (po *Pool) surplus() int {
-	if time.Since(po.window) < yieldWindow {
-		return po.yield
+// instead. The slots of a service do not divide evenly among hosts, so one host
+// can have more latency-critical work than slots while the others serve batch.
+func (po *Pool) batchSurplus() int {
+	if time.Since(po.surplusSince) < surplusWindow {
+		return po.lastSurplus
 	}
 	turns := po.queue.turns
-	po.yield = turns[runner.Batch]
+	po.lastSurplus = turns[runner.Batch]
 	if po.policy.BatchEvery > 0 {
-		po.yield -= (turns[runner.LatencyCritical] + turns[runner.Batch]) / po.policy.BatchEvery
+		po.lastSurplus -= (turns[runner.LatencyCritical] + turns[runner.Batch]) / po.policy.BatchEvery
 	}
-	po.yield = max(0, po.yield)
+	po.lastSurplus = max(0, po.lastSurplus)
 	po.queue.turns = [2]int{}
-	po.window = time.Now()
-	return po.yield
+	po.surplusSince = time.Now()
+	return po.lastSurplus
 }
 
 const (
-	// yieldWindow is about the time between greetings of peers.
-	yieldWindow = 200 * time.Millisecond
-	// yieldFrom is the part of the own slots that must wait in
-	// latency-critical requests before the offer is taken. Fewer have their
-	// turn soon, at the cost of batch here and not at a peer.
-	yieldFrom = 8
+	// surplusWindow is about the interval between exchanges of loads with
+	// peers.
+	surplusWindow = 200 * time.Millisecond
+	// batchTurnDivisor divides the number of own slots: only if more than an
+	// eighth as many latency-critical requests wait are the batch turns of a
+	// peer used. Fewer waiters get a slot here soon, at the cost of local batch
+	// rather than that of a peer.
+	batchTurnDivisor = 8
 )
 
-// left returns how many requests of a kind the peer can take.
-func (lo Load) left(ki kind) int {
-	switch ki {
-	case yielding:
-		return lo.Free + lo.Yield
-	case evening:
-		return lo.Free + lo.even
+// available returns how many requests of a spill kind the peer can take.
+func (lo Load) available(sk spillKind) int {
+	switch sk {
+	case spillBatchTurns:
+		return lo.Free + lo.BatchTurns
+	case spillBalance:
+		return lo.Free + lo.balance
 	}
 	return lo.Free
 }
 
-// kind says what a waiter may ask of a peer besides free slots.
-type kind int
+// spillKind says which resources of a peer a waiter may use besides free slots.
+type spillKind int
 
 const (
-	// plain waiters take free slots only.
-	plain kind = iota
-	// yielding ones take turns of the peer's batch.
-	yielding
-	// evening ones take places in the peer's queue, which is shorter.
-	evening
+	// spillFree uses free slots only.
+	spillFree spillKind = iota
+	// spillBatchTurns also uses turns that the peer would give to batch.
+	spillBatchTurns
+	// spillBalance also uses places in the peer's shorter queue.
+	spillBalance
 )
 
-// less returns the load after one more request was passed to the peer.
-func (lo Load) less(ki kind) Load {
+// afterSpill returns the load after one more request was forwarded to the peer.
+func (lo Load) afterSpill(sk spillKind) Load {
 	switch {
 	case lo.Free > 0:
 		lo.Free--
-	case ki == yielding:
-		lo.Yield--
+	case sk == spillBatchTurns:
+		lo.BatchTurns--
 	default:
-		lo.even--
+		lo.balance--
 	}
 	return lo
 }
 
 func (po *Pool) peerHasSlot() bool {
-	return mostLeft(po.near, yielding) != "" || mostLeft(po.far, yielding) != ""
+	return mostAvailable(po.sameDC, spillBatchTurns) != "" || mostAvailable(po.otherDCs, spillBatchTurns) != ""
 }
 
-// mostLeft returns the peer that can take the most requests, or "".
-func mostLeft(peers map[string]Load, ki kind) string {
+// mostAvailable returns the peer that can take the most requests, or "" if no
+// peer can take any. Ties go to the lower name.
+func mostAvailable(peers map[string]Load, sk spillKind) string {
 	best, most := "", 0
 	for peer, lo := range peers {
-		left := lo.left(ki)
-		if left > most || (left == most && left > 0 && peer < best) {
-			best, most = peer, left
+		available := lo.available(sk)
+		if available > most || (available == most && available > 0 && peer < best) {
+			best, most = peer, available
 		}
 	}
 	return best
--- a/internal/sched/backlog_test.go
+++ b/internal/sched/backlog_test.go
@@ -9,9 +9,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// backlog fills a cell with lasting tasks of many sizes, has three tenths of its workers be
-// lost, and hands in jobs that end by themselves, for all of which there is too little room.
-func backlog(la *lab, ow *Owner, workers int) {
+// fillWithBacklog fills a cell with long-running tasks of many sizes, kills three tenths of
+// its workers, and submits more short jobs than there is capacity for.
+func fillWithBacklog(la *lab, ow *Owner, workers int) {
 	n := 0
 	for i := range 3 * workers / 10 {
 		n++
@@ -19,7 +19,7 @@
 		la.submit(ow, n, job.Spec{Payload: "serve", Steps: []job.Step{{Tasks: 8, Each: each, Endless: true, TargetMS: 24, Image: fmt.Sprint("s", i%5)}}})
 	}
 	time.Sleep(time.Second)
-	for _, fw := range la.crew[:3*workers/10] {
+	for _, fw := range la.fleetWorkers[:3*workers/10] {
 		la.fleet.Kill(fw)
 	}
 	time.Sleep(9 * time.Second)
@@ -31,15 +31,16 @@
 	time.Sleep(time.Second)
 }
 
-// BenchmarkBacklog measures one tick and one round of placement while much waits for room.
+// BenchmarkBacklog measures one tick and one round of placement while many tasks wait for
+// capacity.
 func BenchmarkBacklog(b *testing.B) {
 	for _, workers := range []int{48, 350} {
 		la := newLab(b, workers)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return -1, "" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(200 * time.Millisecond)
-		backlog(la, ow, workers)
+		fillWithBacklog(la, ow, workers)
 		for name, fn := range map[string]func(){"tick": ow.tick, "place": ow.place} {
 			b.Run(fmt.Sprint(workers, "/", name), func(b *testing.B) {
 				b.ReportAllocs()
@@ -53,7 +54,7 @@
 	}
 }
 
-// BenchmarkBacklogServed measures the owner while a backlog is served for 10 s.
+// BenchmarkBacklogServed measures the owner while it works through a backlog for 10 s.
 func BenchmarkBacklogServed(b *testing.B) {
 	la := newLab(b, 350)
 	la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
@@ -62,10 +63,10 @@
 		}
 		return 700 * time.Millisecond, "done"
 	}
-	ow, end := la.own()
+	ow, end := la.startOwner()
 	defer end()
 	time.Sleep(200 * time.Millisecond)
-	backlog(la, ow, 350)
+	fillWithBacklog(la, ow, 350)
 	for b.Loop() {
 		time.Sleep(10 * time.Second)
 	}
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -13,83 +13,84 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// newsTime is how long after its worker said that it has less room a start may still go by
-// what it said before: users allow 4 s and a heartbeat.
-const newsTime = time.Second
+// reportDelay is how long after a worker reported less capacity a start may still be based on
+// its earlier report: users allow 4 s and a heartbeat.
+const reportDelay = time.Second
 
-// capacities is a lab whose workers say at times that they have less room, or more, and
-// take whatever they are given.
-type capacities struct {
+// capacityLab is a lab whose workers report changing capacities, and accept whatever they are
+// ordered to run.
+type capacityLab struct {
 	*lab
 
 	ow  *Owner
 	end func()
-	// said has what each worker said of itself, in order.
-	said map[worker.Incarnation][]saying
+	// reported has the capacities that each worker reported, in order.
+	reported map[worker.Incarnation][]capacityReport
 }
 
-type saying struct {
+type capacityReport struct {
 	at    time.Time
 	holds worker.Resources
 }
 
-func newCapacities(t *testing.T, workers int) *capacities {
+func newCapacityLab(t *testing.T, workers int) *capacityLab {
 	t.Helper()
-	ca := &capacities{lab: newLab(t, workers), said: map[worker.Incarnation][]saying{}}
-	for _, fw := range ca.crew {
-		ca.note(fw, fw.Holds)
-		fw.Holds = worker.Resources{MilliCores: 1 << 40, MemMB: 1 << 40}
+	ca := &capacityLab{lab: newLab(t, workers), reported: map[worker.Incarnation][]capacityReport{}}
+	for _, fw := range ca.fleetWorkers {
+		ca.record(fw, fw.Capacity)
+		fw.Capacity = worker.Resources{MilliCores: 1 << 40, MemMB: 1 << 40}
 	}
 	ca.own()
 	return ca
 }
 
 // own starts an owner; the one before ends.
-func (ca *capacities) own() {
+func (ca *capacityLab) own() {
 	if ca.end != nil {
 		ca.end()
 	}
-	ow, loaded, end := ca.begin()
+	ow, loaded, end := ca.startLoading()
 	qt.Assert(ca.t, <-loaded, qt.IsNil)
 	ca.ow, ca.end = ow, end
-	ca.tell()
+	ca.sendReports()
 }
 
-func (ca *capacities) note(fw *standin.FleetWorker, holds worker.Resources) {
+func (ca *capacityLab) record(fw *standin.FleetWorker, holds worker.Resources) {
 	id := fw.Addr.Incarnation
-	ca.said[id] = append(ca.said[id], saying{at: time.Now(), holds: holds})
+	ca.reported[id] = append(ca.reported[id], capacityReport{at: time.Now(), holds: holds})
 }
 
-// say has a worker say what it holds.
-func (ca *capacities) say(fw *standin.FleetWorker, cores int64) {
-	ca.note(fw, worker.Resources{MilliCores: cores * 1000, MemMB: 128_000})
-	ca.tell()
+// report has a worker report a capacity.
+func (ca *capacityLab) report(fw *standin.FleetWorker, cores int64) {
+	ca.record(fw, worker.Resources{MilliCores: cores * 1000, MemMB: 128_000})
+	ca.sendReports()
 }
 
-func (ca *capacities) tell() {
+func (ca *capacityLab) sendReports() {
 	list := ca.listed()
 	for i := range list {
-		said := ca.said[list[i].Incarnation]
-		list[i].Holds = said[len(said)-1].holds
+		said := ca.reported[list[i].Incarnation]
+		list[i].Capacity = said[len(said)-1].holds
 	}
 	ca.ow.SetWorkers(list, nil, true)
 }
 
-// mostSaid is the most processor that a worker may be taken to have at a moment.
-func (ca *capacities) mostSaid(id worker.Incarnation, at time.Time) int64 {
-	var most int64
-	said := ca.said[id]
+// maxReported returns the largest CPU capacity, in thousandths of a core, that a worker may
+// be taken to have at the given time.
+func (ca *capacityLab) maxReported(id worker.Incarnation, at time.Time) int64 {
+	var highest int64
+	said := ca.reported[id]
 	for i, sa := range said {
-		over := i+1 < len(said) && said[i+1].at.Before(at.Add(-newsTime))
+		over := i+1 < len(said) && said[i+1].at.Before(at.Add(-reportDelay))
 		if !sa.at.After(at) && !over {
-			most = max(most, sa.holds.MilliCores)
+			highest = max(highest, sa.holds.MilliCores)
 		}
 	}
-	return most
+	return highest
 }
 
-// overfilled lists the starts that brought a worker over what it had said that it holds.
-func (ca *capacities) overfilled() []string {
+// overfilled lists the starts that exceeded the reported capacity of their worker.
+func (ca *capacityLab) overfilled() []string {
 	var list []string
 	runs := ca.fleet.Runs()
 	for _, ru := range runs {
@@ -97,38 +98,38 @@
 		for _, other := range runs {
 			beside := other.Worker == ru.Worker && !other.From.After(ru.From) && (other.Until.IsZero() || other.Until.After(ru.From))
 			if beside {
-				sum += ca.fleet.RoomFunc(other.Attempt).MilliCores
+				sum += ca.fleet.ResourcesFunc(other.Attempt).MilliCores
 			}
 		}
-		if sum > ca.mostSaid(ru.Worker, ru.From) {
+		if sum > ca.maxReported(ru.Worker, ru.From) {
 			list = append(list, ru.Task+" at "+ru.Worker.String())
 		}
 	}
 	return list
 }
 
-// TestRoomIsWhatAWorkerSays has a worker say that it has less room while tasks run there,
-// and more again: nothing starts that would go over what it says, and what it has again is
-// used at once, also after a takeover.
-func TestRoomIsWhatAWorkerSays(t *testing.T) {
+// TestCapacityIsWhatWorkerReports has a worker report less capacity while tasks run there,
+// and more again: no start may exceed the reported capacity, and regained capacity is used at
+// once, also after a takeover.
+func TestCapacityIsWhatWorkerReports(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			ca := newCapacities(t, 1)
+			ca := newCapacityLab(t, 1)
 			defer func() { ca.end() }()
-			ca.fleet.RunFunc = endless
+			ca.fleet.RunFunc = runUntilStopped
 			time.Sleep(time.Second)
-			ca.submit(ca.ow, 1, lasting(12))
+			ca.submit(ca.ow, 1, longRunning(12))
 			time.Sleep(time.Second)
-			ca.say(ca.crew[0], 16)
+			ca.report(ca.fleetWorkers[0], 16)
 			time.Sleep(time.Second)
 			if takeover {
 				ca.own()
 				time.Sleep(time.Second)
 			}
-			ca.submit(ca.ow, 2, lasting(4))
+			ca.submit(ca.ow, 2, longRunning(4))
 			time.Sleep(5 * time.Second)
 			ca.assertRunning(12)
-			ca.say(ca.crew[0], 32)
+			ca.report(ca.fleetWorkers[0], 32)
 			time.Sleep(500 * time.Millisecond)
 			ca.assertRunning(16)
 			qt.Check(t, ca.overfilled(), qt.HasLen, 0)
@@ -136,12 +137,12 @@
 	}
 }
 
-// TestNoStartGoesOverWhatAWorkerSays plays random changes of what workers say that they
-// hold, with jobs and takeovers.
-func TestNoStartGoesOverWhatAWorkerSays(t *testing.T) {
+// TestNoStartExceedsReportedCapacity plays random changes of the reported capacities, with
+// jobs and takeovers.
+func TestNoStartExceedsReportedCapacity(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: capacityScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
-			ca := newCapacities(t, 4)
+			ca := newCapacityLab(t, 4)
 			defer func() { ca.end() }()
 			time.Sleep(time.Second)
 			jobs := 0
@@ -151,8 +152,8 @@
 					jobs++
 					ca.submit(ca.ow, jobs, batch(1, rapid.IntRange(1, 30).Draw(rt, "tasks")))
 				case "say":
-					fw := ca.crew[rapid.IntRange(0, len(ca.crew)-1).Draw(rt, "worker")]
-					ca.say(fw, int64(rapid.IntRange(0, 40).Draw(rt, "cores")))
+					fw := ca.fleetWorkers[rapid.IntRange(0, len(ca.fleetWorkers)-1).Draw(rt, "worker")]
+					ca.report(fw, int64(rapid.IntRange(0, 40).Draw(rt, "cores")))
 				case "owner":
 					ca.own()
 				}
@@ -160,14 +161,14 @@
 			}
 			time.Sleep(5 * time.Second)
 			for _, over := range ca.overfilled() {
-				rt.Errorf("started over what its worker holds: %s", over)
+				rt.Errorf("started over the capacity of its worker: %s", over)
 			}
-			for _, problem := range ca.problems() {
+			for _, problem := range ca.runProblems() {
 				rt.Error(problem)
 			}
 		})
 	})
 }
 
-// capacityScripts is the number of scripts; PEPPERHATCH_SEED plays others.
+// capacityScripts is the number of random scripts; PEPPERHATCH_SEED selects others.
 const capacityScripts = 60
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -21,33 +21,27 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// startsMost is how often a task that crashes its workers may be started, as the users
-// state it: two times more after three workers have crashed under it.
-const startsMost = 5
+// maxStarts is how often a task that crashes its workers may be started: two times more after
+// three workers have crashed under it, as users require.
+const maxStarts = 5
 
-// firstTask is the name of the first task of job 1.
+// firstTask returns the name of the first task of job 1.
 func firstTask() string {
 	return job.New(jobID(1), job.Terms{}, batch(1, 1)).TaskID(job.TaskRef{})
 }
 
-// TestTaskThatCrashesItsWorkers is the story of a task that ends the process of each
-// worker which starts it.
-//
-// Users saw it started 35 times in 110 s; eight such tasks took 281 workers with them,
-// and 1,715 attempts that stood beside them. Order of events: a worker starts the task
-// and its process ends 10 ms later without a word; its entry goes after 2.1 s; 3.2 s
-// after the crash another process is listed at its address; all that stood on the worker
-// ends as lapsed, and starts again 15 ms later on other workers, the task among them.
-// Cause: the end of a worker counted against none of its attempts, in no owner's memory
-// and in no row, so nothing bounded the tries. Evidence: in the record attempts 6 and 7
-// follow each other within 15 ms of the news, among fifteen that end alike, with no failure
-// counted; under this test the starts never end, also with an owner for each crash.
+// TestTaskThatCrashesItsWorkers guards against a task that crashes each worker which starts it
+// and is started again without limit, 35 times in 110 s. The worker ends 10 ms after the
+// start, its entry is removed 2.1 s later, and another process is listed at its address 3.2 s
+// after the crash. All attempts of the worker then ended as lapsed, so the crash counted
+// against none of its tasks, neither in the owner's memory nor in a row that the next owner
+// reads.
 func TestTaskThatCrashesItsWorkers(t *testing.T) {
 	for _, owners := range []string{"one owner", "an owner for each crash"} {
 		t.Run(owners, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cr, ow := startCrashes(t, newLab(t, 6), 1)
-				cr.submit(ow, 2, lasting(12))
+				cr, ow := startCrashLab(t, newLab(t, 6), 1)
+				cr.submit(ow, 2, longRunning(12))
 				time.Sleep(time.Second)
 				cr.submit(ow, 1, batch(1, 2))
 				for range 6 {
@@ -55,10 +49,11 @@
 					if owners != "one owner" {
 						ow = cr.own()
 					}
-					// As long as it takes to give up what stood on a worker that was never seen.
+					// As long as it takes to give up the attempts on a worker that was never
+					// seen.
 					time.Sleep(16 * time.Second)
 				}
-				qt.Check(t, cr.starts(firstTask()) <= startsMost, qt.IsTrue, qt.Commentf("%d starts", cr.starts(firstTask())))
+				qt.Check(t, cr.starts(firstTask()) <= maxStarts, qt.IsTrue, qt.Commentf("%d starts", cr.starts(firstTask())))
 				qt.Check(t, cr.state(ow, 1), qt.Equals, job.Failed)
 				cr.assertRunning(12)
 			})
@@ -66,17 +61,17 @@
 	}
 }
 
-// TestCrashedWorkersComeBackElsewhere has the workers of a task that crashes them come back
-// at other addresses, so that only their leases tell of their end.
-func TestCrashedWorkersComeBackElsewhere(t *testing.T) {
+// TestCrashedWorkersRestartAtOtherAddresses guards against crashes that are not counted when
+// the workers come back at other addresses, so that only lapsed leases show that they ended.
+func TestCrashedWorkersRestartAtOtherAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr := newCrashes(t, newLab(t, 6))
-		cr.elsewhere = true
-		cr.crashing(1)
+		cr := newCrashLab(t, newLab(t, 6))
+		cr.newAddress = true
+		cr.setCrashingJobs(1)
 		ow := cr.own()
 		defer func() { cr.end() }()
 		time.Sleep(time.Second)
-		cr.submit(ow, 2, lasting(12))
+		cr.submit(ow, 2, longRunning(12))
 		time.Sleep(time.Second)
 		cr.submit(ow, 1, batch(1, 2))
 		time.Sleep(80 * time.Second)
@@ -86,12 +81,12 @@
 	})
 }
 
-// TestLastingTaskThatCrashesItsWorkers has one of six tasks that last crash its workers:
-// its job ends, as it would be started for ever else.
-func TestLastingTaskThatCrashesItsWorkers(t *testing.T) {
+// TestLongRunningTaskThatCrashesItsWorkers guards against a long-running job that is restarted
+// forever because one of its six tasks crashes its workers. The job must fail.
+func TestLongRunningTaskThatCrashesItsWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr, ow := startCrashes(t, newLab(t, 6), 1)
-		cr.submit(ow, 1, lasting(6))
+		cr, ow := startCrashLab(t, newLab(t, 6), 1)
+		cr.submit(ow, 1, longRunning(6))
 		time.Sleep(30 * time.Second)
 		qt.Check(t, cr.starts(firstTask()), qt.Equals, 3)
 		qt.Check(t, cr.state(ow, 1), qt.Equals, job.Failed)
@@ -99,21 +94,22 @@
 	})
 }
 
-// TestThirdTryIsAlone checks that nothing begins beside a task that is given up at the
-// next crash, and that all that stood there had got over its start.
-func TestThirdTryIsAlone(t *testing.T) {
+// TestThirdAttemptIsIsolated guards against other tasks that start beside a task which is
+// given up at the next crash, or that are still in their startup there: the crash would also
+// count against them.
+func TestThirdAttemptIsIsolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr := newCrashes(t, newLab(t, 2))
-		cr.crashing(1)
+		cr := newCrashLab(t, newLab(t, 2))
+		cr.setCrashingJobs(1)
 		short := cr.fleet.RunFunc
 		cr.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 			if at.Task == firstTask() {
-				return 400 * time.Millisecond, standin.Crashes
+				return 400 * time.Millisecond, standin.OutcomeCrash
 			}
 			return short(at)
 		}
-		// The next process settles late, so that the task is tried where others are at work.
-		cr.throughFunc = slowToSettle
+		// The next process settles late, so the task is tried where other attempts run.
+		cr.wrapAgentFunc = slowToSettle
 		ow := cr.own()
 		defer func() { cr.end() }()
 		time.Sleep(time.Second)
@@ -131,7 +127,7 @@
 			tries++
 			for _, ru := range cr.fleet.Runs() {
 				beside := ru.Worker == third.Worker && ru.Task != third.Task && ru.Until.After(third.From)
-				qt.Check(t, beside && third.From.Sub(ru.From) < provenAfter, qt.IsFalse, qt.Commentf("%s began %v before", ru.Task, third.From.Sub(ru.From)))
+				qt.Check(t, beside && third.From.Sub(ru.From) < startupDuration, qt.IsFalse, qt.Commentf("%s began %v before", ru.Task, third.From.Sub(ru.From)))
 			}
 		}
 		qt.Check(t, tries, qt.Equals, 1)
@@ -141,12 +137,12 @@
 	})
 }
 
-// slowToSettle has workers that came back answer no look before 400 ms.
+// slowToSettle makes restarted workers answer no poll for 400 ms.
 func slowToSettle(ag worker.Agent) worker.Agent {
-	look := ag.LookFunc
+	poll := ag.PollFunc
 	var mu sync.Mutex
 	first := map[worker.Incarnation]time.Time{}
-	ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
 		mu.Lock()
 		if first[ad.Incarnation].IsZero() {
 			first[ad.Incarnation] = time.Now()
@@ -154,20 +150,21 @@
 		wait := 400*time.Millisecond - time.Since(first[ad.Incarnation])
 		mu.Unlock()
 		if strings.HasPrefix(ad.Incarnation.ID, "life-") && !clock.Sleep(ctx, max(wait, 0)) {
-			return worker.Sight{}, ctx.Err()
+			return worker.PollResult{}, ctx.Err()
 		}
-		return look(ctx, ad, lo)
+		return poll(ctx, ad, lo)
 	}
 	return ag
 }
 
-// TestSuspectsOfOneJobAreNotKeptWaiting has six tasks that last lose their workers twice,
-// by nobody's doing, each time just after they began: they are tried alone, and all are
-// back within the time that users bear for one that lasts.
-func TestSuspectsOfOneJobAreNotKeptWaiting(t *testing.T) {
+// TestSuspectsOfOneJobRestartInTime guards against long waits of suspect tasks of one job. Six
+// long-running tasks lose their workers twice just after they started, by crashes that no task
+// caused. They are tried isolated, and all must run again within the outage that users accept
+// for long-running tasks.
+func TestSuspectsOfOneJobRestartInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr, ow := startCrashes(t, newLab(t, 12))
-		cr.submit(ow, 1, lasting(6))
+		cr, ow := startCrashLab(t, newLab(t, 12))
+		cr.submit(ow, 1, longRunning(6))
 		for range 2 {
 			time.Sleep(100 * time.Millisecond)
 			for _, fw := range cr.workers() {
@@ -175,7 +172,7 @@
 					cr.crash(fw)
 				}
 			}
-			time.Sleep(backAfter)
+			time.Sleep(crashRestartAfter)
 		}
 		time.Sleep(3 * time.Second)
 		cr.assertRunning(6)
@@ -183,120 +180,122 @@
 	})
 }
 
-// TestWorkersThatLeaveAreNobodysDoing has workers end four times just after a task began
-// there, which said that they drain, or whose entry went while they still answered.
-func TestWorkersThatLeaveAreNobodysDoing(t *testing.T) {
+// TestPlannedWorkerExitBlamesNoTask guards against a task that is blamed for the ends of four
+// workers which left as planned just after it started there: they drained, or still answered
+// after their entries were removed.
+func TestPlannedWorkerExitBlamesNoTask(t *testing.T) {
 	for _, drains := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			la, li := loggedLab(t, 6)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			defer end()
 			time.Sleep(time.Second)
 			la.submit(ow, 1, batch(1, 1))
 			for range 4 {
 				time.Sleep(50 * time.Millisecond)
-				i := slices.IndexFunc(la.crew, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
+				i := slices.IndexFunc(la.fleetWorkers, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
 				leaving := la.listed()[i]
 				leaving.Draining, leaving.Remaining = true, time.Minute
 				if drains {
-					ow.SetWorkers([]Listed{leaving}, nil, false)
+					ow.SetWorkers([]WorkerEntry{leaving}, nil, false)
 				} else {
 					ow.SetWorkers(nil, []string{leaving.Incarnation.ID}, false)
 				}
 				if drains {
 					time.Sleep(300 * time.Millisecond)
 				} else {
-					// A look has come back since.
+					// A poll is answered in this time.
 					time.Sleep(1100 * time.Millisecond)
 				}
-				_, now := la.nextLife(i)
-				ow.SetWorkers([]Listed{now}, nil, false)
+				_, next := la.replaceProcess(i)
+				ow.SetWorkers([]WorkerEntry{next}, nil, false)
 				time.Sleep(time.Second)
 			}
 			time.Sleep(6 * time.Second)
 			qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-			qt.Check(t, li.with("end=lapsed"), qt.HasLen, 4)
-			qt.Check(t, len(li.with("end=crashed"))+len(li.with("end=lost")), qt.Equals, 0)
-			la.assertNothingTwice()
+			qt.Check(t, li.matching("end=lapsed"), qt.HasLen, 4)
+			qt.Check(t, len(li.matching("end=crashed"))+len(li.matching("end=lost")), qt.Equals, 0)
+			la.assertRunsConsistent()
 		})
 	}
 }
 
-// TestRefusedByTheNextProcess has an order reach the process that came after a crash: its
-// attempt had no part in that.
-func TestRefusedByTheNextProcess(t *testing.T) {
+// TestOrderRefusedByNextProcessBlamesNoTask guards against a task that is blamed for a crash
+// although its order reached only the process that started after it.
+func TestOrderRefusedByNextProcessBlamesNoTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 1)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 100})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 100})
 		go la.submit(ow, 1, batch(1, 1))
 		time.Sleep(99 * time.Millisecond)
-		la.nextLife(0)
+		la.replaceProcess(0)
 		time.Sleep(time.Second)
 		ow.SetWorkers(la.listed(), nil, true)
 		time.Sleep(3 * time.Second)
-		qt.Check(t, li.with("end=never-ran", "refused by another process"), qt.HasLen, 1)
-		qt.Check(t, len(li.with("end=crashed"))+len(li.with("end=lost")), qt.Equals, 0)
+		qt.Check(t, li.matching("end=never-ran", "refused by another process"), qt.HasLen, 1)
+		qt.Check(t, len(li.matching("end=crashed"))+len(li.matching("end=lost")), qt.Equals, 0)
 		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 	})
 }
 
-// TestSilenceIsNoProof has a worker that has just begun a task fall silent, and another
-// process listen at its address 3 s later: when it ended nobody knows.
-func TestSilenceIsNoProof(t *testing.T) {
+// TestUnresponsiveWorkerIsNoProofOfACrash guards against a task that counts as having crashed
+// its worker when the worker stopped answering just after the start and was replaced 4 s
+// later: when it ended is not known.
+func TestUnresponsiveWorkerIsNoProofOfACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
-		var silent atomic.Pointer[worker.Incarnation]
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-				si, err := look(ctx, ad, lo)
-				if id := silent.Load(); id != nil && *id == ad.Incarnation {
+		var unresponsive atomic.Pointer[worker.Incarnation]
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
+			poll := ag.PollFunc
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+				si, err := poll(ctx, ad, lo)
+				if id := unresponsive.Load(); id != nil && *id == ad.Incarnation {
 					<-ctx.Done()
-					return worker.Sight{}, ctx.Err()
+					return worker.PollResult{}, ctx.Err()
 				}
 				return si, err
 			}
 			return ag
 		}
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(10 * time.Millisecond)
-		i := slices.IndexFunc(la.crew, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
-		silent.Store(&la.crew[i].Addr.Incarnation)
+		i := slices.IndexFunc(la.fleetWorkers, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
+		unresponsive.Store(&la.fleetWorkers[i].Addr.Incarnation)
 		time.Sleep(4 * time.Second)
-		silent.Store(nil)
-		_, now := la.nextLife(i)
-		ow.SetWorkers([]Listed{now}, nil, false)
+		unresponsive.Store(nil)
+		_, next := la.replaceProcess(i)
+		ow.SetWorkers([]WorkerEntry{next}, nil, false)
 		time.Sleep(6 * time.Second)
-		qt.Check(t, li.with("end=lost"), qt.HasLen, 1)
-		qt.Check(t, li.with("end=crashed"), qt.HasLen, 0)
+		qt.Check(t, li.matching("end=lost"), qt.HasLen, 1)
+		qt.Check(t, li.matching("end=crashed"), qt.HasLen, 0)
 		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 	})
 }
 
-// TestGivingUpIsTold has the way from a job's id to the reason in the log, and the
-// counters.
-func TestGivingUpIsTold(t *testing.T) {
+// TestTaskGivenUpIsLogged guards against log lines and counters from which an operator cannot
+// tell why a job was given up. A search for the job's id must lead to the reason.
+func TestTaskGivenUpIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 6)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
-		cr, ow := startCrashes(t, la, 1)
+		cr, ow := startCrashLab(t, la, 1)
 		cr.submit(ow, 1, batch(1, 1))
 		time.Sleep(20 * time.Second)
 		id := "job=" + jobID(1)
-		qt.Check(t, li.with(`msg="attempt ended"`, id, "end=crashed"), qt.HasLen, 3)
-		qt.Check(t, li.with(`msg="trying a task under which workers ended"`, id, "crashes=1", "how=apart"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="trying a task under which workers ended"`, id, "crashes=2", "how=alone"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="task given up"`, id, "why=crashes", "attempt=3", "crashes=3"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="attempt ended"`, id, "end=crashed"), qt.HasLen, 3)
+		qt.Check(t, li.matching(`msg="trying a task under which workers ended"`, id, "crashes=1", "how=apart"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="trying a task under which workers ended"`, id, "crashes=2", "how=alone"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="task given up"`, id, "why=crashes", "attempt=3", "crashes=3"), qt.HasLen, 1)
 		re := httptest.NewRecorder()
 		page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		for _, line := range []string{
@@ -308,22 +307,22 @@
 	})
 }
 
-// TestFailureOfASilentWorkersAttempt has a worker fall silent until its leases have lapsed,
-// and then list the attempt that was given up as failed. The task does not begin once more
-// than its queue allows.
-func TestFailureOfASilentWorkersAttempt(t *testing.T) {
+// TestFailureOfAnUnresponsiveWorkersAttempt guards against one attempt more than the queue
+// allows. A worker does not answer until its leases have lapsed and then lists the attempt,
+// which was given up, as failed.
+func TestFailureOfAnUnresponsiveWorkersAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 2500 * time.Millisecond, "failed" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(300 * time.Millisecond)
-		silent, _ := la.busiest()
-		silent.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		unresponsive, _ := la.busiest()
+		unresponsive.Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 		time.Sleep(10 * time.Second)
-		silent.Gate.Set(standin.Fault{})
+		unresponsive.Faults.Set(standin.Fault{})
 		time.Sleep(20 * time.Second)
 		qt.Check(t, la.state(ow, 1), qt.Equals, job.Failed)
 		qt.Check(t, la.fleet.Runs(), qt.HasLen, 3)
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -15,82 +15,82 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Times of workers that crash, as the users' do.
+// Times of crashes, as in production.
 const (
-	// entryStays is how long the entry of a crashed worker stays: three heartbeats.
-	entryStays = 2100 * time.Millisecond
-	// backAfter is when another process listens and is listed.
-	backAfter = 3200 * time.Millisecond
-	// crashWork is how long a task lasts that crashes its worker.
-	crashWork = 10 * time.Millisecond
+	// crashedEntryTTL is how long the entry of a crashed worker stays: three heartbeats.
+	crashedEntryTTL = 2100 * time.Millisecond
+	// crashRestartAfter is the time from a crash until another process listens and is listed.
+	crashRestartAfter = 3200 * time.Millisecond
+	// crashDelay is the time from the start of a task to the crash that it causes.
+	crashDelay = 10 * time.Millisecond
 )
 
-// crashes is a lab whose workers come back some seconds after a crash, with another
-// incarnation at the same address.
-type crashes struct {
+// crashLab is a lab whose workers restart some seconds after a crash, as another incarnation
+// at the same address.
+type crashLab struct {
 	*lab
 
-	// elsewhere has workers come back at other addresses.
-	elsewhere bool
-	// forGood has workers not come back.
-	forGood bool
-	// stays and back replace entryStays and backAfter, if set.
-	stays, back time.Duration
+	// newAddress makes workers restart at other addresses.
+	newAddress bool
+	// noRestart makes workers not restart.
+	noRestart bool
+	// entryTTL and restartAfter replace crashedEntryTTL and crashRestartAfter, if set.
+	entryTTL, restartAfter time.Duration
 
 	mu sync.Mutex
 	ow *Owner
-	// end ends the owner.
-	end   context.CancelFunc
-	lives int
-	// entries has the list of workers: those of dead ones stay for a while.
-	entries map[worker.Incarnation]Listed
-	// killed counts the workers that tasks crashed.
-	killed int
-	// down are workers that are not back yet.
+	// end stops the owner.
+	end      context.CancelFunc
+	restarts int
+	// entries is the list of workers, with those of dead ones that are not removed yet.
+	entries map[worker.Incarnation]WorkerEntry
+	// crashed counts the workers that tasks crashed.
+	crashed int
+	// down has the workers that have not restarted yet.
 	down map[*standin.FleetWorker]bool
 }
 
-func newCrashes(t *testing.T, la *lab) *crashes {
+func newCrashLab(t *testing.T, la *lab) *crashLab {
 	t.Helper()
-	cr := &crashes{lab: la, stays: entryStays, back: backAfter, entries: map[worker.Incarnation]Listed{}, down: map[*standin.FleetWorker]bool{}}
+	cr := &crashLab{lab: la, entryTTL: crashedEntryTTL, restartAfter: crashRestartAfter, entries: map[worker.Incarnation]WorkerEntry{}, down: map[*standin.FleetWorker]bool{}}
 	for _, li := range la.listed() {
 		cr.entries[li.Incarnation] = li
 	}
 	la.fleet.CrashedFunc = func(fw *standin.FleetWorker) {
 		cr.mu.Lock()
-		cr.killed++
+		cr.crashed++
 		cr.mu.Unlock()
-		cr.revive(fw)
+		cr.scheduleRestart(fw)
 	}
 	return cr
 }
 
-// startCrashes returns a lab whose workers are crashed by the first tasks of some jobs, and
-// its owner, a second old.
-func startCrashes(t *testing.T, la *lab, jobs ...int) (*crashes, *Owner) {
+// startCrashLab returns a lab whose workers are crashed by the first tasks of some jobs, and
+// its owner after a second.
+func startCrashLab(t *testing.T, la *lab, jobs ...int) (*crashLab, *Owner) {
 	t.Helper()
-	cr := newCrashes(t, la)
-	cr.crashing(jobs...)
+	cr := newCrashLab(t, la)
+	cr.setCrashingJobs(jobs...)
 	ow := cr.own()
 	t.Cleanup(func() { cr.end() })
 	time.Sleep(time.Second)
 	return cr, ow
 }
 
-// own starts an owner; the one before ends.
-func (cr *crashes) own() *Owner {
+// own starts an owner and stops the one before.
+func (cr *crashLab) own() *Owner {
 	cr.t.Helper()
 	if cr.end != nil {
 		cr.end()
 	}
-	ow, loaded, end := cr.begin()
+	ow, loaded, end := cr.startLoading()
 	if err := <-loaded; err != nil {
 		cr.t.Fatal(err)
 	}
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	cr.ow, cr.end = ow, end
-	var list []Listed
+	var list []WorkerEntry
 	for _, li := range cr.entries {
 		list = append(list, li)
 	}
@@ -98,61 +98,61 @@
 	return ow
 }
 
-// list changes the list of workers and tells the owner.
-func (cr *crashes) list(li Listed, gone bool) {
+// setEntry adds an entry to the list of workers or removes it, and notifies the owner.
+func (cr *crashLab) setEntry(li WorkerEntry, removed bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	if gone {
+	if removed {
 		delete(cr.entries, li.Incarnation)
 		cr.ow.SetWorkers(nil, []string{li.Incarnation.ID}, false)
 		return
 	}
 	cr.entries[li.Incarnation] = li
-	cr.ow.SetWorkers([]Listed{li}, nil, false)
+	cr.ow.SetWorkers([]WorkerEntry{li}, nil, false)
 }
 
-// crash ends a worker by nobody's doing.
-func (cr *crashes) crash(fw *standin.FleetWorker) {
+// crash ends a worker without a task that caused it.
+func (cr *crashLab) crash(fw *standin.FleetWorker) {
 	cr.fleet.Kill(fw)
-	cr.revive(fw)
+	cr.scheduleRestart(fw)
 }
 
-// revive has a worker that has just crashed lose its entry and come back.
-func (cr *crashes) revive(fw *standin.FleetWorker) {
+// scheduleRestart schedules the removal of a crashed worker's entry and its restart.
+func (cr *crashLab) scheduleRestart(fw *standin.FleetWorker) {
 	cr.mu.Lock()
 	cr.down[fw] = true
 	was := cr.entries[fw.Addr.Incarnation]
 	cr.mu.Unlock()
-	time.AfterFunc(cr.stays, func() { cr.list(was, true) })
-	if cr.forGood {
+	time.AfterFunc(cr.entryTTL, func() { cr.setEntry(was, true) })
+	if cr.noRestart {
 		return
 	}
-	time.AfterFunc(cr.back, func() { cr.rise(fw, was) })
+	time.AfterFunc(cr.restartAfter, func() { cr.restartProcess(fw, was) })
 }
 
-// rise has another process listen at a worker's address.
-func (cr *crashes) rise(fw *standin.FleetWorker, was Listed) {
+// restartProcess starts another process at a worker's address.
+func (cr *crashLab) restartProcess(fw *standin.FleetWorker, was WorkerEntry) {
 	cr.mu.Lock()
-	cr.lives++
-	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", cr.lives)}}, Holds: fw.Holds}
-	if cr.elsewhere {
-		next.Addr.HostPort = fmt.Sprintf("10.1.0.%d:80", cr.lives)
+	cr.restarts++
+	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", cr.restarts)}}, Capacity: fw.Capacity}
+	if cr.newAddress {
+		next.Addr.HostPort = fmt.Sprintf("10.1.0.%d:80", cr.restarts)
 	}
 	cr.fleet.Add(next)
-	for i := range cr.crew {
-		if cr.crew[i] == fw {
-			cr.crew[i] = next
+	for i := range cr.fleetWorkers {
+		if cr.fleetWorkers[i] == fw {
+			cr.fleetWorkers[i] = next
 		}
 	}
 	cr.mu.Unlock()
 	was.Addr = next.Addr
-	cr.list(was, false)
+	cr.setEntry(was, false)
 }
 
-// crashing has the first task of some jobs crash each worker that starts it; tasks of other
-// jobs take a while, or last.
-func (cr *crashes) crashing(jobs ...int) {
-	cr.crashingTasks(func(id string, ref job.TaskRef) bool {
+// setCrashingJobs makes the first task of some jobs crash each worker that starts it. Other
+// tasks take a second, or are long-running.
+func (cr *crashLab) setCrashingJobs(jobs ...int) {
+	cr.setCrashingTasks(func(id string, ref job.TaskRef) bool {
 		for _, n := range jobs {
 			if id == jobID(n) && ref.Index == 0 {
 				return true
@@ -162,13 +162,13 @@
 	})
 }
 
-// crashingTasks has the tasks crash that crash says.
-func (cr *crashes) crashingTasks(crash func(id string, ref job.TaskRef) bool) {
+// setCrashingTasks makes the tasks crash their workers for which crash returns true.
+func (cr *crashLab) setCrashingTasks(crash func(id string, ref job.TaskRef) bool) {
 	cr.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 		id, ref, _ := job.ParseTaskID(at.Task)
 		switch {
 		case crash(id, ref):
-			return crashWork, standin.Crashes
+			return crashDelay, standin.OutcomeCrash
 		case cr.spec(id).Steps[ref.Step].Endless:
 			return -1, ""
 		}
@@ -177,7 +177,7 @@
 }
 
 // starts counts the runs of a task.
-func (cr *crashes) starts(task string) int {
+func (cr *crashLab) starts(task string) int {
 	n := 0
 	for _, ru := range cr.fleet.Runs() {
 		if ru.Task == task {
@@ -187,17 +187,17 @@
 	return n
 }
 
-// workers returns the workers as they are now; others may be about to come back.
-func (cr *crashes) workers() []*standin.FleetWorker {
+// workers returns the current workers; some may not have restarted yet.
+func (cr *crashLab) workers() []*standin.FleetWorker {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	return slices.Clone(cr.crew)
+	return slices.Clone(cr.fleetWorkers)
 }
 
-// crashAny crashes one of the workers that are up.
-func (cr *crashes) crashAny(rt *rapid.T) {
+// crashAny crashes a random worker, if it is up.
+func (cr *crashLab) crashAny(rt *rapid.T) {
 	cr.mu.Lock()
-	fw := cr.crew[rapid.IntRange(0, len(cr.crew)-1).Draw(rt, "worker")]
+	fw := cr.fleetWorkers[rapid.IntRange(0, len(cr.fleetWorkers)-1).Draw(rt, "worker")]
 	up := !cr.down[fw]
 	cr.mu.Unlock()
 	if up {
@@ -205,13 +205,13 @@
 	}
 }
 
-// checkAmongOthers checks starts and states of jobs once all workers are back.
-func (cr *crashes) checkAmongOthers(rt *rapid.T, ow *Owner, jobs, owners int, crashing []int) {
+// checkRandomCrashes checks the starts and states of the jobs once all workers are back.
+func (cr *crashLab) checkRandomCrashes(rt *rapid.T, ow *Owner, jobs, owners int, crashing []int) {
 	ends := map[string]int{}
 	crashed := map[int]int{}
 	for _, ru := range cr.fleet.Runs() {
 		id, _, _ := job.ParseTaskID(ru.Task)
-		if ru.How == "killed" || ru.How == standin.Crashes {
+		if ru.Outcome == "killed" || ru.Outcome == standin.OutcomeCrash {
 			ends[ru.Task]++
 			crashed[jobNumber(id)] = max(crashed[jobNumber(id)], ends[ru.Task])
 		}
@@ -220,7 +220,7 @@
 		state := cr.state(ow, n)
 		switch {
 		case slices.Contains(crashing, n):
-			if state != job.Failed || crashed[n] > startsMost || (owners == 1 && crashed[n] > 3) {
+			if state != job.Failed || crashed[n] > maxStarts || (owners == 1 && crashed[n] > 3) {
 				rt.Errorf("job %d crashed %d workers with one task under %d owners and is %s", n, crashed[n], owners, state)
 			}
 		case state == job.Failed && crashed[n] >= 2:
@@ -228,7 +228,7 @@
 			rt.Errorf("job %d is %s, after %d crashes under one task", n, state, crashed[n])
 		}
 	}
-	for _, problem := range cr.problems() {
+	for _, problem := range cr.runProblems() {
 		rt.Error(problem)
 	}
 }
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -9,41 +9,43 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// askOthers has the workers asked at once that are known at the address of one that was
-// just listed, or under its id. Which of them lives only an answer can tell: the entry of one
-// that crashed stays for three heartbeats, and may be written once more after that of the
-// next.
-func (ow *Owner) askOthers(li Listed) {
-	for _, other := range ow.others(li.Addr) {
+// pollOthers makes the owner poll at once the workers known at the address of a worker that
+// was just listed, or under its id. Only an answer shows which of them runs: the entry of a
+// crashed process stays for three heartbeats, and may be written once more after that of the
+// next one.
+func (ow *Owner) pollOthers(li WorkerEntry) {
+	for _, other := range ow.sameAddrOrID(li.Addr) {
 		ow.Log.Info("another process is listed at a worker's address or under its id", "worker", other.incarnation, "addr", li.HostPort, "other", li.Incarnation,
-			"heard", other.quietFor(time.Now()))
-		nudge(other.rerouted)
+			"heard", other.sinceLastContact(time.Now()))
+		wake(other.pathChanged)
 	}
 }
 
-// outlive notes that the worker answered to a look. Another one at its address that
-// answered before the look was sent has ended, as one process listens at a time, and so has
-// another life that was known before.
-func (ho *host) outlive(sent time.Time) {
+// supersedeOthers handles that the worker answered a poll. One process at a time listens at an
+// address, so another worker there that last answered before the poll was sent has ended. So
+// has another incarnation of the worker that was known before that.
+func (ho *workerState) supersedeOthers(sent time.Time) {
 	if len(ho.ow.byAddr[ho.HostPort]) < 2 && len(ho.ow.byID[ho.incarnation.ID]) < 2 {
 		return
 	}
-	for _, other := range ho.ow.others(ho.Addr) {
+	for _, other := range ho.ow.sameAddrOrID(ho.Addr) {
 		switch {
 		case other == ho || other.dead:
 		case other.incarnation.ID == ho.incarnation.ID:
-			// One process at a time has an id, and the other began before this one answered.
-			if other.entered.Before(sent) {
-				other.giveWay(ho)
+			// One process at a time has an id, and the other one started before this one
+			// answered.
+			if other.firstSeen.Before(sent) {
+				other.supersedeBy(ho)
 			}
-		case !other.seen.IsZero() && other.seen.Before(sent):
-			other.die("another process answers at its address", ho.incarnation)
+		case !other.lastPoll.IsZero() && other.lastPoll.Before(sent):
+			other.markDead("another process answers at its address", ho.incarnation)
 		}
 	}
 }
 
-// others returns the workers known at an address, and those with the id of the one there.
-func (ow *Owner) others(ad worker.Addr) []*host {
+// sameAddrOrID returns the workers known at an address and those known with the id of its
+// worker, including that worker.
+func (ow *Owner) sameAddrOrID(ad worker.Addr) []*workerState {
 	list := slices.Clone(ow.byAddr[ad.HostPort])
 	for _, ho := range ow.byID[ad.Incarnation.ID] {
 		if ho.HostPort != ad.HostPort && !ho.dead {
@@ -53,66 +55,67 @@
 	return list
 }
 
-// die notes that the worker's process has ended, and all that it ran. The other process
-// at its address is by, if that is known.
-func (ho *host) die(why string, by worker.Incarnation) {
+// markDead records that the worker's process has ended, and with it all its attempts. The
+// process that replaced it at its address is by, if that is known.
+func (ho *workerState) markDead(why string, by worker.Incarnation) {
 	if ho.dead {
 		return
 	}
 	ho.dead = true
-	ho.tellDeath(why, by, time.Now())
+	ho.logDeath(why, by, time.Now())
 	ho.endDead(why)
-	ho.leave()
-	ho.ow.dropIdle(ho)
+	ho.disconnect()
+	ho.ow.removeIfIdle(ho)
 }
 
-// endSilent notes that the leases have lapsed of all that was ordered there. A worker
-// without an entry has most likely ended, and may be back at another address; one that
-// is listed, or may be if the list is in trouble, is cut off.
-func (ho *host) endSilent(now time.Time) {
-	ho.endAll(ho.gone && !ho.left() && ho.ow.listSound(now), "its leases have lapsed")
+// endLapsed ends all attempts on a worker whose leases have lapsed. The process of a worker
+// without an entry has most likely ended and may be back at another address, so its attempts
+// may be blamed for a crash. A worker that is listed, or whose entry may be missing only
+// because the list is unreliable, counts as unreachable.
+func (ho *workerState) endLapsed(now time.Time) {
+	ho.endAll(ho.unlisted && !ho.leftAsPlanned() && ho.ow.listReliable(now), "its leases have lapsed")
 }
 
-// endAll notes the end of all that stood on a lost worker, and who may have ended it if its
-// process has, other than by a planned end.
-func (ho *host) endAll(crashed bool, why string) {
+// endAll ends all attempts on a lost worker. If crashed is set, its process ended unplanned,
+// and the ends say which attempts may have caused that.
+func (ho *workerState) endAll(crashed bool, why string) {
 	var le lostEnds
 	for at := range ho.attempts {
-		end := at.verdictIf(crashed)
+		end := at.lossEnd(crashed)
 		le.add(at.step(), end)
-		ho.ow.end(at.en, at.ref, at.number, end, "", why)
+		ho.ow.recordEnd(at.en, at.ref, at.number, end, "", why)
 	}
-	ho.ow.tellLost(ho.incarnation, le, why, ho.quietFor(time.Now()))
+	ho.ow.logLost(ho.incarnation, le, why, ho.sinceLastContact(time.Now()))
 }
 
-// verdictIf is how an attempt ended on a worker that was lost, and whose process has ended
-// other than by a planned end if crashed is set.
-func (at *attempt) verdictIf(crashed bool) job.End {
+// lossEnd returns how the attempt ended on a lost worker; crashed says that the worker's
+// process ended unplanned.
+func (at *attempt) lossEnd(crashed bool) job.End {
 	switch {
-	case at.ends != "":
-		return at.ends
+	case at.endIfNotRun != "":
+		return at.endIfNotRun
 	case crashed:
-		return at.verdict()
+		return at.crashEnd()
 	}
 	return job.EndLapsed
 }
 
-// endDead notes the end of all that stood on a worker whose process has ended, and who may
-// have ended it.
-func (ho *host) endDead(why string) {
-	ho.endAll(ho.crashed(), why)
+// endDead ends all attempts on a worker whose process has ended.
+func (ho *workerState) endDead(why string) {
+	ho.endAll(ho.recordCrash(), why)
 }
 
-// crashed reports whether the worker, whose process has ended, ended other than by a
-// planned end, and counts it.
-func (ho *host) crashed() bool {
-	if ho.left() {
+// recordCrash reports whether the worker, whose process has ended, ended unplanned, and counts
+// it in that case.
+func (ho *workerState) recordCrash() bool {
+	if ho.leftAsPlanned() {
 		return false
 	}
 	ho.ow.Metrics.Add(telemetry.WorkersCrashed, 1, "attempts", someOrNone(len(ho.attempts)))
 	return true
 }
 
+// someOrNone returns the metric label of a count.
 func someOrNone(n int) string {
 	if n == 0 {
 		return "none"
@@ -120,101 +123,102 @@
 	return "some"
 }
 
-// left reports whether the worker, which has ended, was to: it drained, or still answered
-// after its entry went.
-func (ho *host) left() bool {
-	return ho.Draining || (ho.gone && ho.seen.After(ho.goneAt))
+// leftAsPlanned reports whether the worker, whose process has ended, was expected to: it
+// drained, or still answered after its entry was removed.
+func (ho *workerState) leftAsPlanned() bool {
+	return ho.Draining || (ho.unlisted && ho.lastPoll.After(ho.unlistedAt))
 }
 
-// verdict is what the end of its worker's process means for an attempt.
-func (at *attempt) verdict() job.End {
-	ran := at.sightings().ran
+// crashEnd returns how the attempt ended if its worker's process crashed.
+func (at *attempt) crashEnd() job.End {
+	ran := at.observed().ran
 	switch {
-	case !at.ordered && !at.inherited:
-		return job.EndNever
-	case ran >= lastsAfter:
+	case !at.orderSent && !at.inherited:
+		return job.EndNeverRan
+	case ran >= crashBlameLimit:
 		return job.EndLapsed
-	case ran >= provenAfter, at.ho.silent, !at.inherited && at.launched.IsZero():
-		// What was silent first may have ended long after that, and an order without an
-		// answer may have been the worker's end or come after it. Former owners' orders
-		// count as answered: most were, and a task that outlives its owners in this way
-		// would be started for ever.
+	case ran >= startupDuration, at.ho.unresponsive, !at.inherited && at.launchedAt.IsZero():
+		// An unresponsive worker may have ended long after it stopped answering, and an order
+		// without an answer may have ended the worker or come after its end. Orders of former
+		// owners count as answered: most were, and otherwise a task whose crashes always
+		// coincide with a change of owner would be started forever.
 		return job.EndLost
 	}
 	return job.EndCrashed
 }
 
-// unseenVerdict is what it means for an attempt that its worker was never seen by this
-// owner. If the list of workers is sound, its process has ended: nothing that runs is
-// without an entry for so long.
-func unseenVerdict(pr job.Proof, listSound bool) job.End {
+// unseenEnd returns how an attempt ended whose worker this owner never saw. If the list of
+// workers is reliable, the worker's process has ended, since no running process goes without
+// an entry for so long.
+func unseenEnd(pr job.Phase, listSound bool) job.End {
 	switch {
-	case pr == job.Lasting:
+	case pr == job.PhaseStable:
 		return job.EndLapsed
-	case pr == job.Begun || !listSound:
+	case pr == job.PhaseStarted || !listSound:
 		return job.EndLost
 	}
 	return job.EndCrashed
 }
 
-// workedBy is for how long an attempt was at work at least, by what its row says.
-func workedBy(pr job.Proof) time.Duration {
+// minRunTime returns how long an attempt ran at least, by its row.
+func minRunTime(pr job.Phase) time.Duration {
 	switch pr {
-	case job.Begun:
-		return provenAfter
-	case job.Lasting:
-		return lastsAfter
+	case job.PhaseStarted:
+		return startupDuration
+	case job.PhaseStable:
+		return crashBlameLimit
 	}
 	return 0
 }
 
-// Times of attempts at work, as looks list them.
+// Run times of attempts, as polls list them.
 const (
-	// provenAfter is after how long an attempt has got over its start, at which a program
-	// that takes its host down does so: 10 ms as users saw it.
-	provenAfter = 500 * time.Millisecond
-	// lastsAfter is after how long the ends of workers are not put down to a task any
-	// more: three times what a crashed worker takes to come back, so that a task which
-	// crashes its worker later than that costs one of 48 workers a quarter of its time.
-	lastsAfter = 10 * time.Second
+	// startupDuration is the run time after which an attempt is past its startup: a program
+	// that crashes its host does so 10 ms after it starts.
+	startupDuration = 500 * time.Millisecond
+	// crashBlameLimit is the run time after which an attempt is no longer blamed for the crash
+	// of its worker. It is three times as long as a crashed worker takes to come back, so a
+	// task that crashes its worker later than that costs one of 48 workers a quarter of its
+	// time.
+	crashBlameLimit = 10 * time.Second
 )
 
-// sightings are what was seen of an attempt.
-type sightings struct {
-	// acked is set if the worker acknowledged its order, or listed it.
+// observation is what was observed of an attempt.
+type observation struct {
+	// acked is set if the worker acknowledged the order or listed the attempt.
 	acked bool
-	// ran is how long it is known to have run, by its row and the last look that listed it.
+	// ran is how long it ran at least, by its row and the last poll that listed it.
 	ran time.Duration
 }
 
-func (at *attempt) sightings() sightings {
-	se := sightings{acked: !at.launched.IsZero(), ran: at.worked}
-	if at.sighted.After(at.launched) {
-		se.ran += at.sighted.Sub(at.launched)
+// observed returns what was observed of the attempt so far.
+func (at *attempt) observed() observation {
+	ob := observation{acked: !at.launchedAt.IsZero(), ran: at.inheritedRunTime}
+	if at.lastSeenAt.After(at.launchedAt) {
+		ob.ran += at.lastSeenAt.Sub(at.launchedAt)
 	}
-	return se
+	return ob
 }
 
-// tellDeath tells of the end of a worker's process what its attempts are judged by: when
-// it was last heard of, whether it was about to leave, and how many orders it had not
-// answered.
-func (ho *host) tellDeath(why string, by worker.Incarnation, now time.Time) {
+// logDeath logs the end of a worker's process, with what decides how its attempts ended: the
+// last contact, whether it was about to leave, and how many orders it had not answered.
+func (ho *workerState) logDeath(why string, by worker.Incarnation, now time.Time) {
 	unanswered := 0
 	for at := range ho.attempts {
-		if at.launched.IsZero() {
+		if at.launchedAt.IsZero() {
 			unanswered++
 		}
 	}
-	var goneFor time.Duration
-	if ho.gone {
-		goneFor = now.Sub(ho.goneAt)
+	var unlistedFor time.Duration
+	if ho.unlisted {
+		unlistedFor = now.Sub(ho.unlistedAt)
 	}
 	ho.ow.Log.Warn("worker is dead", "worker", ho.incarnation, "attempts", len(ho.attempts), "why", why, "by", by, "unanswered", unanswered,
-		"heard", ho.quietFor(now), "failing_for", since(now, ho.failing), "silent", ho.silent, "listed", !ho.gone, "gone_for", goneFor, "draining", ho.Draining)
+		"heard", ho.sinceLastContact(now), "failing_for", elapsedSince(now, ho.failingSince), "silent", ho.unresponsive, "listed", !ho.unlisted, "gone_for", unlistedFor, "draining", ho.Draining)
 }
 
-// since is how long ago something began, or 0 if it did not.
-func since(now, began time.Time) time.Duration {
+// elapsedSince returns the time since began, or 0 if began is zero.
+func elapsedSince(now, began time.Time) time.Duration {
 	if began.IsZero() {
 		return 0
 	}
--- a/internal/sched/handover.go
+++ b/internal/sched/handover.go
@@ -5,65 +5,66 @@
 	"time"
 )
 
-// Handover returns, once [Owner.Run] has returned or before that, after how many
-// milliseconds at the latest the leases of workers lapse that do not answer, by
-// incarnation. The next owner need not wait for longer.
+// Handover returns, by incarnation, the milliseconds after which the leases of unresponsive
+// workers have expired at the latest. The next owner need not wait longer than that. It can
+// be called before and after [Owner.Run] has returned.
 func (ow *Owner) Handover() map[string]int64 {
-	ow.handing.Lock()
-	defer ow.handing.Unlock()
-	silent := maps.Clone(ow.silent)
-	if ow.given.IsZero() {
-		return silent
+	ow.handoverMu.Lock()
+	defer ow.handoverMu.Unlock()
+	leases := maps.Clone(ow.handoverLeaseMS)
+	if ow.inheritedAt.IsZero() {
+		return leases
 	}
-	passed := time.Since(ow.given).Milliseconds()
-	for incarnation, ms := range silent {
-		silent[incarnation] = max(ms-passed, 0)
+	passed := time.Since(ow.inheritedAt).Milliseconds()
+	for incarnation, ms := range leases {
+		leases[incarnation] = max(ms-passed, 0)
 	}
-	return silent
+	return leases
 }
 
-// noteGiven has [Owner.Handover] return what the former owner handed on, less the time
-// since, until this one has looked for itself: it may end before it has read the cell.
-func (ow *Owner) noteGiven(now time.Time) {
-	ow.handing.Lock()
-	defer ow.handing.Unlock()
-	ow.silent, ow.given = maps.Clone(ow.Tenure.Former.SilentMS), now
+// recordInheritedLeases has [Owner.Handover] return the former owner's values, less the time
+// since, until this owner has values of its own: its tenure may end before it has read the
+// cell.
+func (ow *Owner) recordInheritedLeases(now time.Time) {
+	ow.handoverMu.Lock()
+	defer ow.handoverMu.Unlock()
+	ow.handoverLeaseMS, ow.inheritedAt = maps.Clone(ow.Tenure.Former.LeaseLapseMS), now
 }
 
-// noteAnswer takes a worker that answers off what the next owner is told: its
-// leases are about to be extended.
-func (ow *Owner) noteAnswer(ho *host) {
-	ow.handing.Lock()
-	defer ow.handing.Unlock()
-	delete(ow.silent, ho.incarnation.String())
+// clearUnresponsive removes a worker that answers from what the next owner receives, because
+// its leases are about to be extended.
+func (ow *Owner) clearUnresponsive(ho *workerState) {
+	ow.handoverMu.Lock()
+	defer ow.handoverMu.Unlock()
+	delete(ow.handoverLeaseMS, ho.incarnation.String())
 }
 
-// noteSilent keeps what [Owner.Handover] returns.
-func (ow *Owner) noteSilent(now time.Time) {
-	silent := map[string]int64{}
+// recordUnresponsive updates what [Owner.Handover] returns.
+func (ow *Owner) recordUnresponsive(now time.Time) {
+	leases := map[string]int64{}
 	for incarnation, ho := range ow.hosts {
-		if len(ho.attempts) > 0 && (!ho.settled || !ho.failing.IsZero()) {
-			silent[incarnation.String()] = ho.lapseIn(now)
+		if len(ho.attempts) > 0 && (!ho.settled || !ho.failingSince.IsZero()) {
+			leases[incarnation.String()] = ho.leaseRemainingMS(now)
 		}
 	}
-	for incarnation := range ow.orphans {
-		silent[incarnation.String()] = max(ow.orphansUntil(incarnation).Sub(now).Milliseconds(), 0)
+	for incarnation := range ow.unowned {
+		leases[incarnation.String()] = max(ow.formerLeasesUntil(incarnation).Sub(now).Milliseconds(), 0)
 	}
-	ow.handing.Lock()
-	defer ow.handing.Unlock()
-	ow.silent, ow.given = silent, time.Time{}
+	ow.handoverMu.Lock()
+	defer ow.handoverMu.Unlock()
+	ow.handoverLeaseMS, ow.inheritedAt = leases, time.Time{}
 }
 
-// lapseIn returns the milliseconds until the worker's leases have lapsed by the
-// slowest clock, if they are not extended any more. Looks on their way may have
-// extended them once more since the last note: that is allowed for.
-func (ho *host) lapseIn(now time.Time) int64 {
+// leaseRemainingMS returns the milliseconds until the worker's leases have expired by the
+// slowest clock if they are no longer extended. Polls in flight may have extended them once
+// more since the last recorded value; the result allows for that.
+func (ho *workerState) leaseRemainingMS(now time.Time) int64 {
 	if !ho.settled {
 		return max(ho.unsettledUntil().Sub(now).Milliseconds(), 0)
 	}
-	earliest := ho.clockNow(now)
+	earliest := ho.earliestClock(now)
 	left := float64(ho.leaseUntilMS-earliest) / (1 - clockDrift)
-	if now.Sub(ho.failing) < extendSilent+lookGrace {
+	if now.Sub(ho.failingSince) < extendUnresponsive+pollGrace {
 		left = float64(ho.ow.Limits.MaxLease.Milliseconds()) / (1 - clockDrift)
 	}
 	return max(int64(left)+lapseMargin.Milliseconds(), 0)
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -25,34 +25,36 @@
 
 // lab is one cell with stand-ins for everything outside of it.
 type lab struct {
-	t     testing.TB
-	table standin.Table
-	fleet standin.Fleet
-	crew  []*standin.FleetWorker
-	// former are the entries of processes that ended, in their order.
-	former []Listed
-	epoch  int64
-	// specs are the jobs handed in, by id.
+	t            testing.TB
+	table        standin.Table
+	fleet        standin.Fleet
+	fleetWorkers []*standin.FleetWorker
+	// formerEntries are the list entries of processes that ended, in their order.
+	formerEntries []WorkerEntry
+	epoch         int64
+	// specs are the specs of submitted jobs, by id.
 	mu    sync.Mutex
 	specs map[string]job.Spec
 	log   *slog.Logger
-	// metrics counts, if set.
+	// metrics is passed to owners; it may be nil.
 	metrics *telemetry.Metrics
-	// handover is what the last owner left.
+	// handover has the lease bounds with which the last owner released the cell, by
+	// incarnation: in how many milliseconds the leases of an unresponsive worker lapse.
 	handover map[string]int64
-	// readRate is how many bytes a second owners get from the store, if set.
+	// readRate limits how many bytes a second owners read from the store; 0 is no limit.
 	readRate int
-	// throughFunc changes the client of workers, if set.
-	throughFunc func(worker.Agent) worker.Agent
-	// via is the entry host through which workers are reached, if any.
+	// wrapAgentFunc wraps the client of workers, if set.
+	wrapAgentFunc func(worker.Agent) worker.Agent
+	// via is the relay through which workers are reached, or nil.
 	via atomic.Pointer[string]
-	// viaOf has the entry hosts of workers with one of their own, by id.
-	viaOf map[string]string
-	// listFunc, confirmedFunc and writtenFunc are what owners know of the age of the list
-	// of workers, and of when the store confirmed their tenure and took a heartbeat, if set.
+	// viaByWorker has the relays of workers with one of their own, by id.
+	viaByWorker map[string]string
+	// listFunc, confirmedFunc and writtenFunc replace, if set, what owners are told of the
+	// age of the list of workers, of when the store confirmed their tenure and of when it
+	// accepted a heartbeat.
 	listFunc                   func() (last, since time.Time)
 	confirmedFunc, writtenFunc func() time.Time
-	// formerKnown has owners know that the one before has ceased to act.
+	// formerKnown makes owners know that the former one has ceased to act.
 	formerKnown bool
 }
 
@@ -69,7 +71,7 @@
 func newLab(tb testing.TB, workers int) *lab {
 	tb.Helper()
 	la := &lab{t: tb, specs: map[string]job.Spec{}, log: slog.New(slog.DiscardHandler)}
-	la.fleet.RoomFunc = func(at worker.Attempt) worker.Resources {
+	la.fleet.ResourcesFunc = func(at worker.Attempt) worker.Resources {
 		id, ref, _ := job.ParseTaskID(at.Task)
 		return la.spec(id).Steps[ref.Step].Reserved()
 	}
@@ -80,14 +82,14 @@
 }
 
 func (la *lab) agent() worker.Agent {
-	if la.throughFunc != nil {
-		return la.throughFunc(la.fleet.Agent())
+	if la.wrapAgentFunc != nil {
+		return la.wrapAgentFunc(la.fleet.Agent())
 	}
 	return la.fleet.Agent()
 }
 
-func (la *lab) viaNow(li Listed) string {
-	if via, ok := la.viaOf[li.Incarnation.ID]; ok {
+func (la *lab) currentVia(li WorkerEntry) string {
+	if via, ok := la.viaByWorker[li.Incarnation.ID]; ok {
 		return via
 	}
 	if via := la.via.Load(); via != nil {
@@ -105,22 +107,22 @@
 // addWorker adds a worker at an address of its own.
 func (la *lab) addWorker(i int) {
 	fw := &standin.FleetWorker{
-		Addr:  worker.Addr{HostPort: fmt.Sprintf("10.0.0.%d:80", i), Incarnation: worker.Incarnation{ID: fmt.Sprintf("i-%d", i)}},
-		Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000},
+		Addr:     worker.Addr{HostPort: fmt.Sprintf("10.0.0.%d:80", i), Incarnation: worker.Incarnation{ID: fmt.Sprintf("i-%d", i)}},
+		Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000},
 	}
 	la.fleet.Add(fw)
-	la.crew = append(la.crew, fw)
+	la.fleetWorkers = append(la.fleetWorkers, fw)
 }
 
-func (la *lab) listed() []Listed {
-	var list []Listed
-	for _, fw := range la.crew {
-		list = append(list, Listed{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Holds: fw.Holds})
+func (la *lab) listed() []WorkerEntry {
+	var list []WorkerEntry
+	for _, fw := range la.fleetWorkers {
+		list = append(list, WorkerEntry{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Capacity})
 	}
 	return list
 }
 
-// tenureRow claims the cell for the next owner.
+// claim claims the cell for the next owner.
 func (la *lab) claim() tenure.Tenure {
 	ctx := context.Background()
 	key := "cells/c0/owner"
@@ -128,7 +130,7 @@
 	version, err := la.table.Client().Get(ctx, key, &former)
 	qt.Assert(la.t, err, qt.IsNil)
 	la.epoch++
-	former.SilentMS = la.handover
+	former.LeaseLapseMS = la.handover
 	if la.handover != nil {
 		former.Owner = ""
 	}
@@ -136,7 +138,7 @@
 	qt.Assert(la.t, err, qt.IsNil)
 	version, err = la.table.Client().Commit(ctx, txn)
 	qt.Assert(la.t, err, qt.IsNil)
-	return tenure.Tenure{Epoch: la.epoch, Key: key, Version: version, Former: former, FormerEnded: la.formerEnded(time.Now()), Confirmed: time.Now, Written: time.Now, Backed: time.Now, Renounce: func(error) {}}
+	return tenure.Tenure{Epoch: la.epoch, Key: key, Version: version, Former: former, FormerEnded: la.formerEnded(time.Now()), Confirmed: time.Now, HeartbeatWritten: time.Now, ConfirmedByAny: time.Now, End: func(error) {}}
 }
 
 // client returns the store as owners reach it.
@@ -160,29 +162,30 @@
 	return tbl
 }
 
-// own starts an owner, and returns what ends it.
-func (la *lab) own() (*Owner, context.CancelFunc) {
-	ow, loaded, cancel := la.begin()
+// startOwner starts an owner, waits until it has loaded the cell, and returns it with the
+// function that stops it.
+func (la *lab) startOwner() (*Owner, context.CancelFunc) {
+	ow, loaded, cancel := la.startLoading()
 	qt.Assert(la.t, <-loaded, qt.IsNil)
 	ow.SetWorkers(la.listed(), nil, true)
 	return ow, cancel
 }
 
-// begin starts an owner, and returns what says that it has loaded the cell, or why it
-// ended, and what ends it.
-func (la *lab) begin() (*Owner, <-chan error, context.CancelFunc) {
+// startLoading starts an owner. It returns a channel that receives nil once the owner has
+// loaded the cell, or the error with which it ended, and the function that stops the owner.
+func (la *lab) startLoading() (*Owner, <-chan error, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	te := la.claim()
-	te.Renounce = func(error) { cancel() }
+	te.End = func(error) { cancel() }
 	if la.confirmedFunc != nil {
 		te.Confirmed = la.confirmedFunc
 	}
 	if la.writtenFunc != nil {
-		te.Written = la.writtenFunc
+		te.HeartbeatWritten = la.writtenFunc
 	}
 	ow := New(&Owner{
 		Cell: "c0", Tenure: te, Table: la.client(), Agent: la.agent(), Metrics: la.metrics, Log: la.log,
-		ViaFunc: la.viaNow, ListFunc: la.listFunc,
+		ViaFunc: la.currentVia, ListFunc: la.listFunc,
 		Limits: Limits{MaxLease: 6 * time.Second, StopTime: 900 * time.Millisecond, HarmAfter: 4 * time.Second, KeepEnded: 2 * time.Minute},
 	})
 	loaded := make(chan error, 2)
@@ -190,7 +193,8 @@
 	return ow, loaded, cancel
 }
 
-// batch is a job of steps of like tasks, each after the one before.
+// batch returns a job of steps with the given number of identical tasks, each step after
+// the one before.
 func batch(steps, tasks int) job.Spec {
 	sp := job.Spec{Payload: "work"}
 	for i := range steps {
@@ -205,7 +209,7 @@
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// submit hands a job in and returns the verdict.
+// submit submits a job and returns the verdict, Unknown if there is no answer in time.
 func (la *lab) submit(ow *Owner, n int, sp job.Spec) Verdict {
 	la.mu.Lock()
 	la.specs[jobID(n)] = sp
@@ -225,31 +229,31 @@
 	return state
 }
 
-// assertNothingTwice checks that no task ran in two places at once, none again
-// after it was done, and each after the steps before it.
-func (la *lab) assertNothingTwice() {
-	for _, problem := range la.problems() {
+// assertRunsConsistent checks that no task ran on two workers at once, none again after it
+// was done, and each after the steps before it.
+func (la *lab) assertRunsConsistent() {
+	for _, problem := range la.runProblems() {
 		la.t.Error(problem)
 	}
 }
 
-// problems lists what of that was not so.
-func (la *lab) problems() []string {
+// runProblems lists the violations of these rules.
+func (la *lab) runProblems() []string {
 	runs := la.fleet.Runs()
-	list := standin.RunProblems(runs)
+	list := standin.RunViolations(runs)
 	doneAt := map[string]time.Time{}
 	for _, ru := range runs {
-		if ru.How == "done" {
+		if ru.Outcome == "done" {
 			doneAt[ru.Task] = ru.Until
 		}
 	}
 	for _, ru := range runs {
-		list = append(list, la.outOfOrder(ru, doneAt)...)
+		list = append(list, la.outOfOrderRuns(ru, doneAt)...)
 	}
 	return list
 }
 
-func (la *lab) outOfOrder(ru standin.FleetRun, doneAt map[string]time.Time) []string {
+func (la *lab) outOfOrderRuns(ru standin.FleetRun, doneAt map[string]time.Time) []string {
 	var list []string
 	id, ref, _ := job.ParseTaskID(ru.Task)
 	for _, before := range la.spec(id).Steps[ref.Step].After {
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -13,44 +13,43 @@
 
 // Times of orders.
 const (
-	// launchTimeout is how long the answer to a launch may take before it is
-	// looked into: one order takes under 5 ms where nothing is wrong.
+	// launchTimeout is how long a launch may go without an answer before the owner finds out
+	// what became of it. An order takes under 5 ms in normal operation.
 	launchTimeout = 400 * time.Millisecond
-	// haltTimeout is the same for a halt, which may take the time to stop.
+	// haltTimeout is the same for a halt, which may last as long as the task takes to stop.
 	haltTimeout = 500 * time.Millisecond
-	// settleRetry is the pause between attempts to find out what became of an
-	// order.
-	settleRetry = 200 * time.Millisecond
+	// resolveRetry is the pause between tries to find out what became of an order.
+	resolveRetry = 200 * time.Millisecond
 )
 
-// launch sends the order of an attempt that is durable.
+// launch sends the order of an attempt whose start is durable.
 func (ow *Owner) launch(at *attempt) {
 	if at.en.attempts[at.ref] != at || at.en.jo.State().Final() {
-		ow.unlaunched(at, "job ended before the order was sent")
+		ow.abandonLaunch(at, "job ended before the order was sent")
 		return
 	}
-	// Its start took a write, and the worker may have left the list meanwhile.
-	if at.ho.gone || at.ho.Draining {
-		ow.unlaunched(at, "its worker drains or left the list before the order was sent")
+	// The write of the start took time, in which the worker may have left the list.
+	if at.ho.unlisted || at.ho.Draining {
+		ow.abandonLaunch(at, "its worker drains or left the list before the order was sent")
 		return
 	}
-	if at.ho.isNoted() {
-		ow.unlaunched(at, "its worker does not answer and gets no lease")
+	if at.ho.leaseRecorded() {
+		ow.abandonLaunch(at, "its worker does not answer and gets no lease")
 		return
 	}
-	at.ordered = true
+	at.orderSent = true
 	ta := at.en.jo.Task(at.ref)
 	la := worker.Launch{
 		Attempt: at.name(), Payload: at.en.jo.Spec.Payload, Checkpoint: ta.Checkpoint,
-		LeaseUntilMS: at.ho.leaseNow(time.Now()),
+		LeaseUntilMS: at.ho.nextLeaseEnd(time.Now()),
 	}
 	go ow.sendLaunch(at, la)
 }
 
-// unlaunched ends an attempt whose order was never sent.
-func (ow *Owner) unlaunched(at *attempt, why string) {
+// abandonLaunch ends an attempt whose order was never sent.
+func (ow *Owner) abandonLaunch(at *attempt, why string) {
 	if at.en.attempts[at.ref] == at {
-		ow.end(at.en, at.ref, at.number, job.EndNever, "", why)
+		ow.recordEnd(at.en, at.ref, at.number, job.EndNeverRan, "", why)
 	}
 }
 
@@ -61,91 +60,92 @@
 func (ow *Owner) sendLaunch(at *attempt, la worker.Launch) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ow.ctx, launchTimeout)
-	wa := at.ho.wayNow()
+	wa := at.ho.currentPath()
 	la.Fence = wa.fence
 	ack, err := ow.Agent.LaunchFunc(ctx, wa.addr, la)
 	cancel()
 	got := time.Now()
-	ow.post(func() { ow.launched(at, ack, sent, got, err) })
+	ow.post(func() { ow.handleLaunchAnswer(at, ack, sent, got, err) })
 }
 
-// launched takes in the answer to a launch.
-func (ow *Owner) launched(at *attempt, ack worker.Ack, sent, got time.Time, err error) {
+// handleLaunchAnswer handles the answer to a launch, or its failure.
+func (ow *Owner) handleLaunchAnswer(at *attempt, ack worker.Ack, sent, got time.Time, err error) {
 	ow.Metrics.Add(telemetry.Launches, 1, "outcome", launchOutcome(err))
-	ow.land(at)
-	if ow.window.answered(got.Sub(sent), got) {
-		ow.Log.Info("fewer starts at once, as answers are slow", "cell", ow.Cell, "most", ow.window.limit(), "under_way", ow.window.underWay, "took", got.Sub(sent))
+	ow.endStart(at)
+	if ow.window.recordAnswer(got.Sub(sent), got) {
+		ow.Log.Info("fewer starts at once, as answers are slow", "cell", ow.Cell, "most", ow.window.limit(), "under_way", ow.window.inFlight, "took", got.Sub(sent))
 	}
-	at.ho.read(ack.ClockMS, got)
+	at.ho.recordClock(ack.ClockMS, got)
 	if at.en.attempts[at.ref] != at {
 		return
 	}
-	if err == nil || errors.Is(err, worker.ErrOldAttempt) {
-		at.ho.started(at, got)
+	if err == nil || errors.Is(err, worker.ErrStaleAttempt) {
+		at.ho.markStarted(at, got)
 		ow.Log.Info("attempt launched", "task", taskID(at), "attempt", at.number, "worker", at.ho.incarnation, "took", got.Sub(sent))
 		return
 	}
 	ow.Log.Info("launch not done", "task", taskID(at), "attempt", at.number, "worker", at.ho.incarnation, "err", err)
-	if le := (*worker.LifeError)(nil); errors.As(err, &le) {
-		at.ho.answeredBy(le.Answered)
+	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
+		at.ho.handleOtherIncarnation(le.Answered)
 		if at.ho.dead {
 			return
 		}
 	}
-	if errors.Is(err, worker.ErrOtherLife) {
-		// It was refused by the next process, so it had no part in the end of this one.
-		ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by another process")
-		at.ho.die("another process answers at its address", worker.Incarnation{})
+	if errors.Is(err, worker.ErrOtherIncarnation) {
+		// The next process refused the order, so the attempt did not cause the end of this
+		// one.
+		ow.recordEnd(at.en, at.ref, at.number, job.EndNeverRan, "", "refused by another process")
+		at.ho.markDead("another process answers at its address", worker.Incarnation{})
 		return
 	}
-	if !at.ho.notLaunched(err) {
-		at.settling = true
-		go ow.settle(at.ho, at.name(), func(there bool) { ow.settledLaunch(at, there) })
+	if !at.ho.handleRefusal(err) {
+		at.resolvingOrder = true
+		go ow.resolveOrder(at.ho, at.name(), func(present bool) { ow.handleLaunchResolved(at, present) })
 		return
 	}
-	ow.end(at.en, at.ref, at.number, job.EndNever, "", "refused by the worker")
+	ow.recordEnd(at.en, at.ref, at.number, job.EndNeverRan, "", "refused by the worker")
 }
 
 func taskID(at *attempt) string { return at.en.jo.TaskID(at.ref) }
 
-// notLaunched draws the conclusions of a refusal and reports whether the
-// attempt certainly will not run.
-func (ho *host) notLaunched(err error) bool {
+// handleRefusal quarantines a worker that refused an order, and reports whether the attempt
+// certainly will not run.
+func (ho *workerState) handleRefusal(err error) bool {
 	switch {
-	case errors.Is(err, worker.ErrNoRoom):
-		ho.setAside(asideNoRoom, "has less room than known")
-	case errors.Is(err, worker.ErrUnfit), errors.Is(err, worker.ErrMalformed):
-		ho.setAside(asideUnfit, "refuses orders")
-	case errors.Is(err, worker.ErrLateLease):
-		ho.setAside(asideNoRoom, "its clock is not known well")
+	case errors.Is(err, worker.ErrNoCapacity):
+		ho.quarantine(capacityQuarantine, "has less capacity than known")
+	case errors.Is(err, worker.ErrUnhealthy), errors.Is(err, worker.ErrMalformed):
+		ho.quarantine(unfitQuarantine, "refuses orders")
+	case errors.Is(err, worker.ErrLeaseExpired):
+		ho.quarantine(capacityQuarantine, "refused a lease that was late by its clock")
 	case errors.Is(err, worker.ErrFenced):
-		ho.setAside(asideUnfit, "obeys a later owner")
+		ho.quarantine(unfitQuarantine, "obeys a higher fencing token")
 	case errors.Is(err, worker.ErrNoListener):
-		// Nobody had the order, so it is no sign of a crash under the task.
-		ho.setAside(asideUnfit, "nothing listens there")
+		// No process got the order, so it does not count as a crash under the task.
+		ho.quarantine(unfitQuarantine, "nothing listens there")
 	case errors.Is(err, worker.ErrNotSent):
-		ho.setAside(asideUnfit, "there is no way to it now")
+		ho.quarantine(unfitQuarantine, "there is no way to it now")
 	default:
 		return false
 	}
 	return true
 }
 
-// asideNoRoom is the time aside of a worker that had less room than known: the
-// next look tells more.
-const asideNoRoom = 150 * time.Millisecond
+// capacityQuarantine is the quarantine of a worker that had less capacity than known: the next
+// poll reports the current state.
+const capacityQuarantine = 150 * time.Millisecond
 
 func launchOutcome(err error) string {
 	for _, known := range []struct {
-		err  error
-		word string
+		err     error
+		outcome string
 	}{
-		{worker.ErrFenced, "fenced"}, {worker.ErrOldAttempt, "old"}, {worker.ErrLateLease, "late"},
-		{worker.ErrNoRoom, "no-room"}, {worker.ErrUnfit, "unfit"}, {worker.ErrOtherLife, "other-life"}, {worker.ErrMalformed, "malformed"},
+		{worker.ErrFenced, "fenced"}, {worker.ErrStaleAttempt, "old"}, {worker.ErrLeaseExpired, "late"},
+		{worker.ErrNoCapacity, "no-room"}, {worker.ErrUnhealthy, "unfit"}, {worker.ErrOtherIncarnation, "other-life"}, {worker.ErrMalformed, "malformed"},
 		{worker.ErrNotSent, "not-sent"},
 	} {
 		if errors.Is(err, known.err) {
-			return known.word
+			return known.outcome
 		}
 	}
 	if err != nil {
@@ -154,51 +154,51 @@
 	return "done"
 }
 
-// settledLaunch takes in what became of a launch without an answer.
-func (ow *Owner) settledLaunch(at *attempt, there bool) {
+// handleLaunchResolved handles what became of a launch without an answer.
+func (ow *Owner) handleLaunchResolved(at *attempt, present bool) {
 	if at.en.attempts[at.ref] != at {
 		return
 	}
-	at.settling = false
-	if there {
-		at.ho.started(at, time.Now())
+	at.resolvingOrder = false
+	if present {
+		at.ho.markStarted(at, time.Now())
 		return
 	}
-	ow.end(at.en, at.ref, at.number, job.EndNever, "", "its launch had no answer and it was kept from starting")
+	ow.recordEnd(at.en, at.ref, at.number, job.EndNeverRan, "", "its launch had no answer and it was prevented from starting")
 }
 
-// settle finds out whether an attempt got to a worker whose answer was lost,
-// and else keeps it from ever starting there. It goes on until the worker says
-// so, or is given up.
-func (ow *Owner) settle(ho *host, wa worker.Attempt, done func(there bool)) {
+// resolveOrder finds out whether an attempt reached a worker whose answer was lost, and
+// otherwise prevents that it ever starts there. It retries until the worker confirms one or
+// the other, or the attempt has ended.
+func (ow *Owner) resolveOrder(ho *workerState, wa worker.Attempt, done func(present bool)) {
 	for {
-		there, err := ow.listedAt(ho, wa)
-		if err == nil && there {
+		present, err := ow.listsAttempt(ho, wa)
+		if err == nil && present {
 			ow.post(func() { done(true) })
 			return
 		}
 		if err == nil && ow.sendHalt(ho, wa) {
-			there, err = ow.listedAt(ho, wa)
+			present, err = ow.listsAttempt(ho, wa)
 			if err == nil {
-				ow.post(func() { done(there) })
+				ow.post(func() { done(present) })
 				return
 			}
 		}
-		given, aerr := ask(ow.ctx, ow, func(answer func(bool)) { answer(ho.dead || ho.find(wa) == nil) })
-		if given || aerr != nil || !clock.Sleep(ow.ctx, settleRetry) {
+		abandoned, aerr := call(ow.ctx, ow, func(answer func(bool)) { answer(ho.dead || ho.findAttempt(wa) == nil) })
+		if abandoned || aerr != nil || !clock.Sleep(ow.ctx, resolveRetry) {
 			return
 		}
 	}
 }
 
-// listedAt asks the worker whether it lists an attempt as running or ended.
-func (ow *Owner) listedAt(ho *host, wa worker.Attempt) (bool, error) {
-	ctx, cancel := context.WithTimeout(ow.ctx, lookGrace)
+// listsAttempt asks the worker whether it lists an attempt as running or ended.
+func (ow *Owner) listsAttempt(ho *workerState, wa worker.Attempt) (bool, error) {
+	ctx, cancel := context.WithTimeout(ow.ctx, pollGrace)
 	defer cancel()
-	way := ho.wayNow()
-	si, err := ow.Agent.LookFunc(ctx, way.addr, worker.Look{Fence: way.fence})
+	way := ho.currentPath()
+	si, err := ow.Agent.PollFunc(ctx, way.addr, worker.Poll{Fence: way.fence})
 	if err != nil {
-		ho.tellLife(err)
+		ho.reportIncarnation(err)
 		return false, err
 	}
 	for _, ra := range si.Running {
@@ -214,25 +214,26 @@
 	return false, nil
 }
 
-// halt orders the end of an attempt.
+// halt orders the worker to stop an attempt. An order sent less than StopTime ago is not
+// repeated.
 func (ow *Owner) halt(at *attempt, why string) {
 	// Another order helps only if the first was lost.
-	if !at.halted.IsZero() && time.Since(at.halted) < ow.Limits.StopTime {
+	if !at.haltSentAt.IsZero() && time.Since(at.haltSentAt) < ow.Limits.StopTime {
 		return
 	}
-	at.halted = time.Now()
+	at.haltSentAt = time.Now()
 	ow.Log.Info("stopping attempt", "task", taskID(at), "attempt", at.number, "worker", at.ho.incarnation, "why", why)
 	go ow.sendHalt(at.ho, at.name())
 }
 
-// sendHalt sends the order and reports whether the worker took it.
-func (ow *Owner) sendHalt(ho *host, wa worker.Attempt) bool {
+// sendHalt sends the order to stop an attempt and reports whether the worker acknowledged it.
+func (ow *Owner) sendHalt(ho *workerState, wa worker.Attempt) bool {
 	ctx, cancel := context.WithTimeout(ow.ctx, haltTimeout)
 	defer cancel()
-	way := ho.wayNow()
+	way := ho.currentPath()
 	_, err := ow.Agent.HaltFunc(ctx, way.addr, worker.Halt{Attempt: wa, Fence: way.fence})
 	if err != nil {
-		ho.tellLife(err)
+		ho.reportIncarnation(err)
 		ow.Log.Info("halt not done", "task", wa.Task, "attempt", wa.Number, "worker", way.addr.Incarnation, "err", err)
 	}
 	return err == nil
--- /dev/null
+++ b/internal/sched/leasebound_test.go
@@ -0,0 +1,93 @@
+package sched
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"pgregory.net/rapid"
+
+	"github.com/pepperhatch/pepperhatch/internal/proptest"
+	"github.com/pepperhatch/pepperhatch/internal/tenure"
+	"github.com/pepperhatch/pepperhatch/internal/worker"
+)
+
+// restartDeadline is when users report a missing long-running task that was lost together
+// with its owner's host, if that host is without power for 9 s: 10 s after its power is back.
+const restartDeadline = 19 * time.Second
+
+// TestLastingTasksRestartAfterWorkerLostWithUnreachableOwner guards against long-running
+// tasks that do not run for 20 s. The owner's host loses power for 9 s, and workers are lost
+// at the same moment. The next owner can ask no one, and the lease expiry row does not name
+// the workers. If a lease extended late had its full length, the next owner would have to
+// wait for the 8 s that an owner may go on without the store, and then for a whole lease of
+// 10 s. Therefore no lease may run beyond the time for which its owner is confirmed.
+func TestLastingTasksRestartAfterWorkerLostWithUnreachableOwner(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		cr := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
+		defer cr.stop()
+		cr.fleet.RunFunc = runUntilStopped
+		first := cr.join("a", 0.8)
+		time.Sleep(time.Second)
+		cr.join("b", 0.8)
+		time.Sleep(time.Second)
+		qt.Assert(t, cr.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
+		time.Sleep(10 * time.Second)
+		cr.assertRunning(4)
+		first.set(func(co *clusterHost) { co.partitioned = true })
+		cr.killWorkerAndOwner(first)
+		time.Sleep(restartDeadline)
+		cr.assertRunning(4)
+	})
+}
+
+// TestLeasesEndBeforeTheNextOwnerActs draws when an owner was last confirmed, when another
+// claimed the cell, how old its lease and its reading of the worker's clock are, and how far
+// all three clocks drift. The lease must have ended when the next owner restarts elsewhere
+// what ran there, and the next owner must not wait longer than the bound.
+func TestLeasesEndBeforeTheNextOwnerActs(t *testing.T) {
+	proptest.Check(t, proptest.Size{Checks: 5000}, func(rt *rapid.T) {
+		drift := rapid.Float64Range(1-clockDrift, 1+clockDrift)
+		owner, wo, next := drift.Draw(rt, "owner's clock"), drift.Draw(rt, "worker's clock"), drift.Draw(rt, "next owner's clock")
+		maxLease := time.Duration(rapid.IntRange(1000, 20_000).Draw(rt, "max lease ms")) * time.Millisecond
+		// In true time since the store last confirmed the owner.
+		granted := time.Duration(rapid.Int64Range(0, int64(float64(minDriftDuration(tenure.ExtendFor))/owner)).Draw(rt, "granted"))
+		read := granted - time.Duration(rapid.Int64Range(0, int64(maxClockReadingAge)).Draw(rt, "reading's age"))
+		claimed := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(rt, "claimed"))
+
+		by := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
+		began := time.Now()
+		ho := &workerState{clockMS: 1_000_000, clockAt: began}
+		earliest := ho.earliestClock(began.Add(by(owner, granted-read)))
+		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseDuration(by(owner, granted), maxLease)
+		ended := read + time.Duration(float64(left)/wo)
+
+		ow := &Owner{Limits: Limits{MaxLease: maxLease}, startedAt: began}
+		ow.Tenure.Former.Bounded = true
+		ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
+		acts := claimed + time.Duration(float64(ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
+		if bound := claimed + time.Duration(float64(maxDriftDuration(tenure.LeaseLimit)+lapseMargin)/next); acts > bound {
+			rt.Errorf("the next owner acts at %v, later than %v", acts, bound)
+		}
+		if ended > acts {
+			rt.Errorf("a lease ends at %v, the next owner acts at %v", ended, acts)
+		}
+	})
+}
+
+// maxClockReadingAge is the maximum age of the reading of a worker's clock from which an
+// owner extends leases: the wait and the grace of a poll, and the time for which leases are
+// extended after a failed poll.
+const maxClockReadingAge = pollWait + pollGrace + extendUnresponsive
+
+// TestFullLeaseAwaitedForOwnersOfEarlierVersions checks that the shorter wait is used only if
+// the former owner and all owners before it bound their leases.
+func TestFullLeaseAwaitedForOwnersOfEarlierVersions(t *testing.T) {
+	began := time.Now()
+	ow := &Owner{Limits: Limits{MaxLease: 10 * time.Second}, startedAt: began}
+	ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
+	qt.Check(t, ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, tenure.ExtendFor+maxDriftDuration(10*time.Second)+lapseMargin)
+	ow.Tenure.Former.Bounded = true
+	qt.Check(t, ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began), qt.Equals, maxDriftDuration(tenure.LeaseLimit)+lapseMargin)
+}
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -13,8 +13,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// load reads all jobs of the cell. It has no time limit as a whole: one that the rows of
-// the cell do not keep to would have the owner begin anew for ever, and keep the cell.
+// load reads all jobs of the cell. It has no overall timeout: if reading took longer than a
+// timeout, the owner would start over forever while it keeps the cell.
 func (ow *Owner) load(ctx context.Context) error {
 	read := func() (struct{}, error) {
 		err := ow.loadOnce(ctx)
@@ -24,7 +24,7 @@
 		return struct{}{}, err
 	}
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = rewriteFirst, rewriteMost
+	bo.InitialInterval, bo.MaxInterval = initialRewriteDelay, maxRewriteDelay
 	if _, err := backoff.Retry(ctx, read, backoff.WithBackOff(bo), backoff.WithMaxElapsedTime(0)); err != nil {
 		return fmt.Errorf("load cell %s: %w", ow.Cell, err)
 	}
@@ -41,119 +41,118 @@
 		return err
 	}
 	clear(ow.entries)
-	clear(ow.orphans)
+	clear(ow.unowned)
 	ow.active = nil
 	byID := map[string]store.Row{}
 	for _, row := range specs {
-		byID[lastPart(row.Key)] = row
+		byID[lastKeySegment(row.Key)] = row
 	}
 	for _, row := range progress {
-		id := lastPart(row.Key)
+		id := lastKeySegment(row.Key)
 		jo, err := job.Restore(id, byID[id].Value, row.Value)
 		if err != nil {
-			// Reading it again would say the same.
+			// A retry would read the same row.
 			return backoff.Permanent(err)
 		}
-		ow.restore(jo, row.Version).specKept = byID[id].Version > 0
+		ow.restore(jo, row.Version).specStored = byID[id].Version > 0
 	}
 	return nil
 }
 
-func lastPart(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
+func lastKeySegment(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// restore enters a job as it was read.
+// restore creates the entry of a job read from the store.
 func (ow *Owner) restore(jo *job.Job, progVer int64) *entry {
-	en := ow.add(jo)
-	en.progVer, en.shown = progVer, jo.State()
-	if en.shown.Final() {
+	en := ow.addJob(jo)
+	en.progressVersion, en.writtenState = progVer, jo.State()
+	if en.writtenState.Final() {
 		en.endedAt = time.Now()
 	}
 	for step, tasks := range jo.Tasks {
 		for index := range tasks {
 			if tasks[index].State == job.Started {
-				ow.orphans[tasks[index].Worker]++
-				en.orphans = append(en.orphans, job.TaskRef{Step: step, Index: index})
+				ow.unowned[tasks[index].Worker]++
+				en.unowned = append(en.unowned, job.TaskRef{Step: step, Index: index})
 			}
 		}
 	}
-	ow.recount(en)
+	ow.recountWaiting(en)
 	return en
 }
 
-// adopt gives a worker that was just seen the attempts that former owners
-// ordered there.
-func (ow *Owner) adopt(ho *host) {
+// adopt assigns to a newly seen worker the attempts that former owners ordered there.
+func (ow *Owner) adopt(ho *workerState) {
 	found := false
-	for incarnation := range ow.orphans {
+	for incarnation := range ow.unowned {
 		if incarnation.ID != ho.incarnation.ID {
 			continue
 		}
 		found = true
-		delete(ow.orphans, incarnation)
-		if incarnation.OtherLife(ho.incarnation) {
-			ho.lives = append(ho.lives, incarnation)
+		delete(ow.unowned, incarnation)
+		if incarnation.IsOtherIncarnation(ho.incarnation) {
+			ho.formerIncarnations = append(ho.formerIncarnations, incarnation)
 		}
 	}
 	if !found {
 		return
 	}
 	for _, en := range ow.entries {
-		en.orphans = en.adopted(ho)
+		en.unowned = en.adoptOn(ho)
 	}
 }
 
-// adopted enters a job's attempts on the worker and returns those elsewhere.
-func (en *entry) adopted(ho *host) []job.TaskRef {
-	rest := en.orphans[:0]
-	for _, ref := range en.orphans {
+// adoptOn assigns a job's attempts to the worker and returns those of other workers.
+func (en *entry) adoptOn(ho *workerState) []job.TaskRef {
+	remaining := en.unowned[:0]
+	for _, ref := range en.unowned {
 		ta := en.jo.Task(ref)
 		if ta.Worker.ID != ho.incarnation.ID {
-			rest = append(rest, ref)
+			remaining = append(remaining, ref)
 			continue
 		}
-		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, worked: workedBy(ta.Proof), pace: unknownPace}
-		if ta.Worker.OtherLife(ho.incarnation) {
-			at.worked, at.ends = 0, unseenVerdict(ta.Proof, ho.ow.listSound(time.Now()))
+		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, inheritedRunTime: minRunTime(ta.Phase), pace: unknownPace}
+		if ta.Worker.IsOtherIncarnation(ho.incarnation) {
+			at.inheritedRunTime, at.endIfNotRun = 0, unseenEnd(ta.Phase, ho.ow.listReliable(time.Now()))
 		}
-		ho.put(at)
+		ho.addAttempt(at)
 	}
-	return rest
+	return remaining
 }
 
-// unknownPace is that of attempts a former owner ordered.
+// unknownPace is the pace of attempts that a former owner ordered.
 const unknownPace = -1
 
-// tickOrphans ends attempts on workers that were never seen, once their
-// leases have lapsed.
-func (ow *Owner) tickOrphans(now time.Time) {
-	for incarnation := range ow.orphans {
-		if ow.orphansOver(incarnation, now) {
-			delete(ow.orphans, incarnation)
-			ow.endOrphans(incarnation, now)
+// endExpiredUnowned ends the attempts on workers that this owner never saw, once their leases
+// have expired.
+func (ow *Owner) endExpiredUnowned(now time.Time) {
+	for incarnation := range ow.unowned {
+		if ow.formerLeasesLapsed(incarnation, now) {
+			delete(ow.unowned, incarnation)
+			ow.endUnowned(incarnation, now)
 		}
 	}
 }
 
-// unseenWhy is why attempts end on a worker that was never seen.
-const unseenWhy = "its worker was not seen since the takeover"
+// unseenReason is the logged reason for ending attempts on a worker that was never seen.
+const unseenReason = "its worker was not seen since the takeover"
 
-// endOrphans ends the attempts on a worker that was never seen.
-func (ow *Owner) endOrphans(incarnation worker.Incarnation, now time.Time) {
-	sound := ow.listSound(now)
+// endUnowned ends the attempts on a worker that was never seen.
+func (ow *Owner) endUnowned(incarnation worker.Incarnation, now time.Time) {
+	reliable := ow.listReliable(now)
 	var le lostEnds
 	for _, en := range ow.entries {
-		rest := en.orphans[:0]
-		for _, ref := range en.orphans {
+		remaining := en.unowned[:0]
+		for _, ref := range en.unowned {
 			ta := en.jo.Task(ref)
 			if ta.Worker != incarnation {
-				rest = append(rest, ref)
+				remaining = append(remaining, ref)
 				continue
 			}
-			end := unseenVerdict(ta.Proof, sound)
+			end := unseenEnd(ta.Phase, reliable)
 			le.add(&en.jo.Spec.Steps[ref.Step], end)
-			ow.end(en, ref, ta.Attempt, end, "", unseenWhy)
+			ow.recordEnd(en, ref, ta.Attempt, end, "", unseenReason)
 		}
-		en.orphans = rest
+		en.unowned = remaining
 	}
-	ow.tellLost(incarnation, le, unseenWhy, now.Sub(ow.opened))
+	ow.logLost(incarnation, le, unseenReason, now.Sub(ow.startedAt))
 }
--- /dev/null
+++ b/internal/sched/lossreport.go
@@ -0,0 +1,37 @@
+package sched
+
+import (
+	"time"
+
+	"github.com/pepperhatch/pepperhatch/internal/job"
+	"github.com/pepperhatch/pepperhatch/internal/worker"
+)
+
+// lostEnds counts the ends of the attempts on a lost worker for one log line. The lines of the
+// single attempts are of a frequent kind, which is rate-limited in just such moments.
+type lostEnds struct {
+	attempts, longRunning int
+	verdicts              map[job.End]int
+}
+
+// add counts the end of an attempt of a step.
+func (le *lostEnds) add(st *job.Step, end job.End) {
+	if le.verdicts == nil {
+		le.verdicts = map[job.End]int{}
+	}
+	le.attempts++
+	le.verdicts[end]++
+	if st.Endless {
+		le.longRunning++
+	}
+}
+
+// logLost logs the ends of the attempts on a lost worker; quiet is the time since its last
+// contact.
+func (ow *Owner) logLost(incarnation worker.Incarnation, le lostEnds, why string, quiet time.Duration) {
+	if le.attempts == 0 {
+		return
+	}
+	ow.Log.Warn("attempts of a lost worker ended", "worker", incarnation, "attempts", le.attempts, "lasting", le.longRunning,
+		"ends", formatCounts(le.verdicts), "why", why, "quiet", quiet, "opened", time.Since(ow.startedAt))
+}
--- /dev/null
+++ b/internal/sched/ownerloss_test.go
@@ -0,0 +1,113 @@
+package sched
+
+import (
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+
+	"github.com/pepperhatch/pepperhatch/internal/standin"
+	"github.com/pepperhatch/pepperhatch/internal/tenure"
+)
+
+// lostRestartDeadline is the longest time after a claim until tasks of lost workers run elsewhere.
+const lostRestartDeadline = 9 * time.Second
+
+// withSixHosts runs a long-running job of four tasks on three workers of six hosts, of which
+// the first owns the cell, and then calls play.
+func withSixHosts(t *testing.T, maxLease time.Duration, play func(cr *cluster, owner *clusterHost)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		cr := &cluster{lab: newLab(t, 3), maxLease: maxLease}
+		defer cr.stop()
+		cr.fleet.RunFunc = runUntilStopped
+		owner := cr.join("a", 0.8)
+		time.Sleep(time.Second)
+		for _, name := range []string{"b", "c", "d", "e", "f"} {
+			cr.join(name, 0.8)
+		}
+		time.Sleep(time.Second)
+		qt.Assert(t, cr.submit(owner.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
+		time.Sleep(15 * time.Second)
+		cr.assertRunning(4)
+		play(cr, owner)
+	})
+}
+
+// TestWorkersLostWithTheirOwner guards against tasks of lost workers that start again only
+// 14.6 s after the claim when the former owner cannot be asked.
+func TestWorkersLostWithTheirOwner(t *testing.T) {
+	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
+		for _, lost := range []string{"", "b", "bc"} {
+			t.Run(fmt.Sprintf("leases of %v, hosts lost besides: %q", maxLease, lost), func(t *testing.T) {
+				withSixHosts(t, maxLease, func(cr *cluster, owner *clusterHost) {
+					owner.set(func(co *clusterHost) { co.partitioned = true })
+					for _, name := range lost {
+						other := cr.latest(string(name))
+						other.set(func(co *clusterHost) { co.partitioned = true })
+						other.kill()
+					}
+					cr.killWorkerAndOwner(owner)
+					time.Sleep(tenure.UnreachableTimeout + time.Second + lostRestartDeadline)
+					cr.assertRunning(4)
+				})
+			})
+		}
+	}
+}
+
+// refuseStore makes the store refuse all hosts for d.
+func (cr *cluster) refuseStore(d time.Duration) {
+	for _, co := range cr.hosts {
+		co.gate.Set(standin.Fault{Mode: standin.ModeDown})
+	}
+	time.Sleep(d)
+	for _, co := range cr.hosts {
+		if !co.isRestarted() {
+			co.gate.Set(standin.Fault{})
+		}
+	}
+}
+
+// TestLeasesOutliveALongStoreOutage guards against attempts that end because the store is
+// unavailable for 14 s although hosts and workers are healthy.
+func TestLeasesOutliveALongStoreOutage(t *testing.T) {
+	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
+		for _, lost := range []string{"", "b", "bc"} {
+			t.Run(fmt.Sprintf("leases of %v, hosts lost before: %q", maxLease, lost), func(t *testing.T) {
+				withSixHosts(t, maxLease, func(cr *cluster, _ *clusterHost) {
+					for _, name := range lost {
+						cr.latest(string(name)).kill()
+					}
+					cr.refuseStore(14 * time.Second)
+					time.Sleep(10 * time.Second)
+					qt.Assert(t, cr.ends(), qt.HasLen, 0)
+					cr.assertRunning(4)
+				})
+			})
+		}
+	}
+}
+
+// TestLeasesOfAFrozenOwner guards against a wait of a whole lease after a frozen owner last
+// sent one: no lease outlives the confirmation of its owner's tenure.
+func TestLeasesOfAFrozenOwner(t *testing.T) {
+	withSixHosts(t, 10*time.Second, func(cr *cluster, owner *clusterHost) {
+		lost := cr.busyWorker()
+		owner.gate.Set(standin.Fault{Mode: standin.ModeDown})
+		owner.set(func(co *clusterHost) {
+			co.partitioned = true
+			for _, fw := range cr.fleetWorkers {
+				co.unreachable[fw.Addr.Incarnation] = true
+			}
+		})
+		cr.fleet.Kill(lost)
+		began := time.Now()
+		time.Sleep(5500 * time.Millisecond)
+		owner.set(func(co *clusterHost) { co.partitioned = false })
+		time.Sleep(time.Until(began.Add(9500 * time.Millisecond)))
+		cr.assertRunning(4)
+	})
+}
--- /dev/null
+++ b/internal/sched/path.go
@@ -0,0 +1,73 @@
+package sched
+
+import "github.com/pepperhatch/pepperhatch/internal/worker"
+
+// pathsPerEpoch is how many paths to workers an owner may use in sequence: each has a
+// fencing token of its own, and the tokens of the next owner are higher than all of them.
+// It allows some 900 changes of all paths at 1,100 workers.
+const pathsPerEpoch = 1 << 20
+
+// path is a path to a worker, directly or through a relay on another entry host. It is
+// immutable.
+type path struct {
+	addr worker.Addr
+	// fence is the fencing token of orders on this path. Once a worker has received an
+	// order with the token of the next path, it rejects those that still arrive on this
+	// one.
+	fence int64
+}
+
+// newPath returns the path to a newly listed worker. Its token is new as well, as the
+// worker may have been known before and been dropped.
+func (ow *Owner) newPath(li WorkerEntry) *path {
+	addr := li.Addr
+	addr.Via = ow.via(li)
+	return &path{addr: addr, fence: ow.nextFence()}
+}
+
+// nextFence returns a fencing token that is higher than all before it.
+func (ow *Owner) nextFence() int64 {
+	ow.paths = min(ow.paths+1, pathsPerEpoch-1)
+	return ow.Tenure.Epoch*pathsPerEpoch + ow.paths
+}
+
+func (ow *Owner) via(li WorkerEntry) string {
+	if ow.ViaFunc == nil {
+		return ""
+	}
+	return ow.ViaFunc(li)
+}
+
+// currentPath returns the path by which the worker is reached now.
+func (ho *workerState) currentPath() path {
+	if pa := ho.path.Load(); pa != nil {
+		return *pa
+	}
+	return path{addr: ho.Addr}
+}
+
+// Reroute makes the owner reach every worker by the path that ViaFunc returns now.
+func (ow *Owner) Reroute() {
+	ow.post(func() {
+		for _, ho := range ow.hosts {
+			if !ho.dead {
+				ho.reroute()
+			}
+		}
+	})
+}
+
+// reroute switches to the path that ViaFunc returns now, if it differs. Orders in flight on
+// the former path may be carried out until the worker receives one with the new token; as
+// after a lost answer, the worker's report decides what became of them.
+func (ho *workerState) reroute() {
+	former, via := ho.currentPath(), ho.ow.via(ho.WorkerEntry)
+	if via == former.addr.Via {
+		return
+	}
+	next := &path{addr: former.addr, fence: ho.ow.nextFence()}
+	next.addr.Via = via
+	ho.path.Store(next)
+	wake(ho.pathChanged)
+	ho.ow.Log.Info("worker reached another way", "worker", ho.incarnation, "via", via, "was", former.addr.Via, "fence", next.fence)
+}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -9,29 +9,30 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// servingLoad is the share of their processor time that endless tasks are taken
-// to use, as their load is not reported.
-const servingLoad = 0.5
+// assumedEndlessLoad is the share of their declared processor time that endless tasks are
+// assumed to use, as workers do not report their load.
+const assumedEndlessLoad = 0.5
 
-// place starts what may start and has room, jobs of higher priority first.
+// place starts the waiting tasks that fit on a worker, jobs of higher priority first.
 func (ow *Owner) place() {
-	ow.due = false
+	ow.placementDue = false
 	if len(ow.active) == 0 || ow.storeDown() {
 		return
 	}
 	ow.rounds++
-	ow.Metrics.Add(telemetry.PlaceRounds, 1)
+	ow.Metrics.Add(telemetry.PlacementRounds, 1)
 	pl := ow.newPlacer()
-	for rest := slices.Clone(ow.active); len(rest) > 0; {
-		n := samePriority(rest)
-		pl.placeInterrupted(rest[:n])
-		pl.placeJobs(rest[:n])
-		rest = rest[n:]
+	for jobs := slices.Clone(ow.active); len(jobs) > 0; {
+		n := countSamePriority(jobs)
+		pl.placeInterrupted(jobs[:n])
+		pl.placeJobs(jobs[:n])
+		jobs = jobs[n:]
 	}
 }
 
-// samePriority counts the jobs, of some that are sorted, that have the priority of the first.
-func samePriority(list []*entry) int {
+// countSamePriority counts the leading jobs of a sorted list that share the priority of the
+// first.
+func countSamePriority(list []*entry) int {
 	n := slices.IndexFunc(list, func(en *entry) bool { return en.jo.Terms.Priority != list[0].jo.Terms.Priority })
 	if n < 0 {
 		return len(list)
@@ -39,86 +40,88 @@
 	return n
 }
 
-// placeJobs starts what waits of jobs.
+// placeJobs places the waiting tasks of the jobs, in their order.
 func (pl *placer) placeJobs(list []*entry) {
 	for _, en := range list {
 		if pl.ow.window.full() {
-			// The next round goes on once some have landed.
-			pl.ow.due = true
-			en.lack = CauseOrder
+			// The next round continues once some launches have been answered.
+			pl.ow.placementDue = true
+			en.waitCause = CauseOrder
 			continue
 		}
 		pl.placeJob(en)
 	}
 }
 
-// newPlacer begins a round of placement.
+// newPlacer begins a round of placement with a snapshot of the workers that accept new
+// tasks.
 func (ow *Owner) newPlacer() *placer {
 	pl := &placer{ow: ow, now: time.Now()}
-	clear(ow.likeness)
-	ow.noPlace.begin(pl.now, len(ow.hosts))
+	clear(ow.similarity)
+	ow.noPlace.startRound(pl.now, len(ow.hosts))
 	var reserved, holds int64
-	for _, ho := range ow.sortedHosts() {
-		if why := ho.bar(pl.now); why != "" {
-			if why == barFailing && ho.trial == nil {
+	for _, ho := range ow.sortedWorkers() {
+		if why := ho.unavailableReason(pl.now); why != "" {
+			if why == unavailableFailing && ho.trial == nil {
 				pl.failing = append(pl.failing, newCandidate(ho, pl.now))
 			}
 			continue
 		}
 		ca := newCandidate(ho, pl.now)
-		ca.index, ca.kept = len(pl.hosts), ho.awaited
+		ca.index, ca.earmarked = len(pl.hosts), ho.restartReady
 		pl.hosts = append(pl.hosts, ca)
 		reserved += ho.reserved.MilliCores
-		holds += ho.Holds.MilliCores
+		holds += ho.Capacity.MilliCores
 	}
-	pl.patience = patience(share(reserved, holds))
+	pl.fillerWait = fillerWaitLimit(share(reserved, holds))
 	return pl
 }
 
-// candidate is a worker in one round of placement.
+// candidate is a worker with the resources that are still free in one round of placement.
 type candidate struct {
-	ho *host
-	// index is its place among all.
+	ho *workerState
+	// index is the position among the candidates, which breaks ties between scores.
 	index int
 	free  worker.Resources
-	// idle is the processor time that nothing is likely to use, in thousandths
-	// of a core.
+	// idle is the processor time that no attempt is expected to use, in thousandths of a
+	// core.
 	idle int64
-	// stubborn is set if a service there was over its target for long.
-	stubborn bool
-	// kept is set if its room is kept for an endless task, taken if nothing is to begin
-	// there beside a task that is tried alone.
-	kept  bool
-	taken bool
+	// overTarget is set if a service there has exceeded its latency target for too long.
+	overTarget bool
+	// earmarked is set if the free capacity is set aside for an endless task. isolated is
+	// set if a task is to run alone there, so that nothing else may start.
+	earmarked bool
+	isolated  bool
 }
 
-func newCandidate(ho *host, now time.Time) *candidate {
-	return &candidate{ho: ho, free: ho.Holds.Without(ho.reserved), idle: ho.Holds.MilliCores - ho.inUse, stubborn: ho.stubborn(now)}
+func newCandidate(ho *workerState, now time.Time) *candidate {
+	return &candidate{ho: ho, free: ho.Capacity.Sub(ho.reserved), idle: ho.Capacity.MilliCores - ho.expectedUse, overTarget: ho.anyOverTargetTooLong(now)}
 }
 
-// likelyUse is the processor time that a task of the step is likely to use, in
+// likelyUse returns the processor time that a task of the step is expected to use, in
 // thousandths of a core.
 func likelyUse(st *job.Step) int64 {
 	if st.Endless {
-		return int64(float64(st.Each.MilliCores) * servingLoad)
+		return int64(float64(st.Each.MilliCores) * assumedEndlessLoad)
 	}
 	return st.Each.MilliCores
 }
 
-// placer is one round of placement.
+// placer holds the state of one round of placement.
 type placer struct {
 	ow    *Owner
 	now   time.Time
 	hosts []*candidate
-	// failing are the workers that are set aside for failures.
+	// failing are the workers that are quarantined for failed tasks.
 	failing []*candidate
-	// patience is how long fillers wait for a good place.
-	patience time.Duration
-	// keeps counts the workers whose room is kept.
-	keeps int
+	// fillerWait is how long fillers wait for a worker that accepts them without harm to
+	// its services.
+	fillerWait time.Duration
+	// earmarks counts the workers earmarked in this round.
+	earmarks int
 }
 
-// placeJob starts the waiting tasks of a job that find room.
+// placeJob starts the waiting tasks of a job that fit on a worker.
 func (pl *placer) placeJob(en *entry) {
 	for step := range en.jo.Spec.Steps {
 		if en.jo.Ready(step) {
@@ -127,8 +130,8 @@
 	}
 }
 
-// placeStep starts the waiting tasks of a step that find room: those that were interrupted,
-// or the others.
+// placeStep starts the waiting tasks of a step that fit on a worker: only those that were
+// interrupted, or only the others.
 func (pl *placer) placeStep(en *entry, step int, interrupted bool) {
 	var ra *ranking
 	for index, ta := range en.jo.Tasks[step] {
@@ -136,17 +139,18 @@
 		if ta.State != job.Waiting || en.interrupted(ref) != interrupted {
 			continue
 		}
-		if en.rests.resting(ref, pl.now) {
-			en.lack = CauseRest
+		if en.backoffs.active(ref, pl.now) {
+			en.waitCause = CauseBackoff
 			continue
 		}
 		if pl.ow.window.full() {
-			en.lack = CauseOrder
+			en.waitCause = CauseOrder
 			return
 		}
 		if ta.Suspect() {
 			pl.placeSuspect(en, ref)
-			// It changed a worker that may not be the best one.
+			// The isolated task may have changed a worker other than the best one, so all
+			// have to be rated again.
 			ra = nil
 			continue
 		}
@@ -154,80 +158,84 @@
 			ra = pl.rank(en, step, interrupted)
 		}
 		ca := ra.best()
-		en.lack = ra.lack
-		if ca == nil && pl.lastResort(en, ref) {
+		en.waitCause = ra.cause
+		if ca == nil && pl.startAsLastResort(en, ref) {
 			continue
 		}
 		if ca == nil {
-			pl.keepRoom(en, ref)
+			pl.earmark(en, ref)
 			if interrupted {
 				continue
 			}
 			return
 		}
 		pl.start(en, ref, ca)
-		ra.changed(ca)
+		ra.update(ca)
 	}
 }
 
-// patient reports whether the fillers of a job still wait for a good place.
-func (pl *placer) patient(en *entry) bool {
-	return pl.ow.uses(MechPatience) && pl.now.Sub(en.waitingSince) <= pl.patience
+// selective reports whether the fillers of a job still wait for a worker that accepts them
+// without harm to its services.
+func (pl *placer) selective(en *entry) bool {
+	return pl.ow.uses(MechFillerWait) && pl.now.Sub(en.waitingSince) <= pl.fillerWait
 }
 
 func (ca *candidate) fits(en *entry, ref job.TaskRef, st *job.Step) bool {
-	return ca.allowed(en, ref, st) && ca.hasRoom(st, en.interrupted(ref))
+	return ca.allowed(en, ref, st) && ca.hasCapacity(st, en.interrupted(ref))
 }
 
-// hasRoom reports whether the worker has room for a task of the step. Room is not kept from
-// tasks that were interrupted: what it is kept for may never get enough of it.
-func (ca *candidate) hasRoom(st *job.Step, interrupted bool) bool {
-	return st.Reserved().Fits(ca.free) && (!ca.kept || st.Filler || interrupted) && !ca.taken
+// hasCapacity reports whether the worker has enough free capacity for a task of the step.
+// Earmarked capacity stays open to fillers and to interrupted tasks, as the task that it is
+// earmarked for may never get enough of it.
+func (ca *candidate) hasCapacity(st *job.Step, interrupted bool) bool {
+	return st.Reserved().Fits(ca.free) && (!ca.earmarked || st.Filler || interrupted) && !ca.isolated
 }
 
-// allowed reports whether a task may run on the worker, if it had room.
+// allowed reports whether a task may run on the worker, regardless of free capacity.
 func (ca *candidate) allowed(en *entry, ref job.TaskRef, st *job.Step) bool {
-	return ca.suitable(en, st) && (st.PerWorker == 0 || en.countAt(ref.Step, ca.ho) < st.PerWorker)
+	return ca.suitable(en, st) && (st.MaxPerWorker == 0 || en.countAt(ref.Step, ca.ho) < st.MaxPerWorker)
 }
 
-// suitable reports whether the worker is of the kind that the step wants.
+// suitable reports whether the worker belongs to the job's service and has the label that
+// the step requires.
 func (ca *candidate) suitable(en *entry, st *job.Step) bool {
 	return ca.ho.Service == en.jo.Terms.Service && (st.Label == "" || ca.ho.hasLabel(st.Label))
 }
 
-// patience is how long a job's fillers wait for a good place; then they go
-// anywhere, to be paced there. While little is used a job must not run nothing
-// for 3 s; else a bad place costs the services there more than waiting costs
-// the job.
-func patience(used float64) time.Duration {
+// fillerWaitLimit returns how long a job's fillers wait for a worker that accepts them;
+// then they go to any worker, where their pace is limited. used is the reserved share of
+// all processors. While it is low, no job may be left without a running task for 3 s. Once
+// it is high, a filler on a bad worker costs the services there more than waiting costs the
+// job.
+func fillerWaitLimit(used float64) time.Duration {
 	if used < busyShare {
-		return patienceIdle
+		return fillerWaitIdle
 	}
-	return patienceBusy
+	return fillerWaitBusy
 }
 
-// suits reports whether a filler finds idle processors on the worker and
-// leaves the services there under their targets.
-func (ca *candidate) suits(st *job.Step) bool {
-	if ca.stubborn || ca.idle < int64(leastIdle*float64(st.Each.MilliCores)) {
+// acceptsFiller reports whether the worker has idle processors for a filler and its
+// services would stay under their targets.
+func (ca *candidate) acceptsFiller(st *job.Step) bool {
+	if ca.overTarget || ca.idle < int64(minIdlePart*float64(st.Each.MilliCores)) {
 		return false
 	}
-	_, over := ca.disturbs(st)
+	_, over := ca.disturbance(st)
 	return over <= 0
 }
 
-// Patience of fillers.
+// How long fillers wait for a worker that accepts them.
 const (
-	// busyShare is the share of all processors reserved from which on waiting
-	// is the lesser evil; the users' bound is a half.
-	busyShare    = 0.6
-	patienceIdle = 1500 * time.Millisecond
-	patienceBusy = time.Minute
-	// leastIdle is the part of its processor time that a filler must find idle.
-	leastIdle = 0.3
+	// busyShare is the reserved share of all processors from which on waiting costs less
+	// than placing a filler on a bad worker. Users accept that jobs wait only above a half.
+	busyShare      = 0.6
+	fillerWaitIdle = 1500 * time.Millisecond
+	fillerWaitBusy = time.Minute
+	// minIdlePart is the part of its processor time that a filler must find idle.
+	minIdlePart = 0.3
 )
 
-func (ho *host) hasLabel(label string) bool {
+func (ho *workerState) hasLabel(label string) bool {
 	for _, la := range ho.Labels {
 		if la == label {
 			return true
@@ -237,7 +245,7 @@
 }
 
 // countAt counts the attempts of a step on a worker.
-func (en *entry) countAt(step int, ho *host) int {
+func (en *entry) countAt(step int, ho *workerState) int {
 	n := 0
 	for ref, at := range en.attempts {
 		if ref.Step == step && at.ho == ho {
@@ -254,24 +262,25 @@
 	return float64(part) / float64(whole)
 }
 
-// start begins an attempt; the order goes out once that is durable.
+// start places a new attempt on a worker; the launch order is sent once the attempt is
+// durable.
 func (pl *placer) start(en *entry, ref job.TaskRef, ca *candidate) {
 	number := en.jo.Start(ref, ca.ho.incarnation)
 	if number == 0 {
 		return
 	}
 	at := &attempt{ref: ref, number: number, ho: ca.ho, en: en, pace: fullPace}
-	ca.ho.put(at)
-	pl.ow.depart(at)
+	ca.ho.addAttempt(at)
+	pl.ow.beginStart(at)
 	st := &en.jo.Spec.Steps[ref.Step]
-	ca.free = ca.free.Without(st.Reserved())
+	ca.free = ca.free.Sub(st.Reserved())
 	ca.idle -= likelyUse(st)
 	pl.ow.Log.Info("attempt placed", "task", taskID(at), "attempt", number, "worker", ca.ho.incarnation, "free_millicores", ca.free.MilliCores)
-	en.effects = append(en.effects, func() { pl.ow.launch(at) })
-	pl.ow.touch(en)
-	pl.ow.due = false
+	en.onWritten = append(en.onWritten, func() { pl.ow.launch(at) })
+	pl.ow.markDirty(en)
+	pl.ow.placementDue = false
 }
 
-// fullPace is the share of its speed at which an attempt works unless told
-// otherwise, in per cent.
+// fullPace is the pace, in per cent of full speed, of an attempt for which no other was
+// ordered.
 const fullPace = 100
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -15,99 +15,101 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// idleOwner is an owner without a loop, for decisions by themselves.
-func idleOwner(t *testing.T) *Owner {
+// ownerWithoutLoop returns an owner whose loop does not run, to test its decisions
+// directly.
+func ownerWithoutLoop(t *testing.T) *Owner {
 	t.Helper()
 	ow := New(&Owner{Log: slog.New(slog.DiscardHandler), Limits: Limits{HarmAfter: 4 * time.Second}})
 	ow.ctx = t.Context()
 	return ow
 }
 
-// emptyHost is a worker of 32 cores with nothing on it.
-func emptyHost(ow *Owner, name string) *host {
-	ho := &host{
-		Listed: Listed{Service: testService, Holds: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
-		ow:     ow, incarnation: worker.Incarnation{ID: name}, settled: true, attempts: map[*attempt]bool{},
+// emptyHost adds a worker of 32 cores that runs nothing.
+func emptyHost(ow *Owner, name string) *workerState {
+	ho := &workerState{
+		WorkerEntry: WorkerEntry{Service: testService, Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
+		ow:          ow, incarnation: worker.Incarnation{ID: name}, settled: true, attempts: map[*attempt]bool{},
 	}
 	ow.hosts[ho.incarnation] = ho
 	return ho
 }
 
-// serviceStep is a step of tasks that serve within a target.
+// serviceStep returns a step of services with a latency target.
 func serviceStep(tasks int, image string) job.Step {
 	return job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: image}
 }
 
 func addJob(ow *Owner, n int, st job.Step) *entry {
-	return ow.add(job.New(jobID(n), job.Terms{Service: testService, MaxFailures: 1}, job.Spec{Steps: []job.Step{st}}))
+	return ow.addJob(job.New(jobID(n), job.Terms{Service: testService, MaxFailures: 1}, job.Spec{Steps: []job.Step{st}}))
 }
 
-// TestReplicasOfOneStepSideBySide has two workers with one service of the same
-// image each: a job's next task goes where its first is, although the other
-// worker is fuller.
-func TestReplicasOfOneStepSideBySide(t *testing.T) {
+// TestReplicasOfOneStepShareWorker has two workers with one service of the same image each:
+// the next replica of a job goes to the worker of its first, although the other worker has
+// less capacity free.
+func TestReplicasOfOneStepShareWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		own, other := emptyHost(ow, "own"), emptyHost(ow, "other")
-		en, stranger := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
-		own.put(&attempt{ho: own, en: en, number: 1})
-		other.put(&attempt{ho: other, en: stranger, number: 1})
-		other.reserved = other.reserved.With(worker.Resources{MilliCores: 8000})
+		en, otherJob := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
+		own.addAttempt(&attempt{ho: own, en: en, number: 1})
+		other.addAttempt(&attempt{ho: other, en: otherJob, number: 1})
+		other.reserved = other.reserved.Add(worker.Resources{MilliCores: 8000})
 		pl := ow.newPlacer()
 		ca := pl.rank(en, 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "own")
 	})
 }
 
-// TestImagesKeepApart has two workers of 64 cores, one with a service of another
-// image and one empty: the service goes to the empty one, although the other is
-// fuller, since beside another image it would leave less room to fillers.
-func TestImagesKeepApart(t *testing.T) {
+// TestServicesOfDifferentImagesAreSeparated has two workers of 64 cores, one with a service
+// of another image and one empty: the service goes to the empty one, although the other is
+// fuller, since two images on one worker leave less capacity to fillers.
+func TestServicesOfDifferentImagesAreSeparated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		mixed, empty := emptyHost(ow, "mixed"), emptyHost(ow, "empty")
-		for _, ho := range []*host{mixed, empty} {
-			ho.Holds = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
+		for _, ho := range []*workerState{mixed, empty} {
+			ho.Capacity = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
 		}
-		stranger := addJob(ow, 1, serviceStep(1, "other"))
-		mixed.put(&attempt{ho: mixed, en: stranger, number: 1})
-		mixed.reserved = mixed.reserved.With(worker.Resources{MilliCores: 48_000})
+		otherJob := addJob(ow, 1, serviceStep(1, "other"))
+		mixed.addAttempt(&attempt{ho: mixed, en: otherJob, number: 1})
+		mixed.reserved = mixed.reserved.Add(worker.Resources{MilliCores: 48_000})
 		ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "s")), 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "empty")
 	})
 }
 
-// learnt returns a model that knows the drops of two images of services beside
+// modelWithDrops returns a model with known drops of headroom for two service images beside
 // the fillers f0, f1 and so on.
-func learnt(one, other []float64) interfere.Model {
-	var list []interfere.Learnt
+func modelWithDrops(one, other []float64) interfere.Model {
+	var list []interfere.PairEstimate
 	for image, drops := range map[string][]float64{"one": one, "other": other} {
 		for i, drop := range drops {
-			list = append(list, interfere.Learnt{Pair: interfere.Pair{Service: image, Filler: fmt.Sprint("f", i)}, Drop: drop})
+			list = append(list, interfere.PairEstimate{Pair: interfere.Pair{Service: image, Filler: fmt.Sprint("f", i)}, Drop: drop})
 		}
 	}
-	return interfere.FromLearnt(list)
+	return interfere.Restore(list)
 }
 
-// TestImagesThatSufferAlike has a worker with a service of another image and an
-// empty one: the service joins the other if the same fillers are bad for both.
-func TestImagesThatSufferAlike(t *testing.T) {
+// TestImagesWithSimilarInterferenceShareWorker has a worker with a service of another image
+// and an empty one: the service joins the other only if the same fillers are known to
+// affect both.
+func TestImagesWithSimilarInterferenceShareWorker(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		model interfere.Model
 		want  string
 	}{
-		{"alike", learnt([]float64{11, 0, 1, 10}, []float64{10, 1, 0, 12}), "other"},
-		{"unlike", learnt([]float64{11, 0, 1, 10}, []float64{1, 10, 11, 0}), "empty"},
-		{"too little known", learnt([]float64{11, 0}, []float64{11, 0}), "empty"},
+		{"alike", modelWithDrops([]float64{11, 0, 1, 10}, []float64{10, 1, 0, 12}), "other"},
+		{"unlike", modelWithDrops([]float64{11, 0, 1, 10}, []float64{1, 10, 11, 0}), "empty"},
+		{"too little known", modelWithDrops([]float64{11, 0}, []float64{11, 0}), "empty"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ow := idleOwner(t)
+				ow := ownerWithoutLoop(t)
 				ow.model = tc.model
 				emptyHost(ow, "empty")
 				other := emptyHost(ow, "other")
-				other.put(&attempt{ho: other, en: addJob(ow, 1, serviceStep(1, "other")), number: 1})
+				other.addAttempt(&attempt{ho: other, en: addJob(ow, 1, serviceStep(1, "other")), number: 1})
 				ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "one")), 0, false).best()
 				qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, tc.want)
 			})
@@ -115,16 +117,16 @@
 	}
 }
 
-// TestShortTasksBeforeEndless has an endless job and short ones, the endless one
-// handed in after the first: it takes its turn by age alone.
-func TestShortTasksBeforeEndless(t *testing.T) {
+// TestEndlessJobTakesTurnByAgeOnly has an endless job that is submitted after the first of
+// several short ones: it gets a turn by age, but none by size.
+func TestEndlessJobTakesTurnByAgeOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		short := job.Step{Tasks: 2, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}
-		ow.touch(addJob(ow, 1, short))
-		ow.touch(addJob(ow, 2, serviceStep(9, "s")))
+		ow.markDirty(addJob(ow, 1, short))
+		ow.markDirty(addJob(ow, 2, serviceStep(9, "s")))
 		for n := range 3 {
-			ow.touch(addJob(ow, n+3, short))
+			ow.markDirty(addJob(ow, n+3, short))
 		}
 		ow.sortActive(time.Now())
 		var order []int
@@ -135,27 +137,27 @@
 	})
 }
 
-// TestFullerWorkerFirst has a short task for two workers of different sizes: it
-// goes where the smaller share is free, although more is.
-func TestFullerWorkerFirst(t *testing.T) {
+// TestSmallestFreeShareFirst has two workers of different sizes: a short task goes where
+// the smaller share is free, although it is more in cores.
+func TestSmallestFreeShareFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		emptyHost(ow, "empty")
 		fuller := emptyHost(ow, "fuller")
-		fuller.Holds = worker.Resources{MilliCores: 96_000, MemMB: 384_000}
+		fuller.Capacity = worker.Resources{MilliCores: 96_000, MemMB: 384_000}
 		fuller.reserved = worker.Resources{MilliCores: 56_000}
 		ca := ow.newPlacer().rank(addJob(ow, 1, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3000}}), 0, false).best()
 		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "fuller")
 	})
 }
 
-// TestSmallJobsGoFirst has jobs that came in the order of their sizes, the
-// largest first: two take their turn by size for one that does by age.
-func TestSmallJobsGoFirst(t *testing.T) {
+// TestTurnsBySizeAndAge has jobs submitted in the order of their sizes, the largest first:
+// two turns by size follow each turn by age.
+func TestTurnsBySizeAndAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		for i, tasks := range []int{60, 50, 40, 30, 20, 10} {
-			ow.touch(addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}))
+			ow.markDirty(addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}))
 		}
 		ow.sortActive(time.Now())
 		var order []int
@@ -166,18 +168,18 @@
 	})
 }
 
-// TestJobsWithoutHopeTakeNoTurns has an old job that is too late for its caller:
-// those that can be in time take their turns among themselves.
-func TestJobsWithoutHopeTakeNoTurns(t *testing.T) {
+// TestInfeasibleJobsTakeNoTurns has an old job that can no longer finish in time: it comes
+// after those that can, which take turns among themselves.
+func TestInfeasibleJobsTakeNoTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ow := idleOwner(t)
+		ow := ownerWithoutLoop(t)
 		for i, tasks := range []int{99, 60, 10, 20} {
 			en := addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000})
-			en.aimMS = 2000
+			en.targetMS = 2000
 			if tasks == 99 {
 				en.acceptedAt = time.Now().Add(-time.Minute)
 			}
-			ow.touch(en)
+			ow.markDirty(en)
 		}
 		ow.sortActive(time.Now())
 		var order []int
@@ -188,30 +190,30 @@
 	})
 }
 
-// TestOneRoundOfPlacementAWrite has jobs come in one after the other while the
-// store is slow: they are placed together when a write can go out.
-func TestOneRoundOfPlacementAWrite(t *testing.T) {
+// TestOnePlacementRoundPerWrite submits jobs one after the other while the store is slow:
+// they are placed together, once a write can go out.
+func TestOnePlacementRoundPerWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 4)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
-		before, err := ask(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
+		before, err := call(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
 		qt.Assert(t, err, qt.IsNil)
 		for n := range 20 {
 			go la.submit(ow, n, batch(1, 2))
 			time.Sleep(10 * time.Millisecond)
 		}
-		after, err := ask(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
+		after, err := call(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, after-before <= 1, qt.IsTrue, qt.Commentf("%d rounds within one write", after-before))
 	})
 }
 
-// TestEndlessTasksFindRoom has short tasks come all the time and take each part
-// of a worker as it gets free: a large endless task starts all the same.
-func TestEndlessTasksFindRoom(t *testing.T) {
+// TestEndlessTaskIsNotStarvedByShortTasks submits short tasks all the time, which take each
+// part of a worker as it becomes free: a large endless task starts all the same.
+func TestEndlessTaskIsNotStarvedByShortTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
@@ -221,13 +223,13 @@
 			}
 			return 700 * time.Millisecond, "done"
 		}
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		large := lasting(1)
+		large := longRunning(1)
 		large.Steps[0].Each = worker.Resources{MilliCores: 20_000, MemMB: 20_000}
 		n := 0
-		stream := func(seconds int) {
+		submitShort := func(seconds int) {
 			for range seconds * 20 {
 				n++
 				short := batch(1, 3)
@@ -236,9 +238,9 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
-		stream(2)
+		submitShort(2)
 		go la.submit(ow, 1_000_000, large)
-		stream(4)
+		submitShort(4)
 		started := false
 		for _, ru := range la.fleet.Runs() {
 			id, _, _ := job.ParseTaskID(ru.Task)
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -6,38 +6,41 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// ranking has the workers on which tasks of one step find room, the best first.
-// The tasks of a step are alike, and placing one changes nothing but the worker it
-// goes to; so all workers are rated once a step, and that one again.
+// ranking orders the workers that can take a task of one step, the best first. The tasks of
+// a step are identical, and placing one changes only the worker that it goes to; so all
+// workers are rated once per step, and that worker again after each placement.
 type ranking struct {
 	pl   *placer
 	en   *entry
 	step int
 	st   *job.Step
-	// patient is set if fillers still wait for a good place.
-	patient bool
-	// interrupted is set for tasks that were, yields if the tasks leave room for those.
-	interrupted, yields bool
-	// counts are the attempts of the step by worker, if their number is bounded.
-	counts map[*host]int
-	heap   rated
-	// lack is what lacks if there is no worker.
-	lack Cause
+	// selective is set if fillers still wait for a worker that accepts them.
+	selective bool
+	// interrupted is set if the ranking is for tasks that were interrupted,
+	// respectsReservations if the tasks must not use capacity that is reserved for such
+	// tasks.
+	interrupted, respectsReservations bool
+	// counts has the attempts of the step by worker; nil if their number per worker is not
+	// limited.
+	counts map[*workerState]int
+	heap   ratingHeap
+	// cause is why no worker can take a task.
+	cause Cause
 }
 
-// rank rates all workers for a step, for its tasks that were interrupted or the others.
+// rank rates all workers for a step, either for its interrupted tasks or for the others.
 func (pl *placer) rank(en *entry, step int, interrupted bool) *ranking {
 	st := &en.jo.Spec.Steps[step]
-	ra := &ranking{pl: pl, en: en, step: step, st: st, patient: st.Filler && pl.patient(en), interrupted: interrupted, lack: CauseRoom}
-	ra.yields = st.Endless && !interrupted && pl.ow.promises.binds(en)
-	sh := shape{st: st, service: en.jo.Terms.Service, patient: ra.patient, interrupted: interrupted, yields: ra.yields}
+	ra := &ranking{pl: pl, en: en, step: step, st: st, selective: st.Filler && pl.selective(en), interrupted: interrupted, cause: CauseRoom}
+	ra.respectsReservations = st.Endless && !interrupted && pl.ow.reservations.appliesTo(en)
+	sh := shape{st: st, service: en.jo.Terms.Service, selective: ra.selective, interrupted: interrupted, respectsReservations: ra.respectsReservations}
 	if pl.ow.noPlace.has(sh) {
 		if st.Filler {
-			ra.lack = CausePlace
+			ra.cause = CausePlace
 		}
 		return ra
 	}
-	if st.PerWorker > 0 {
+	if st.MaxPerWorker > 0 {
 		ra.counts = en.countBy(step)
 	}
 	for _, ca := range pl.hosts {
@@ -52,37 +55,38 @@
 	return ra
 }
 
-// fits reports whether the worker may get a task of the step now, and notes what
-// lacks if not.
+// fits reports whether the worker can take a task of the step now, and records the cause if
+// not.
 func (ra *ranking) fits(ca *candidate) bool {
-	if !ca.hasRoom(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.PerWorker) {
+	if !ca.hasCapacity(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.MaxPerWorker) {
 		return false
 	}
-	if ra.yields && !ra.st.Reserved().Fits(ca.free.Without(ca.ho.promised)) {
+	if ra.respectsReservations && !ra.st.Reserved().Fits(ca.free.Sub(ca.ho.restartReserved)) {
 		return false
 	}
-	if ra.patient && !ca.suits(ra.st) {
-		ra.lack = CausePlace
+	if ra.selective && !ca.acceptsFiller(ra.st) {
+		ra.cause = CausePlace
 		return false
 	}
 	return true
 }
 
-// best returns the best worker, or nil.
+// best returns the worker with the highest score, or nil if none can take a task. If there
+// is one, the task waits only for its launch order, so the cause becomes CauseOrder.
 func (ra *ranking) best() *candidate {
 	if len(ra.heap) == 0 {
 		return nil
 	}
-	ra.lack = CauseOrder
+	ra.cause = CauseOrder
 	return ra.heap[0].ca
 }
 
-// changed rates the best worker anew, after a task went there.
-func (ra *ranking) changed(ca *candidate) {
+// update rates the best worker again after a task was placed there.
+func (ra *ranking) update(ca *candidate) {
 	if ra.counts != nil {
 		ra.counts[ca.ho]++
 	}
-	ra.lack = CauseRoom
+	ra.cause = CauseRoom
 	if !ra.fits(ca) {
 		heap.Pop(&ra.heap)
 		return
@@ -97,14 +101,15 @@
 	score float64
 }
 
-// rated are workers as a heap, the best first.
-type rated []rating
+// ratingHeap is a heap of workers, the highest score first and the lowest index among
+// equals.
+type ratingHeap []rating
 
 // Len implements heap.Interface.
-func (ra rated) Len() int { return len(ra) }
+func (ra ratingHeap) Len() int { return len(ra) }
 
 // Less implements heap.Interface.
-func (ra rated) Less(i, j int) bool {
+func (ra ratingHeap) Less(i, j int) bool {
 	if ra[i].score != ra[j].score {
 		return ra[i].score > ra[j].score
 	}
@@ -112,21 +117,21 @@
 }
 
 // Swap implements heap.Interface.
-func (ra rated) Swap(i, j int) { ra[i], ra[j] = ra[j], ra[i] }
+func (ra ratingHeap) Swap(i, j int) { ra[i], ra[j] = ra[j], ra[i] }
 
 // Push implements heap.Interface.
-func (ra *rated) Push(x any) { *ra = append(*ra, x.(rating)) }
+func (ra *ratingHeap) Push(x any) { *ra = append(*ra, x.(rating)) }
 
 // Pop implements heap.Interface.
-func (ra *rated) Pop() any {
+func (ra *ratingHeap) Pop() any {
 	last := (*ra)[len(*ra)-1]
 	*ra = (*ra)[:len(*ra)-1]
 	return last
 }
 
 // countBy counts the attempts of a step by worker.
-func (en *entry) countBy(step int) map[*host]int {
-	counts := map[*host]int{}
+func (en *entry) countBy(step int) map[*workerState]int {
+	counts := map[*workerState]int{}
 	for ref, at := range en.attempts {
 		if ref.Step == step {
 			counts[at.ho]++
--- a/internal/sched/reach.go
+++ b/internal/sched/reach.go
@@ -6,169 +6,169 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// reach is whether a worker gets the owner's orders.
+// reach is the state of a worker with regard to the owner's orders.
 type reach string
 
 const (
-	// reachAnswering workers do.
+	// reachAnswering: it gets orders.
 	reachAnswering reach = "answering"
-	// reachSilent ones did, and their last look failed or takes too long.
-	reachSilent reach = "silent"
-	// reachUnsettled ones have not told this owner what they run.
+	// reachUnresponsive: it got orders before, and its last poll failed or takes too long.
+	reachUnresponsive reach = "silent"
+	// reachUnsettled: it has not yet reported to this owner what it runs.
 	reachUnsettled reach = "unsettled"
 )
 
-// Times of telling of workers that get no orders.
+// Limits on the reports of workers that get no orders.
 const (
-	// quietAfter is how long a worker is silent or unsettled before it is told of: a
-	// look after a lost answer takes lookRetry and a few milliseconds, and most
-	// workers settle within the first 20 ms of an owner.
-	quietAfter = time.Second
-	// tellReachEvery is the least time between lines.
-	tellReachEvery = time.Second
-	// overdueAfter is the time without a successful look after which a worker is
-	// silent although none has failed: looks are bounded by the longest wait, its
-	// grace and the pause before the next, and a busy owner takes them in late.
-	overdueAfter = idleWait + lookGrace + undurableWait + time.Second
+	// outageLogAfter is how long a worker must be unresponsive or unsettled to be logged: a
+	// poll after a lost answer takes pollRetry and a few milliseconds, and most workers
+	// settle within the first 20 ms of an owner.
+	outageLogAfter = time.Second
+	// outageLogInterval is the least time between log lines.
+	outageLogInterval = time.Second
+	// pollOverdueAfter is the time without a successful poll after which a worker is
+	// unresponsive although no poll has failed: a poll lasts up to the longest wait, its
+	// grace and the pause before the next, and a busy owner handles the results late.
+	pollOverdueAfter = idlePollWait + pollGrace + maxDurableWait + time.Second
 )
 
-// outage follows workers that get no orders. The zero value has none.
+// outage tracks an outage of workers that get no orders. The zero value means none.
 type outage struct {
-	// began is when the first of them fell quiet, told when a line last told of them;
-	// both are zero if none was told of.
-	began, told time.Time
+	// beganAt is when the first of them stopped getting orders, loggedAt when the outage was
+	// last logged; both are zero if it was not logged.
+	beganAt, loggedAt time.Time
 }
 
-// reach returns whether the worker gets orders.
-func (ho *host) reach(now time.Time) reach {
+// reach returns the state of the worker.
+func (ho *workerState) reach(now time.Time) reach {
 	switch {
 	case !ho.settled:
 		return reachUnsettled
-	case !ho.failing.IsZero() || now.Sub(ho.seen) > overdueAfter:
-		return reachSilent
+	case !ho.failingSince.IsZero() || now.Sub(ho.lastPoll) > pollOverdueAfter:
+		return reachUnresponsive
 	}
 	return reachAnswering
 }
 
-// expected reports whether the worker is to get orders at all.
-func (ho *host) expected() bool { return !ho.gone && !ho.dead }
+// needsOrders reports whether the worker is expected to get orders at all.
+func (ho *workerState) needsOrders() bool { return !ho.unlisted && !ho.dead }
 
-// noteReach notes since when the worker gets no orders.
-func (ho *host) noteReach(re reach, now time.Time) {
+// recordReach records since when the worker gets no orders.
+func (ho *workerState) recordReach(re reach, now time.Time) {
 	switch {
 	case re == reachAnswering:
-		ho.quiet = time.Time{}
-	case ho.quiet.IsZero():
-		ho.quiet = now
+		ho.noContactSince = time.Time{}
+	case ho.noContactSince.IsZero():
+		ho.noContactSince = now
 	}
 }
 
-// quietFor is how long ago the worker last answered, or was first to be reached.
-func (ho *host) quietFor(now time.Time) time.Duration {
-	if ho.seen.IsZero() {
-		return now.Sub(ho.quiet)
+// sinceLastContact returns how long ago the worker last answered or, if it never did, was
+// first found to get no orders.
+func (ho *workerState) sinceLastContact(now time.Time) time.Duration {
+	if ho.lastPoll.IsZero() {
+		return now.Sub(ho.noContactSince)
 	}
-	return now.Sub(ho.seen)
+	return now.Sub(ho.lastPoll)
 }
 
-// noteReach counts the workers by whether they get orders, and tells of those that
-// do not.
-func (ow *Owner) noteReach(now time.Time) {
+// updateReach counts the workers by state, sets their gauge, and logs outages.
+func (ow *Owner) updateReach(now time.Time) {
 	counts := map[reach]int{}
 	late := 0
 	for _, ho := range ow.hosts {
-		if !ho.expected() {
+		if !ho.needsOrders() {
 			continue
 		}
 		re := ho.reach(now)
-		ho.noteReach(re, now)
+		ho.recordReach(re, now)
 		counts[re]++
-		if !ho.quiet.IsZero() && now.Sub(ho.quiet) > quietAfter {
+		if !ho.noContactSince.IsZero() && now.Sub(ho.noContactSince) > outageLogAfter {
 			late++
 		}
 	}
-	gauge(ow.Metrics, counts)
-	ow.tellReach(counts, late, now)
+	setWorkersGauge(ow.Metrics, counts)
+	ow.logReach(counts, late, now)
 }
 
-// gauge sets the gauge of workers.
-func gauge(me *telemetry.Metrics, counts map[reach]int) {
-	for _, re := range []reach{reachAnswering, reachSilent, reachUnsettled} {
+// setWorkersGauge sets the gauge of workers by state.
+func setWorkersGauge(me *telemetry.Metrics, counts map[reach]int) {
+	for _, re := range []reach{reachAnswering, reachUnresponsive, reachUnsettled} {
 		me.Set(telemetry.Workers, int64(counts[re]), "state", string(re))
 	}
 }
 
-// GaugeNoWorkers sets the gauges of workers and of tasks to those of a host that owns no
-// cell.
-func GaugeNoWorkers(me *telemetry.Metrics) {
-	gauge(me, nil)
-	gaugeStuck(me, nil)
-	gaugeCores(me, 0, 0)
+// ResetGauges sets the gauges of workers, stuck tasks and cores to zero, for a host that
+// owns no cell.
+func ResetGauges(me *telemetry.Metrics) {
+	setWorkersGauge(me, nil)
+	setStuckGauge(me, nil)
+	setCoresGauge(me, 0, 0)
 }
 
-// tellReach tells of workers that get no orders, late of which have had none for
-// long, and when all do again.
-func (ow *Owner) tellReach(counts map[reach]int, late int, now time.Time) {
-	without := counts[reachSilent] + counts[reachUnsettled]
+// logReach logs workers that get no orders, and the end of such an outage. late is the
+// number of workers that have had none for more than outageLogAfter.
+func (ow *Owner) logReach(counts map[reach]int, late int, now time.Time) {
+	without := counts[reachUnresponsive] + counts[reachUnsettled]
 	switch {
-	case late > 0 && now.Sub(ow.outage.told) >= tellReachEvery:
-		ow.outage.told = now
-		ow.tellWithout(counts, now)
-	case without == 0 && !ow.outage.told.IsZero():
-		ow.Log.Info("all workers get orders again", "cell", ow.Cell, "workers", counts[reachAnswering], "after", now.Sub(ow.outage.began))
+	case late > 0 && now.Sub(ow.outage.loggedAt) >= outageLogInterval:
+		ow.outage.loggedAt = now
+		ow.logWithoutOrders(counts, now)
+	case without == 0 && !ow.outage.loggedAt.IsZero():
+		ow.Log.Info("all workers get orders again", "cell", ow.Cell, "workers", counts[reachAnswering], "after", now.Sub(ow.outage.beganAt))
 		ow.outage = outage{}
 	}
 }
 
-// tellWithout tells of the workers without orders, and what most of them have in
-// common.
-func (ow *Owner) tellWithout(counts map[reach]int, now time.Time) {
+// logWithoutOrders logs the workers that get no orders, with the relay and the data centre
+// that most of them share.
+func (ow *Owner) logWithoutOrders(counts map[reach]int, now time.Time) {
 	attempts, longest := 0, time.Duration(0)
-	var vias, centres common
+	var relays, centres groupCounts
 	for _, ho := range ow.hosts {
-		if !ho.expected() {
+		if !ho.needsOrders() {
 			continue
 		}
-		without := !ho.quiet.IsZero()
-		vias.add(ho.wayNow().addr.Via, without)
+		without := !ho.noContactSince.IsZero()
+		relays.add(ho.currentPath().addr.Via, without)
 		centres.add(ho.DataCentre, without)
 		if !without {
 			continue
 		}
 		attempts += len(ho.attempts)
-		longest = max(longest, ho.quietFor(now))
-		if ow.outage.began.IsZero() || ho.quiet.Before(ow.outage.began) {
-			ow.outage.began = ho.quiet
+		longest = max(longest, ho.sinceLastContact(now))
+		if ow.outage.beganAt.IsZero() || ho.noContactSince.Before(ow.outage.beganAt) {
+			ow.outage.beganAt = ho.noContactSince
 		}
 	}
-	via, centre := vias.most(), centres.most()
-	ow.Log.Warn("workers without orders", "cell", ow.Cell, "workers", counts[reachSilent]+counts[reachUnsettled],
-		"of", counts[reachSilent]+counts[reachUnsettled]+counts[reachAnswering],
-		"silent", counts[reachSilent], "unsettled", counts[reachUnsettled], "attempts", attempts, "longest", longest,
-		"via", via, "via_workers", vias.without[via], "via_all", vias.all[via],
+	relay, centre := relays.largest(), centres.largest()
+	ow.Log.Warn("workers without orders", "cell", ow.Cell, "workers", counts[reachUnresponsive]+counts[reachUnsettled],
+		"of", counts[reachUnresponsive]+counts[reachUnsettled]+counts[reachAnswering],
+		"silent", counts[reachUnresponsive], "unsettled", counts[reachUnsettled], "attempts", attempts, "longest", longest,
+		"via", relay, "via_workers", relays.without[relay], "via_all", relays.all[relay],
 		"data_centre", centre, "data_centre_workers", centres.without[centre], "data_centre_all", centres.all[centre])
 }
 
-// common counts workers by what they have in common: all of them, and those without
-// orders. The zero value has none.
-type common struct{ all, without map[string]int }
+// groupCounts counts workers by a common property: all of them, and those without orders.
+// The zero value has none.
+type groupCounts struct{ all, without map[string]int }
 
-func (co *common) add(what string, without bool) {
-	if co.all == nil {
-		co.all, co.without = map[string]int{}, map[string]int{}
+func (gc *groupCounts) add(property string, without bool) {
+	if gc.all == nil {
+		gc.all, gc.without = map[string]int{}, map[string]int{}
 	}
-	co.all[what]++
+	gc.all[property]++
 	if without {
-		co.without[what]++
+		gc.without[property]++
 	}
 }
 
-// most returns what most workers without orders have in common.
-func (co *common) most() string {
+// largest returns the property that most workers without orders share.
+func (gc *groupCounts) largest() string {
 	best := ""
-	for what, n := range co.without {
-		if n > co.without[best] || n == co.without[best] && what < best {
-			best = what
+	for property, n := range gc.without {
+		if n > gc.without[best] || n == gc.without[best] && property < best {
+			best = property
 		}
 	}
 	return best
