--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -14,29 +14,30 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// restart ends a worker's process and has it start again under its id after a pause, at
-// its address or at another.
+// restart ends a worker's process and starts it again under its id after a pause, at its
+// address or another one.
 func (la *lab) restart(i int, pause time.Duration, hostPort string) {
-	la.fleet.Kill(la.crew[i])
+	la.fleet.Kill(la.fleetWorkers[i])
 	time.Sleep(pause)
-	la.crew[i] = la.fleet.Restart(la.crew[i], hostPort, 0)
+	la.fleetWorkers[i] = la.fleet.Restart(la.fleetWorkers[i], hostPort, 0)
 }
 
-// TestTasksOfRestartedWorkersRunOnce guards against ends that count as known by the numbers of a worker's former process.
+// TestTasksOfRestartedWorkersRunOnce guards against ends that are skipped as known because a
+// restarted worker numbers them from the start again.
 func TestTasksOfRestartedWorkersRunOnce(t *testing.T) {
 	for _, pause := range []time.Duration{0, 50 * time.Millisecond, time.Second, 5 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				const workers, tasks = 3, 144
 				la := newLab(t, workers)
-				ow, end := la.own()
+				ow, end := la.startOwner()
 				defer end()
 				time.Sleep(time.Second)
 				la.submit(ow, 1, batch(1, tasks))
 				time.Sleep(8 * time.Second)
 				qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 				for i := range workers {
-					la.restart(i, pause, la.crew[i].Addr.HostPort)
+					la.restart(i, pause, la.fleetWorkers[i].Addr.HostPort)
 					ow.SetWorkers(la.listed(), nil, true)
 				}
 				time.Sleep(time.Second)
@@ -44,18 +45,19 @@
 				time.Sleep(30 * time.Second)
 				qt.Check(t, la.state(ow, 2), qt.Equals, job.Succeeded)
 				qt.Check(t, la.fleet.Runs(), qt.HasLen, 2*tasks)
-				la.assertNothingTwice()
+				la.assertRunsConsistent()
 			})
 		})
 	}
 }
 
-// TestLastingTasksOfRestartedWorkersRunAgain guards against leases that are counted by the clock of a worker's former process.
-func TestLastingTasksOfRestartedWorkersRunAgain(t *testing.T) {
+// TestLongRunningTasksOfRestartedWorkersRunAgain guards against lease ends that are computed
+// by the clock of a worker's former process.
+func TestLongRunningTasksOfRestartedWorkersRunAgain(t *testing.T) {
 	for _, where := range []string{"10.0.0.0:80", "10.9.0.0:80"} {
 		t.Run(where, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				la, ow := lastingLab(t, 3, 12)
+				la, ow := newLastingLab(t, 3, 12)
 				time.Sleep(20 * time.Second)
 				la.restart(0, 50*time.Millisecond, where)
 				ow.SetWorkers(la.listed(), nil, true)
@@ -65,22 +67,24 @@
 				ow.SetWorkers(la.listed(), nil, true)
 				time.Sleep(time.Second)
 				la.assertRunning(12)
-				la.fleet.Kill(la.crew[0])
-				// Its leases lapse 6 s after the last look.
+				la.fleet.Kill(la.fleetWorkers[0])
+				// Its leases lapse 6 s after the last poll.
 				time.Sleep(9 * time.Second)
 				la.assertRunning(12)
-				la.assertNothingTwice()
+				la.assertRunsConsistent()
 			})
 		})
 	}
 }
 
-// TestRestartIsNoticedBeforeItIsListed has a worker restart under its id while the list still has the entry of its former process.
+// TestRestartIsNoticedBeforeItIsListed guards against a restart that is noticed only when it
+// is listed: a worker restarts under its id while the list still has the entry of its former
+// process.
 func TestRestartIsNoticedBeforeItIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		was := la.listed()
-		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
+		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
 		la.assertRunning(12)
 		qt.Check(t, la.runningAt("i-0"), qt.Equals, 0)
@@ -92,21 +96,23 @@
 			ow.SetWorkers(la.listed()[:1], nil, false)
 			time.Sleep(time.Second)
 		}
-		la.submit(ow, 2, lasting(30))
+		la.submit(ow, 2, longRunning(30))
 		time.Sleep(time.Second)
 		la.assertRunning(42)
 		qt.Check(t, la.runningAt("i-0") > 0, qt.IsTrue)
 	})
 }
 
-// TestEntryOfAFormerLifeDoesNotFenceTheNext has the entry of a former process be met again and replaced before that is looked at.
-func TestEntryOfAFormerLifeDoesNotFenceTheNext(t *testing.T) {
+// TestEntryOfAFormerIncarnationDoesNotFenceTheNext guards against attempts that lapse after
+// the entry of a former process is seen again and is replaced before that process is polled:
+// its fencing token must not shut out this owner's orders for the running process.
+func TestEntryOfAFormerIncarnationDoesNotFenceTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-				si, err := look(ctx, ad, lo)
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
+			poll := ag.PollFunc
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+				si, err := poll(ctx, ad, lo)
 				clock.Sleep(ctx, 50*time.Millisecond)
 				return si, err
 			}
@@ -114,10 +120,10 @@
 		}
 		ow := la.withLasting(12)
 		was := la.listed()[:1]
-		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
+		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		ow.SetWorkers(la.listed(), nil, true)
 		time.Sleep(time.Second)
-		la.submit(ow, 2, lasting(18))
+		la.submit(ow, 2, longRunning(18))
 		time.Sleep(time.Second)
 		la.assertRunning(30)
 		ow.SetWorkers(was, nil, false)
@@ -126,36 +132,37 @@
 		time.Sleep(30 * time.Second)
 		la.assertRunning(30)
 		qt.Check(t, la.ends()["lapsed"], qt.Equals, 0)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
-// TestEntriesThatDoNotTellTheStart has workers restart of which only their answers tell.
-func TestEntriesThatDoNotTellTheStart(t *testing.T) {
+// TestEntriesWithoutStartTime guards against restarts that go unnoticed when entries do not
+// have the start time of the process, so that only answers show the incarnation.
+func TestEntriesWithoutStartTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
-		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		la.fleet.RunFunc = runUntilStopped
+		ow, end := la.startOwner()
 		defer end()
-		untold := func() {
+		listWithoutStart := func() {
 			list := la.listed()
 			for i := range list {
-				list[i].Incarnation.Born = 0
+				list[i].Incarnation.StartedMS = 0
 			}
 			ow.SetWorkers(list, nil, true)
 		}
-		untold()
-		la.submit(ow, 1, lasting(12))
+		listWithoutStart()
+		la.submit(ow, 1, longRunning(12))
 		time.Sleep(time.Second)
-		la.restart(0, 50*time.Millisecond, la.crew[0].Addr.HostPort)
+		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
-		untold()
-		la.submit(ow, 2, lasting(30))
+		listWithoutStart()
+		la.submit(ow, 2, longRunning(30))
 		time.Sleep(time.Second)
 		la.assertRunning(42)
 		ow.post(func() {
-			ho := ow.onlyLife("i-0")
-			ho.answeredBy(ho.incarnation)
+			ho := ow.soleIncarnation("i-0")
+			ho.handleOtherIncarnation(ho.incarnation)
 		})
 		time.Sleep(10 * time.Second)
 		la.assertRunning(42)
@@ -163,115 +170,121 @@
 	})
 }
 
-// slowFirstLooks has looks take so long to reach processes that restarted.
-func slowFirstLooks(d time.Duration) func(worker.Agent) worker.Agent {
+// slowFirstPolls delays polls of restarted processes by d.
+func slowFirstPolls(d time.Duration) func(worker.Agent) worker.Agent {
 	began := time.Now().UnixMilli()
 	return func(ag worker.Agent) worker.Agent {
-		look := ag.LookFunc
-		ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-			if ad.Incarnation.Born > began && !clock.Sleep(ctx, d) {
-				return worker.Sight{}, ctx.Err()
+		poll := ag.PollFunc
+		ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			if ad.Incarnation.StartedMS > began && !clock.Sleep(ctx, d) {
+				return worker.PollResult{}, ctx.Err()
 			}
-			return look(ctx, ad, lo)
+			return poll(ctx, ad, lo)
 		}
 		return ag
 	}
 }
 
-// TestOrderForAFormerLifeRunsOnce has the order to start a task carried out by the next process with the worker's id.
-func TestOrderForAFormerLifeRunsOnce(t *testing.T) {
-	for _, untold := range []bool{false, true} {
+// TestOrderForAFormerIncarnationRunsOnce guards against tasks that run twice when their start
+// is ordered from one process and carried out by the next one with the worker's id.
+func TestOrderForAFormerIncarnationRunsOnce(t *testing.T) {
+	for _, noStartTime := range []bool{false, true} {
 		for late := 50 * time.Millisecond; late < time.Second; late += 50 * time.Millisecond {
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 3)
-				la.fleet.Untold = untold
-				la.throughFunc = slowFirstLooks(200 * time.Millisecond)
+				la.fleet.OmitStartTime = noStartTime
+				la.wrapAgentFunc = slowFirstPolls(200 * time.Millisecond)
 				la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
-				ow, end := la.own()
+				ow, end := la.startOwner()
 				defer end()
 				time.Sleep(time.Second)
-				for _, fw := range la.crew {
-					la.fleet.SetLate(fw, late)
+				for _, fw := range la.fleetWorkers {
+					la.fleet.SetOrderDelay(fw, late)
 				}
 				la.submit(ow, 1, batch(1, 12))
 				time.Sleep(10 * time.Millisecond)
-				for _, fw := range la.crew {
-					la.fleet.SetLate(fw, 0)
+				for _, fw := range la.fleetWorkers {
+					la.fleet.SetOrderDelay(fw, 0)
 				}
-				la.restart(0, 0, la.crew[0].Addr.HostPort)
+				la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
 				time.Sleep(2 * time.Second)
 				ow.SetWorkers(la.listed(), nil, true)
 				time.Sleep(20 * time.Second)
 				qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-				la.assertNothingTwice()
+				la.assertRunsConsistent()
 			})
 		}
 	}
 }
 
-// TestFormerOwnersOrderForAFormerLife has an owner's order, sent before it was replaced, reach a worker's next process at any moment.
-func TestFormerOwnersOrderForAFormerLife(t *testing.T) {
+// TestFormerOwnersOrderForAFormerIncarnation guards against tasks that run twice when an order
+// that a former owner sent reaches a worker's next process, at any moment after the change of
+// owner.
+func TestFormerOwnersOrderForAFormerIncarnation(t *testing.T) {
 	for late := 50 * time.Millisecond; late < 3*time.Second; late += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
-			la.throughFunc = slowFirstLooks(200 * time.Millisecond)
+			la.wrapAgentFunc = slowFirstPolls(200 * time.Millisecond)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			time.Sleep(time.Second)
-			for _, fw := range la.crew {
-				la.fleet.SetLate(fw, late)
+			for _, fw := range la.fleetWorkers {
+				la.fleet.SetOrderDelay(fw, late)
 			}
 			la.submit(ow, 1, batch(1, 12))
 			time.Sleep(10 * time.Millisecond)
 			end()
-			for i, fw := range la.crew {
+			for i, fw := range la.fleetWorkers {
 				la.restart(i, 0, fw.Addr.HostPort)
 			}
 			time.Sleep(time.Second)
-			ow, end = la.own()
+			ow, end = la.startOwner()
 			defer end()
 			time.Sleep(12 * time.Second)
 			qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 			qt.Check(t, la.fleet.Runs(), qt.HasLen, 12)
-			la.assertNothingTwice()
+			la.assertRunsConsistent()
 		})
 	}
 }
 
-// TestEndsOfTheNextLifeAreNotAcknowledgedUnseen has a process that restarted end tasks before it is first looked at.
-func TestEndsOfTheNextLifeAreNotAcknowledgedUnseen(t *testing.T) {
+// TestEndsOfTheNextIncarnationAreNotAcknowledgedUnseen guards against ends that are lost
+// because a poll acknowledges them by the numbers of the former process: a restarted process
+// ends tasks before it is first polled.
+func TestEndsOfTheNextIncarnationAreNotAcknowledgedUnseen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 48
 		la := newLab(t, 1)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 20 * time.Millisecond, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, tasks))
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		la.fleet.SetLate(la.crew[0], 50*time.Millisecond)
+		la.fleet.SetOrderDelay(la.fleetWorkers[0], 50*time.Millisecond)
 		la.submit(ow, 2, batch(1, 12))
 		time.Sleep(10 * time.Millisecond)
-		la.restart(0, 0, la.crew[0].Addr.HostPort)
+		la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
 		ow.SetWorkers(la.listed(), nil, true)
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.state(ow, 2), qt.Equals, job.Succeeded)
 		qt.Check(t, la.fleet.Runs(), qt.HasLen, tasks+12)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
-// TestBusyOwnerAcknowledgesEnds has an owner take each answer in half a second late.
+// TestBusyOwnerAcknowledgesEnds guards against ends that are never acknowledged because the
+// owner handles each answer half a second late.
 func TestBusyOwnerAcknowledgesEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		var busy atomic.Pointer[Owner]
-		la.throughFunc = func(ag worker.Agent) worker.Agent {
-			look := ag.LookFunc
-			ag.LookFunc = func(ctx context.Context, ad worker.Addr, lo worker.Look) (worker.Sight, error) {
-				si, err := look(ctx, ad, lo)
+		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
+			poll := ag.PollFunc
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+				si, err := poll(ctx, ad, lo)
 				if ow := busy.Load(); ow != nil {
 					ow.post(func() { time.Sleep(ackWithin + 200*time.Millisecond) })
 				}
@@ -280,7 +293,7 @@
 			return ag
 		}
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 2 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 4))
@@ -290,9 +303,9 @@
 		runs := la.fleet.Runs()
 		qt.Assert(t, runs, qt.HasLen, 4)
 		for _, ru := range runs {
-			qt.Check(t, ru.Noted.IsZero(), qt.IsFalse)
+			qt.Check(t, ru.AckedAt.IsZero(), qt.IsFalse)
 		}
-		// The owner may be in its last busy spell, which ends only while time passes.
+		// The owner may still be blocked in a sleep, which ends only while time passes.
 		time.Sleep(time.Second)
 	})
 }
--- /dev/null
+++ b/internal/sched/score.go
@@ -0,0 +1,95 @@
+package sched
+
+import "github.com/pepperhatch/pepperhatch/internal/job"
+
+// score rates a worker for a task; the highest score wins. Fillers go where the largest
+// share of processor time is idle. All others go where the least is left unreserved, so
+// that large tasks fit elsewhere and workers without services stay available to fillers
+// that interfere with every service.
+func (ca *candidate) score(en *entry, st *job.Step) float64 {
+	score := -share(ca.free.MilliCores, ca.ho.Capacity.MilliCores)
+	if st.Filler {
+		sum, over := ca.disturbance(st)
+		score = share(ca.idle, ca.ho.Capacity.MilliCores) - disturbanceWeight*sum - excessWeight*over
+	}
+	if st.Endless && st.Image != "" {
+		score += ca.affinity(en, st.Image)
+	}
+	if st.Rack != "" && st.Rack != ca.ho.Rack {
+		score -= otherRackPenalty
+	}
+	if en.failedOn[ca.ho.incarnation] {
+		score -= failedPenalty
+	}
+	return score - float64(ca.ho.failures)*perFailurePenalty
+}
+
+// affinity rates how well an endless task matches the services on the worker. A filler must
+// be tolerated by every service on its worker, so it finds a worker more easily if the
+// services there react alike to fillers: those of one image do, and others may have been
+// observed to. Replicas of one step share their load, so that on one worker they leave
+// capacity to fillers at the same time.
+func (ca *candidate) affinity(en *entry, image string) float64 {
+	ow, all := ca.ho.ow, len(ca.ho.services)
+	if all == 0 {
+		return 0
+	}
+	similar, sameJob := 0.0, 0
+	for _, at := range ca.ho.services {
+		similar += ow.imageSimilarity(image, at.step().Image)
+		if at.en == en {
+			sameJob++
+		}
+	}
+	sum := 0.0
+	if ow.uses(MechSeparateImages) {
+		sum += imageWeight * similar / float64(all)
+	}
+	if ow.uses(MechColocateReplicas) {
+		sum += jobWeight * balance(sameJob, all)
+	}
+	return sum
+}
+
+// imagePair is a pair of service images.
+type imagePair struct{ a, b string }
+
+// imageSimilarity rates how alike fillers affect two service images, from -1 to 1. It is
+// computed once per round of placement.
+func (ow *Owner) imageSimilarity(a, b string) float64 {
+	switch {
+	case a == b:
+		return 1
+	case !ow.uses(MechSimilarImages):
+		return -1
+	}
+	pa := imagePair{a, b}
+	if known, ok := ow.similarity[pa]; ok {
+		return known
+	}
+	ow.similarity[pa] = ow.model.Similarity(a, b)
+	return ow.similarity[pa]
+}
+
+// balance returns the share of services that match minus the share of the others, from -1
+// to 1.
+func balance(alike, all int) float64 { return float64(2*alike-all) / float64(all) }
+
+// Weights of affinity relative to the free share of a worker. That of the image outweighs
+// any free share; that of the job equals half a worker.
+const (
+	imageWeight = 3
+	jobWeight   = 0.5
+)
+
+// Penalties of workers that are far from the data, or on which attempts failed.
+const (
+	// otherRackPenalty is subtracted from the score of a worker outside the rack that has
+	// the step's data.
+	otherRackPenalty = 0.5
+	// failedPenalty keeps a job's tasks away from a worker on which one of them failed.
+	failedPenalty = 4
+	// perFailurePenalty is subtracted for each attempt that has failed there since one
+	// succeeded.
+	perFailurePenalty = 1
+)
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -12,63 +12,63 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// shortage is why the tasks of a step find no room: what the worker that comes nearest
-// has, what holds the rest of it, and which workers have room but may not be used.
+// shortage explains why the tasks of a step fit on no worker: which worker comes nearest
+// and what takes its capacity, and which workers have enough capacity but may not be used.
 type shortage struct {
-	st   *job.Step
-	best *host
-	// lacks is what the best one lacks, as a share of what the step needs.
-	lacks float64
-	// barred counts the workers with enough room that may not be used, by reason.
+	st      *job.Step
+	nearest *workerState
+	// shortfall is what the nearest worker lacks, as a share of what the step needs.
+	shortfall float64
+	// barred counts the workers that have enough capacity but may not be used, by reason.
 	barred map[string]int
 }
 
-// findShortage looks at all workers that the step may run on.
+// findShortage compares the step's needs with all workers that it may run on.
 func (ow *Owner) findShortage(en *entry, step int, now time.Time) shortage {
 	st := &en.jo.Spec.Steps[step]
 	sh := shortage{st: st, barred: map[string]int{}}
-	for _, ho := range ow.sortedHosts() {
+	for _, ho := range ow.sortedWorkers() {
 		ca := newCandidate(ho, now)
 		if !ca.suitable(en, st) {
 			continue
 		}
-		if why := cmp.Or(ho.bar(now), ho.refuses(en, step)); why != "" {
+		if why := cmp.Or(ho.unavailableReason(now), ho.stepBar(en, step)); why != "" {
 			if st.Reserved().Fits(ca.free) {
 				sh.barred[why]++
 			}
 			continue
 		}
-		if lacks := lacking(st.Reserved(), ca.free); sh.best == nil || lacks < sh.lacks {
-			sh.best, sh.lacks = ho, lacks
+		if missing := shortfall(st.Reserved(), ca.free); sh.nearest == nil || missing < sh.shortfall {
+			sh.nearest, sh.shortfall = ho, missing
 		}
 	}
 	return sh
 }
 
-// Reasons why a worker that gets new tasks gets none of a step.
+// Reasons why a worker that accepts new tasks accepts none of a step.
 const (
-	// barKept: its room is kept for a task that lasts.
-	barKept = "kept"
-	// barApart: it has as many tasks of the step as may stand on one worker.
-	barApart = "apart"
+	// barEarmarked: its capacity is set aside for an endless task.
+	barEarmarked = "kept"
+	// barSpread: it already runs as many tasks of the step as one worker may.
+	barSpread = "apart"
 )
 
-// refuses returns why the worker gets none of a step's tasks though it gets others, or
-// nothing.
-func (ho *host) refuses(en *entry, step int) string {
+// stepBar returns why a worker that accepts new tasks accepts none of the step, or an empty
+// string if it does.
+func (ho *workerState) stepBar(en *entry, step int) string {
 	st := &en.jo.Spec.Steps[step]
 	switch {
-	case ho.isKept() && !st.Filler && en.waitingAgain(step) == 0:
-		return barKept
-	case st.PerWorker > 0 && en.countAt(step, ho) >= st.PerWorker:
-		return barApart
+	case ho.isEarmarked() && !st.Filler && en.waitingInterrupted(step) == 0:
+		return barEarmarked
+	case st.MaxPerWorker > 0 && en.countAt(step, ho) >= st.MaxPerWorker:
+		return barSpread
 	}
 	return ""
 }
 
-// lacking returns how much of what is needed is not free, as a share of it: that of the
-// resource of which most is lacking.
-func lacking(need, free worker.Resources) float64 {
+// shortfall returns which part of the need is not free, for the resource that is shortest.
+// It is zero or less if the need fits.
+func shortfall(need, free worker.Resources) float64 {
 	return max(
 		share(need.MilliCores-free.MilliCores, need.MilliCores),
 		share(need.MemMB-free.MemMB, need.MemMB),
@@ -76,27 +76,27 @@
 	)
 }
 
-// attrs are the fields of a log line.
+// attrs returns the shortage as attributes of a log line.
 func (sh shortage) attrs() []slog.Attr {
 	need := sh.st.Reserved()
 	list := []slog.Attr{
 		slog.Int64("need_millicores", need.MilliCores), slog.Int64("need_mem_mb", need.MemMB),
-		slog.String("barred", listCounts(sh.barred)),
+		slog.String("barred", formatCounts(sh.barred)),
 	}
-	if sh.best == nil {
+	if sh.nearest == nil {
 		return append(list, slog.String("best", "none"))
 	}
-	free := sh.best.Holds.Without(sh.best.reserved)
+	free := sh.nearest.Capacity.Sub(sh.nearest.reserved)
 	return append(list,
-		slog.String("best", sh.best.incarnation.String()),
+		slog.String("best", sh.nearest.incarnation.String()),
 		slog.Int64("free_millicores", free.MilliCores), slog.Int64("free_mem_mb", free.MemMB),
-		slog.Int64("passing_millicores", sh.best.passing.MilliCores), slog.Int64("passing_mem_mb", sh.best.passing.MemMB),
-		slog.Int64("stopping_millicores", sh.best.stopping().MilliCores), slog.Int("attempts", len(sh.best.attempts)),
+		slog.Int64("passing_millicores", sh.nearest.finiteReserved.MilliCores), slog.Int64("passing_mem_mb", sh.nearest.finiteReserved.MemMB),
+		slog.Int64("stopping_millicores", sh.nearest.stopping().MilliCores), slog.Int("attempts", len(sh.nearest.attempts)),
 	)
 }
 
-// listCounts lists names with their numbers.
-func listCounts[K ~string](counts map[K]int) string {
+// formatCounts formats counts as "name:count", sorted by name.
+func formatCounts[K ~string](counts map[K]int) string {
 	list := make([]string, 0, len(counts))
 	for name, n := range counts {
 		list = append(list, fmt.Sprintf("%s:%d", name, n))
@@ -105,12 +105,12 @@
 	return strings.Join(list, " ")
 }
 
-// stopping is the part of the worker's room that attempts take which are being stopped.
-func (ho *host) stopping() worker.Resources {
+// stopping returns the resources held by attempts that are being stopped.
+func (ho *workerState) stopping() worker.Resources {
 	var sum worker.Resources
 	for at := range ho.attempts {
-		if !at.halted.IsZero() {
-			sum = sum.With(at.step().Reserved())
+		if !at.haltSentAt.IsZero() {
+			sum = sum.Add(at.step().Reserved())
 		}
 	}
 	return sum
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -11,55 +11,58 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// Times of telling of tasks that are stuck.
+// Limits on the reports of stuck tasks.
 const (
-	// stuckAfter is how long a task waits, or is taken to run without its worker's word,
-	// until it counts as stuck.
+	// stuckAfter is how long a task must wait, or be assumed to run without confirmation by
+	// its worker, to count as stuck.
 	stuckAfter = 5 * time.Second
-	// stuckEvery is the time between two looks for such tasks.
-	stuckEvery = time.Second
-	// stuckNamed bounds the jobs that a line names.
-	stuckNamed = 8
+	// stuckCheckInterval is the time between two searches for stuck tasks.
+	stuckCheckInterval = time.Second
+	// stuckJobsLogged is the largest number of jobs that a log line names.
+	stuckJobsLogged = 8
 )
 
-// obstacle is what holds back a task that is stuck.
+// obstacle is the reason why a task is stuck.
 type obstacle string
 
 const (
-	// obstacleRest: it failed several times in a row and is not to begin yet.
-	obstacleRest obstacle = "rest"
-	// obstacleTrial: it waits to be tried alone on a worker, or apart from others.
-	obstacleTrial obstacle = "trial"
-	// obstacleRoom, obstaclePlace, obstacleOrder and obstacleStore are the causes of
-	// those names.
-	obstacleRoom  obstacle = "room"
-	obstaclePlace obstacle = "place"
-	obstacleOrder obstacle = "order"
-	obstacleStore obstacle = "store"
-	// obstacleSilent: it is taken to run on a worker that does not answer.
-	obstacleSilent obstacle = "silent-worker"
-	// obstacleStopping: the end of its attempt was ordered and is not listed.
+	// obstacleBackoff: it failed several times in a row and must not start yet.
+	obstacleBackoff obstacle = "rest"
+	// obstacleIsolation: it is suspected of crashing workers and waits for a worker where
+	// it runs alone, or apart from other such tasks.
+	obstacleIsolation obstacle = "trial"
+	// obstacleCapacity, obstaclePlacement, obstacleOrder and obstacleStore are the texts of
+	// the corresponding values of Cause.
+	obstacleCapacity  obstacle = "room"
+	obstaclePlacement obstacle = "place"
+	obstacleOrder     obstacle = "order"
+	obstacleStore     obstacle = "store"
+	// obstacleUnresponsive: it is assumed to run on a worker that does not answer.
+	obstacleUnresponsive obstacle = "silent-worker"
+	// obstacleStopping: a stop of its attempt was ordered, but the worker has not reported
+	// its end.
 	obstacleStopping obstacle = "stopping"
 )
 
 var obstacles = []obstacle{
-	obstacleRest, obstacleTrial, obstacleRoom, obstaclePlace, obstacleOrder, obstacleStore, obstacleSilent, obstacleStopping,
+	obstacleBackoff, obstacleIsolation, obstacleCapacity, obstaclePlacement, obstacleOrder, obstacleStore, obstacleUnresponsive, obstacleStopping,
 }
 
-// stuckJob are the stuck tasks of one job.
+// stuckJob holds the stuck tasks of one job, counted by obstacle, and the longest wait
+// among them.
 type stuckJob struct {
 	en     *entry
 	counts map[obstacle]int
 	wait   time.Duration
 }
 
-// noteStuck counts the tasks that are stuck by what holds them back, and tells of the
-// longest.
-func (ow *Owner) noteStuck(now time.Time) {
-	if now.Sub(ow.stuckAt) < stuckEvery {
+// reportStuck sets the gauges of stuck tasks and of cores, and logs the jobs with the
+// longest waits.
+func (ow *Owner) reportStuck(now time.Time) {
+	if now.Sub(ow.stuckCheckedAt) < stuckCheckInterval {
 		return
 	}
-	ow.stuckAt = now
+	ow.stuckCheckedAt = now
 	var list []stuckJob
 	counts := map[bool]map[obstacle]int{true: {}, false: {}}
 	for _, en := range ow.entries {
@@ -72,52 +75,55 @@
 			counts[en.jo.Endless()][ob] += n
 		}
 	}
-	held, reserved, barred := ow.capacityNow(now)
-	gaugeStuck(ow.Metrics, counts)
-	gaugeCores(ow.Metrics, held, reserved)
+	held, reserved, barred := ow.capacity(now)
+	setStuckGauge(ow.Metrics, counts)
+	setCoresGauge(ow.Metrics, held, reserved)
 	if len(list) == 0 {
 		return
 	}
-	ow.Log.Info("tasks are stuck", "jobs", len(list), "lasting", listCounts(counts[true]), "ending", listCounts(counts[false]),
-		"reserved_share", share(reserved, held), "barred", listCounts(barred), "longest", nameLongest(list))
+	ow.Log.Info("tasks are stuck", "jobs", len(list), "lasting", formatCounts(counts[true]), "ending", formatCounts(counts[false]),
+		"reserved_share", share(reserved, held), "barred", formatCounts(barred), "longest", formatLongest(list))
 }
 
-// gaugeStuck sets the gauge of stuck tasks, by whether they last.
-func gaugeStuck(me *telemetry.Metrics, counts map[bool]map[obstacle]int) {
+// setStuckGauge sets the gauge of stuck tasks; the key of counts is whether the job is
+// endless.
+func setStuckGauge(me *telemetry.Metrics, counts map[bool]map[obstacle]int) {
 	for _, ob := range obstacles {
 		me.Set(telemetry.StuckTasks, int64(counts[true][ob]), "kind", "lasting", "why", string(ob))
 		me.Set(telemetry.StuckTasks, int64(counts[false][ob]), "kind", "ending", "why", string(ob))
 	}
 }
 
-// gaugeCores sets the gauge of cores, of which some are held and reserved in thousandths.
-func gaugeCores(me *telemetry.Metrics, held, reserved int64) {
+// setCoresGauge sets the gauge of cores from the held and reserved processor time, in
+// thousandths of a core.
+func setCoresGauge(me *telemetry.Metrics, held, reserved int64) {
 	me.Set(telemetry.CellCores, held/1000, "part", "held")
 	me.Set(telemetry.CellCores, reserved/1000, "part", "reserved")
 }
 
-// capacityNow sums up what workers that get tasks hold and what is reserved there, in
-// thousandths of a core, and counts the others by why they get none.
-func (ow *Owner) capacityNow(now time.Time) (held, reserved int64, barred map[string]int) {
+// capacity returns the processor time of the workers that accept new tasks and the part of
+// it that is reserved, in thousandths of a core, and counts the other workers by the reason
+// why they accept none.
+func (ow *Owner) capacity(now time.Time) (held, reserved int64, barred map[string]int) {
 	barred = map[string]int{}
 	for _, ho := range ow.hosts {
-		if why := ho.bar(now); why != "" {
+		if why := ho.unavailableReason(now); why != "" {
 			barred[why]++
 			continue
 		}
-		held += ho.Holds.MilliCores
+		held += ho.Capacity.MilliCores
 		reserved += ho.reserved.MilliCores
 	}
 	return held, reserved, barred
 }
 
-// stuck returns the job's tasks that are stuck.
+// stuck returns the job's stuck tasks.
 func (en *entry) stuck(now time.Time) stuckJob {
 	sj := stuckJob{en: en, counts: map[obstacle]int{}}
 	if !en.endedAt.IsZero() {
 		return sj
 	}
-	if wait := now.Sub(en.waitingSince); en.waiting > 0 && wait >= stuckAfter {
+	if wait := now.Sub(en.waitingSince); en.waitingTasks > 0 && wait >= stuckAfter {
 		sj.wait = wait
 		en.countObstacles(sj.counts, now)
 	}
@@ -131,9 +137,9 @@
 	return sj
 }
 
-// countObstacles counts the waiting tasks by what holds them back.
+// countObstacles counts the job's waiting tasks by obstacle.
 func (en *entry) countObstacles(counts map[obstacle]int, now time.Time) {
-	lack := obstacle(en.cause(en.ow.storeDown()).String())
+	cause := obstacle(en.currentCause(en.ow.storeDown()).String())
 	for step, tasks := range en.jo.Tasks {
 		if !en.jo.Ready(step) {
 			continue
@@ -143,38 +149,39 @@
 				continue
 			}
 			switch {
-			case en.rests.resting(job.TaskRef{Step: step, Index: index}, now):
-				counts[obstacleRest]++
+			case en.backoffs.active(job.TaskRef{Step: step, Index: index}, now):
+				counts[obstacleBackoff]++
 			case tasks[index].Suspect():
-				counts[obstacleTrial]++
+				counts[obstacleIsolation]++
 			default:
-				counts[lack]++
+				counts[cause]++
 			}
 		}
 	}
 }
 
-// obstacle returns why an attempt that is taken to run may not, and since when.
+// obstacle returns why an attempt that is assumed to run may not be running, and since
+// when; an empty string if nothing suggests it.
 func (at *attempt) obstacle() (obstacle, time.Time) {
 	switch {
-	case !at.ho.failing.IsZero():
-		return obstacleSilent, at.ho.failing
+	case !at.ho.failingSince.IsZero():
+		return obstacleUnresponsive, at.ho.failingSince
 	case !at.ho.settled:
-		return obstacleSilent, at.ho.entered
-	case !at.halted.IsZero():
-		return obstacleStopping, at.halted
+		return obstacleUnresponsive, at.ho.firstSeen
+	case !at.haltSentAt.IsZero():
+		return obstacleStopping, at.haltSentAt
 	}
 	return "", time.Time{}
 }
 
-// nameLongest names the jobs whose tasks are stuck for longest.
-func nameLongest(list []stuckJob) string {
+// formatLongest formats the jobs with the longest waits.
+func formatLongest(list []stuckJob) string {
 	slices.SortFunc(list, func(a, b stuckJob) int {
 		return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(a.en.jo.ID, b.en.jo.ID))
 	})
 	var named []string
-	for _, sj := range list[:min(len(list), stuckNamed)] {
-		named = append(named, fmt.Sprintf("%s %s %.1fs", sj.en.jo.ID, listCounts(sj.counts), sj.wait.Seconds()))
+	for _, sj := range list[:min(len(list), stuckJobsLogged)] {
+		named = append(named, fmt.Sprintf("%s %s %.1fs", sj.en.jo.ID, formatCounts(sj.counts), sj.wait.Seconds()))
 	}
 	return strings.Join(named, "; ")
 }
--- a/internal/sched/stuck_test.go
+++ b/internal/sched/stuck_test.go
@@ -13,50 +13,50 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-func TestStuckTasksAreTold(t *testing.T) {
+func TestStuckTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
-		me, page, err := telemetry.New()
+		me, handler, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
-		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		la.fleet.RunFunc = runUntilStopped
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		stuck := func(kind string, why obstacle, n int) {
+		assertGauge := func(kind string, why obstacle, n int) {
 			t.Helper()
 			re := httptest.NewRecorder()
-			page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+			handler.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 			qt.Check(t, re.Body.String(), qt.Contains, fmt.Sprintf("%s{kind=%q,why=%q} %d\n", telemetry.StuckTasks, kind, why, n))
 		}
-		la.submit(ow, 1, lasting(40))
+		la.submit(ow, 1, longRunning(40))
 		time.Sleep(4 * time.Second)
-		stuck("lasting", obstacleRoom, 0)
-		qt.Check(t, li.with(`msg="tasks are stuck"`), qt.HasLen, 0)
+		assertGauge("lasting", obstacleCapacity, 0)
+		qt.Check(t, li.matching(`msg="tasks are stuck"`), qt.HasLen, 0)
 		time.Sleep(3 * time.Second)
 		waiting := 40 - len(la.fleet.Runs())
 		qt.Assert(t, waiting > 0, qt.IsTrue)
-		stuck("lasting", obstacleRoom, waiting)
-		qt.Check(t, len(li.with(`msg="tasks are stuck"`, fmt.Sprintf("lasting=room:%d", waiting), "reserved_share=", "longest=")) > 0, qt.IsTrue)
+		assertGauge("lasting", obstacleCapacity, waiting)
+		qt.Check(t, len(li.matching(`msg="tasks are stuck"`, fmt.Sprintf("lasting=room:%d", waiting), "reserved_share=", "longest=")) > 0, qt.IsTrue)
 		end()
 		time.Sleep(time.Second)
-		stuck("lasting", obstacleRoom, 0)
+		assertGauge("lasting", obstacleCapacity, 0)
 	})
 }
 
 func TestObstacleOfAttempts(t *testing.T) {
 	long := time.Now().Add(-time.Minute)
 	for _, tc := range []struct {
-		ho     *host
+		ho     *workerState
 		halted time.Time
 		want   obstacle
 	}{
-		{&host{settled: true}, time.Time{}, ""},
-		{&host{settled: true}, long, obstacleStopping},
-		{&host{settled: true, failing: long}, long, obstacleSilent},
-		{&host{entered: long}, time.Time{}, obstacleSilent},
+		{&workerState{settled: true}, time.Time{}, ""},
+		{&workerState{settled: true}, long, obstacleStopping},
+		{&workerState{settled: true, failingSince: long}, long, obstacleUnresponsive},
+		{&workerState{firstSeen: long}, time.Time{}, obstacleUnresponsive},
 	} {
-		at := &attempt{ho: tc.ho, halted: tc.halted}
+		at := &attempt{ho: tc.ho, haltSentAt: tc.halted}
 		ob, since := at.obstacle()
 		qt.Check(t, ob, qt.Equals, tc.want)
 		qt.Check(t, ob == "" || since.Equal(long), qt.IsTrue)
--- /dev/null
+++ b/internal/sched/timebreakdown.go
@@ -0,0 +1,189 @@
+package sched
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/pepperhatch/pepperhatch/internal/telemetry"
+)
+
+// Cause is what a job's time is spent on. At each moment a job has exactly one cause, so the
+// times of its causes add up to its age.
+type Cause int8
+
+// The causes.
+const (
+	// CauseOrder: a task waits for a write, or for an order to reach its worker.
+	CauseOrder Cause = iota
+	// CauseWork: all tasks that can run do so at full speed.
+	CauseWork
+	// CausePaced: all tasks that can run do so, but one of them is slowed down to protect a
+	// service.
+	CausePaced
+	// CauseRoom: a task waits because no worker that it may run on has the capacity.
+	CauseRoom
+	// CausePlace: a filler waits because it would disturb services wherever it fits, or finds
+	// no idle processors there; or a task waits to run isolated.
+	CausePlace
+	// CauseStop: an attempt is being stopped, to continue on another worker.
+	CauseStop
+	// CauseStore: the store accepts no writes.
+	CauseStore
+
+	causes
+
+	// CauseBackoff: a long-running task that failed several times in a row waits for its
+	// backoff to end. The time of such jobs is not accounted, so this cause is not counted
+	// with the others.
+	CauseBackoff = causes
+)
+
+// causeNames are the names of the causes in logs and metrics.
+var causeNames = [causes]string{"order", "work", "paced", "room", "place", "stop", "store"}
+
+// String returns the cause's name.
+func (ca Cause) String() string {
+	if ca == CauseBackoff {
+		return "rest"
+	}
+	return causeNames[ca]
+}
+
+// CauseNames returns the names of the causes that the time of a job is accounted to, in their
+// order.
+func CauseNames() []string { return causeNames[:] }
+
+// Logging of waits.
+const (
+	// firstWaitLog is how long a job waits before that is logged. The next line follows after
+	// twice that wait, so the number of lines stays small however long a job waits.
+	firstWaitLog = time.Second
+)
+
+// timeBreakdown is a job's time by cause.
+type timeBreakdown struct {
+	byCause [causes]time.Duration
+	// accountedUntil is the time up to which byCause accounts for the job's age.
+	accountedUntil time.Time
+	// nextWaitLog is the wait after which the next line is logged.
+	nextWaitLog time.Duration
+	// failed counts the attempts that failed, moved those stopped to continue elsewhere.
+	failed, moved int
+}
+
+// accountTime accounts the time since the last call to the current causes of the jobs that
+// have not ended, and logs those that wait. The time of long-running jobs is not accounted.
+func (ow *Owner) accountTime(now time.Time) {
+	down := ow.storeDown()
+	for _, en := range ow.entries {
+		if !en.endedAt.IsZero() {
+			continue
+		}
+		if !en.jo.Endless() {
+			en.addTime(en.currentCause(down), now)
+		}
+		ow.logWait(en, now)
+	}
+}
+
+// addTime accounts the time since the last call to a cause.
+func (en *entry) addTime(ca Cause, now time.Time) {
+	if en.timeBreakdown.accountedUntil.IsZero() {
+		en.timeBreakdown.accountedUntil = en.acceptedAt
+	}
+	en.timeBreakdown.byCause[ca] += max(now.Sub(en.timeBreakdown.accountedUntil), 0)
+	en.timeBreakdown.accountedUntil = now
+}
+
+// currentCause returns what the job's time is spent on now.
+func (en *entry) currentCause(storeDown bool) Cause {
+	switch {
+	case storeDown && (en.waitingTasks > 0 || en.progressVersion == 0):
+		return CauseStore
+	case en.progressVersion == 0:
+		return CauseOrder
+	case en.waitingTasks > 0:
+		return en.waitCause
+	}
+	worst := CauseWork
+	for _, at := range en.attempts {
+		switch {
+		case !at.haltSentAt.IsZero():
+			return CauseStop
+		case at.launchedAt.IsZero():
+			worst = CauseOrder
+		case at.pace >= 0 && at.pace < fullPace && worst == CauseWork:
+			worst = CausePaced
+		}
+	}
+	return worst
+}
+
+// attrs returns the log attributes of a job's time, in milliseconds.
+func (tb *timeBreakdown) attrs() []slog.Attr {
+	list := make([]slog.Attr, 0, causes+2)
+	for ca, d := range tb.byCause {
+		list = append(list, slog.Int64(causeNames[ca]+"_ms", d.Milliseconds()))
+	}
+	return append(list, slog.Int("failed", tb.failed), slog.Int("moved", tb.moved))
+}
+
+// logWait logs a job whose tasks have waited for long.
+func (ow *Owner) logWait(en *entry, now time.Time) {
+	wait := now.Sub(en.waitingSince)
+	if en.waitingTasks == 0 || wait < firstWaitLog {
+		en.timeBreakdown.nextWaitLog = firstWaitLog
+		return
+	}
+	if wait < en.timeBreakdown.nextWaitLog {
+		return
+	}
+	en.timeBreakdown.nextWaitLog = 2 * wait
+	lack := en.currentCause(ow.storeDown())
+	attrs := []slog.Attr{slog.String("for", lack.String()), slog.Duration("wait", wait), slog.Int("tasks", en.waitingTasks)}
+	if en.jo.Endless() {
+		attrs = append(attrs, slog.Int("again", en.waitingInterrupted(en.waitingStep())))
+	}
+	if step := en.waitingStep(); lack == CauseRoom && step >= 0 {
+		attrs = append(attrs, ow.findShortage(en, step, now).attrs()...)
+	}
+	if !en.jo.Endless() {
+		ow.logTimeBreakdown("job waits", en, now, attrs...)
+		return
+	}
+	named := []slog.Attr{slog.String("job", en.jo.ID), slog.String("queue", en.jo.Terms.Queue)}
+	ow.Log.LogAttrs(ow.ctx, slog.LevelInfo, "lasting tasks wait", append(named, attrs...)...)
+}
+
+// waitingStep returns the first step with waiting tasks, or -1.
+func (en *entry) waitingStep() int {
+	for step := range en.jo.Spec.Steps {
+		if en.waitingIn(step) > 0 {
+			return step
+		}
+	}
+	return -1
+}
+
+// logJobTime logs and counts the time by cause of a job that has ended.
+func (ow *Owner) logJobTime(en *entry, now time.Time) {
+	if en.jo.Endless() {
+		return
+	}
+	en.addTime(en.currentCause(ow.storeDown()), now)
+	for ca, d := range en.timeBreakdown.byCause {
+		if d > 0 {
+			ow.Metrics.Add(telemetry.JobTime, d.Milliseconds(), "cause", causeNames[ca])
+		}
+	}
+	ow.logTimeBreakdown("job time", en, now)
+}
+
+// logTimeBreakdown logs a job's time by cause.
+func (ow *Owner) logTimeBreakdown(msg string, en *entry, now time.Time, more ...slog.Attr) {
+	attrs := append([]slog.Attr{
+		slog.String("job", en.jo.ID), slog.String("queue", en.jo.Terms.Queue), slog.String("state", string(en.jo.State())),
+		slog.Int64("age_ms", now.Sub(en.acceptedAt).Milliseconds()), slog.Int64("aim_ms", en.targetMS),
+	}, more...)
+	ow.Log.LogAttrs(ow.ctx, slog.LevelInfo, msg, append(attrs, en.timeBreakdown.attrs()...)...)
+}
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -17,61 +17,56 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// busiest returns the worker with most runs, and how many these are.
+// busiest returns the worker with the most runs, and their number.
 func (la *lab) busiest() (*standin.FleetWorker, int) {
-	most, best := la.crew[0], 0
-	for _, fw := range la.crew {
-		if n := la.running()[fw.Addr.Incarnation]; n > best {
-			most, best = fw, n
+	busiest, runs := la.fleetWorkers[0], 0
+	for _, fw := range la.fleetWorkers {
+		if n := la.running()[fw.Addr.Incarnation]; n > runs {
+			busiest, runs = fw, n
 		}
 	}
-	return most, best
+	return busiest, runs
 }
 
-// ends counts the runs that ended in each way.
+// ends counts the ended runs by how they ended.
 func (la *lab) ends() map[string]int {
 	counts := map[string]int{}
 	for _, ru := range la.fleet.Runs() {
 		if !ru.Until.IsZero() {
-			counts[ru.How]++
+			counts[ru.Outcome]++
 		}
 	}
 	return counts
 }
 
-// lastingLab is a lab whose owner has so many lasting tasks at work.
-func lastingLab(t *testing.T, workers, tasks int) (*lab, *Owner) {
+// newLastingLab returns a lab whose owner runs the given number of long-running tasks.
+func newLastingLab(t *testing.T, workers, tasks int) (*lab, *Owner) {
 	t.Helper()
 	la := newLab(t, workers)
 	return la, la.withLasting(tasks)
 }
 
-// withLasting starts an owner with so many lasting tasks at work.
+// withLasting starts an owner and the given number of long-running tasks.
 func (la *lab) withLasting(tasks int) *Owner {
 	la.t.Helper()
-	la.fleet.RunFunc = endless
-	ow, end := la.own()
+	la.fleet.RunFunc = runUntilStopped
+	ow, end := la.startOwner()
 	la.t.Cleanup(end)
 	time.Sleep(time.Second)
-	la.submit(ow, 1, lasting(tasks))
+	la.submit(ow, 1, longRunning(tasks))
 	time.Sleep(time.Second)
 	la.assertRunning(tasks)
 	return ow
 }
 
-// TestWorkerLeavesTheListWithoutAWord is the story of a machine that is taken out of
-// service and says nothing.
-//
-// Users see services that do not run for the length of a lease, with room for them
-// elsewhere. Order of events: a worker's entry goes, with no trouble of the store and
-// without the worker having said that it drains; the machine runs and answers for half a
-// minute more; then it stops. Cause: only workers that drain were emptied, and none whose
-// entry had gone, so that its lasting tasks stayed to the end and were known to have ended
-// only with their leases. Evidence: runs that end as killed, and nothing runs of them
-// until the leases have lapsed.
-func TestWorkerLeavesTheListWithoutAWord(t *testing.T) {
+// TestWorkerRemovedFromListWithoutDraining guards against services that do not run for the
+// length of a lease although other workers have capacity. A worker's entry is removed without
+// a store outage and without the worker having reported that it drains. Its host answers for
+// half a minute more and then stops. Unless such a worker is evacuated like a draining one,
+// its tasks stay until the host stops and restart only after their leases have expired.
+func TestWorkerRemovedFromListWithoutDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		leaving, _ := la.busiest()
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(30 * time.Second)
@@ -83,77 +78,77 @@
 	})
 }
 
-// TestListLapsesInAnOutage has all entries lapse while the store is away, and come back 2 s
-// after it, each at a moment of its own: what runs stays where it is.
-func TestListLapsesInAnOutage(t *testing.T) {
+// TestEntriesExpireDuringStoreOutage has all entries expire during a store outage and return
+// 2 s after it, one after the other: running tasks stay where they are.
+func TestEntriesExpireDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 4, 24)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		// A write under way tells the owner of the outage.
-		la.submit(ow, 2, lasting(1))
+		la, ow := newLastingLab(t, 4, 24)
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
+		// A pending write lets the owner notice the outage.
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(8 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
 		for _, li := range la.listed() {
 			time.Sleep(500 * time.Millisecond)
-			ow.SetWorkers([]Listed{li}, nil, false)
+			ow.SetWorkers([]WorkerEntry{li}, nil, false)
 		}
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
 		qt.Check(t, la.runningAt("i-0")+la.runningAt("i-1")+la.runningAt("i-2")+la.runningAt("i-3") >= 24, qt.IsTrue)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
-// TestPartOfTheListComesBack has one of four workers stay without an entry after an
-// outage of the store. It is emptied only once its entry could have been back, and gets
-// nothing new.
-func TestPartOfTheListComesBack(t *testing.T) {
+// TestOneEntryMissingAfterStoreOutage has one of four workers stay without an entry after a
+// store outage. It is evacuated only after the time in which its entry could have returned,
+// and gets no new tasks.
+func TestOneEntryMissingAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 4, 24)
-		gone, _ := la.busiest()
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		la.submit(ow, 2, lasting(1))
+		la, ow := newLastingLab(t, 4, 24)
+		lost, _ := la.busiest()
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(8 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		back := time.Now()
 		ow.SetWorkers(nil, nil, true)
 		time.Sleep(2 * time.Second)
 		for _, li := range la.listed() {
-			if li.Incarnation != gone.Addr.Incarnation {
-				ow.SetWorkers([]Listed{li}, nil, false)
+			if li.Incarnation != lost.Addr.Incarnation {
+				ow.SetWorkers([]WorkerEntry{li}, nil, false)
 			}
 		}
 		time.Sleep(6 * time.Second)
-		qt.Check(t, la.running()[gone.Addr.Incarnation], qt.Equals, 0)
+		qt.Check(t, la.running()[lost.Addr.Incarnation], qt.Equals, 0)
 		for _, ru := range la.fleet.Runs() {
 			if !ru.Until.IsZero() {
-				qt.Check(t, ru.Worker, qt.Equals, gone.Addr.Incarnation)
+				qt.Check(t, ru.Worker, qt.Equals, lost.Addr.Incarnation)
 				qt.Check(t, ru.Until.Sub(back) > 2500*time.Millisecond, qt.IsTrue, qt.Commentf("%v", ru.Until.Sub(back)))
 			}
 			if ru.From.After(back) {
-				qt.Check(t, ru.Worker, qt.Not(qt.Equals), gone.Addr.Incarnation)
+				qt.Check(t, ru.Worker, qt.Not(qt.Equals), lost.Addr.Incarnation)
 			}
 		}
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
-// TestListComesBackWithAnotherLife has a machine start anew during an outage: its entry
-// comes back with another incarnation at its address, and what it ran starts at once.
-func TestListComesBackWithAnotherLife(t *testing.T) {
+// TestWorkerRestartsDuringStoreOutage has a worker restart during an outage: its entry
+// returns with another incarnation at its address, and its tasks restart at once.
+func TestWorkerRestartsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
-		was := la.crew[0]
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		la.submit(ow, 2, lasting(1))
+		la, ow := newLastingLab(t, 3, 12)
+		was := la.fleetWorkers[0]
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
+		la.submit(ow, 2, longRunning(1))
 		time.Sleep(time.Second)
 		la.fleet.Kill(was)
-		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
+		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Capacity: was.Capacity}
 		la.fleet.Add(now)
-		la.crew[0] = now
+		la.fleetWorkers[0] = now
 		time.Sleep(2 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
 		time.Sleep(2 * time.Second)
 		ow.SetWorkers(la.listed(), nil, true)
@@ -165,9 +160,9 @@
 // TestNothingStartsWithoutAnEntry has a job wait while no worker has an entry.
 func TestNothingStartsWithoutAnEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 6)
+		la, ow := newLastingLab(t, 3, 6)
 		ow.SetWorkers(nil, nil, true)
-		la.submit(ow, 2, lasting(6))
+		la.submit(ow, 2, longRunning(6))
 		time.Sleep(20 * time.Second)
 		la.assertRunning(6)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
@@ -177,13 +172,13 @@
 	})
 }
 
-// TestWhatEndsByItselfIsLeftTo has a worker leave the list while it runs tasks that end
-// in 8 s.
-func TestWhatEndsByItselfIsLeftTo(t *testing.T) {
+// TestShortTasksAreNotEvacuated removes the entry of a worker that runs tasks which end
+// within 8 s.
+func TestShortTasksAreNotEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 8 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 8))
@@ -191,12 +186,12 @@
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(10 * time.Second)
 		qt.Check(t, la.ends(), qt.DeepEquals, map[string]int{"done": 8})
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
-// TestEmptyingIsTold has the reason of moves in the log and among the counters.
-func TestEmptyingIsTold(t *testing.T) {
+// TestEvacuationIsLoggedAndCounted checks that the reason of moves is logged and counted.
+func TestEvacuationIsLoggedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 2)
 		me, page, err := telemetry.New()
@@ -207,42 +202,42 @@
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(10 * time.Second)
 		worker := "worker=" + leaving.Addr.Incarnation.String()
-		qt.Check(t, li.with(`msg="worker no longer listed"`, worker, "list_age=0s", "store_trouble=false"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="emptying a worker without an entry"`, worker, fmt.Sprintf("attempts=%d ", n), "list_age=0s"), qt.HasLen, 1)
-		qt.Check(t, li.with(`msg="stopping attempt"`, worker, "has no entry"), qt.HasLen, n)
+		qt.Check(t, li.matching(`msg="worker no longer listed"`, worker, "list_age=0s", "store_trouble=false"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="emptying a worker without an entry"`, worker, fmt.Sprintf("attempts=%d ", n), "list_age=0s"), qt.HasLen, 1)
+		qt.Check(t, li.matching(`msg="stopping attempt"`, worker, "has no entry"), qt.HasLen, n)
 		re := httptest.NewRecorder()
 		page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		qt.Check(t, re.Body.String(), qt.Contains, fmt.Sprintf("pepperhatch_attempts_emptied_total{why=%q} %d\n", "unlisted", n))
 	})
 }
 
-// TestMostOfTheListIsGone has three of four workers lose their entries with no trouble of
-// the store to be seen: the list may have been read in part, or the workers may not reach
-// the store. Nothing is moved before the list is believed.
-func TestMostOfTheListIsGone(t *testing.T) {
+// TestListWithMostEntriesMissingIsDoubted removes the entries of three of four workers
+// without a visible store outage: the list may have been read in part, or the workers may not
+// reach the store. Nothing is moved before the list is trusted again.
+func TestListWithMostEntriesMissingIsDoubted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, li := loggedLab(t, 4)
 		ow := la.withLasting(24)
 		ow.SetWorkers(la.listed()[3:], nil, true)
-		time.Sleep(doubtFor - time.Second)
+		time.Sleep(doubtDuration - time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
-		qt.Check(t, li.with("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
+		qt.Check(t, li.matching("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.runningAt("i-3"), qt.Equals, 16)
 		la.assertRunning(24)
 	})
 }
 
-// TestOutagesThatOnlyThePulseTells has entries lapse while the store does not serve an
-// owner that writes nothing else: its list of workers is not read, its tenure not
-// confirmed, or its heartbeats not taken while reads are answered. What runs stays until
-// the store has served for long enough.
-func TestOutagesThatOnlyThePulseTells(t *testing.T) {
+// TestOutageSeenOnlyByListTenureOrHeartbeat removes an entry while the store does not serve
+// an owner that has nothing else to write: its list of workers is not read, its tenure not
+// confirmed, or its heartbeats are not accepted while reads are answered. Running tasks stay
+// where they are until the store has served for long enough.
+func TestOutageSeenOnlyByListTenureOrHeartbeat(t *testing.T) {
 	for _, by := range []string{"list", "tenure", "heartbeat"} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 4)
 			var since, until time.Time
-			stuck := func() time.Time {
+			frozenClock := func() time.Time {
 				if now := time.Now(); since.IsZero() || now.Before(since) || now.After(until) {
 					return now
 				}
@@ -250,11 +245,11 @@
 			}
 			switch by {
 			case "list":
-				la.listFunc = func() (last, began time.Time) { return stuck(), time.Time{} }
+				la.listFunc = func() (last, began time.Time) { return frozenClock(), time.Time{} }
 			case "tenure":
-				la.confirmedFunc = stuck
+				la.confirmedFunc = frozenClock
 			case "heartbeat":
-				la.writtenFunc = stuck
+				la.writtenFunc = frozenClock
 			}
 			since = time.Now().Add(2 * time.Second)
 			until = since.Add(12 * time.Second)
@@ -271,16 +266,14 @@
 	}
 }
 
-// TestDrainingWorkerLosesItsEntry is the story of a worker that says that it leaves and
-// whose entry goes before it does.
-//
-// Users see the same as of one that leaves without a word. Order of events: a worker
-// drains while there is no room elsewhere; its entry goes; room comes; it leaves at the
-// time that it told. Cause: emptying ended with the entry. Evidence: as above.
+// TestDrainingWorkerLosesItsEntry guards against the same failure as
+// [TestWorkerRemovedFromListWithoutDraining] for a draining worker. It drains while no other
+// worker has capacity; its entry is removed; capacity becomes available; it leaves at the
+// announced time. The evacuation must not end when the entry is removed.
 func TestDrainingWorkerLosesItsEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 2, 2*16)
-		leaving := la.crew[0]
+		la, ow := newLastingLab(t, 2, 2*16)
+		leaving := la.fleetWorkers[0]
 		list := la.listed()
 		list[0].Draining, list[0].Remaining = true, 4*time.Second
 		ow.SetWorkers(list, nil, true)
@@ -297,22 +290,19 @@
 	})
 }
 
-// TestEntryGoesWhileAStartIsWritten is the story of a task that starts on a machine that
-// is out of service.
-//
-// Users see tasks start on a worker after its entry went, and be moved or lost at once.
-// Order of events: tasks are placed, and their starts are to be written first; the store
-// is slow; the worker's entry goes meanwhile; then the orders are sent. Cause: the worker
-// was looked at when the task was placed, not when its order was sent. Evidence: runs
-// that begin there after the entry went.
-func TestEntryGoesWhileAStartIsWritten(t *testing.T) {
+// TestEntryRemovedWhileStartIsWritten guards against tasks that start on a worker after its
+// entry was removed, and are moved or lost at once. Tasks are placed and their starts are
+// written to a slow store; meanwhile the worker's entry is removed, or the worker drains;
+// then the orders are sent. The worker has to be checked when the order is sent, not only
+// when the task is placed.
+func TestEntryRemovedWhileStartIsWritten(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 2)
-			ow, end := la.own()
+			ow, end := la.startOwner()
 			defer end()
 			time.Sleep(time.Second)
-			la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
+			la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 			go la.submit(ow, 1, batch(1, 20))
 			time.Sleep(200 * time.Millisecond)
 			list := la.listed()
@@ -322,22 +312,22 @@
 			}
 			ow.SetWorkers(list, nil, true)
 			synctest.Wait()
-			went := time.Now()
+			removedAt := time.Now()
 			time.Sleep(10 * time.Second)
 			qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 			for _, ru := range la.fleet.Runs() {
-				qt.Check(t, ru.Worker.ID == "i-0" && !ru.From.Before(went), qt.IsFalse, qt.Commentf("%s, %v after", ru.Task, ru.From.Sub(went)))
+				qt.Check(t, ru.Worker.ID == "i-0" && !ru.From.Before(removedAt), qt.IsFalse, qt.Commentf("%s, %v after", ru.Task, ru.From.Sub(removedAt)))
 			}
-			la.assertNothingTwice()
+			la.assertRunsConsistent()
 		})
 	}
 }
 
-// TestEntryIsBackSoon has an entry go for a little less than the time that it is waited
-// for, again and again, with no trouble of the store to be seen.
-func TestEntryIsBackSoon(t *testing.T) {
+// TestEntryReturnsWithinWait removes an entry repeatedly for a little less than
+// [entryReturnWait], without a visible store outage.
+func TestEntryReturnsWithinWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		worker, _ := la.busiest()
 		for range 5 {
 			ow.SetWorkers(nil, []string{worker.Addr.Incarnation.ID}, false)
@@ -350,18 +340,18 @@
 	})
 }
 
-// TestEntryGoesInTheMidstOfAnOutage has the list tell of an entry that went while writes
-// still fail: the time to wait begins with their success.
-func TestEntryGoesInTheMidstOfAnOutage(t *testing.T) {
+// TestEntryRemovedDuringStoreOutage removes an entry while writes still fail: the wait begins
+// when they succeed.
+func TestEntryRemovedDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := lastingLab(t, 3, 12)
+		la, ow := newLastingLab(t, 3, 12)
 		worker, n := la.busiest()
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
-		go la.submit(ow, 2, lasting(1))
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
+		go la.submit(ow, 2, longRunning(1))
 		time.Sleep(time.Second)
 		ow.SetWorkers(nil, []string{worker.Addr.Incarnation.ID}, false)
 		time.Sleep(6 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		time.Sleep(2900 * time.Millisecond)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
 		time.Sleep(3 * time.Second)
@@ -369,9 +359,9 @@
 	})
 }
 
-// TestListIsReadAgainOnlyNow has the list tell of an entry that went, 2 s before it is
-// read again after errors: the time to wait begins anew.
-func TestListIsReadAgainOnlyNow(t *testing.T) {
+// TestWaitRestartsWhenListIsReadAgain removes an entry 2 s before the list is read again
+// after errors: the wait begins anew.
+func TestWaitRestartsWhenListIsReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		var since atomic.Pointer[time.Time]
@@ -390,26 +380,26 @@
 	})
 }
 
-// TestOwnerBeginsWithoutEntries has the cell change hands while an outage has taken all
-// entries. They are back 2 s later, and all goes on where it is; then one that is not is
-// emptied.
-func TestOwnerBeginsWithoutEntries(t *testing.T) {
+// TestOwnerStartsWithoutEntries has the cell change its owner while an outage has removed all
+// entries. They return 2 s later, and all tasks go on where they are. Then one worker whose
+// entry is removed is evacuated.
+func TestOwnerStartsWithoutEntries(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
 			la.formerKnown = known
-			la.fleet.RunFunc = endless
-			ow, end := la.own()
+			la.fleet.RunFunc = runUntilStopped
+			ow, end := la.startOwner()
 			time.Sleep(time.Second)
-			la.submit(ow, 1, lasting(12))
+			la.submit(ow, 1, longRunning(12))
 			time.Sleep(time.Second)
 			end()
-			crew := la.crew
-			la.crew = nil
-			ow, end = la.own()
+			crew := la.fleetWorkers
+			la.fleetWorkers = nil
+			ow, end = la.startOwner()
 			defer end()
 			time.Sleep(2 * time.Second)
-			la.crew = crew
+			la.fleetWorkers = crew
 			ow.SetWorkers(la.listed(), nil, true)
 			time.Sleep(15 * time.Second)
 			la.assertRunning(12)
--- /dev/null
+++ b/internal/sched/usage.go
@@ -0,0 +1,173 @@
+package sched
+
+import (
+	"slices"
+	"time"
+
+	"github.com/pepperhatch/pepperhatch/internal/interfere"
+	"github.com/pepperhatch/pepperhatch/internal/job"
+)
+
+// Parameters for the usage that workers report.
+const (
+	// usageWindow is the interval that a worker's reported usage covers.
+	usageWindow = 500 * time.Millisecond
+	// steadyPaceAfter is how long after a change of pace a filler's reported usage covers
+	// the new pace only.
+	steadyPaceAfter = usageWindow + 200*time.Millisecond
+	// minUses and maxUses bound the part of its declared processor time that a filler is
+	// assumed to use, usesSmoothing is the weight of a new report in that estimate.
+	minUses       = 0.3
+	maxUses       = 1.2
+	usesSmoothing = 0.5
+)
+
+// fillerStats tracks the processor time that fillers use on a worker, with what placement
+// derives from it.
+type fillerStats struct {
+	// ended are fillers that ended within the last usage window.
+	ended []endedFiller
+	// expectedShares are the shares of fillers at the ordered paces; nil if they have to be
+	// computed again. summaries are the services by image, computed at summariesAt.
+	expectedShares interfere.Shares
+	summaries      []imageServices
+	summariesAt    time.Time
+	// measuredAt is when the services were last measured.
+	measuredAt time.Time
+}
+
+// invalidate discards the derived values, so that they are computed again.
+func (fi *fillerStats) invalidate() { fi.expectedShares, fi.summariesAt = nil, time.Time{} }
+
+// endedFiller is a filler that ended, with the share of the worker's processors that it
+// used.
+type endedFiller struct {
+	image string
+	share float64
+	at    time.Time
+}
+
+func (at *attempt) step() *job.Step { return &at.en.jo.Spec.Steps[at.ref.Step] }
+
+// serves reports whether the attempt is a service with a latency target that has reported
+// its tail.
+func (at *attempt) serves() bool {
+	return at.usage > 0 && at.step().HasTarget()
+}
+
+// effectivePace returns the pace in per cent at which the attempt is assumed to work: full
+// speed if it is unknown.
+func (at *attempt) effectivePace() int {
+	if at.pace < 0 {
+		return fullPace
+	}
+	return at.pace
+}
+
+// fullShare returns the share of the worker's processors that a filler uses at full speed.
+func (at *attempt) fullShare() float64 {
+	declared := share(at.step().Each.MilliCores, at.ho.Capacity.MilliCores)
+	if at.cpuShare == 0 {
+		return declared
+	}
+	return at.cpuShare * declared
+}
+
+// expectedShare returns the share of the worker's processors that a filler uses at its
+// pace.
+func (at *attempt) expectedShare() float64 {
+	return at.fullShare() * float64(at.effectivePace()) / fullPace
+}
+
+// learnUsage updates the estimate of the part of its declared processor time that a filler
+// uses.
+func (at *attempt) learnUsage(now time.Time) {
+	if !at.step().Filler || at.usage <= 0 || at.pace < fullPace || now.Sub(at.pacedAt) < steadyPaceAfter || now.Sub(at.launchedAt) < steadyPaceAfter {
+		return
+	}
+	uses := min(max(share(at.usage, at.step().Each.MilliCores), minUses), maxUses)
+	if at.cpuShare == 0 {
+		at.cpuShare = uses
+		return
+	}
+	at.cpuShare += usesSmoothing * (uses - at.cpuShare)
+}
+
+// usedShares returns the shares of the worker's processors that fillers used in the window
+// that ends now, by image, as the worker reported them.
+func (ho *workerState) usedShares(now time.Time) interfere.Shares {
+	sh := interfere.Shares{}
+	for at := range ho.attempts {
+		if !at.step().Filler || at.launchedAt.IsZero() {
+			continue
+		}
+		at.learnUsage(now)
+		if at.usage > 0 {
+			sh[at.step().Image] += share(at.usage, ho.Capacity.MilliCores)
+		}
+	}
+	for _, ef := range ho.fillers.ended {
+		if within := usageWindow - now.Sub(ef.at); within > 0 {
+			sh[ef.image] += ef.share * within.Seconds() / usageWindow.Seconds()
+		}
+	}
+	return sh
+}
+
+// expectedShares returns the shares of fillers at the ordered paces by image, including
+// attempts that are still being launched.
+func (ho *workerState) expectedShares() interfere.Shares {
+	if ho.fillers.expectedShares != nil {
+		return ho.fillers.expectedShares
+	}
+	ho.fillers.expectedShares = interfere.Shares{}
+	for at := range ho.attempts {
+		if at.step().Filler {
+			ho.fillers.expectedShares[at.step().Image] += at.expectedShare()
+		}
+	}
+	return ho.fillers.expectedShares
+}
+
+// recordEndedFiller records the share of a filler that is removed from the worker.
+func (ho *workerState) recordEndedFiller(at *attempt, now time.Time) {
+	ho.fillers.invalidate()
+	if at.step().Filler && !at.launchedAt.IsZero() {
+		ho.fillers.ended = append(ho.fillers.ended, endedFiller{image: at.step().Image, share: at.expectedShare(), at: now})
+	}
+}
+
+// measure updates the model from the usage reported by a poll, at most once per half usage
+// window, and adjusts the paces of fillers.
+func (ho *workerState) measure(got time.Time) {
+	fi := &ho.fillers
+	if got.Sub(fi.measuredAt) < usageWindow/2 {
+		return
+	}
+	fi.measuredAt = got
+	fi.invalidate()
+	used := ho.usedShares(got)
+	for _, at := range ho.services {
+		if at.serves() {
+			me := interfere.Measurement{At: got, TailMS: at.usage, TargetMS: at.step().TargetMS, Shares: used}
+			ho.ow.model.Observe(&at.replica, at.step().Image, me)
+		}
+	}
+	fi.ended = slices.DeleteFunc(fi.ended, func(ef endedFiller) bool { return got.Sub(ef.at) > usageWindow })
+	ho.adjustPaces(got)
+}
+
+// predictionHorizon returns how far ahead control predicts the load.
+func (ow *Owner) predictionHorizon() time.Duration {
+	if !ow.uses(MechTrend) {
+		return 0
+	}
+	return predictAhead
+}
+
+// excess returns by how much a service's headroom is predicted to fall short of the
+// headroom at the given part of its target, with the fillers at their ordered paces.
+func (ho *workerState) excess(at *attempt, part float64) float64 {
+	left := at.replica.Baseline(time.Now().Add(ho.ow.predictionHorizon())) - ho.ow.model.PredictedDrop(at.step().Image, ho.expectedShares())
+	return 1/part - left
+}
--- a/internal/sched/workers_test.go
+++ b/internal/sched/workers_test.go
@@ -13,17 +13,17 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// endless makes every task run until it is stopped.
-func endless(worker.Attempt) (time.Duration, string) { return -1, "" }
+// runUntilStopped makes every task run until it is stopped.
+func runUntilStopped(worker.Attempt) (time.Duration, string) { return -1, "" }
 
-// lasting is a job of endless tasks.
-func lasting(tasks int) job.Spec {
+// longRunning returns a job of one step of long-running tasks.
+func longRunning(tasks int) job.Spec {
 	sp := batch(1, tasks)
 	sp.Steps[0].Endless = true
 	return sp
 }
 
-// runningAt counts the runs that go on at a worker.
+// runningAt counts the running attempts on a worker.
 func (la *lab) runningAt(id string) int {
 	n := 0
 	for in, runs := range la.running() {
@@ -34,7 +34,7 @@
 	return n
 }
 
-// running counts the runs that go on, by worker.
+// running counts the running attempts by worker.
 func (la *lab) running() map[worker.Incarnation]int {
 	counts := map[worker.Incarnation]int{}
 	for _, ru := range la.fleet.Runs() {
@@ -45,27 +45,30 @@
 	return counts
 }
 
+// assertRunning asserts how many attempts run, and that no task runs twice at once.
 func (la *lab) assertRunning(n int) {
 	total := 0
 	for _, count := range la.running() {
 		total += count
 	}
 	qt.Assert(la.t, total, qt.Equals, n)
-	la.assertNothingTwice()
+	la.assertRunsConsistent()
 }
 
-func TestWorkerGoneForGood(t *testing.T) {
+// TestWorkerLostForGood guards against long-running tasks of a killed worker that do not start
+// again elsewhere, all within the leases, the margins and a second.
+func TestWorkerLostForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
-		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		la.fleet.RunFunc = runUntilStopped
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		qt.Assert(t, la.submit(ow, 1, lasting(6)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, la.submit(ow, 1, longRunning(6)).Outcome, qt.Equals, Accepted)
 		time.Sleep(time.Second)
 		la.assertRunning(6)
-		busiest := la.crew[0]
-		for _, fw := range la.crew {
+		busiest := la.fleetWorkers[0]
+		for _, fw := range la.fleetWorkers {
 			if la.running()[fw.Addr.Incarnation] > la.running()[busiest.Addr.Incarnation] {
 				busiest = fw
 			}
@@ -77,21 +80,23 @@
 	})
 }
 
-func TestWorkerSilentForAWhile(t *testing.T) {
+// TestWorkerUnresponsiveForAWhile guards against tasks that are restarted although their
+// workers, which did not answer for 3 s, came back before their leases lapsed.
+func TestWorkerUnresponsiveForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		la.fleet.RunFunc = runUntilStopped
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(4))
+		la.submit(ow, 1, longRunning(4))
 		time.Sleep(time.Second)
-		for _, fw := range la.crew {
-			fw.Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
+		for _, fw := range la.fleetWorkers {
+			fw.Faults.Set(standin.Fault{Mode: standin.ModeFreeze})
 		}
 		time.Sleep(3 * time.Second)
-		for _, fw := range la.crew {
-			fw.Gate.Set(standin.Fault{})
+		for _, fw := range la.fleetWorkers {
+			fw.Faults.Set(standin.Fault{})
 		}
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, len(la.fleet.Runs()), qt.Equals, 4)
@@ -99,67 +104,74 @@
 	})
 }
 
+// TestWorkerThatLosesAnswers guards against tasks that run twice when workers carry out orders
+// whose answers are lost.
 func TestWorkerThatLosesAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		for _, fw := range la.crew {
-			fw.Gate.Set(standin.Fault{Mode: standin.ModeLost})
+		for _, fw := range la.fleetWorkers {
+			fw.Faults.Set(standin.Fault{Mode: standin.ModeLost})
 		}
 		la.submit(ow, 1, batch(2, 4))
 		time.Sleep(2 * time.Second)
-		for _, fw := range la.crew {
-			fw.Gate.Set(standin.Fault{})
+		for _, fw := range la.fleetWorkers {
+			fw.Faults.Set(standin.Fault{})
 		}
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
+// TestOrdersCarriedOutLate guards against tasks that run twice when a worker carries out
+// orders 3 s after they were sent.
 func TestOrdersCarriedOutLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 4)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.fleet.SetLate(la.crew[0], 3*time.Second)
+		la.fleet.SetOrderDelay(la.fleetWorkers[0], 3*time.Second)
 		la.submit(ow, 1, batch(2, 16))
 		time.Sleep(8 * time.Second)
-		la.fleet.SetLate(la.crew[0], 0)
+		la.fleet.SetOrderDelay(la.fleetWorkers[0], 0)
 		time.Sleep(12 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
+// TestOwnerReplaced guards against tasks that run again after a change of owner.
 func TestOwnerReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 4 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(2, 6))
 		time.Sleep(2 * time.Second)
 		end()
-		next, end := la.own()
+		next, end := la.startOwner()
 		defer end()
 		time.Sleep(8 * time.Second)
 		qt.Assert(t, la.state(next, 1), qt.Equals, job.Succeeded)
 		qt.Assert(t, len(la.fleet.Runs()), qt.Equals, 12)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
+// TestFormerOwnerCanWriteNothing guards against a former owner that accepts jobs and starts
+// tasks after another host has claimed the cell.
 func TestFormerOwnerCanWriteNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		old, endOld := la.own()
+		old, endOld := la.startOwner()
 		defer endOld()
 		time.Sleep(time.Second)
-		_, end := la.own()
+		_, end := la.startOwner()
 		defer end()
 		ve := la.submit(old, 1, batch(1, 2))
 		qt.Assert(t, ve.Outcome, qt.Not(qt.Equals), Accepted)
@@ -168,16 +180,19 @@
 	})
 }
 
-func TestStoreAway(t *testing.T) {
+// TestStoreUnavailable guards against jobs that are accepted, lost or run twice when the store
+// takes no writes for 10 s. Jobs handed in meanwhile must be refused at once, with a time to
+// retry after.
+func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 2 * time.Second, "done" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 4))
 		time.Sleep(time.Second)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, batch(1, 4))
 		time.Sleep(time.Second)
 		start := time.Now()
@@ -186,35 +201,39 @@
 		qt.Assert(t, ve.RetryAfter > 0, qt.IsTrue)
 		qt.Assert(t, time.Since(start) < 100*time.Millisecond, qt.IsTrue)
 		time.Sleep(8 * time.Second)
-		la.table.Gate.Set(standin.Fault{})
+		la.table.Faults.Set(standin.Fault{})
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 		qt.Assert(t, la.state(ow, 3), qt.Equals, job.State(""))
 		qt.Assert(t, la.submit(ow, 3, batch(1, 4)).Outcome, qt.Equals, Accepted)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
-func TestAnswersOfTheStoreLost(t *testing.T) {
+// TestStoreAnswersLost guards against tasks that run twice when writes take effect but their
+// answers are lost.
+func TestStoreAnswersLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.table.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 3})
+		la.table.Faults.Set(standin.Fault{Mode: standin.ModeLost, Count: 3})
 		la.submit(ow, 1, batch(3, 4))
 		time.Sleep(10 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 		qt.Assert(t, len(la.fleet.Runs()), qt.Equals, 12)
-		la.assertNothingTwice()
+		la.assertRunsConsistent()
 	})
 }
 
+// TestFailuresAreLimited guards against a task that fails each time and is retried more often
+// than its queue allows.
 func TestFailuresAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 4)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 100 * time.Millisecond, "failed" }
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
@@ -224,26 +243,26 @@
 	})
 }
 
-// TestWorkerNotSeenSinceTakeover has a worker vanish together with its owner.
-// What it ran starts again once its leases have lapsed, counted from when the
-// former owner ceased to act if that is known.
+// TestWorkerNotSeenSinceTakeover guards against tasks that run twice or not at all when
+// workers are lost together with their owner. They start again once their leases have lapsed,
+// counted from when the former owner ceased to act if that is known.
 func TestWorkerNotSeenSinceTakeover(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
 			la.formerKnown = known
-			la.fleet.RunFunc = endless
-			ow, end := la.own()
+			la.fleet.RunFunc = runUntilStopped
+			ow, end := la.startOwner()
 			time.Sleep(time.Second)
-			la.submit(ow, 1, lasting(6))
+			la.submit(ow, 1, longRunning(6))
 			time.Sleep(time.Second)
-			for _, fw := range la.crew {
+			for _, fw := range la.fleetWorkers {
 				la.fleet.Kill(fw)
 			}
 			end()
-			la.crew = nil
+			la.fleetWorkers = nil
 			la.addWorker(7)
-			_, end = la.own()
+			_, end = la.startOwner()
 			defer end()
 			time.Sleep(7 * time.Second)
 			if !known {
@@ -255,10 +274,10 @@
 	}
 }
 
-// TestWorkerLeaves has a worker leave after a notice. What lasts goes on
-// elsewhere before, what ends soon may end there, and the rest is stopped in
-// time to be resumed.
-func TestWorkerLeaves(t *testing.T) {
+// TestWorkerDrains guards against tasks that are killed when a worker leaves after a notice.
+// Before that, long-running tasks move to other workers, tasks that end soon may end there,
+// and the others are stopped in time to be resumed.
+func TestWorkerDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
@@ -271,15 +290,15 @@
 			}
 			return 8 * time.Second, "done"
 		}
-		ow, end := la.own()
+		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(4))
+		la.submit(ow, 1, longRunning(4))
 		la.submit(ow, 2, batch(1, 4))
 		la.submit(ow, 3, batch(1, 4))
 		time.Sleep(time.Second)
-		leaving := la.crew[0]
-		for _, fw := range la.crew {
+		leaving := la.fleetWorkers[0]
+		for _, fw := range la.fleetWorkers {
 			if la.running()[fw.Addr.Incarnation] > la.running()[leaving.Addr.Incarnation] {
 				leaving = fw
 			}
@@ -296,25 +315,25 @@
 		time.Sleep(500 * time.Millisecond)
 		la.assertRunning(8)
 		for _, ru := range la.fleet.Runs() {
-			qt.Check(t, ru.How, qt.Not(qt.Equals), "killed", qt.Commentf("%s", ru.Task))
+			qt.Check(t, ru.Outcome, qt.Not(qt.Equals), "killed", qt.Commentf("%s", ru.Task))
 			if ru.Task[:16] == jobID(2) {
-				qt.Check(t, ru.How, qt.Equals, "done")
+				qt.Check(t, ru.Outcome, qt.Equals, "done")
 			}
 		}
 	})
 }
 
-// TestOwnersChangeWhileAWorkerIsGone has a worker vanish and its owner stop,
-// and the next one too: what is known of its leases goes along.
-func TestOwnersChangeWhileAWorkerIsGone(t *testing.T) {
+// TestOwnersChangeWhileAWorkerIsLost guards against waits for leases that begin anew with each
+// of two handovers after workers were lost: what is known of the leases must be passed on.
+func TestOwnersChangeWhileAWorkerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
-		la.fleet.RunFunc = endless
-		ow, end := la.own()
+		la.fleet.RunFunc = runUntilStopped
+		ow, end := la.startOwner()
 		time.Sleep(time.Second)
-		la.submit(ow, 1, lasting(4))
+		la.submit(ow, 1, longRunning(4))
 		time.Sleep(time.Second)
-		for _, fw := range la.crew {
+		for _, fw := range la.fleetWorkers {
 			if la.running()[fw.Addr.Incarnation] > 0 {
 				la.fleet.Kill(fw)
 			}
@@ -323,7 +342,7 @@
 			time.Sleep(2 * time.Second)
 			la.handover = ow.Handover()
 			end()
-			ow, end = la.own()
+			ow, end = la.startOwner()
 		}
 		defer func() { end() }()
 		time.Sleep(4 * time.Second)
