--- a/e2e/freeze_test.go
+++ b/e2e/freeze_test.go
@@ -160,7 +160,7 @@
 // submit hands the endless job in, with the same id until it is taken.
 func (cl *jobCluster) submit() {
 	su := jobapi.Submission{ID: "0123456789abcdef", Queue: "q", Spec: job.Spec{Payload: "serve", Steps: []job.Step{{
-		Tasks: endlessTasks, Each: worker.Resources{MilliCores: endlessCores, MemMB: 1000}, Endless: true,
+		Tasks: endlessTasks, Each: worker.Resources{MilliCores: endlessCores, MemMB: 1000}, LongRunning: true,
 	}}}}
 	cl.handIn(su)
 }
--- a/internal/job/criticalpath.go
+++ b/internal/job/criticalpath.go
@@ -34,7 +34,7 @@
 func (jo *Job) RemainingWork() int64 {
 	var sum int64
 	for i := range jo.Spec.Steps {
-		if st := &jo.Spec.Steps[i]; !st.Endless {
+		if st := &jo.Spec.Steps[i]; !st.LongRunning {
 			sum += int64(jo.remaining[i]) * st.EstimateMS * st.Each.MilliCores
 		}
 	}
--- a/internal/job/giveup.go
+++ b/internal/job/giveup.go
@@ -89,5 +89,5 @@
 // tasks have no such limit.
 func (jo *Job) Exhausted(ref TaskRef) bool {
 	ta := jo.Task(ref)
-	return ta.Failures > 0 && ta.Failures >= jo.Terms.MaxFailures && !jo.Spec.Steps[ref.Step].Endless
+	return ta.Failures > 0 && ta.Failures >= jo.Terms.MaxFailures && !jo.Spec.Steps[ref.Step].LongRunning
 }
--- a/internal/job/giveup_test.go
+++ b/internal/job/giveup_test.go
@@ -28,7 +28,7 @@
 
 func TestTaskIsGivenUpAfterCrashes(t *testing.T) {
 	endless := chain(1, 1)
-	endless.Steps[0].Endless = true
+	endless.Steps[0].LongRunning = true
 	for _, sp := range []Spec{chain(1, 1), endless} {
 		for _, tc := range []struct {
 			ends              []End
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -188,8 +188,8 @@
 }
 
 // Endless reports whether the job has tasks that run until it is cancelled.
-func (jo *Job) Endless() bool {
-	return slices.ContainsFunc(jo.Spec.Steps, func(st Step) bool { return st.Endless })
+func (jo *Job) LongRunning() bool {
+	return slices.ContainsFunc(jo.Spec.Steps, func(st Step) bool { return st.LongRunning })
 }
 
 // Ready reports whether the tasks of a step may start: the job is neither cancelled nor
@@ -266,7 +266,7 @@
 // is running, the task is done once that one has ended.
 func (jo *Job) RecordLateCompletion(ref TaskRef, attempt int) bool {
 	ta := jo.Task(ref)
-	if ta == nil || attempt < 1 || attempt > ta.Attempt || jo.State().Final() || jo.Spec.Steps[ref.Step].Endless {
+	if ta == nil || attempt < 1 || attempt > ta.Attempt || jo.State().Final() || jo.Spec.Steps[ref.Step].LongRunning {
 		return false
 	}
 	switch {
@@ -281,7 +281,7 @@
 }
 
 func (jo *Job) complete(ref TaskRef, ta *Task) {
-	if jo.Spec.Steps[ref.Step].Endless {
+	if jo.Spec.Steps[ref.Step].LongRunning {
 		return
 	}
 	ta.State = Done
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -72,7 +72,7 @@
 
 func TestEndlessTasksAreRestarted(t *testing.T) {
 	sp := chain(1, 1)
-	sp.Steps[0].Endless = true
+	sp.Steps[0].LongRunning = true
 	jo := New(testID, Terms{MaxFailures: 1}, sp)
 	ref := TaskRef{0, 0}
 	for attempt, end := range []End{EndFailed, EndDone, EndLapsed, EndStopped, EndNeverRan, EndCrashed, EndLost} {
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -52,7 +52,7 @@
 	// Copies is set if several attempts of a task may run in parallel.
 	Copies bool `json:"copies,omitempty"`
 	// Endless tasks run until the job is cancelled.
-	Endless bool `json:"endless,omitempty"`
+	LongRunning bool `json:"endless,omitempty"`
 	// Image is the name of the program; tasks of one image behave alike.
 	Image string `json:"image,omitempty"`
 	// TargetMS is the target of the tail latency of the requests that an endless task
@@ -147,7 +147,7 @@
 }
 
 // HasTarget reports whether the step's tasks serve requests and have a latency target.
-func (st *Step) HasTarget() bool { return st.Endless && st.TargetMS > 0 }
+func (st *Step) HasTarget() bool { return st.LongRunning && st.TargetMS > 0 }
 
 // Reserved returns the resources that a task of the step reserves at a worker. A filler
 // reserves no processor time.
--- a/internal/jobhost/jobapi_test.go
+++ b/internal/jobhost/jobapi_test.go
@@ -25,7 +25,7 @@
 	cl := jobapi.Client{HTTP: http.DefaultClient, Addr: sv.Listener.Addr().String()}
 	ctx := context.Background()
 	id := "00000000000000aa"
-	su := jobapi.Submission{ID: id, Queue: "q", Spec: job.Spec{Steps: []job.Step{{Tasks: 2, Each: worker.Resources{MilliCores: 100}, Endless: true}}}}
+	su := jobapi.Submission{ID: id, Queue: "q", Spec: job.Spec{Steps: []job.Step{{Tasks: 2, Each: worker.Resources{MilliCores: 100}, LongRunning: true}}}}
 	_, err := cl.Submit(ctx, su)
 	qt.Assert(t, wire.Code(err), qt.Equals, "not-ready")
 	th.configure()
--- a/internal/jobhost/worker_list_test.go
+++ b/internal/jobhost/worker_list_test.go
@@ -126,7 +126,7 @@
 	th := newTestHost(t, 2)
 	th.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return -1, "" }
 	th.eventually("owning the cell", func() bool { return th.host.owner.Load() != nil })
-	step := job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 500}, Endless: true}
+	step := job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 500}, LongRunning: true}
 	terms := job.Terms{Queue: "q", Service: "routedesk", MaxFailures: 1}
 	ve := th.host.frontEnd.Submit(t.Context(), "0123456789abcdef", terms, job.Spec{Steps: []job.Step{step}})
 	qt.Assert(t, ve.Outcome, qt.Equals, sched.Accepted)
--- a/internal/lab/draw.go
+++ b/internal/lab/draw.go
@@ -83,7 +83,7 @@
 	se := &da.mix.Services
 	st := job.Step{
 		Tasks: se.Tasks.count(rn), Each: worker.Resources{MilliCores: int64(se.MilliCores.draw(rn)), MemMB: int64(se.MemMB)},
-		Endless: true, Image: imageName("s", skewed(rn, se.Images)), TargetMS: se.TargetMS,
+		LongRunning: true, Image: imageName("s", skewed(rn, se.Images)), TargetMS: se.TargetMS,
 	}
 	if rn.Float64() < se.Apart {
 		st.MaxPerWorker = 1
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -136,7 +136,7 @@
 func (pl *play) runOf(at worker.Attempt) (time.Duration, string) {
 	id, ref, _ := job.ParseTaskID(at.Task)
 	dr := pl.day.byID[id]
-	if dr.spec.Steps[ref.Step].Endless {
+	if dr.spec.Steps[ref.Step].LongRunning {
 		return -1, ""
 	}
 	return time.Duration(dr.runMS[ref.Step]) * time.Millisecond, "done"
--- a/internal/sched/api.go
+++ b/internal/sched/api.go
@@ -87,33 +87,33 @@
 }
 
 func (ow *Owner) submit(id string, te job.Terms, sp job.Spec, answer func(Verdict)) {
-	if en := ow.entries[id]; en != nil {
-		ow.resubmit(en, answer)
+	if tj := ow.jobs[id]; tj != nil {
+		ow.resubmit(tj, answer)
 		return
 	}
 	if ow.storeDown() {
 		answer(ow.refuse(id, ReasonStoreUnavailable))
 		return
 	}
-	if len(ow.entries) >= maxJobs {
+	if len(ow.jobs) >= maxJobs {
 		answer(ow.refuse(id, ReasonCellFull))
 		return
 	}
-	en := ow.addJob(job.New(id, te, sp))
-	en.waiters = append(en.waiters, answer)
-	ow.markDirty(en)
+	tj := ow.addJob(job.New(id, te, sp))
+	tj.waiters = append(tj.waiters, answer)
+	ow.markDirty(tj)
 }
 
 // resubmit answers for a job that was submitted before.
-func (ow *Owner) resubmit(en *entry, answer func(Verdict)) {
+func (ow *Owner) resubmit(tj *trackedJob, answer func(Verdict)) {
 	switch {
-	case en.progressVersion > 0:
-		ow.Log.Info("job submitted again", "job", en.jo.ID, "state", en.writtenState, "version", en.progressVersion)
+	case tj.progressVersion > 0:
+		ow.Log.Info("job submitted again", "job", tj.jo.ID, "state", tj.writtenState, "version", tj.progressVersion)
 		answer(Verdict{Outcome: Accepted})
 	case ow.storeDown():
 		answer(Verdict{Outcome: Unknown, Reason: ReasonStoreUnavailable})
 	default:
-		en.waiters = append(en.waiters, answer)
+		tj.waiters = append(tj.waiters, answer)
 	}
 }
 
@@ -124,12 +124,12 @@
 }
 
 // answerWaiters answers the callers that wait for a job's first write.
-func (ow *Owner) answerWaiters(en *entry, ve Verdict) {
-	for _, fn := range en.waiters {
+func (ow *Owner) answerWaiters(tj *trackedJob, ve Verdict) {
+	for _, fn := range tj.waiters {
 		ow.Metrics.Add(telemetry.JobVerdicts, 1, "outcome", string(ve.Outcome), "reason", string(ve.Reason))
 		fn(ve)
 	}
-	en.waiters = nil
+	tj.waiters = nil
 }
 
 // Cancel cancels a job.
@@ -138,29 +138,29 @@
 }
 
 func (ow *Owner) cancel(id string, answer func(Verdict)) {
-	en := ow.entries[id]
-	if en == nil || en.progressVersion == 0 {
+	tj := ow.jobs[id]
+	if tj == nil || tj.progressVersion == 0 {
 		answer(Verdict{Outcome: NoJob})
 		return
 	}
-	if en.writtenState.Final() {
+	if tj.writtenState.Final() {
 		answer(Verdict{Outcome: Accepted})
 		return
 	}
-	if !en.jo.State().Final() {
-		en.jo.Cancelled = true
-		ow.Log.Info("job cancelled", "job", id, "running", len(en.attempts))
-		ow.stopFinished(en)
-		ow.markDirty(en)
+	if !tj.jo.State().Final() {
+		tj.jo.Cancelled = true
+		ow.Log.Info("job cancelled", "job", id, "running", len(tj.attempts))
+		ow.stopFinished(tj)
+		ow.markDirty(tj)
 	}
 	if ow.storeDown() {
 		answer(Verdict{Outcome: Unknown, Reason: ReasonStoreUnavailable})
 		return
 	}
-	if en.dirty || en.writing {
-		en.onWritten = append(en.onWritten, func() { answer(Verdict{Outcome: Accepted}) })
-		if !en.dirty {
-			ow.markDirty(en)
+	if tj.dirty || tj.writing {
+		tj.onWritten = append(tj.onWritten, func() { answer(Verdict{Outcome: Accepted}) })
+		if !tj.dirty {
+			ow.markDirty(tj)
 		}
 	}
 }
@@ -168,8 +168,8 @@
 // State returns a job's state; ok is false if the owner has no such job.
 func (ow *Owner) State(ctx context.Context, id string) (state job.State, ok bool, err error) {
 	state, err = call(ctx, ow, func(answer func(job.State)) {
-		if en := ow.entries[id]; en != nil {
-			answer(en.reportedState())
+		if tj := ow.jobs[id]; tj != nil {
+			answer(tj.reportedState())
 			return
 		}
 		answer("")
@@ -181,8 +181,8 @@
 func (ow *Owner) Pending(ctx context.Context, queue string) (int, error) {
 	return call(ctx, ow, func(answer func(int)) {
 		n := 0
-		for _, en := range ow.entries {
-			if en.jo.Terms.Queue == queue && en.writtenState == job.Queued {
+		for _, tj := range ow.jobs {
+			if tj.jo.Terms.Queue == queue && tj.writtenState == job.Queued {
 				n++
 			}
 		}
--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -11,9 +11,9 @@
 type attempt struct {
 	ref    job.TaskRef
 	number int
-	ho     *workerState
+	wk     *workerState
 	// en is its job.
-	en *entry
+	tj *trackedJob
 	// inFlight is set from its placement until its start order is answered.
 	inFlight bool
 	// orderSent is set once its start order was sent.
--- a/internal/sched/backlog_test.go
+++ b/internal/sched/backlog_test.go
@@ -16,7 +16,7 @@
 	for i := range 3 * workers / 10 {
 		n++
 		each := worker.Resources{MilliCores: 8000 + int64(i*137%7000), MemMB: 6000 + int64(i*311%9000)}
-		la.submit(ow, n, job.Spec{Payload: "serve", Steps: []job.Step{{Tasks: 8, Each: each, Endless: true, TargetMS: 24, Image: fmt.Sprint("s", i%5)}}})
+		la.submit(ow, n, job.Spec{Payload: "serve", Steps: []job.Step{{Tasks: 8, Each: each, LongRunning: true, TargetMS: 24, Image: fmt.Sprint("s", i%5)}}})
 	}
 	time.Sleep(time.Second)
 	for _, fw := range la.fleetWorkers[:3*workers/10] {
--- a/internal/sched/backoff.go
+++ b/internal/sched/backoff.go
@@ -31,8 +31,8 @@
 
 // recordFailure records that an attempt of a task failed; tasks that are not endless are
 // ignored.
-func (bo *backoffs) recordFailure(en *entry, ref job.TaskRef, now time.Time) {
-	if !en.jo.Spec.Steps[ref.Step].Endless {
+func (bo *backoffs) recordFailure(tj *trackedJob, ref job.TaskRef, now time.Time) {
+	if !tj.jo.Spec.Steps[ref.Step].LongRunning {
 		return
 	}
 	if bo.tasks == nil {
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -20,7 +20,7 @@
 	n := 0
 	for i := range workers {
 		sp := job.Spec{Payload: "serve", Steps: []job.Step{{
-			Tasks: 4, Each: worker.Resources{MilliCores: 6400, MemMB: 13000}, Endless: true, TargetMS: 24, Image: fmt.Sprint("s", i%5),
+			Tasks: 4, Each: worker.Resources{MilliCores: 6400, MemMB: 13000}, LongRunning: true, TargetMS: 24, Image: fmt.Sprint("s", i%5),
 		}}}
 		n++
 		la.submit(ow, n, sp)
@@ -92,7 +92,7 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 			time.Sleep(time.Second)
-			gaps := la.gaps(n)
+			gaps := la.startIntervals(n)
 			b.ReportMetric(percentile(gaps, 0.5), "p50-ms")
 			b.ReportMetric(percentile(gaps, 0.99), "p99-ms")
 		})
@@ -100,7 +100,7 @@
 }
 
 // gaps returns the times between the first two steps of jobs, sorted.
-func (la *lab) gaps(jobs int) []time.Duration {
+func (la *lab) startIntervals(jobs int) []time.Duration {
 	last, first := make([]time.Time, jobs+1), make([]time.Time, jobs+1)
 	for _, ru := range la.fleet.Runs() {
 		id, ref, _ := job.ParseTaskID(ru.Task)
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -69,8 +69,8 @@
 func (ca *capacityLab) sendReports() {
 	list := ca.listed()
 	for i := range list {
-		said := ca.reported[list[i].Incarnation]
-		list[i].Capacity = said[len(said)-1].holds
+		due := ca.reported[list[i].Incarnation]
+		list[i].Capacity = due[len(due)-1].holds
 	}
 	ca.ow.SetWorkers(list, nil, true)
 }
@@ -79,11 +79,11 @@
 // be taken to have at the given time.
 func (ca *capacityLab) maxReported(id worker.Incarnation, at time.Time) int64 {
 	var highest int64
-	said := ca.reported[id]
-	for i, sa := range said {
-		over := i+1 < len(said) && said[i+1].at.Before(at.Add(-reportDelay))
-		if !sa.at.After(at) && !over {
-			highest = max(highest, sa.holds.MilliCores)
+	due := ca.reported[id]
+	for i, rep := range due {
+		over := i+1 < len(due) && due[i+1].at.Before(at.Add(-reportDelay))
+		if !rep.at.After(at) && !over {
+			highest = max(highest, rep.holds.MilliCores)
 		}
 	}
 	return highest
--- a/internal/sched/cluster_test.go
+++ b/internal/sched/cluster_test.go
@@ -60,18 +60,18 @@
 var errUnreachable = errors.New("unreachable by an injected fault")
 
 // join starts a host with the given CPU cores; those with fewer cores claim later.
-func (cr *cluster) join(name string, cores float64) *clusterHost {
-	cr.mu.Lock()
-	defer cr.mu.Unlock()
-	cr.processes++
-	co := &clusterHost{cr: cr, unreachable: map[worker.Incarnation]bool{}}
+func (cl *cluster) join(name string, cores float64) *clusterHost {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.processes++
+	co := &clusterHost{cr: cl, unreachable: map[worker.Incarnation]bool{}}
 	co.keeper = &tenure.Keeper{
-		Cell: "c0", Self: name, Process: fmt.Sprintf("%s-%d", name, cr.processes), Addr: name, Cores: cores,
-		Table: co.table(cr.lab.table.Client()), Serve: co.serve, AskFunc: co.ask, ConfirmFunc: co.vouch, Log: cr.log,
+		Cell: "c0", Self: name, Process: fmt.Sprintf("%s-%d", name, cl.processes), Addr: name, Cores: cores,
+		Table: co.table(cl.lab.table.Client()), Serve: co.serve, AskFunc: co.ask, ConfirmFunc: co.vouch, Log: cl.log,
 	}
 	ctx, end := context.WithCancel(context.Background())
 	co.end = end
-	cr.hosts = append(cr.hosts, co)
+	cl.hosts = append(cl.hosts, co)
 	go co.keeper.Run(ctx)
 	return co
 }
@@ -195,21 +195,21 @@
 }
 
 // members returns the hosts as the store lists them.
-func (cr *cluster) members() []registry.Member {
-	cr.mu.Lock()
-	defer cr.mu.Unlock()
+func (cl *cluster) members() []registry.Member {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
 	var list []registry.Member
-	for _, co := range cr.hosts {
+	for _, co := range cl.hosts {
 		list = append(list, registry.Member{Name: co.keeper.Self, Process: co.keeper.Process, Addr: co.keeper.Addr, DataCentre: co.keeper.Self})
 	}
 	return list
 }
 
 // latest returns the latest process of a host.
-func (cr *cluster) latest(name string) *clusterHost {
-	cr.mu.Lock()
-	defer cr.mu.Unlock()
-	for _, co := range slices.Backward(cr.hosts) {
+func (cl *cluster) latest(name string) *clusterHost {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for _, co := range slices.Backward(cl.hosts) {
 		if co.keeper.Self == name {
 			return co
 		}
@@ -245,10 +245,10 @@
 
 // partitionWith cuts a host off from the store and the other hosts, and the other hosts off
 // from a worker that it still reaches.
-func (cr *cluster) partitionWith(isolated *clusterHost, fw *standin.FleetWorker) {
+func (cl *cluster) partitionWith(isolated *clusterHost, fw *standin.FleetWorker) {
 	isolated.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	isolated.set(func(co *clusterHost) { co.partitioned = true })
-	for _, co := range cr.hosts {
+	for _, co := range cl.hosts {
 		if co != isolated {
 			co.set(func(co *clusterHost) { co.unreachable[fw.Addr.Incarnation] = true })
 		}
@@ -256,14 +256,14 @@
 }
 
 // awaitOwner waits until a host owns the cell after its former owner was lost or released it.
-func (cr *cluster) awaitOwner(co *clusterHost) {
+func (cl *cluster) awaitOwner(co *clusterHost) {
 	const (
 		timeout = 4 * time.Second
 		step    = 10 * time.Millisecond
 	)
 	for end := time.Now().Add(timeout); time.Now().Before(end) && !co.owns(); time.Sleep(step) {
 	}
-	qt.Assert(cr.t, co.owns(), qt.IsTrue, qt.Commentf("%s does not own the cell after %v", co.keeper.Self, timeout))
+	qt.Assert(cl.t, co.owns(), qt.IsTrue, qt.Commentf("%s does not own the cell after %v", co.keeper.Self, timeout))
 }
 
 // owns reports whether the process is the owner according to the owner row that it last read.
@@ -273,8 +273,8 @@
 }
 
 // stop ends all hosts and waits until their goroutines have ended.
-func (cr *cluster) stop() {
-	for _, co := range cr.hosts {
+func (cl *cluster) stop() {
+	for _, co := range cl.hosts {
 		co.end()
 	}
 	time.Sleep(tenure.HeartbeatTimeout + time.Second)
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -53,7 +53,7 @@
 
 // jobWrite is the part of a write that belongs to one job.
 type jobWrite struct {
-	en    *entry
+	tj    *trackedJob
 	state job.State
 	// firstWrite is set if the write creates the job's rows.
 	firstWrite bool
@@ -66,12 +66,12 @@
 
 // flush starts writes of the jobs that have changed.
 func (ow *Owner) flush() {
-	for ow.writes < maxConcurrentWrites && len(ow.dirty) > 0 {
+	for ow.writesInFlight < maxConcurrentWrites && len(ow.dirtyJobs) > 0 {
 		wr := ow.nextWrite()
 		if len(wr.jobs) == 0 {
 			return
 		}
-		ow.writes++
+		ow.writesInFlight++
 		go ow.commit(wr)
 	}
 }
@@ -81,59 +81,59 @@
 	wr := &write{txn: store.NewTxn(), sent: time.Now()}
 	wr.txn.Conds = []store.Cond{{Key: ow.Tenure.Key, Version: ow.Tenure.Version}}
 	size := 0
-	remaining := ow.dirty[:0]
-	for i, en := range ow.dirty {
+	remaining := ow.dirtyJobs[:0]
+	for i, tj := range ow.dirtyJobs {
 		if len(wr.jobs) == maxJobsPerWrite || size > maxBytesPerWrite {
-			remaining = append(remaining, ow.dirty[i:]...)
+			remaining = append(remaining, ow.dirtyJobs[i:]...)
 			break
 		}
-		if en.writing {
-			remaining = append(remaining, en)
+		if tj.writing {
+			remaining = append(remaining, tj)
 			continue
 		}
-		size += ow.addJobWrite(wr, en)
+		size += ow.addJobWrite(wr, tj)
 	}
-	clear(ow.dirty[len(remaining):])
-	ow.dirty = remaining
+	clear(ow.dirtyJobs[len(remaining):])
+	ow.dirtyJobs = remaining
 	return wr
 }
 
 // addJobWrite adds a job's rows to a write and returns their size in bytes.
-func (ow *Owner) addJobWrite(wr *write, en *entry) int {
-	id := en.jo.ID
-	pa := jobWrite{en: en, state: en.jo.State(), firstWrite: en.progressVersion == 0, onWritten: en.onWritten, key: ow.progressKey(id)}
-	en.onWritten, en.dirty, en.writing, en.proofDue = nil, false, true, time.Time{}
-	wr.txn.Conds = append(wr.txn.Conds, store.Cond{Key: pa.key, Version: en.progressVersion})
-	if en.removing {
-		wr.txn.Puts = append(wr.txn.Puts, store.Put{Key: pa.key, Delete: true})
-		wr.txn.Puts = append(wr.txn.Puts, ow.specRemoval(en)...)
-		wr.jobs = append(wr.jobs, pa)
+func (ow *Owner) addJobWrite(wr *write, tj *trackedJob) int {
+	id := tj.jo.ID
+	jw := jobWrite{tj: tj, state: tj.jo.State(), firstWrite: tj.progressVersion == 0, onWritten: tj.onWritten, key: ow.progressKey(id)}
+	tj.onWritten, tj.dirty, tj.writing, tj.proofDue = nil, false, true, time.Time{}
+	wr.txn.Conds = append(wr.txn.Conds, store.Cond{Key: jw.key, Version: tj.progressVersion})
+	if tj.removing {
+		wr.txn.Puts = append(wr.txn.Puts, store.Put{Key: jw.key, Delete: true})
+		wr.txn.Puts = append(wr.txn.Puts, ow.specRemoval(tj)...)
+		wr.jobs = append(wr.jobs, jw)
 		return 0
 	}
-	pa.value = ow.encode(en.jo.NextRow(ow.Tenure.Epoch))
-	wr.txn.Puts = append(wr.txn.Puts, store.Put{Key: pa.key, Value: pa.value})
-	size := len(pa.value)
+	jw.value = ow.encode(tj.jo.NextRow(ow.Tenure.Epoch))
+	wr.txn.Puts = append(wr.txn.Puts, store.Put{Key: jw.key, Value: jw.value})
+	size := len(jw.value)
 	switch {
-	case en.jo.Finished():
-		wr.txn.Puts = append(wr.txn.Puts, ow.specRemoval(en)...)
-	case pa.firstWrite:
-		en.specStored = true
-		spec := ow.encode(en.jo.SpecRow())
+	case tj.jo.Finished():
+		wr.txn.Puts = append(wr.txn.Puts, ow.specRemoval(tj)...)
+	case jw.firstWrite:
+		tj.specStored = true
+		spec := ow.encode(tj.jo.SpecRow())
 		size += len(spec)
 		wr.txn.Conds = append(wr.txn.Conds, store.Cond{Key: ow.specKey(id)})
 		wr.txn.Puts = append(wr.txn.Puts, store.Put{Key: ow.specKey(id), Value: spec})
 	}
-	wr.jobs = append(wr.jobs, pa)
+	wr.jobs = append(wr.jobs, jw)
 	return size
 }
 
 // specRemoval returns the removal of a job's spec row, or nil if there is no such row.
-func (ow *Owner) specRemoval(en *entry) []store.Put {
-	if !en.specStored {
+func (ow *Owner) specRemoval(tj *trackedJob) []store.Put {
+	if !tj.specStored {
 		return nil
 	}
-	en.specStored = false
-	return []store.Put{{Key: ow.specKey(en.jo.ID), Delete: true}}
+	tj.specStored = false
+	return []store.Put{{Key: ow.specKey(tj.jo.ID), Delete: true}}
 }
 
 func (ow *Owner) encode(row any) []byte {
@@ -173,24 +173,24 @@
 
 // handleCommitted records that a write took effect and runs its callbacks.
 func (ow *Owner) handleCommitted(wr *write, version func(jobWrite) int64) {
-	ow.writes--
+	ow.writesInFlight--
 	if !ow.writesFailingSince.IsZero() {
 		ow.Log.Info("store takes writes again", "cell", ow.Cell, "after", time.Since(ow.writesFailingSince))
 		ow.writesFailingSince = time.Time{}
 	}
 	ow.Metrics.Add(telemetry.CellWrites, 1, "outcome", "done")
-	for _, pa := range wr.jobs {
-		pa.en.writing = false
-		pa.en.progressVersion = version(pa)
-		if pa.firstWrite {
-			ow.Log.Info("job accepted", "job", pa.en.jo.ID, "queue", pa.en.jo.Terms.Queue, "version", pa.en.progressVersion, "took", time.Since(pa.en.acceptedAt))
-			ow.answerWaiters(pa.en, Verdict{Outcome: Accepted})
+	for _, jw := range wr.jobs {
+		jw.tj.writing = false
+		jw.tj.progressVersion = version(jw)
+		if jw.firstWrite {
+			ow.Log.Info("job accepted", "job", jw.tj.jo.ID, "queue", jw.tj.jo.Terms.Queue, "version", jw.tj.progressVersion, "took", time.Since(jw.tj.acceptedAt))
+			ow.answerWaiters(jw.tj, Verdict{Outcome: Accepted})
 		}
-		if pa.state != pa.en.writtenState {
-			ow.Log.Info("job state", "job", pa.en.jo.ID, "state", pa.state, "version", pa.en.progressVersion, "age", time.Since(pa.en.acceptedAt))
-			pa.en.writtenState = pa.state
+		if jw.state != jw.tj.writtenState {
+			ow.Log.Info("job state", "job", jw.tj.jo.ID, "state", jw.state, "version", jw.tj.progressVersion, "age", time.Since(jw.tj.acceptedAt))
+			jw.tj.writtenState = jw.state
 		}
-		for _, fn := range pa.onWritten {
+		for _, fn := range jw.onWritten {
 			fn()
 		}
 	}
@@ -202,14 +202,14 @@
 	if ow.replacedAsOwner(conflict) {
 		return
 	}
-	pa := wr.jobs[0]
-	row := conflict.Row(pa.key)
-	if (pa.value == nil && row.Version == 0) || (pa.value != nil && sameJSON(row.Value, pa.value)) {
-		ow.handleCommitted(wr, func(pa jobWrite) int64 { return conflict.Row(pa.key).Version })
+	jw := wr.jobs[0]
+	row := conflict.Row(jw.key)
+	if (jw.value == nil && row.Version == 0) || (jw.value != nil && sameJSON(row.Value, jw.value)) {
+		ow.handleCommitted(wr, func(jw jobWrite) int64 { return conflict.Row(jw.key).Version })
 		return
 	}
-	ow.Log.Error("write refused", "cell", ow.Cell, "job", pa.en.jo.ID, "want", pa.en.progressVersion, "have", row.Version)
-	ow.Tenure.End(fmt.Errorf("write of job %s: %w", pa.en.jo.ID, errUnexpectedRows))
+	ow.Log.Error("write refused", "cell", ow.Cell, "job", jw.tj.jo.ID, "want", jw.tj.progressVersion, "have", row.Version)
+	ow.Tenure.End(fmt.Errorf("write of job %s: %w", jw.tj.jo.ID, errUnexpectedRows))
 }
 
 // replacedAsOwner reports whether a write was refused because another host owns the cell, and
@@ -240,10 +240,10 @@
 	if time.Since(wr.sent) < reportUnknownAfter {
 		return
 	}
-	for _, pa := range wr.jobs {
-		if pa.firstWrite && len(pa.en.waiters) > 0 {
-			ow.Log.Warn("unknown whether job was accepted", "job", pa.en.jo.ID, "tries", n, "err", err)
-			ow.answerWaiters(pa.en, Verdict{Outcome: Unknown, Reason: ReasonStoreUnavailable})
+	for _, jw := range wr.jobs {
+		if jw.firstWrite && len(jw.tj.waiters) > 0 {
+			ow.Log.Warn("unknown whether job was accepted", "job", jw.tj.jo.ID, "tries", n, "err", err)
+			ow.answerWaiters(jw.tj, Verdict{Outcome: Unknown, Reason: ReasonStoreUnavailable})
 		}
 	}
 }
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -142,7 +142,7 @@
 	poll := ag.PollFunc
 	var mu sync.Mutex
 	first := map[worker.Incarnation]time.Time{}
-	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
 		mu.Lock()
 		if first[ad.Incarnation].IsZero() {
 			first[ad.Incarnation] = time.Now()
@@ -152,7 +152,7 @@
 		if strings.HasPrefix(ad.Incarnation.ID, "life-") && !clock.Sleep(ctx, max(wait, 0)) {
 			return worker.PollResult{}, ctx.Err()
 		}
-		return poll(ctx, ad, lo)
+		return poll(ctx, ad, po)
 	}
 	return ag
 }
@@ -186,7 +186,7 @@
 func TestPlannedWorkerExitBlamesNoTask(t *testing.T) {
 	for _, drains := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			la, li := loggedLab(t, 6)
+			la, ll := loggedLab(t, 6)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
 			ow, end := la.startOwner()
 			defer end()
@@ -214,8 +214,8 @@
 			}
 			time.Sleep(6 * time.Second)
 			qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-			qt.Check(t, li.matching("end=lapsed"), qt.HasLen, 4)
-			qt.Check(t, len(li.matching("end=crashed"))+len(li.matching("end=lost")), qt.Equals, 0)
+			qt.Check(t, ll.matching("end=lapsed"), qt.HasLen, 4)
+			qt.Check(t, len(ll.matching("end=crashed"))+len(ll.matching("end=lost")), qt.Equals, 0)
 			la.assertRunsConsistent()
 		})
 	}
@@ -225,7 +225,7 @@
 // although its order reached only the process that started after it.
 func TestOrderRefusedByNextProcessBlamesNoTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 1)
+		la, ll := loggedLab(t, 1)
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
@@ -236,8 +236,8 @@
 		time.Sleep(time.Second)
 		ow.SetWorkers(la.listed(), nil, true)
 		time.Sleep(3 * time.Second)
-		qt.Check(t, li.matching("end=never-ran", "refused by another process"), qt.HasLen, 1)
-		qt.Check(t, len(li.matching("end=crashed"))+len(li.matching("end=lost")), qt.Equals, 0)
+		qt.Check(t, ll.matching("end=never-ran", "refused by another process"), qt.HasLen, 1)
+		qt.Check(t, len(ll.matching("end=crashed"))+len(ll.matching("end=lost")), qt.Equals, 0)
 		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 	})
 }
@@ -247,18 +247,18 @@
 // later: when it ended is not known.
 func TestUnresponsiveWorkerIsNoProofOfACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 2)
+		la, ll := loggedLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
 		var unresponsive atomic.Pointer[worker.Incarnation]
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			poll := ag.PollFunc
-			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-				si, err := poll(ctx, ad, lo)
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
+				res, err := poll(ctx, ad, po)
 				if id := unresponsive.Load(); id != nil && *id == ad.Incarnation {
 					<-ctx.Done()
 					return worker.PollResult{}, ctx.Err()
 				}
-				return si, err
+				return res, err
 			}
 			return ag
 		}
@@ -274,8 +274,8 @@
 		_, next := la.replaceProcess(i)
 		ow.SetWorkers([]WorkerEntry{next}, nil, false)
 		time.Sleep(6 * time.Second)
-		qt.Check(t, li.matching("end=lost"), qt.HasLen, 1)
-		qt.Check(t, li.matching("end=crashed"), qt.HasLen, 0)
+		qt.Check(t, ll.matching("end=lost"), qt.HasLen, 1)
+		qt.Check(t, ll.matching("end=crashed"), qt.HasLen, 0)
 		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 	})
 }
@@ -284,7 +284,7 @@
 // tell why a job was given up. A search for the job's id must lead to the reason.
 func TestTaskGivenUpIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 6)
+		la, ll := loggedLab(t, 6)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
@@ -292,10 +292,10 @@
 		cr.submit(ow, 1, batch(1, 1))
 		time.Sleep(20 * time.Second)
 		id := "job=" + jobID(1)
-		qt.Check(t, li.matching(`msg="attempt ended"`, id, "end=crashed"), qt.HasLen, 3)
-		qt.Check(t, li.matching(`msg="trying a task under which workers ended"`, id, "crashes=1", "how=apart"), qt.HasLen, 1)
-		qt.Check(t, li.matching(`msg="trying a task under which workers ended"`, id, "crashes=2", "how=alone"), qt.HasLen, 1)
-		qt.Check(t, li.matching(`msg="task given up"`, id, "why=crashes", "attempt=3", "crashes=3"), qt.HasLen, 1)
+		qt.Check(t, ll.matching(`msg="attempt ended"`, id, "end=crashed"), qt.HasLen, 3)
+		qt.Check(t, ll.matching(`msg="trying a task under which workers ended"`, id, "crashes=1", "how=apart"), qt.HasLen, 1)
+		qt.Check(t, ll.matching(`msg="trying a task under which workers ended"`, id, "crashes=2", "how=alone"), qt.HasLen, 1)
+		qt.Check(t, ll.matching(`msg="task given up"`, id, "why=crashes", "attempt=3", "crashes=3"), qt.HasLen, 1)
 		re := httptest.NewRecorder()
 		page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		for _, line := range []string{
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -53,8 +53,8 @@
 func newCrashLab(t *testing.T, la *lab) *crashLab {
 	t.Helper()
 	cr := &crashLab{lab: la, entryTTL: crashedEntryTTL, restartAfter: crashRestartAfter, entries: map[worker.Incarnation]WorkerEntry{}, down: map[*standin.FleetWorker]bool{}}
-	for _, li := range la.listed() {
-		cr.entries[li.Incarnation] = li
+	for _, we := range la.listed() {
+		cr.entries[we.Incarnation] = we
 	}
 	la.fleet.CrashedFunc = func(fw *standin.FleetWorker) {
 		cr.mu.Lock()
@@ -91,24 +91,24 @@
 	defer cr.mu.Unlock()
 	cr.ow, cr.end = ow, end
 	var list []WorkerEntry
-	for _, li := range cr.entries {
-		list = append(list, li)
+	for _, we := range cr.entries {
+		list = append(list, we)
 	}
 	ow.SetWorkers(list, nil, true)
 	return ow
 }
 
 // setEntry adds an entry to the list of workers or removes it, and notifies the owner.
-func (cr *crashLab) setEntry(li WorkerEntry, removed bool) {
+func (cr *crashLab) setEntry(we WorkerEntry, removed bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if removed {
-		delete(cr.entries, li.Incarnation)
-		cr.ow.SetWorkers(nil, []string{li.Incarnation.ID}, false)
+		delete(cr.entries, we.Incarnation)
+		cr.ow.SetWorkers(nil, []string{we.Incarnation.ID}, false)
 		return
 	}
-	cr.entries[li.Incarnation] = li
-	cr.ow.SetWorkers([]WorkerEntry{li}, nil, false)
+	cr.entries[we.Incarnation] = we
+	cr.ow.SetWorkers([]WorkerEntry{we}, nil, false)
 }
 
 // crash ends a worker without a task that caused it.
@@ -169,7 +169,7 @@
 		switch {
 		case crash(id, ref):
 			return crashDelay, standin.Crashes
-		case cr.spec(id).Steps[ref.Step].Endless:
+		case cr.spec(id).Steps[ref.Step].LongRunning:
 			return -1, ""
 		}
 		return time.Second, "done"
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -13,9 +13,9 @@
 // was just listed, or under its id. Only an answer shows which of them runs: the entry of a
 // crashed process stays for three heartbeats, and may be written once more after that of the
 // next one.
-func (ow *Owner) pollOthers(li WorkerEntry) {
-	for _, other := range ow.sameAddrOrID(li.Addr) {
-		ow.Log.Info("another process is listed at a worker's address or under its id", "worker", other.incarnation, "addr", li.HostPort, "other", li.Incarnation,
+func (ow *Owner) pollOthers(we WorkerEntry) {
+	for _, other := range ow.sameAddrOrID(we.Addr) {
+		ow.Log.Info("another process is listed at a worker's address or under its id", "worker", other.incarnation, "addr", we.HostPort, "other", we.Incarnation,
 			"heard", other.sinceLastContact(time.Now()))
 		wake(other.pathChanged)
 	}
@@ -24,21 +24,21 @@
 // supersedeOthers handles that the worker answered a poll. One process at a time listens at an
 // address, so another worker there that last answered before the poll was sent has ended. So
 // has another incarnation of the worker that was known before that.
-func (ho *workerState) supersedeOthers(sent time.Time) {
-	if len(ho.ow.byAddr[ho.HostPort]) < 2 && len(ho.ow.byID[ho.incarnation.ID]) < 2 {
+func (wk *workerState) supersedeOthers(sent time.Time) {
+	if len(wk.ow.workersByAddr[wk.HostPort]) < 2 && len(wk.ow.workersByID[wk.incarnation.ID]) < 2 {
 		return
 	}
-	for _, other := range ho.ow.sameAddrOrID(ho.Addr) {
+	for _, other := range wk.ow.sameAddrOrID(wk.Addr) {
 		switch {
-		case other == ho || other.dead:
-		case other.incarnation.ID == ho.incarnation.ID:
+		case other == wk || other.dead:
+		case other.incarnation.ID == wk.incarnation.ID:
 			// One process at a time has an id, and the other one started before this one
 			// answered.
 			if other.firstSeen.Before(sent) {
-				other.supersedeBy(ho)
+				other.supersedeBy(wk)
 			}
 		case !other.lastPoll.IsZero() && other.lastPoll.Before(sent):
-			other.markDead("another process answers at its address", ho.incarnation)
+			other.markDead("another process answers at its address", wk.incarnation)
 		}
 	}
 }
@@ -46,10 +46,10 @@
 // sameAddrOrID returns the workers known at an address and those known with the id of its
 // worker, including that worker.
 func (ow *Owner) sameAddrOrID(ad worker.Addr) []*workerState {
-	list := slices.Clone(ow.byAddr[ad.HostPort])
-	for _, ho := range ow.byID[ad.Incarnation.ID] {
-		if ho.HostPort != ad.HostPort && !ho.dead {
-			list = append(list, ho)
+	list := slices.Clone(ow.workersByAddr[ad.HostPort])
+	for _, wk := range ow.workersByID[ad.Incarnation.ID] {
+		if wk.HostPort != ad.HostPort && !wk.dead {
+			list = append(list, wk)
 		}
 	}
 	return list
@@ -57,35 +57,35 @@
 
 // markDead records that the worker's process has ended, and with it all its attempts. The
 // process that replaced it at its address is by, if that is known.
-func (ho *workerState) markDead(why string, by worker.Incarnation) {
-	if ho.dead {
+func (wk *workerState) markDead(why string, by worker.Incarnation) {
+	if wk.dead {
 		return
 	}
-	ho.dead = true
-	ho.logDeath(why, by, time.Now())
-	ho.endDead(why)
-	ho.disconnect()
-	ho.ow.removeIfIdle(ho)
+	wk.dead = true
+	wk.logDeath(why, by, time.Now())
+	wk.endDead(why)
+	wk.disconnect()
+	wk.ow.removeIfIdle(wk)
 }
 
 // endLapsed ends all attempts on a worker whose leases have lapsed. The process of a worker
 // without an entry has most likely ended and may be back at another address, so its attempts
 // may be blamed for a crash. A worker that is listed, or whose entry may be missing only
 // because the list is unreliable, counts as unreachable.
-func (ho *workerState) endLapsed(now time.Time) {
-	ho.endAll(ho.unlisted && !ho.leftAsPlanned() && ho.ow.listReliable(now), "its leases have lapsed")
+func (wk *workerState) endLapsed(now time.Time) {
+	wk.endAll(wk.unlisted && !wk.leftAsPlanned() && wk.ow.listReliable(now), "its leases have lapsed")
 }
 
 // endAll ends all attempts on a lost worker. If crashed is set, its process ended unplanned,
 // and the ends say which attempts may have caused that.
-func (ho *workerState) endAll(crashed bool, why string) {
+func (wk *workerState) endAll(crashed bool, why string) {
 	var le lostEnds
-	for at := range ho.attempts {
+	for at := range wk.attempts {
 		end := at.lossEnd(crashed)
 		le.add(at.step(), end)
-		ho.ow.recordEnd(at.en, at.ref, at.number, end, "", why)
+		wk.ow.recordEnd(at.tj, at.ref, at.number, end, "", why)
 	}
-	ho.ow.logLost(ho.incarnation, le, why, ho.sinceLastContact(time.Now()))
+	wk.ow.logLost(wk.incarnation, le, why, wk.sinceLastContact(time.Now()))
 }
 
 // lossEnd returns how the attempt ended on a lost worker; crashed says that the worker's
@@ -101,17 +101,17 @@
 }
 
 // endDead ends all attempts on a worker whose process has ended.
-func (ho *workerState) endDead(why string) {
-	ho.endAll(ho.recordCrash(), why)
+func (wk *workerState) endDead(why string) {
+	wk.endAll(wk.recordCrash(), why)
 }
 
 // recordCrash reports whether the worker, whose process has ended, ended unplanned, and counts
 // it in that case.
-func (ho *workerState) recordCrash() bool {
-	if ho.leftAsPlanned() {
+func (wk *workerState) recordCrash() bool {
+	if wk.leftAsPlanned() {
 		return false
 	}
-	ho.ow.Metrics.Add(telemetry.WorkersCrashed, 1, "attempts", someOrNone(len(ho.attempts)))
+	wk.ow.Metrics.Add(telemetry.WorkersCrashed, 1, "attempts", someOrNone(len(wk.attempts)))
 	return true
 }
 
@@ -125,8 +125,8 @@
 
 // leftAsPlanned reports whether the worker, whose process has ended, was expected to: it
 // drained, or still answered after its entry was removed.
-func (ho *workerState) leftAsPlanned() bool {
-	return ho.Draining || (ho.unlisted && ho.lastPoll.After(ho.unlistedAt))
+func (wk *workerState) leftAsPlanned() bool {
+	return wk.Draining || (wk.unlisted && wk.lastPoll.After(wk.unlistedAt))
 }
 
 // crashEnd returns how the attempt ended if its worker's process crashed.
@@ -137,7 +137,7 @@
 		return job.EndNeverRan
 	case ran >= crashBlameLimit:
 		return job.EndLapsed
-	case ran >= startupDuration, at.ho.unresponsive, !at.inherited && at.launchedAt.IsZero():
+	case ran >= startupDuration, at.wk.unresponsive, !at.inherited && at.launchedAt.IsZero():
 		// An unresponsive worker may have ended long after it stopped answering, and an order
 		// without an answer may have ended the worker or come after its end. Orders of former
 		// owners count as answered: most were, and otherwise a task whose crashes always
@@ -202,19 +202,19 @@
 
 // logDeath logs the end of a worker's process, with what decides how its attempts ended: the
 // last contact, whether it was about to leave, and how many orders it had not answered.
-func (ho *workerState) logDeath(why string, by worker.Incarnation, now time.Time) {
+func (wk *workerState) logDeath(why string, by worker.Incarnation, now time.Time) {
 	unanswered := 0
-	for at := range ho.attempts {
+	for at := range wk.attempts {
 		if at.launchedAt.IsZero() {
 			unanswered++
 		}
 	}
 	var unlistedFor time.Duration
-	if ho.unlisted {
-		unlistedFor = now.Sub(ho.unlistedAt)
+	if wk.unlisted {
+		unlistedFor = now.Sub(wk.unlistedAt)
 	}
-	ho.ow.Log.Warn("worker is dead", "worker", ho.incarnation, "attempts", len(ho.attempts), "why", why, "by", by, "unanswered", unanswered,
-		"heard", ho.sinceLastContact(now), "failing_for", elapsedSince(now, ho.failingSince), "silent", ho.unresponsive, "listed", !ho.unlisted, "gone_for", unlistedFor, "draining", ho.Draining)
+	wk.ow.Log.Warn("worker is dead", "worker", wk.incarnation, "attempts", len(wk.attempts), "why", why, "by", by, "unanswered", unanswered,
+		"heard", wk.sinceLastContact(now), "failing_for", elapsedSince(now, wk.failingSince), "silent", wk.unresponsive, "listed", !wk.unlisted, "gone_for", unlistedFor, "draining", wk.Draining)
 }
 
 // elapsedSince returns the time since began, or 0 if began is zero.
--- a/internal/sched/death_test.go
+++ b/internal/sched/death_test.go
@@ -19,8 +19,8 @@
 // starts at its address.
 func TestWorkerDeathIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 1)
-		ow := la.withLasting(2)
+		la, ll := loggedLab(t, 1)
+		ow := la.startLongRunning(2)
 		time.Sleep(3 * time.Second)
 		was := la.fleetWorkers[0]
 		la.fleet.Kill(was)
@@ -32,13 +32,13 @@
 		la.fleetWorkers[0] = next
 		ow.SetWorkers(la.listed(), nil, false)
 		time.Sleep(time.Second)
-		dead := li.matching(`msg="worker is dead"`, "worker="+was.Addr.Incarnation.String()+" ")
+		dead := ll.matching(`msg="worker is dead"`, "worker="+was.Addr.Incarnation.String()+" ")
 		qt.Assert(t, dead, qt.HasLen, 1)
 		for _, field := range []string{"attempts=2", "by=", "unanswered=0", "listed=false", "gone_for=1s", "draining=false", "heard=", "failing_for="} {
 			qt.Check(t, dead[0], qt.Contains, field)
 		}
-		qt.Check(t, li.matching(`msg="attempt ended"`, "worker="+was.Addr.Incarnation.String()+" ", "acked=true", "ran_at_least="), qt.HasLen, 2)
-		qt.Check(t, li.matching(`msg="attempt ended"`, "worker="+was.Addr.Incarnation.String()+" ", "ran_at_least=0s"), qt.HasLen, 0)
+		qt.Check(t, ll.matching(`msg="attempt ended"`, "worker="+was.Addr.Incarnation.String()+" ", "acked=true", "ran_at_least="), qt.HasLen, 2)
+		qt.Check(t, ll.matching(`msg="attempt ended"`, "worker="+was.Addr.Incarnation.String()+" ", "ran_at_least=0s"), qt.HasLen, 0)
 	})
 }
 
@@ -49,7 +49,7 @@
 // never received.
 func TestUndeliveredOrderIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 2)
+		la, ll := loggedLab(t, 2)
 		cr := newCrashLab(t, la)
 		cr.setCrashingJobs()
 		var once sync.Once
@@ -70,10 +70,10 @@
 		time.Sleep(time.Second)
 		cr.submit(ow, 1, batch(1, 4))
 		time.Sleep(50 * time.Millisecond)
-		qt.Assert(t, len(li.matching(`msg="launch not done"`, jobID(1))) >= 4, qt.IsTrue)
+		qt.Assert(t, len(ll.matching(`msg="launch not done"`, jobID(1))) >= 4, qt.IsTrue)
 		ow = cr.own()
 		time.Sleep(20 * time.Second)
-		qt.Check(t, li.matching("end=crashed", jobID(1)), qt.HasLen, 0)
+		qt.Check(t, ll.matching("end=crashed", jobID(1)), qt.HasLen, 0)
 		qt.Check(t, cr.state(ow, 1), qt.Equals, job.Succeeded)
 	})
 }
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -7,9 +7,9 @@
 // capacity.
 const demandLogInterval = time.Second
 
-// endlessDemand sums up the endless tasks that wait and the capacity that there is for
+// longRunningDemand sums up the endless tasks that wait and the capacity that there is for
 // them.
-type endlessDemand struct {
+type longRunningDemand struct {
 	// jobs and tasks count what waits for capacity; interrupted counts the tasks among them
 	// that ran before.
 	jobs, tasks, interrupted int
@@ -27,13 +27,13 @@
 	free, mostFree, finite int64
 }
 
-// logEndlessDemand logs how many endless tasks wait for capacity, and what capacity there
+// logLongRunningDemand logs how many endless tasks wait for capacity, and what capacity there
 // is.
-func (ow *Owner) logEndlessDemand(now time.Time) {
+func (ow *Owner) logLongRunningDemand(now time.Time) {
 	if now.Sub(ow.scarcityLoggedAt) < demandLogInterval {
 		return
 	}
-	ed := ow.endlessDemand(now)
+	ed := ow.longRunningDemand(now)
 	if ed.tasks == 0 {
 		return
 	}
@@ -43,29 +43,29 @@
 		"promised_millicores", ed.reserved, "promises_lacking", ow.reservations.unmet)
 }
 
-// endlessDemand sums up the endless jobs that have waited for capacity for at least
+// longRunningDemand sums up the endless jobs that have waited for capacity for at least
 // firstWait, and the capacity of all workers.
-func (ow *Owner) endlessDemand(now time.Time) endlessDemand {
-	var ed endlessDemand
-	for _, en := range ow.active {
-		if en.jo.Endless() && en.waitCause == CauseRoom && now.Sub(en.waitingSince) >= firstWaitLog {
-			ed.add(en, now)
+func (ow *Owner) longRunningDemand(now time.Time) longRunningDemand {
+	var ed longRunningDemand
+	for _, tj := range ow.waitingJobs {
+		if tj.jo.LongRunning() && tj.waitCause == CauseRoom && now.Sub(tj.waitingSince) >= firstWaitLog {
+			ed.add(tj, now)
 		}
 	}
 	if ed.tasks == 0 {
 		return ed
 	}
-	for _, ho := range ow.hosts {
-		if ho.unavailableReason(now) != "" {
+	for _, wk := range ow.workers {
+		if wk.unavailableReason(now) != "" {
 			continue
 		}
-		free := max(ho.Capacity.MilliCores-ho.reserved.MilliCores, 0)
+		free := max(wk.Capacity.MilliCores-wk.reserved.MilliCores, 0)
 		ed.workers++
 		ed.free += free
 		ed.mostFree = max(ed.mostFree, free)
-		ed.finite += ho.finiteReserved.MilliCores
-		ed.reserved += ho.restartReserved.MilliCores
-		if ho.isEarmarked() {
+		ed.finite += wk.finiteReserved.MilliCores
+		ed.reserved += wk.restartReserved.MilliCores
+		if wk.isEarmarked() {
 			ed.earmarked++
 		}
 	}
@@ -73,13 +73,13 @@
 }
 
 // add adds the waiting tasks of a job.
-func (ed *endlessDemand) add(en *entry, now time.Time) {
+func (ed *longRunningDemand) add(tj *trackedJob, now time.Time) {
 	ed.jobs++
-	ed.longestWait = max(ed.longestWait, now.Sub(en.waitingSince))
-	for step := range en.jo.Spec.Steps {
-		n := en.waitingIn(step)
+	ed.longestWait = max(ed.longestWait, now.Sub(tj.waitingSince))
+	for step := range tj.jo.Spec.Steps {
+		n := tj.waitingIn(step)
 		ed.tasks += n
-		ed.needMilliCores += int64(n) * en.jo.Spec.Steps[step].Reserved().MilliCores
-		ed.interrupted += en.waitingInterrupted(step)
+		ed.needMilliCores += int64(n) * tj.jo.Spec.Steps[step].Reserved().MilliCores
+		ed.interrupted += tj.waitingInterrupted(step)
 	}
 }
--- a/internal/sched/earmark.go
+++ b/internal/sched/earmark.go
@@ -7,8 +7,8 @@
 const earmarkShare = 16
 
 // isEarmarked reports whether the worker's free capacity is set aside for an endless task.
-func (ho *workerState) isEarmarked() bool {
-	return ho.restartReady || ho.reservedInRound == ho.ow.rounds
+func (wk *workerState) isEarmarked() bool {
+	return wk.restartReady || wk.earmarkedInRound == wk.ow.placementRounds
 }
 
 // earmark sets aside the free capacity of a worker for an endless task that never ran and
@@ -16,15 +16,15 @@
 // the task would wait for as long as they arrive. It chooses the worker that is least short
 // of the capacity and will have it once the tasks there that end by themselves have ended.
 // The next round chooses again, and usually the same worker.
-func (pl *placer) earmark(en *entry, ref job.TaskRef) {
-	st := &en.jo.Spec.Steps[ref.Step]
-	if !st.Endless || !pl.ow.uses(MechReserveCapacity) || pl.earmarks > len(pl.hosts)/earmarkShare || en.interrupted(ref) {
+func (pl *placer) earmark(tj *trackedJob, ref job.TaskRef) {
+	st := &tj.jo.Spec.Steps[ref.Step]
+	if !st.LongRunning || !pl.ow.enabled(MechReserveCapacity) || pl.earmarks > len(pl.candidates)/earmarkShare || tj.interrupted(ref) {
 		return
 	}
 	var best *candidate
 	var leastMissing int64
-	for _, ca := range pl.hosts {
-		if ca.earmarked || !ca.allowed(en, ref, st) || !st.Reserved().Fits(ca.free.Add(ca.ho.finiteReserved)) {
+	for _, ca := range pl.candidates {
+		if ca.earmarked || !ca.allowed(tj, ref, st) || !st.Reserved().Fits(ca.free.Add(ca.wk.finiteReserved)) {
 			continue
 		}
 		if missing := st.Each.MilliCores - ca.free.MilliCores; best == nil || missing < leastMissing {
@@ -34,7 +34,7 @@
 	if best == nil {
 		return
 	}
-	best.earmarked, best.ho.reservedInRound = true, pl.ow.rounds
+	best.earmarked, best.wk.earmarkedInRound = true, pl.ow.placementRounds
 	pl.earmarks++
-	pl.ow.Log.Debug("capacity earmarked", "task", en.jo.TaskID(ref), "worker", best.ho.incarnation, "lacks_millicores", leastMissing)
+	pl.ow.Log.Debug("capacity earmarked", "task", tj.jo.TaskID(ref), "worker", best.wk.incarnation, "lacks_millicores", leastMissing)
 }
--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -27,14 +27,14 @@
 	if ow.storeDown() {
 		return
 	}
-	ev := evacuation{ow: ow, now: now, noCapacity: map[*job.Step]bool{}}
-	for _, ho := range ow.sortedWorkers() {
-		if ho.evacuationReason(now) != "" {
-			ev.leaving = append(ev.leaving, ho)
+	evac := evacuation{ow: ow, now: now, noCapacity: map[*job.Step]bool{}}
+	for _, wk := range ow.sortedWorkers() {
+		if wk.evacuationReason(now) != "" {
+			evac.leaving = append(evac.leaving, wk)
 		}
 	}
-	for _, ho := range ev.leaving {
-		ev.evacuateHost(ho)
+	for _, wk := range evac.leaving {
+		evac.evacuateWorker(wk)
 	}
 }
 
@@ -45,14 +45,14 @@
 )
 
 // evacuationReason returns why a worker is to be evacuated, or "" if it is not.
-func (ho *workerState) evacuationReason(now time.Time) string {
+func (wk *workerState) evacuationReason(now time.Time) string {
 	switch {
-	case ho.dead || !ho.failingSince.IsZero():
+	case wk.dead || !wk.failingSince.IsZero():
 		return ""
-	case ho.Draining:
+	case wk.Draining:
 		// The worker reported this itself; its entry may disappear before it leaves.
 		return reasonDraining
-	case ho.lostFromList(now):
+	case wk.lostFromList(now):
 		// Its host may stop at any moment without notice.
 		return reasonUnlisted
 	}
@@ -64,88 +64,88 @@
 	ow  *Owner
 	now time.Time
 	// leaving are the workers to be evacuated.
-	leaving     []*workerState
-	placerCache *placer
-	moves       int
+	leaving      []*workerState
+	cachedPlacer *placer
+	moves        int
 	// noCapacity has the steps whose tasks fit on no worker.
 	noCapacity map[*job.Step]bool
 }
 
-// evacuateHost evacuates a worker. Shortly before a draining worker leaves, all its remaining
+// evacuateWorker evacuates a worker. Shortly before a draining worker leaves, all its remaining
 // attempts are stopped, so that their end and their last checkpoint are known. Otherwise they
 // would end there anyway, and that would be known only after their leases have expired.
-func (ev *evacuation) evacuateHost(ho *workerState) {
-	cause := ho.evacuationReason(ev.now)
+func (evac *evacuation) evacuateWorker(wk *workerState) {
+	cause := wk.evacuationReason(evac.now)
 	if cause == reasonUnlisted {
-		ho.logEvacuation(ev.now)
+		wk.logEvacuation(evac.now)
 	}
-	stopAll := cause == reasonDraining && ev.now.After(ho.leavesAt.Add(-ev.ow.Limits.StopTime-leaveMargin))
-	for at := range ho.attempts {
+	stopAll := cause == reasonDraining && evac.now.After(wk.leavesAt.Add(-evac.ow.Limits.StopTime-leaveMargin))
+	for at := range wk.attempts {
 		switch {
 		case stopAll:
-			ev.ow.halt(at, "its worker leaves")
-		case at.step().Endless && !ev.stopping(at) && ev.moves < maxEvacuationsPerTick:
-			ev.move(at, cause)
+			evac.ow.halt(at, "its worker leaves")
+		case at.step().LongRunning && !evac.stopping(at) && evac.moves < maxEvacuationsPerTick:
+			evac.move(at, cause)
 		}
 	}
 }
 
 // stopping reports whether an order to stop the attempt may still take effect. After that
 // time the order counts as lost.
-func (ev *evacuation) stopping(at *attempt) bool {
-	return !at.haltSentAt.IsZero() && ev.now.Sub(at.haltSentAt) < ev.ow.Limits.StopTime+leaveMargin
+func (evac *evacuation) stopping(at *attempt) bool {
+	return !at.haltSentAt.IsZero() && evac.now.Sub(at.haltSentAt) < evac.ow.Limits.StopTime+leaveMargin
 }
 
 // move stops an endless task if another worker has capacity for it.
-func (ev *evacuation) move(at *attempt, cause string) {
-	if ev.noCapacity[at.step()] {
+func (evac *evacuation) move(at *attempt, cause string) {
+	if evac.noCapacity[at.step()] {
 		return
 	}
-	if !ev.placer().reserveElsewhere(at) {
-		ev.noCapacity[at.step()] = true
+	if !evac.placer().reserveElsewhere(at) {
+		evac.noCapacity[at.step()] = true
 		return
 	}
-	ev.moves++
+	evac.moves++
 	if at.haltSentAt.IsZero() {
-		ev.ow.Metrics.Add(telemetry.Evacuated, 1, "why", cause)
+		evac.ow.Metrics.Add(telemetry.Evacuated, 1, "why", cause)
 	}
 	why := "its worker leaves and another has room"
 	if cause == reasonUnlisted {
 		why = "its worker has no entry and another has room"
 	}
-	ev.ow.halt(at, why)
+	evac.ow.halt(at, why)
 }
 
 // placer returns the remaining capacity after that of the tasks which are being stopped or
 // wait. Without those reservations, one free place would be counted at every tick until it is
 // taken.
-func (ev *evacuation) placer() *placer {
-	if ev.placerCache != nil {
-		return ev.placerCache
+func (evac *evacuation) placer() *placer {
+	if evac.cachedPlacer != nil {
+		return evac.cachedPlacer
 	}
-	ev.placerCache = ev.ow.newPlacer()
-	for _, ho := range ev.leaving {
-		for at := range ho.attempts {
-			if at.step().Endless && ev.stopping(at) {
-				ev.placerCache.reserveElsewhere(at)
+	evac.cachedPlacer = evac.ow.newPlacer()
+	for _, wk := range evac.leaving {
+		for at := range wk.attempts {
+			if at.step().LongRunning && evac.stopping(at) {
+				evac.cachedPlacer.reserveElsewhere(at)
 			}
 		}
 	}
-	ev.placerCache.reserveForWaiting()
-	return ev.placerCache
+	evac.cachedPlacer.reserveForWaiting()
+	return evac.cachedPlacer
 }
 
 // reserveForWaiting reserves capacity for endless tasks that wait for placement.
 func (pl *placer) reserveForWaiting() {
 	remaining := maxReservedWaiting
-	for _, en := range pl.ow.active {
-		for step := range en.jo.Spec.Steps {
-			if !en.jo.Spec.Steps[step].Endless {
+	for _, tj := range pl.ow.waitingJobs {
+		for step := range tj.jo.Spec.Steps {
+			if !tj.jo.Spec.Steps[step].LongRunning {
 				continue
 			}
-			for range min(en.waitingIn(step), remaining) {
+			for range min(tj.waitingIn(step), remaining) {
 				remaining--
-				if !pl.reserve(en, job.TaskRef{Step: step}, nil) {
+				if !pl.reserve(tj, job.TaskRef{Step: step}, nil) {
 					break
 				}
 			}
@@ -155,14 +155,14 @@
 
 // reserveElsewhere reserves capacity for an attempt on another worker, and reports whether
 // there was any.
-func (pl *placer) reserveElsewhere(at *attempt) bool { return pl.reserve(at.en, at.ref, at.ho) }
+func (pl *placer) reserveElsewhere(at *attempt) bool { return pl.reserve(at.tj, at.ref, at.wk) }
 
 // reserve reserves capacity for a task on any worker except one, and reports whether there
 // was any.
-func (pl *placer) reserve(en *entry, ref job.TaskRef, except *workerState) bool {
-	st := &en.jo.Spec.Steps[ref.Step]
-	for _, ca := range pl.hosts {
-		if ca.ho == except || !ca.fits(en, ref, st) {
+func (pl *placer) reserve(tj *trackedJob, ref job.TaskRef, except *workerState) bool {
+	st := &tj.jo.Spec.Steps[ref.Step]
+	for _, ca := range pl.candidates {
+		if ca.wk == except || !ca.fits(tj, ref, st) {
 			continue
 		}
 		ca.free = ca.free.Sub(st.Reserved())
--- a/internal/sched/formerprocess_test.go
+++ b/internal/sched/formerprocess_test.go
@@ -41,7 +41,7 @@
 // its address runs tasks.
 func formerEntryReappears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 3, 12)
+		la, ow := newLongRunningLab(t, 3, 12)
 		former, next := la.replaceProcess(0)
 		ow.SetWorkers([]WorkerEntry{next}, nil, false)
 		time.Sleep(time.Second)
@@ -102,16 +102,16 @@
 		var hung atomic.Bool
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			poll := ag.PollFunc
-			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
 				if hung.Load() && ad.Incarnation.ID == "i-0" {
 					<-ctx.Done()
 					return worker.PollResult{}, ctx.Err()
 				}
-				return poll(ctx, ad, lo)
+				return poll(ctx, ad, po)
 			}
 			return ag
 		}
-		ow := la.withLasting(12)
+		ow := la.startLongRunning(12)
 		hung.Store(true)
 		_, next := la.replaceProcess(0)
 		time.Sleep(time.Second)
--- a/internal/sched/handover.go
+++ b/internal/sched/handover.go
@@ -33,18 +33,18 @@
 
 // clearUnresponsive removes a worker that answers from what the next owner receives, because
 // its leases are about to be extended.
-func (ow *Owner) clearUnresponsive(ho *workerState) {
+func (ow *Owner) clearUnresponsive(wk *workerState) {
 	ow.handoverMu.Lock()
 	defer ow.handoverMu.Unlock()
-	delete(ow.handoverLeaseMS, ho.incarnation.String())
+	delete(ow.handoverLeaseMS, wk.incarnation.String())
 }
 
 // recordUnresponsive updates what [Owner.Handover] returns.
 func (ow *Owner) recordUnresponsive(now time.Time) {
 	leases := map[string]int64{}
-	for incarnation, ho := range ow.hosts {
-		if len(ho.attempts) > 0 && (!ho.settled || !ho.failingSince.IsZero()) {
-			leases[incarnation.String()] = ho.leaseRemainingMS(now)
+	for incarnation, wk := range ow.workers {
+		if len(wk.attempts) > 0 && (!wk.settled || !wk.failingSince.IsZero()) {
+			leases[incarnation.String()] = wk.leaseRemainingMS(now)
 		}
 	}
 	for incarnation := range ow.unowned {
@@ -58,14 +58,14 @@
 // leaseRemainingMS returns the milliseconds until the worker's leases have expired by the
 // slowest clock if they are no longer extended. Polls in flight may have extended them once
 // more since the last recorded value; the result allows for that.
-func (ho *workerState) leaseRemainingMS(now time.Time) int64 {
-	if !ho.settled {
-		return max(ho.unsettledUntil().Sub(now).Milliseconds(), 0)
+func (wk *workerState) leaseRemainingMS(now time.Time) int64 {
+	if !wk.settled {
+		return max(wk.unsettledUntil().Sub(now).Milliseconds(), 0)
 	}
-	earliest := ho.earliestClock(now)
-	left := float64(ho.leaseUntilMS-earliest) / (1 - clockDrift)
-	if now.Sub(ho.failingSince) < extendUnresponsive+pollGrace {
-		left = float64(ho.ow.Limits.MaxLease.Milliseconds()) / (1 - clockDrift)
+	earliest := wk.earliestClock(now)
+	left := float64(wk.leaseUntilMS-earliest) / (1 - clockDrift)
+	if now.Sub(wk.failingSince) < extendUnresponsive+pollGrace {
+		left = float64(wk.ow.Limits.MaxLease.Milliseconds()) / (1 - clockDrift)
 	}
 	return max(int64(left)+lapseMargin.Milliseconds(), 0)
 }
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -21,87 +21,87 @@
 
 // workerOfEntry returns the worker of an entry, or nil. An entry without the start time of the
 // process belongs to the only incarnation that is known.
-func (ow *Owner) workerOfEntry(li WorkerEntry) *workerState {
-	if ho := ow.hosts[li.Incarnation]; ho != nil || li.Incarnation.StartedMS != 0 {
-		return ho
+func (ow *Owner) workerOfEntry(we WorkerEntry) *workerState {
+	if wk := ow.workers[we.Incarnation]; wk != nil || we.Incarnation.StartedMS != 0 {
+		return wk
 	}
-	return ow.soleIncarnation(li.Incarnation.ID)
+	return ow.soleIncarnation(we.Incarnation.ID)
 }
 
 // soleIncarnation returns the incarnation of a worker that is not known to have ended. It
 // returns nil if there is none, or more than one.
 func (ow *Owner) soleIncarnation(id string) *workerState {
 	var only *workerState
-	for _, ho := range ow.byID[id] {
-		if ho.dead {
+	for _, wk := range ow.workersByID[id] {
+		if wk.dead {
 			continue
 		}
 		if only != nil {
 			return nil
 		}
-		only = ho
+		only = wk
 	}
 	return only
 }
 
 // unlistOthers marks the other incarnations of the worker as unlisted. Which of them runs is
 // decided by their answers, as entries may come late.
-func (ho *workerState) unlistOthers() {
-	for _, other := range slices.Clone(ho.ow.byID[ho.incarnation.ID]) {
-		if other != ho {
+func (wk *workerState) unlistOthers() {
+	for _, other := range slices.Clone(wk.ow.workersByID[wk.incarnation.ID]) {
+		if other != wk {
 			other.markUnlisted()
 		}
 	}
 }
 
 // handleOtherIncarnation handles that another incarnation answered a request to this one.
-func (ho *workerState) handleOtherIncarnation(answered worker.Incarnation) {
-	if ho.dead || answered == ho.incarnation {
+func (wk *workerState) handleOtherIncarnation(answered worker.Incarnation) {
+	if wk.dead || answered == wk.incarnation {
 		return
 	}
-	next := ho.ow.hosts[answered]
+	next := wk.ow.workers[answered]
 	if next != nil && next.dead {
 		next.deregister()
 		next = nil
 	}
 	switch {
 	case next != nil:
-		ho.supersedeBy(next)
-	case ho.incarnation.StartedMS == 0:
-		ho.setIncarnation(answered)
+		wk.supersedeBy(next)
+	case wk.incarnation.StartedMS == 0:
+		wk.setIncarnation(answered)
 	default:
-		ho.supersedeBy(ho.addSuccessor(answered))
+		wk.supersedeBy(wk.addSuccessor(answered))
 	}
 }
 
 // reportIncarnation handles the error of an order or a poll, in which another incarnation may
 // have answered. It may be called from any goroutine.
-func (ho *workerState) reportIncarnation(err error) {
+func (wk *workerState) reportIncarnation(err error) {
 	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
-		ho.ow.post(func() { ho.handleOtherIncarnation(le.Answered) })
+		wk.ow.post(func() { wk.handleOtherIncarnation(le.Answered) })
 	}
 }
 
 // setIncarnation sets the incarnation of a worker whose entry does not have it.
-func (ho *workerState) setIncarnation(answered worker.Incarnation) {
-	delete(ho.ow.hosts, ho.incarnation)
-	ho.incarnation = answered
-	ho.ow.hosts[answered], ho.ow.sorted = ho, nil
-	wa := ho.currentPath()
+func (wk *workerState) setIncarnation(answered worker.Incarnation) {
+	delete(wk.ow.workers, wk.incarnation)
+	wk.incarnation = answered
+	wk.ow.workers[answered], wk.ow.sortedWorkerCache = wk, nil
+	wa := wk.currentPath()
 	wa.addr.Incarnation = answered
-	ho.path.Store(&wa)
-	wake(ho.pathChanged)
+	wk.path.Store(&wa)
+	wake(wk.pathChanged)
 }
 
 // addSuccessor adds an incarnation that answered before its entry was seen. Its capacity is in
 // that entry, so until then it gets no new attempts.
-func (ho *workerState) addSuccessor(answered worker.Incarnation) *workerState {
-	li := ho.WorkerEntry
-	li.Incarnation = answered
-	next := ho.ow.addWorker(li)
-	next.WorkerEntry.Incarnation = ho.WorkerEntry.Incarnation
-	next.unlisted, next.unlistedAt = ho.unlisted, ho.unlistedAt
-	if ho.WorkerEntry.Incarnation.StartedMS != 0 && !ho.unlisted {
+func (wk *workerState) addSuccessor(answered worker.Incarnation) *workerState {
+	we := wk.WorkerEntry
+	we.Incarnation = answered
+	next := wk.ow.addWorker(we)
+	next.WorkerEntry.Incarnation = wk.WorkerEntry.Incarnation
+	next.unlisted, next.unlistedAt = wk.unlisted, wk.unlistedAt
+	if wk.WorkerEntry.Incarnation.StartedMS != 0 && !wk.unlisted {
 		next.unlisted, next.unlistedAt = true, time.Now()
 	}
 	return next
@@ -109,63 +109,63 @@
 
 // supersedeBy records that the worker's process has ended, as another incarnation of the
 // worker answered. Its attempts move to that one, whose lists decide which of them run.
-func (ho *workerState) supersedeBy(next *workerState) {
-	ho.dead = true
-	ho.logDeath("another life of the worker answers", next.incarnation, time.Now())
-	if next.currentPath().fence <= ho.currentPath().fence {
+func (wk *workerState) supersedeBy(next *workerState) {
+	wk.dead = true
+	wk.logDeath("another life of the worker answers", next.incarnation, time.Now())
+	if next.currentPath().fence <= wk.currentPath().fence {
 		next.raiseFence()
 	}
-	crashed := ho.recordCrash()
-	for at := range ho.attempts {
+	crashed := wk.recordCrash()
+	for at := range wk.attempts {
 		end := at.lossEnd(crashed)
 		if end == job.EndNeverRan {
-			ho.ow.recordEnd(at.en, at.ref, at.number, end, "", "its worker ended before the order was sent")
+			wk.ow.recordEnd(at.tj, at.ref, at.number, end, "", "its worker ended before the order was sent")
 			continue
 		}
-		ho.removeAttempt(at)
-		next.addAttempt(&attempt{ref: at.ref, number: at.number, ho: next, en: at.en, orderSent: true, inherited: true, endIfNotRun: end, pace: unknownPace})
+		wk.removeAttempt(at)
+		next.addAttempt(&attempt{ref: at.ref, number: at.number, wk: next, tj: at.tj, orderSent: true, inherited: true, endIfNotRun: end, pace: unknownPace})
 		next.unsettle()
 	}
-	ho.disconnect()
-	ho.ow.removeIfIdle(ho)
+	wk.disconnect()
+	wk.ow.removeIfIdle(wk)
 }
 
 // confirmRunning records that this incarnation carried out an order for an earlier one.
-func (ho *workerState) confirmRunning(at *attempt) {
-	ho.ow.Log.Info("order for a life before was carried out", "task", taskID(at), "attempt", at.number, "worker", ho.incarnation)
+func (wk *workerState) confirmRunning(at *attempt) {
+	wk.ow.Log.Info("order for a life before was carried out", "task", taskID(at), "attempt", at.number, "worker", wk.incarnation)
 	at.endIfNotRun = ""
-	at.task().Worker = ho.incarnation
-	ho.ow.markDirty(at.en)
+	at.task().Worker = wk.incarnation
+	wk.ow.markDirty(at.tj)
 }
 
 // raiseFence sends the worker a fencing token above all earlier ones from now on.
-func (ho *workerState) raiseFence() {
-	wa := ho.currentPath()
-	wa.fence = ho.ow.nextFence()
-	ho.path.Store(&wa)
+func (wk *workerState) raiseFence() {
+	wa := wk.currentPath()
+	wa.fence = wk.ow.nextFence()
+	wk.path.Store(&wa)
 }
 
 // unsettle requires the worker to answer a poll with its current fencing token before it gets
 // new attempts.
-func (ho *workerState) unsettle() {
+func (wk *workerState) unsettle() {
 	now := time.Now()
-	ho.settled, ho.settleFence = false, ho.currentPath().fence
-	ho.inheritedUntil = now.Add(maxOrderDelay + maxDriftDuration(ho.ow.Limits.MaxLease) + lapseMargin)
-	wake(ho.pollWake)
-	wake(ho.pathChanged)
+	wk.settled, wk.settleFence = false, wk.currentPath().fence
+	wk.inheritedUntil = now.Add(maxOrderDelay + maxDriftDuration(wk.ow.Limits.MaxLease) + lapseMargin)
+	wake(wk.pollWake)
+	wake(wk.pathChanged)
 }
 
 // unsettledUntil returns when all attempts that may run on an unsettled worker have ended at
 // the latest.
-func (ho *workerState) unsettledUntil() time.Time {
-	until := ho.ow.formerLeasesUntil(ho.incarnation)
-	for _, in := range ho.formerIncarnations {
-		if other := ho.ow.formerLeasesUntil(in).Add(maxOrderDelay); other.After(until) {
+func (wk *workerState) unsettledUntil() time.Time {
+	until := wk.ow.formerLeasesUntil(wk.incarnation)
+	for _, in := range wk.formerIncarnations {
+		if other := wk.ow.formerLeasesUntil(in).Add(maxOrderDelay); other.After(until) {
 			until = other
 		}
 	}
-	if ho.inheritedUntil.After(until) {
-		until = ho.inheritedUntil
+	if wk.inheritedUntil.After(until) {
+		until = wk.inheritedUntil
 	}
 	return until
 }
--- a/internal/sched/intake.go
+++ b/internal/sched/intake.go
@@ -48,23 +48,23 @@
 }
 
 func (ow *Owner) importRow(row store.Row) {
-	var in IntakeRow
-	if err := json.Unmarshal(row.Value, &in); err != nil {
+	var ir IntakeRow
+	if err := json.Unmarshal(row.Value, &ir); err != nil {
 		ow.Log.Error("cannot decode intake row of an entry host", "key", row.Key, "version", row.Version, "err", err)
 		return
 	}
 	id := lastKeySegment(row.Key)
-	if in.Cancel {
+	if ir.Cancel {
 		ow.importCancel(id[:len(id)-len(cancelSuffix)])
 		return
 	}
-	en := ow.entries[id]
-	if en == nil {
-		en = ow.addJob(job.New(id, in.Terms, in.Spec))
-		ow.Log.Info("job imported from the intake of an entry host", "job", id, "queue", in.Terms.Queue, "version", row.Version)
+	tj := ow.jobs[id]
+	if tj == nil {
+		tj = ow.addJob(job.New(id, ir.Terms, ir.Spec))
+		ow.Log.Info("job imported from the intake of an entry host", "job", id, "queue", ir.Terms.Queue, "version", row.Version)
 	}
-	en.onWritten = append(en.onWritten, func() { go ow.clearIntake(IntakeKey(ow.Cell, id)) })
-	ow.markDirty(en)
+	tj.onWritten = append(tj.onWritten, func() { go ow.clearIntake(IntakeKey(ow.Cell, id)) })
+	ow.markDirty(tj)
 }
 
 // clearIntake removes an intake row after its content was written to the cell's own rows. If
@@ -92,16 +92,16 @@
 // importCancel cancels a job. Entry hosts store a cancellation only after they have seen the
 // job's own row.
 func (ow *Owner) importCancel(id string) {
-	en := ow.entries[id]
-	if en == nil {
+	tj := ow.jobs[id]
+	if tj == nil {
 		ow.Log.Warn("intake has the cancellation of an unknown job", "job", id)
 		return
 	}
-	if !en.jo.State().Final() {
+	if !tj.jo.State().Final() {
 		ow.Log.Info("job cancelled through an entry host", "job", id)
-		en.jo.Cancelled = true
-		ow.stopFinished(en)
+		tj.jo.Cancelled = true
+		ow.stopFinished(tj)
 	}
-	en.onWritten = append(en.onWritten, func() { go ow.clearIntake(CancelKey(ow.Cell, id)) })
-	ow.markDirty(en)
+	tj.onWritten = append(tj.onWritten, func() { go ow.clearIntake(CancelKey(ow.Cell, id)) })
+	ow.markDirty(tj)
 }
--- a/internal/sched/interference.go
+++ b/internal/sched/interference.go
@@ -31,7 +31,7 @@
 // loadInterference reads what former owners learnt. If it can't be read, this owner learns it
 // again.
 func (ow *Owner) loadInterference(ctx context.Context) {
-	if !ow.uses(MechPersistPairs) {
+	if !ow.enabled(MechPersistPairs) {
 		return
 	}
 	lctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -48,7 +48,7 @@
 
 // saveInterference writes what was learnt, at most every saveInterval.
 func (ow *Owner) saveInterference(now time.Time) {
-	if !ow.uses(MechPersistPairs) || ow.savingModel || now.Sub(ow.modelSavedAt) < saveInterval || ow.storeDown() {
+	if !ow.enabled(MechPersistPairs) || ow.savingModel || now.Sub(ow.modelSavedAt) < saveInterval || ow.storeDown() {
 		return
 	}
 	pairs := ow.model.Estimates(maxPairs)
--- a/internal/sched/disturbance.go
+++ b/internal/sched/interferencescore.go
@@ -10,13 +10,13 @@
 // disturbance returns the sum by which a filler would lower the headroom of the services on
 // a worker, and the largest predicted excess of a service over placeBelowPart with the
 // filler there; zero or less if there is none.
-func (ca *candidate) disturbance(st *job.Step) (sum, over float64) {
-	part := share(st.Each.MilliCores, ca.ho.Capacity.MilliCores)
-	for _, se := range ca.serviceSummaries() {
-		drop := ca.ho.ow.model.Drop(interfere.Pair{Service: se.image, Filler: st.Image}) * part
-		sum += drop * float64(se.count)
+func (ca *candidate) interferencePenalty(st *job.Step) (sum, over float64) {
+	part := share(st.Each.MilliCores, ca.wk.Capacity.MilliCores)
+	for _, ims := range ca.serviceSummaries() {
+		drop := ca.wk.ow.model.Drop(interfere.Pair{Service: ims.image, Filler: st.Image}) * part
+		sum += drop * float64(ims.count)
 		if drop > minPlacementDrop {
-			over = max(over, se.excess+drop)
+			over = max(over, ims.excess+drop)
 		}
 	}
 	return sum, over
@@ -37,34 +37,34 @@
 // serviceSummaries returns the summaries of the services on the worker, computed again if
 // they are outdated.
 func (ca *candidate) serviceSummaries() []imageServices {
-	fi, now := &ca.ho.fillers, time.Now()
-	if !fi.summariesAt.IsZero() && now.Sub(fi.summariesAt) < summaryMaxAge {
-		return fi.summaries
+	fs, now := &ca.wk.fillers, time.Now()
+	if !fs.summariesAt.IsZero() && now.Sub(fs.summariesAt) < summaryMaxAge {
+		return fs.summaries
 	}
-	fi.summaries = fi.summaries[:0]
-	for _, at := range ca.ho.services {
-		if at.serves() {
-			fi.addService(at.step().Image, ca.ho.excess(at, placeBelowPart))
+	fs.summaries = fs.summaries[:0]
+	for _, at := range ca.wk.services {
+		if at.isMeasuredService() {
+			fs.addService(at.step().Image, ca.wk.excess(at, placeBelowPart))
 		}
 	}
-	fi.summariesAt = now
-	return fi.summaries
+	fs.summariesAt = now
+	return fs.summaries
 }
 
-func (fi *fillerStats) addService(image string, excess float64) {
-	for i := range fi.summaries {
-		if se := &fi.summaries[i]; se.image == image {
-			se.count++
-			se.excess = max(se.excess, excess)
+func (fs *fillerStats) addService(image string, excess float64) {
+	for i := range fs.summaries {
+		if ims := &fs.summaries[i]; ims.image == image {
+			ims.count++
+			ims.excess = max(ims.excess, excess)
 			return
 		}
 	}
-	fi.summaries = append(fi.summaries, imageServices{image: image, count: 1, excess: excess})
+	fs.summaries = append(fs.summaries, imageServices{image: image, count: 1, excess: excess})
 }
 
 // Weights of interference in the score of a worker, relative to the idle share of its
 // processors.
 const (
-	disturbanceWeight = 0.1
-	excessWeight      = 0.7
+	interferenceWeight = 0.1
+	excessWeight       = 0.7
 )
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -88,8 +88,8 @@
 	return la.fleet.Agent()
 }
 
-func (la *lab) currentVia(li WorkerEntry) string {
-	if via, ok := la.viaByWorker[li.Incarnation.ID]; ok {
+func (la *lab) currentVia(we WorkerEntry) string {
+	if via, ok := la.viaByWorker[we.Incarnation.ID]; ok {
 		return via
 	}
 	if via := la.via.Load(); via != nil {
--- a/internal/sched/leasebound_test.go
+++ b/internal/sched/leasebound_test.go
@@ -25,20 +25,20 @@
 // 10 s. Therefore no lease may run beyond the time for which its owner is confirmed.
 func TestLastingTasksRestartAfterWorkerLostWithUnreachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
-		defer cr.stop()
-		cr.fleet.RunFunc = runUntilStopped
-		first := cr.join("a", 0.8)
+		cl := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
+		defer cl.stop()
+		cl.fleet.RunFunc = runUntilStopped
+		first := cl.join("a", 0.8)
 		time.Sleep(time.Second)
-		cr.join("b", 0.8)
+		cl.join("b", 0.8)
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cl.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(10 * time.Second)
-		cr.assertRunning(4)
+		cl.assertRunning(4)
 		first.set(func(co *clusterHost) { co.partitioned = true })
-		cr.killWorkerAndOwner(first)
+		cl.killWorkerAndOwner(first)
 		time.Sleep(restartDeadline)
-		cr.assertRunning(4)
+		cl.assertRunning(4)
 	})
 }
 
@@ -58,9 +58,9 @@
 
 		by := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
 		began := time.Now()
-		ho := &workerState{clockMS: 1_000_000, clockAt: began}
-		earliest := ho.earliestClock(began.Add(by(owner, granted-read)))
-		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseDuration(by(owner, granted), maxLease)
+		wk := &workerState{clockMS: 1_000_000, clockAt: began}
+		earliest := wk.earliestClock(began.Add(by(owner, granted-read)))
+		left := time.Duration(earliest-wk.clockMS)*time.Millisecond + leaseDuration(by(owner, granted), maxLease)
 		ended := read + time.Duration(float64(left)/wo)
 
 		ow := &Owner{Limits: Limits{MaxLease: maxLease}, startedAt: began}
--- a/internal/sched/leaseexpiry.go
+++ b/internal/sched/leaseexpiry.go
@@ -83,51 +83,51 @@
 
 // leaseRecorded reports whether the row names the worker, so that its leases must not be
 // extended.
-func (ho *workerState) leaseRecorded() bool {
-	named := ho.ow.leaseRecord.recorded
-	return len(named) > 0 && named[ho.incarnation.String()]
+func (wk *workerState) leaseRecorded() bool {
+	named := wk.ow.leaseRecord.recorded
+	return len(named) > 0 && named[wk.incarnation.String()]
 }
 
 // unresponsiveAt reports whether the worker has not answered for so long that its leases are no
 // longer extended.
-func (ho *workerState) unresponsiveAt(now time.Time) bool {
-	return !ho.dead && ho.settled && len(ho.attempts) > 0 && !ho.failingSince.IsZero() && now.Sub(ho.failingSince) >= recordLeaseAfter
+func (wk *workerState) unresponsiveAt(now time.Time) bool {
+	return !wk.dead && wk.settled && len(wk.attempts) > 0 && !wk.failingSince.IsZero() && now.Sub(wk.failingSince) >= recordLeaseAfter
 }
 
 // recordLeases writes the row if the set of unresponsive workers has changed.
 func (ow *Owner) recordLeases(now time.Time) {
-	no := &ow.leaseRecord
-	if no.writing || ow.storeDown() {
+	lr := &ow.leaseRecord
+	if lr.writing || ow.storeDown() {
 		return
 	}
 	leases := map[string]int64{}
-	for _, ho := range ow.sortedWorkers() {
-		if ho.unresponsiveAt(now) && len(leases) < maxRecordedWorkers {
-			leases[ho.incarnation.String()] = ho.leaseRemainingMS(now)
+	for _, wk := range ow.sortedWorkers() {
+		if wk.unresponsiveAt(now) && len(leases) < maxRecordedWorkers {
+			leases[wk.incarnation.String()] = wk.leaseRemainingMS(now)
 		}
 	}
-	if !no.differs(leases, now) {
+	if !lr.differs(leases, now) {
 		return
 	}
 	for incarnation := range leases {
-		no.recorded[incarnation] = true
+		lr.recorded[incarnation] = true
 	}
-	no.writing, no.outcomeUnknown, no.sent = true, true, now
+	lr.writing, lr.outcomeUnknown, lr.sent = true, true, now
 	txn := store.NewTxn()
-	txn.Conds = []store.Cond{{Key: ow.Tenure.Key, Version: ow.Tenure.Version}, {Key: ow.leaseExpiryKey(), Version: no.version}}
+	txn.Conds = []store.Cond{{Key: ow.Tenure.Key, Version: ow.Tenure.Version}, {Key: ow.leaseExpiryKey(), Version: lr.version}}
 	txn.Puts = []store.Put{{Key: ow.leaseExpiryKey(), Value: ow.encode(leaseExpiryRow{Epoch: ow.Tenure.Epoch, RemainingMS: leases})}}
 	go ow.writeLeaseRecord(txn, leases)
 }
 
 // differs reports whether the row has to be written: at once if a worker is to be removed,
 // and at most every recordLeaseInterval if workers are to be added.
-func (no *leaseRecord) differs(leases map[string]int64, now time.Time) bool {
-	for incarnation := range no.recorded {
+func (lr *leaseRecord) differs(leases map[string]int64, now time.Time) bool {
+	for incarnation := range lr.recorded {
 		if _, ok := leases[incarnation]; !ok {
 			return true
 		}
 	}
-	return (no.outcomeUnknown || len(leases) > len(no.recorded)) && now.Sub(no.sent) >= recordLeaseInterval
+	return (lr.outcomeUnknown || len(leases) > len(lr.recorded)) && now.Sub(lr.sent) >= recordLeaseInterval
 }
 
 // writeLeaseRecord tries to write the row once. After a failure, the next tick writes it
@@ -141,24 +141,24 @@
 
 // leaseRecordWritten handles the result of a write of the row.
 func (ow *Owner) leaseRecordWritten(leases map[string]int64, version int64, err error) {
-	no := &ow.leaseRecord
-	no.writing = false
+	lr := &ow.leaseRecord
+	lr.writing = false
 	var conflict *store.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		// The version was not known, or an earlier write took effect without an answer.
 		if !ow.replacedAsOwner(conflict) {
-			no.version = conflict.Row(ow.leaseExpiryKey()).Version
+			lr.version = conflict.Row(ow.leaseExpiryKey()).Version
 		}
 		return
 	case err != nil:
 		ow.Log.Info("leases of silent workers are not noted", "cell", ow.Cell, "workers", len(leases), "err", err)
 		return
 	}
-	no.version, no.outcomeUnknown = version, false
-	clear(no.recorded)
+	lr.version, lr.outcomeUnknown = version, false
+	clear(lr.recorded)
 	for incarnation := range leases {
-		no.recorded[incarnation] = true
+		lr.recorded[incarnation] = true
 	}
-	ow.Log.Info("leases of silent workers noted", "cell", ow.Cell, "workers", len(leases), "version", version, "took", time.Since(no.sent))
+	ow.Log.Info("leases of silent workers noted", "cell", ow.Cell, "workers", len(leases), "version", version, "took", time.Since(lr.sent))
 }
--- a/internal/sched/leasewait_test.go
+++ b/internal/sched/leasewait_test.go
@@ -65,23 +65,23 @@
 
 func (pr *pollRecorder) wrap(ag worker.Agent) worker.Agent {
 	poll := ag.PollFunc
-	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-		if err := pr.record(ad, lo); err != nil {
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
+		if err := pr.record(ad, po); err != nil {
 			return worker.PollResult{}, err
 		}
-		return poll(ctx, ad, lo)
+		return poll(ctx, ad, po)
 	}
 	return ag
 }
 
-func (pr *pollRecorder) record(ad worker.Addr, lo worker.Poll) error {
+func (pr *pollRecorder) record(ad worker.Addr, po worker.Poll) error {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	if ad.Via != "" && ad.Via == pr.downRelay {
 		return fmt.Errorf("%w: %w", worker.ErrNotSent, errNoRelay)
 	}
 	pr.polled = append(pr.polled, time.Now())
-	if pr.firstExtension.IsZero() && lo.LeaseUntilMS > 0 {
+	if pr.firstExtension.IsZero() && po.LeaseUntilMS > 0 {
 		pr.firstExtension = time.Now()
 	}
 	return nil
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -32,18 +32,18 @@
 // them.
 func (ow *Owner) List(ctx context.Context) ([]Summary, error) {
 	return call(ctx, ow, func(answer func([]Summary)) {
-		list := make([]Summary, 0, len(ow.entries))
-		for _, en := range ow.entries {
-			list = append(list, en.summary())
+		list := make([]Summary, 0, len(ow.jobs))
+		for _, tj := range ow.jobs {
+			list = append(list, tj.summary())
 		}
 		slices.SortFunc(list, func(a, b Summary) int { return cmp.Compare(a.order, b.order) })
 		answer(list[max(0, len(list)-maxSummaries):])
 	})
 }
 
-func (en *entry) summary() Summary {
-	su := Summary{ID: en.jo.ID, Queue: en.jo.Terms.Queue, State: en.reportedState(), Running: len(en.attempts), order: en.order}
-	for _, tasks := range en.jo.Tasks {
+func (tj *trackedJob) summary() Summary {
+	su := Summary{ID: tj.jo.ID, Queue: tj.jo.Terms.Queue, State: tj.reportedState(), Running: len(tj.attempts), order: tj.order}
+	for _, tasks := range tj.jo.Tasks {
 		su.Tasks += len(tasks)
 		for i := range tasks {
 			if tasks[i].State == job.Done {
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -40,9 +40,9 @@
 	if err != nil {
 		return err
 	}
-	clear(ow.entries)
+	clear(ow.jobs)
 	clear(ow.unowned)
-	ow.active = nil
+	ow.waitingJobs = nil
 	byID := map[string]store.Row{}
 	for _, row := range specs {
 		byID[lastKeySegment(row.Key)] = row
@@ -62,59 +62,59 @@
 func lastKeySegment(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
 // restore creates the entry of a job read from the store.
-func (ow *Owner) restore(jo *job.Job, progVer int64) *entry {
-	en := ow.addJob(jo)
-	en.progressVersion, en.writtenState = progVer, jo.State()
-	if en.writtenState.Final() {
-		en.endedAt = time.Now()
+func (ow *Owner) restore(jo *job.Job, progVer int64) *trackedJob {
+	tj := ow.addJob(jo)
+	tj.progressVersion, tj.writtenState = progVer, jo.State()
+	if tj.writtenState.Final() {
+		tj.endedAt = time.Now()
 	}
 	for step, tasks := range jo.Tasks {
 		for index := range tasks {
 			if tasks[index].State == job.Started {
 				ow.unowned[tasks[index].Worker]++
-				en.unowned = append(en.unowned, job.TaskRef{Step: step, Index: index})
+				tj.unowned = append(tj.unowned, job.TaskRef{Step: step, Index: index})
 			}
 		}
 	}
-	ow.recountWaiting(en)
-	return en
+	ow.recountWaiting(tj)
+	return tj
 }
 
 // adopt assigns to a newly seen worker the attempts that former owners ordered there.
-func (ow *Owner) adopt(ho *workerState) {
+func (ow *Owner) adopt(wk *workerState) {
 	found := false
 	for incarnation := range ow.unowned {
-		if incarnation.ID != ho.incarnation.ID {
+		if incarnation.ID != wk.incarnation.ID {
 			continue
 		}
 		found = true
 		delete(ow.unowned, incarnation)
-		if incarnation.IsOtherIncarnation(ho.incarnation) {
-			ho.formerIncarnations = append(ho.formerIncarnations, incarnation)
+		if incarnation.IsOtherIncarnation(wk.incarnation) {
+			wk.formerIncarnations = append(wk.formerIncarnations, incarnation)
 		}
 	}
 	if !found {
 		return
 	}
-	for _, en := range ow.entries {
-		en.unowned = en.adoptOn(ho)
+	for _, tj := range ow.jobs {
+		tj.unowned = tj.adoptOn(wk)
 	}
 }
 
 // adoptOn assigns a job's attempts to the worker and returns those of other workers.
-func (en *entry) adoptOn(ho *workerState) []job.TaskRef {
-	remaining := en.unowned[:0]
-	for _, ref := range en.unowned {
-		ta := en.jo.Task(ref)
-		if ta.Worker.ID != ho.incarnation.ID {
+func (tj *trackedJob) adoptOn(wk *workerState) []job.TaskRef {
+	remaining := tj.unowned[:0]
+	for _, ref := range tj.unowned {
+		ta := tj.jo.Task(ref)
+		if ta.Worker.ID != wk.incarnation.ID {
 			remaining = append(remaining, ref)
 			continue
 		}
-		at := &attempt{ref: ref, number: ta.Attempt, ho: ho, en: en, inherited: true, inheritedRunTime: minRunTime(ta.Phase), pace: unknownPace}
-		if ta.Worker.IsOtherIncarnation(ho.incarnation) {
-			at.inheritedRunTime, at.endIfNotRun = 0, unseenEnd(ta.Phase, ho.ow.listReliable(time.Now()))
+		at := &attempt{ref: ref, number: ta.Attempt, wk: wk, tj: tj, inherited: true, inheritedRunTime: minRunTime(ta.Phase), pace: unknownPace}
+		if ta.Worker.IsOtherIncarnation(wk.incarnation) {
+			at.inheritedRunTime, at.endIfNotRun = 0, unseenEnd(ta.Phase, wk.ow.listReliable(time.Now()))
 		}
-		ho.addAttempt(at)
+		wk.addAttempt(at)
 	}
 	return remaining
 }
@@ -140,19 +140,19 @@
 func (ow *Owner) endUnowned(incarnation worker.Incarnation, now time.Time) {
 	reliable := ow.listReliable(now)
 	var le lostEnds
-	for _, en := range ow.entries {
-		remaining := en.unowned[:0]
-		for _, ref := range en.unowned {
-			ta := en.jo.Task(ref)
+	for _, tj := range ow.jobs {
+		remaining := tj.unowned[:0]
+		for _, ref := range tj.unowned {
+			ta := tj.jo.Task(ref)
 			if ta.Worker != incarnation {
 				remaining = append(remaining, ref)
 				continue
 			}
 			end := unseenEnd(ta.Phase, reliable)
-			le.add(&en.jo.Spec.Steps[ref.Step], end)
-			ow.recordEnd(en, ref, ta.Attempt, end, "", unseenReason)
+			le.add(&tj.jo.Spec.Steps[ref.Step], end)
+			ow.recordEnd(tj, ref, ta.Attempt, end, "", unseenReason)
 		}
-		en.unowned = remaining
+		tj.unowned = remaining
 	}
 	ow.logLost(incarnation, le, unseenReason, now.Sub(ow.startedAt))
 }
--- a/internal/sched/lossreport.go
+++ b/internal/sched/lossreport.go
@@ -11,17 +11,17 @@
 // single attempts are of a frequent kind, which is rate-limited in just such moments.
 type lostEnds struct {
 	attempts, longRunning int
-	verdicts              map[job.End]int
+	ends                  map[job.End]int
 }
 
 // add counts the end of an attempt of a step.
 func (le *lostEnds) add(st *job.Step, end job.End) {
-	if le.verdicts == nil {
-		le.verdicts = map[job.End]int{}
+	if le.ends == nil {
+		le.ends = map[job.End]int{}
 	}
 	le.attempts++
-	le.verdicts[end]++
-	if st.Endless {
+	le.ends[end]++
+	if st.LongRunning {
 		le.longRunning++
 	}
 }
@@ -33,5 +33,5 @@
 		return
 	}
 	ow.Log.Warn("attempts of a lost worker ended", "worker", incarnation, "attempts", le.attempts, "lasting", le.longRunning,
-		"ends", formatCounts(le.verdicts), "why", why, "quiet", quiet, "opened", time.Since(ow.startedAt))
+		"ends", formatCounts(le.ends), "why", why, "quiet", quiet, "opened", time.Since(ow.startedAt))
 }
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -102,4 +102,4 @@
 }
 
 // uses reports whether a mechanism is enabled.
-func (ow *Owner) uses(me Mechanism) bool { return ow.Without&me == 0 }
+func (ow *Owner) enabled(me Mechanism) bool { return ow.Without&me == 0 }
--- a/internal/sched/mechanism_test.go
+++ b/internal/sched/mechanism_test.go
@@ -40,10 +40,10 @@
 // enabled and disabled.
 func TestDisabledMechanism(t *testing.T) {
 	ow := ownerWithoutLoop(t)
-	en := addJob(ow, 1, job.Step{Tasks: 1, EstimateMS: 1000})
-	en.targetMS = 500
-	qt.Assert(t, en.evaluateFeasibility(time.Now()), qt.Equals, late)
+	tj := addJob(ow, 1, job.Step{Tasks: 1, EstimateMS: 1000})
+	tj.targetMS = 500
+	qt.Assert(t, tj.evaluateFeasibility(time.Now()), qt.Equals, late)
 	ow.Without = MechFeasibleFirst
-	qt.Assert(t, en.evaluateFeasibility(time.Now()), qt.Equals, inTime)
-	qt.Assert(t, ow.uses(MechMove), qt.IsTrue)
+	qt.Assert(t, tj.evaluateFeasibility(time.Now()), qt.Equals, inTime)
+	qt.Assert(t, ow.enabled(MechMove), qt.IsTrue)
 }
--- a/internal/sched/move.go
+++ b/internal/sched/move.go
@@ -25,13 +25,13 @@
 // moveHeld stops fillers that are held because of services, if another worker can run them
 // without harm; they resume there from their checkpoints.
 func (ow *Owner) moveHeld(now time.Time) {
-	if !ow.uses(MechMove) || ow.storeDown() {
+	if !ow.enabled(MechMove) || ow.storeDown() {
 		return
 	}
 	var pl *placer
 	moves := 0
-	for _, ho := range ow.sortedWorkers() {
-		for at := range ho.attempts {
+	for _, wk := range ow.sortedWorkers() {
+		for at := range wk.attempts {
 			if moves == movesPerTick || !at.worthMoving(now) {
 				continue
 			}
@@ -40,7 +40,7 @@
 			}
 			if pl.reserveIdleElsewhere(at) {
 				moves++
-				at.en.timeBreakdown.moved++
+				at.tj.timeBreakdown.moved++
 				ow.halt(at, "held because of a service, and another worker can run it")
 			}
 		}
@@ -61,8 +61,8 @@
 // reserveIdleElsewhere reports whether another worker can run the filler without harm to its
 // services, and subtracts the filler from the idle time there.
 func (pl *placer) reserveIdleElsewhere(at *attempt) bool {
-	for _, ca := range pl.hosts {
-		if ca.ho == at.ho || !ca.fits(at.en, job.TaskRef{Step: at.ref.Step, Index: at.ref.Index}, at.step()) || !ca.acceptsFiller(at.step()) {
+	for _, ca := range pl.candidates {
+		if ca.wk == at.wk || !ca.fits(at.tj, job.TaskRef{Step: at.ref.Step, Index: at.ref.Index}, at.step()) || !ca.acceptsFiller(at.step()) {
 			continue
 		}
 		ca.idle -= likelyUse(at.step())
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -8,12 +8,12 @@
 )
 
 // compareEntries compares by priority, then by feasibility, then by sort key.
-func compareEntries(a, b *entry) int {
+func compareEntries(a, b *trackedJob) int {
 	return cmp.Or(compareGroups(a, b), cmp.Compare(a.sortKey, b.sortKey), cmp.Compare(a.order, b.order))
 }
 
 // compareGroups compares by priority, then by feasibility.
-func compareGroups(a, b *entry) int {
+func compareGroups(a, b *trackedJob) int {
 	return cmp.Or(cmp.Compare(a.jo.Terms.Priority, b.jo.Terms.Priority), cmp.Compare(a.feasibility, b.feasibility))
 }
 
@@ -33,16 +33,16 @@
 const maxLateFactor = 3
 
 // evaluateFeasibility returns the job's feasibility at the given time.
-func (en *entry) evaluateFeasibility(now time.Time) feasibility {
+func (tj *trackedJob) evaluateFeasibility(now time.Time) feasibility {
 	// An endless task has no time by which it is worthless.
-	if en.targetMS <= 0 || en.jo.Endless() || !en.ow.uses(MechFeasibleFirst) {
+	if tj.targetMS <= 0 || tj.jo.LongRunning() || !tj.ow.enabled(MechFeasibleFirst) {
 		return inTime
 	}
-	done := now.Sub(en.acceptedAt).Milliseconds() + en.jo.RemainingMS()
+	done := now.Sub(tj.acceptedAt).Milliseconds() + tj.jo.RemainingMS()
 	switch {
-	case done <= en.targetMS:
+	case done <= tj.targetMS:
 		return inTime
-	case done <= maxLateFactor*en.targetMS:
+	case done <= maxLateFactor*tj.targetMS:
 		return late
 	}
 	return tooLate
@@ -53,49 +53,49 @@
 // their targets, but large jobs must not starve. Therefore two jobs by remaining work
 // alternate with one by age.
 func (ow *Owner) sortActive(now time.Time) {
-	for _, en := range ow.active {
-		en.feasibility, en.workLeft = en.evaluateFeasibility(now), en.remainingWork()
+	for _, tj := range ow.waitingJobs {
+		tj.feasibility, tj.workLeft = tj.evaluateFeasibility(now), tj.remainingWork()
 	}
-	for _, en := range ow.active {
-		en.sortKey = math.MaxInt
+	for _, tj := range ow.waitingJobs {
+		tj.sortKey = math.MaxInt
 	}
-	if ow.uses(MechLeastWork) {
-		ow.assignSortKeys(1, func(a, b *entry) int { return cmp.Compare(a.workLeft, b.workLeft) })
+	if ow.enabled(MechLeastWork) {
+		ow.assignSortKeys(1, func(a, b *trackedJob) int { return cmp.Compare(a.workLeft, b.workLeft) })
 	}
-	if ow.uses(MechTurnsByAge) {
-		ow.assignSortKeys(bySizePerAge, func(a, b *entry) int { return cmp.Compare(a.order, b.order) })
+	if ow.enabled(MechTurnsByAge) {
+		ow.assignSortKeys(bySizePerAge, func(a, b *trackedJob) int { return cmp.Compare(a.order, b.order) })
 	}
-	slices.SortFunc(ow.active, compareEntries)
+	slices.SortFunc(ow.waitingJobs, compareEntries)
 }
 
 // remainingWork is the work that is left of the job. That of endless tasks is unbounded, so
 // among jobs of equal priority they are ordered by age: a short task that waits behind them
 // misses its target, while they lose only the time that they wait.
-func (en *entry) remainingWork() int64 {
-	if en.jo.Endless() {
+func (tj *trackedJob) remainingWork() int64 {
+	if tj.jo.LongRunning() {
 		return math.MaxInt64
 	}
-	return en.jo.RemainingWork()
+	return tj.jo.RemainingWork()
 }
 
 // assignSortKeys ranks the jobs by compare and lowers each job's sort key to every times its
 // rank, if that is lower.
-func (ow *Owner) assignSortKeys(every int, compare func(a, b *entry) int) {
+func (ow *Owner) assignSortKeys(every int, compare func(a, b *trackedJob) int) {
 	ow.rankActive(compare)
-	for _, en := range ow.active {
-		en.sortKey = min(en.sortKey, every*en.rank)
+	for _, tj := range ow.waitingJobs {
+		tj.sortKey = min(tj.sortKey, every*tj.rank)
 	}
 }
 
 // rankActive ranks each job among those of its priority and feasibility.
-func (ow *Owner) rankActive(compare func(a, b *entry) int) {
-	slices.SortFunc(ow.active, func(a, b *entry) int {
+func (ow *Owner) rankActive(compare func(a, b *trackedJob) int) {
+	slices.SortFunc(ow.waitingJobs, func(a, b *trackedJob) int {
 		return cmp.Or(compareGroups(a, b), compare(a, b), cmp.Compare(a.order, b.order))
 	})
-	for i, en := range ow.active {
-		en.rank = 0
-		if i > 0 && compareGroups(ow.active[i-1], en) == 0 {
-			en.rank = ow.active[i-1].rank + 1
+	for i, tj := range ow.waitingJobs {
+		tj.rank = 0
+		if i > 0 && compareGroups(ow.waitingJobs[i-1], tj) == 0 {
+			tj.rank = ow.waitingJobs[i-1].rank + 1
 		}
 	}
 }
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -88,26 +88,26 @@
 	ctx context.Context
 	// entries has all jobs in memory by id, active those with tasks that may start now, in
 	// order of placement, and seq the number of the latest arrival.
-	entries map[string]*entry
-	active  []*entry
-	seq     int64
-	hosts   map[worker.Incarnation]*workerState
+	jobs        map[string]*trackedJob
+	waitingJobs []*trackedJob
+	seq         int64
+	workers     map[worker.Incarnation]*workerState
 	// paths counts the paths to workers created so far.
-	paths int64
+	pathCount int64
 	// sorted caches the workers in a stable order; nil if out of date.
-	sorted []*workerState
-	// byAddr has the workers whose processes are not known to have ended, by listen address.
+	sortedWorkerCache []*workerState
+	// workersByAddr has the workers whose processes are not known to have ended, by listen address.
 	// Only one process listens on an address at a time.
-	byAddr map[string][]*workerState
-	// byID has the workers by id. Several entries under one id are incarnations of one
+	workersByAddr map[string][]*workerState
+	// workersByID has the workers by id. Several entries under one id are incarnations of one
 	// worker.
-	byID map[string][]*workerState
+	workersByID map[string][]*workerState
 	// placementDue is set if something may have become placeable since the last round of
 	// placement; rounds counts the rounds.
-	placementDue bool
-	rounds       int
-	dirty        []*entry
-	writes       int
+	placementDue    bool
+	placementRounds int
+	dirtyJobs       []*trackedJob
+	writesInFlight  int
 	// window bounds the starts in flight.
 	window startWindow
 	// writesFailingSince is the start of the first of the writes that have failed in a row,
@@ -121,9 +121,9 @@
 	leaseRecord leaseRecord
 	// model predicts how fillers disturb services.
 	model interfere.Model
-	// noPlace has the shapes of tasks for which no worker was found, in this round of
+	// noFit has the shapes of tasks for which no worker was found, in this round of
 	// placement or recently.
-	noPlace noFitCache
+	noFit noFitCache
 	// similarity caches the similarity of pairs of images for one round of placement.
 	similarity map[imagePair]float64
 	// modelSavedAt is when the model was last written; savingModel is set while a write of it
@@ -160,10 +160,10 @@
 func New(ow *Owner) *Owner {
 	ow.events = make(chan func(), maxEvents)
 	ow.ended = make(chan struct{})
-	ow.entries = map[string]*entry{}
-	ow.hosts = map[worker.Incarnation]*workerState{}
-	ow.byAddr = map[string][]*workerState{}
-	ow.byID = map[string][]*workerState{}
+	ow.jobs = map[string]*trackedJob{}
+	ow.workers = map[worker.Incarnation]*workerState{}
+	ow.workersByAddr = map[string][]*workerState{}
+	ow.workersByID = map[string][]*workerState{}
 	ow.unowned = map[worker.Incarnation]int{}
 	ow.similarity = map[imagePair]float64{}
 	return ow
@@ -183,8 +183,8 @@
 	}
 	ow.loadLeaseRecord(ctx)
 	ow.loadInterference(ctx)
-	ow.model.Fixed = !ow.uses(MechPairs)
-	ow.Log.Info("cell loaded", "cell", ow.Cell, "epoch", ow.Tenure.Epoch, "jobs", len(ow.entries), "active", len(ow.active), "took", time.Since(ow.startedAt))
+	ow.model.Fixed = !ow.enabled(MechPairs)
+	ow.Log.Info("cell loaded", "cell", ow.Cell, "epoch", ow.Tenure.Epoch, "jobs", len(ow.jobs), "active", len(ow.waitingJobs), "took", time.Since(ow.startedAt))
 	loaded()
 	go ow.ticks()
 	for {
@@ -196,7 +196,7 @@
 			ow.drainEvents()
 		}
 		// Starts placed during a write have to wait for its end anyway.
-		if ow.placementDue && ow.writes < maxConcurrentWrites && !ow.window.full() {
+		if ow.placementDue && ow.writesInFlight < maxConcurrentWrites && !ow.window.full() {
 			ow.place()
 		}
 		ow.flush()
@@ -236,8 +236,8 @@
 // tick updates everything that depends on time alone.
 func (ow *Owner) tick() {
 	now := time.Now()
-	for _, ho := range ow.hosts {
-		ho.tick(now)
+	for _, wk := range ow.workers {
+		wk.tick(now)
 	}
 	ow.recordUnresponsive(now)
 	ow.recordLeases(now)
@@ -245,7 +245,7 @@
 	ow.writeDueProofs(now)
 	ow.accountTime(now)
 	ow.reserveForRestarts(now)
-	ow.logEndlessDemand(now)
+	ow.logLongRunningDemand(now)
 	ow.reportStuck(now)
 	ow.sortActive(now)
 	ow.moveHeld(now)
@@ -264,14 +264,14 @@
 
 // forgetEnded removes jobs that ended longer than Limits.KeepEnded ago.
 func (ow *Owner) forgetEnded(now time.Time) {
-	for id, en := range ow.entries {
-		if en.endedAt.IsZero() || en.dirty || en.writing || now.Sub(en.endedAt) < ow.Limits.KeepEnded {
+	for id, tj := range ow.jobs {
+		if tj.endedAt.IsZero() || tj.dirty || tj.writing || now.Sub(tj.endedAt) < ow.Limits.KeepEnded {
 			continue
 		}
-		en.removing = true
-		ow.markDirty(en)
-		en.onWritten = append(en.onWritten, func() { delete(ow.entries, id) })
-		en.endedAt = time.Time{}
+		tj.removing = true
+		ow.markDirty(tj)
+		tj.onWritten = append(tj.onWritten, func() { delete(ow.jobs, id) })
+		tj.endedAt = time.Time{}
 	}
 }
 
@@ -291,4 +291,4 @@
 )
 
 // reportedState returns the state that callers see: the last one written.
-func (en *entry) reportedState() job.State { return en.writtenState }
+func (tj *trackedJob) reportedState() job.State { return tj.writtenState }
--- a/internal/sched/ownerloss_test.go
+++ b/internal/sched/ownerloss_test.go
@@ -17,22 +17,22 @@
 
 // withSixHosts runs a long-running job of four tasks on three workers of six hosts, of which
 // the first owns the cell, and then calls play.
-func withSixHosts(t *testing.T, maxLease time.Duration, play func(cr *cluster, owner *clusterHost)) {
+func withSixHosts(t *testing.T, maxLease time.Duration, test func(cl *cluster, owner *clusterHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		cr := &cluster{lab: newLab(t, 3), maxLease: maxLease}
-		defer cr.stop()
-		cr.fleet.RunFunc = runUntilStopped
-		owner := cr.join("a", 0.8)
+		cl := &cluster{lab: newLab(t, 3), maxLease: maxLease}
+		defer cl.stop()
+		cl.fleet.RunFunc = runUntilStopped
+		owner := cl.join("a", 0.8)
 		time.Sleep(time.Second)
 		for _, name := range []string{"b", "c", "d", "e", "f"} {
-			cr.join(name, 0.8)
+			cl.join(name, 0.8)
 		}
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(owner.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cl.submit(owner.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(15 * time.Second)
-		cr.assertRunning(4)
-		play(cr, owner)
+		cl.assertRunning(4)
+		test(cl, owner)
 	})
 }
 
@@ -42,16 +42,16 @@
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
 			t.Run(fmt.Sprintf("leases of %v, hosts lost besides: %q", maxLease, lost), func(t *testing.T) {
-				withSixHosts(t, maxLease, func(cr *cluster, owner *clusterHost) {
+				withSixHosts(t, maxLease, func(cl *cluster, owner *clusterHost) {
 					owner.set(func(co *clusterHost) { co.partitioned = true })
 					for _, name := range lost {
-						other := cr.latest(string(name))
+						other := cl.latest(string(name))
 						other.set(func(co *clusterHost) { co.partitioned = true })
 						other.kill()
 					}
-					cr.killWorkerAndOwner(owner)
+					cl.killWorkerAndOwner(owner)
 					time.Sleep(tenure.UnreachableTimeout + time.Second + lostRestartDeadline)
-					cr.assertRunning(4)
+					cl.assertRunning(4)
 				})
 			})
 		}
@@ -59,12 +59,12 @@
 }
 
 // refuseStore makes the store refuse all hosts for d.
-func (cr *cluster) refuseStore(d time.Duration) {
-	for _, co := range cr.hosts {
+func (cl *cluster) refuseStore(d time.Duration) {
+	for _, co := range cl.hosts {
 		co.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	}
 	time.Sleep(d)
-	for _, co := range cr.hosts {
+	for _, co := range cl.hosts {
 		if !co.isRestarted() {
 			co.gate.Set(standin.Fault{})
 		}
@@ -77,14 +77,14 @@
 	for _, maxLease := range []time.Duration{6 * time.Second, 10 * time.Second} {
 		for _, lost := range []string{"", "b", "bc"} {
 			t.Run(fmt.Sprintf("leases of %v, hosts lost before: %q", maxLease, lost), func(t *testing.T) {
-				withSixHosts(t, maxLease, func(cr *cluster, _ *clusterHost) {
+				withSixHosts(t, maxLease, func(cl *cluster, _ *clusterHost) {
 					for _, name := range lost {
-						cr.latest(string(name)).kill()
+						cl.latest(string(name)).kill()
 					}
-					cr.refuseStore(14 * time.Second)
+					cl.refuseStore(14 * time.Second)
 					time.Sleep(10 * time.Second)
-					qt.Assert(t, cr.ends(), qt.HasLen, 0)
-					cr.assertRunning(4)
+					qt.Assert(t, cl.ends(), qt.HasLen, 0)
+					cl.assertRunning(4)
 				})
 			})
 		}
@@ -94,20 +94,20 @@
 // TestLeasesOfAFrozenOwner guards against a wait of a whole lease after a frozen owner last
 // sent one: no lease outlives the confirmation of its owner's tenure.
 func TestLeasesOfAFrozenOwner(t *testing.T) {
-	withSixHosts(t, 10*time.Second, func(cr *cluster, owner *clusterHost) {
-		lost := cr.busyWorker()
+	withSixHosts(t, 10*time.Second, func(cl *cluster, owner *clusterHost) {
+		lost := cl.busyWorker()
 		owner.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		owner.set(func(co *clusterHost) {
 			co.partitioned = true
-			for _, fw := range cr.fleetWorkers {
+			for _, fw := range cl.fleetWorkers {
 				co.unreachable[fw.Addr.Incarnation] = true
 			}
 		})
-		cr.fleet.Kill(lost)
+		cl.fleet.Kill(lost)
 		began := time.Now()
 		time.Sleep(5500 * time.Millisecond)
 		owner.set(func(co *clusterHost) { co.partitioned = false })
 		time.Sleep(time.Until(began.Add(9500 * time.Millisecond)))
-		cr.assertRunning(4)
+		cl.assertRunning(4)
 	})
 }
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -39,50 +39,50 @@
 
 // adjustPaces slows fillers while a service is over its target, and speeds them up again
 // while no service is.
-func (ho *workerState) adjustPaces(now time.Time) {
-	ho.trackOverTarget(now)
-	fillers := ho.pacedFillers()
+func (wk *workerState) adjustPaces(now time.Time) {
+	wk.trackOverTarget(now)
+	fillers := wk.pacedFillers()
 	if len(fillers) == 0 {
 		return
 	}
 	over := false
-	for _, at := range ho.services {
-		if !at.serves() {
+	for _, at := range wk.services {
+		if !at.isMeasuredService() {
 			continue
 		}
-		excess := ho.excess(at, slowAbovePart)
+		excess := wk.excess(at, slowAbovePart)
 		over = over || excess > 0
 		switch {
 		case at.overTargetTooLong(now):
-			ho.holdAll(fillers, now)
-		case excess > 0 && ho.ow.uses(MechPace):
-			ho.slowFillers(fillers, at, excess, now)
+			wk.holdAll(fillers, now)
+		case excess > 0 && wk.ow.enabled(MechPace):
+			wk.slowFillers(fillers, at, excess, now)
 		}
 	}
 	if !over {
-		ho.speedUp(fillers, now)
+		wk.speedUp(fillers, now)
 	}
 }
 
 // overTargetTooLong reports whether the service has been over its target for so long that
 // all fillers beside it must be held.
 func (at *attempt) overTargetTooLong(now time.Time) bool {
-	most := time.Duration(holdAfterPart * float64(at.ho.ow.Limits.HarmAfter))
-	return at.ho.ow.uses(MechHold) && !at.overTargetSince.IsZero() && now.Sub(at.overTargetSince) > most
+	most := time.Duration(holdAfterPart * float64(at.wk.ow.Limits.HarmAfter))
+	return at.wk.ow.enabled(MechHold) && !at.overTargetSince.IsZero() && now.Sub(at.overTargetSince) > most
 }
 
 // anyOverTargetTooLong reports whether any service on the worker has been over its target
 // for too long.
-func (ho *workerState) anyOverTargetTooLong(now time.Time) bool {
-	return slices.ContainsFunc(ho.services, func(at *attempt) bool { return at.overTargetTooLong(now) })
+func (wk *workerState) anyOverTargetTooLong(now time.Time) bool {
+	return slices.ContainsFunc(wk.services, func(at *attempt) bool { return at.overTargetTooLong(now) })
 }
 
 // trackOverTarget records since when each service has been over its target, or close to it:
 // the reported tail is inexact and may fall below the target by chance.
-func (ho *workerState) trackOverTarget(now time.Time) {
-	for _, at := range ho.services {
+func (wk *workerState) trackOverTarget(now time.Time) {
+	for _, at := range wk.services {
 		switch {
-		case !at.serves():
+		case !at.isMeasuredService():
 			at.overTargetSince = time.Time{}
 		case float64(at.usage) <= nearTargetPart*float64(at.step().TargetMS):
 			if now.Sub(at.lastOverTarget) > clearAfter {
@@ -97,9 +97,9 @@
 }
 
 // pacedFillers returns the launched fillers, whose pace can be set.
-func (ho *workerState) pacedFillers() []*attempt {
+func (wk *workerState) pacedFillers() []*attempt {
 	var list []*attempt
-	for at := range ho.attempts {
+	for at := range wk.attempts {
 		if at.step().Filler && !at.launchedAt.IsZero() {
 			list = append(list, at)
 		}
@@ -109,38 +109,38 @@
 
 // interference returns by how much a filler at full speed lowers a service's headroom, the
 // ratio of its target to its tail.
-func (ho *workerState) interference(filler, service *attempt) float64 {
-	return ho.ow.model.Drop(interfere.Pair{Service: service.step().Image, Filler: filler.step().Image}) * filler.fullShare()
+func (wk *workerState) interference(filler, service *attempt) float64 {
+	return wk.ow.model.Drop(interfere.Pair{Service: service.step().Image, Filler: filler.step().Image}) * filler.fullShare()
 }
 
 // slowFillers slows the fillers that interfere most with a service, until the predicted
 // excess of its tail is removed.
-func (ho *workerState) slowFillers(fillers []*attempt, service *attempt, excess float64, now time.Time) {
+func (wk *workerState) slowFillers(fillers []*attempt, service *attempt, excess float64, now time.Time) {
 	slices.SortFunc(fillers, func(a, b *attempt) int {
-		return cmp.Or(cmp.Compare(ho.interference(b, service), ho.interference(a, service)), strings.Compare(taskID(a), taskID(b)))
+		return cmp.Or(cmp.Compare(wk.interference(b, service), wk.interference(a, service)), strings.Compare(taskID(a), taskID(b)))
 	})
 	removable := 0.0
 	for _, at := range fillers {
-		removable += ho.interference(at, service) * float64(at.effectivePace()) / fullPace
+		removable += wk.interference(at, service) * float64(at.effectivePace()) / fullPace
 	}
 	if removable < minRemovablePart*excess {
 		return
 	}
 	for _, at := range fillers {
-		drop := ho.interference(at, service)
+		drop := wk.interference(at, service)
 		if excess <= 0 || drop < minPacingDrop {
 			return
 		}
 		less := min(float64(at.effectivePace())/fullPace, excess/drop)
 		excess -= less * drop
-		ho.pace(at, at.effectivePace()-int(math.Ceil(less*fullPace)), now, "service over its target")
+		wk.pace(at, at.effectivePace()-int(math.Ceil(less*fullPace)), now, "service over its target")
 	}
 }
 
 // holdAll stops every filler, as slowing some did not suffice.
-func (ho *workerState) holdAll(fillers []*attempt, now time.Time) {
+func (wk *workerState) holdAll(fillers []*attempt, now time.Time) {
 	for _, at := range fillers {
-		ho.pace(at, 0, now, "service over its target for long")
+		wk.pace(at, 0, now, "service over its target for long")
 	}
 }
 
@@ -157,17 +157,17 @@
 
 // speedUp speeds up fillers that were slowed, those that interfere least first, as far as
 // the predicted tail of every service stays below speedUpBelowPart of its target.
-func (ho *workerState) speedUp(fillers []*attempt, now time.Time) {
+func (wk *workerState) speedUp(fillers []*attempt, now time.Time) {
 	spare := map[*attempt]float64{}
-	for _, at := range ho.services {
-		if at.serves() {
-			spare[at] = -ho.excess(at, speedUpBelowPart)
+	for _, at := range wk.services {
+		if at.isMeasuredService() {
+			spare[at] = -wk.excess(at, speedUpBelowPart)
 		}
 	}
 	worst := func(at *attempt) float64 {
 		most := 0.0
 		for service := range spare {
-			most = max(most, ho.interference(at, service))
+			most = max(most, wk.interference(at, service))
 		}
 		return most
 	}
@@ -177,49 +177,49 @@
 	for _, at := range fillers {
 		more := float64(fullPace-at.effectivePace()) / fullPace
 		for service, left := range spare {
-			if drop := ho.interference(at, service); drop > 0 {
+			if drop := wk.interference(at, service); drop > 0 {
 				more = min(more, max(left, 0)/drop)
 			}
 		}
 		for service := range spare {
-			spare[service] -= more * ho.interference(at, service)
+			spare[service] -= more * wk.interference(at, service)
 		}
-		ho.pace(at, at.effectivePace()+int(more*fullPace), now, "services have room")
+		wk.pace(at, at.effectivePace()+int(more*fullPace), now, "services have room")
 	}
 }
 
 // setInitialPace limits the pace of a filler that has just started to what the services
 // beside it tolerate, as its effect shows in their reported tails only half a second later.
-func (ho *workerState) setInitialPace(at *attempt, now time.Time) {
-	if !at.step().Filler || !ho.ow.uses(MechPace) {
+func (wk *workerState) setInitialPace(at *attempt, now time.Time) {
+	if !at.step().Filler || !wk.ow.enabled(MechPace) {
 		return
 	}
 	least := float64(fullPace)
-	if ho.anyOverTargetTooLong(now) {
+	if wk.anyOverTargetTooLong(now) {
 		least = 0
 	}
-	for _, service := range ho.services {
-		if !service.serves() {
+	for _, service := range wk.services {
+		if !service.isMeasuredService() {
 			continue
 		}
 		// The excess already includes the filler at full speed.
-		drop, excess := ho.interference(at, service), ho.excess(service, slowAbovePart)
+		drop, excess := wk.interference(at, service), wk.excess(service, slowAbovePart)
 		if drop > minPacingDrop && excess > 0 {
 			least = min(least, fullPace*max(1-excess/drop, 0))
 		}
 	}
 	if least < fullPace {
-		ho.pace(at, int(least), now, "started beside services with little room")
+		wk.pace(at, int(least), now, "started beside services with little room")
 	}
 }
 
 // pace orders a pace in per cent, if it differs enough from the last.
-func (ho *workerState) pace(at *attempt, percent int, now time.Time, why string) {
+func (wk *workerState) pace(at *attempt, percent int, now time.Time, why string) {
 	percent = max(percent, 0)
 	if at.pace == percent || (percent > 0 && percent < fullPace && abs(percent-at.pace) < minPaceChange) {
 		return
 	}
-	ho.ow.Log.Info("pacing attempt", "task", taskID(at), "attempt", at.number, "worker", ho.incarnation, "percent", percent, "was", at.pace, "why", why)
+	wk.ow.Log.Info("pacing attempt", "task", taskID(at), "attempt", at.number, "worker", wk.incarnation, "percent", percent, "was", at.pace, "why", why)
 	at.pace = percent
 	switch {
 	case percent > heldMaxPace:
@@ -228,8 +228,8 @@
 		at.throttledSince = now
 	}
 	at.pacedAt = now
-	ho.fillers.invalidate()
-	ho.ow.orderPace(at)
+	wk.fillers.invalidate()
+	wk.ow.orderPace(at)
 }
 
 // orderPace sends the wanted pace of an attempt, one order at a time: concurrent orders
@@ -247,7 +247,7 @@
 func (ow *Owner) handlePaceResult(at *attempt, percent int, err error) {
 	at.pacing = false
 	switch {
-	case at.en.attempts[at.ref] != at:
+	case at.tj.attempts[at.ref] != at:
 	case at.pace != percent && at.pace != unknownPace:
 		ow.orderPace(at)
 	case err != nil:
@@ -264,11 +264,11 @@
 func (ow *Owner) sendPace(at *attempt, pa worker.Pace) {
 	ctx, cancel := context.WithTimeout(ow.ctx, paceTimeout)
 	defer cancel()
-	pt := at.ho.currentPath()
+	pt := at.wk.currentPath()
 	pa.Fence = pt.fence
 	_, err := ow.Agent.PaceFunc(ctx, pt.addr, pa)
 	if err != nil {
-		at.ho.reportIncarnation(err)
+		at.wk.reportIncarnation(err)
 		ow.Log.Info("pace order failed", "task", pa.Task, "attempt", pa.Number, "worker", pt.addr.Incarnation, "err", err)
 	}
 	ow.post(func() { ow.handlePaceResult(at, pa.Percent, err) })
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -18,7 +18,7 @@
 // pacingFixture is one worker with a service and fillers, whose reported usage a test sets.
 type pacingFixture struct {
 	t       *testing.T
-	ho      *workerState
+	wk      *workerState
 	service *attempt
 	fillers []*attempt
 }
@@ -30,9 +30,9 @@
 	ag := worker.Agent{PaceFunc: func(context.Context, worker.Addr, worker.Pace) (worker.Ack, error) { return worker.Ack{}, nil }}
 	ow := New(&Owner{Log: slog.New(slog.DiscardHandler), Agent: ag, Limits: Limits{HarmAfter: 4 * time.Second}})
 	ow.ctx = t.Context()
-	ho := &workerState{WorkerEntry: WorkerEntry{Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
-	pf := &pacingFixture{t: t, ho: ho}
-	pf.service = pf.put(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: "s"})
+	wk := &workerState{WorkerEntry: WorkerEntry{Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
+	pf := &pacingFixture{t: t, wk: wk}
+	pf.service = pf.put(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, LongRunning: true, TargetMS: testTargetMS, Image: "s"})
 	for i := range fillers {
 		pf.fillers = append(pf.fillers, pf.put(1+i, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "f"}))
 	}
@@ -40,9 +40,9 @@
 }
 
 func (pf *pacingFixture) put(n int, st job.Step) *attempt {
-	en := pf.ho.ow.addJob(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
-	at := &attempt{number: 1, ho: pf.ho, en: en, pace: fullPace, launchedAt: time.Now()}
-	pf.ho.addAttempt(at)
+	tj := pf.wk.ow.addJob(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
+	at := &attempt{number: 1, wk: pf.wk, tj: tj, pace: fullPace, launchedAt: time.Now()}
+	pf.wk.addAttempt(at)
 	return at
 }
 
@@ -50,7 +50,7 @@
 func (pf *pacingFixture) reportTail(tailMS int64) {
 	time.Sleep(usageWindow)
 	pf.service.usage = tailMS
-	pf.ho.measure(time.Now())
+	pf.wk.measure(time.Now())
 }
 
 // learnNoInterference has the model learn that the fillers do not affect the service.
@@ -61,7 +61,7 @@
 		if i%2 == 0 {
 			me.Shares = interfere.Shares{"f": 0.3}
 		}
-		pf.ho.ow.model.Observe(&re, "s", me)
+		pf.wk.ow.model.Observe(&re, "s", me)
 	}
 }
 
@@ -110,7 +110,7 @@
 		}
 		late := pf.put(9, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "g"})
 		late.launchedAt = time.Time{}
-		pf.ho.markStarted(late, time.Now())
+		pf.wk.markStarted(late, time.Now())
 		qt.Assert(t, late.effectivePace(), qt.Equals, 0)
 	})
 }
@@ -122,7 +122,7 @@
 		pf := newPacingFixture(t, 1)
 		at := pf.fillers[0]
 		var got []int
-		pf.ho.ow.Agent.PaceFunc = func(_ context.Context, _ worker.Addr, pa worker.Pace) (worker.Ack, error) {
+		pf.wk.ow.Agent.PaceFunc = func(_ context.Context, _ worker.Addr, pa worker.Pace) (worker.Ack, error) {
 			if pa.Percent == 70 {
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -130,12 +130,12 @@
 			return worker.Ack{}, nil
 		}
 		for _, percent := range []int{70, 40, 0} {
-			pf.ho.pace(at, percent, time.Now(), "test")
+			pf.wk.pace(at, percent, time.Now(), "test")
 			time.Sleep(10 * time.Millisecond)
 		}
 		for range 3 {
 			time.Sleep(200 * time.Millisecond)
-			pf.ho.ow.drainEvents()
+			pf.wk.ow.drainEvents()
 		}
 		qt.Assert(t, got, qt.DeepEquals, []int{70, 0})
 	})
--- a/internal/sched/path.go
+++ b/internal/sched/path.go
@@ -19,39 +19,39 @@
 
 // newPath returns the path to a newly listed worker. Its token is new as well, as the
 // worker may have been known before and been dropped.
-func (ow *Owner) newPath(li WorkerEntry) *path {
-	addr := li.Addr
-	addr.Via = ow.via(li)
+func (ow *Owner) newPath(we WorkerEntry) *path {
+	addr := we.Addr
+	addr.Via = ow.relayOf(we)
 	return &path{addr: addr, fence: ow.nextFence()}
 }
 
 // nextFence returns a fencing token that is higher than all before it.
 func (ow *Owner) nextFence() int64 {
-	ow.paths = min(ow.paths+1, pathsPerEpoch-1)
-	return ow.Tenure.Epoch*pathsPerEpoch + ow.paths
+	ow.pathCount = min(ow.pathCount+1, pathsPerEpoch-1)
+	return ow.Tenure.Epoch*pathsPerEpoch + ow.pathCount
 }
 
-func (ow *Owner) via(li WorkerEntry) string {
+func (ow *Owner) relayOf(we WorkerEntry) string {
 	if ow.ViaFunc == nil {
 		return ""
 	}
-	return ow.ViaFunc(li)
+	return ow.ViaFunc(we)
 }
 
 // currentPath returns the path by which the worker is reached now.
-func (ho *workerState) currentPath() path {
-	if pa := ho.path.Load(); pa != nil {
+func (wk *workerState) currentPath() path {
+	if pa := wk.path.Load(); pa != nil {
 		return *pa
 	}
-	return path{addr: ho.Addr}
+	return path{addr: wk.Addr}
 }
 
 // Reroute makes the owner reach every worker by the path that ViaFunc returns now.
 func (ow *Owner) Reroute() {
 	ow.post(func() {
-		for _, ho := range ow.hosts {
-			if !ho.dead {
-				ho.reroute()
+		for _, wk := range ow.workers {
+			if !wk.dead {
+				wk.reroute()
 			}
 		}
 	})
@@ -60,14 +60,14 @@
 // reroute switches to the path that ViaFunc returns now, if it differs. Orders in flight on
 // the former path may be carried out until the worker receives one with the new token; as
 // after a lost answer, the worker's report decides what became of them.
-func (ho *workerState) reroute() {
-	former, via := ho.currentPath(), ho.ow.via(ho.WorkerEntry)
+func (wk *workerState) reroute() {
+	former, via := wk.currentPath(), wk.ow.relayOf(wk.WorkerEntry)
 	if via == former.addr.Via {
 		return
 	}
-	next := &path{addr: former.addr, fence: ho.ow.nextFence()}
+	next := &path{addr: former.addr, fence: wk.ow.nextFence()}
 	next.addr.Via = via
-	ho.path.Store(next)
-	wake(ho.pathChanged)
-	ho.ow.Log.Info("worker reached another way", "worker", ho.incarnation, "via", via, "was", former.addr.Via, "fence", next.fence)
+	wk.path.Store(next)
+	wake(wk.pathChanged)
+	wk.ow.Log.Info("worker reached another way", "worker", wk.incarnation, "via", via, "was", former.addr.Via, "fence", next.fence)
 }
--- a/internal/sched/path_test.go
+++ b/internal/sched/path_test.go
@@ -22,11 +22,11 @@
 
 func (pr *pathRecorder) wrap(ag worker.Agent) worker.Agent {
 	poll := ag.PollFunc
-	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
 		pr.mu.Lock()
-		pr.via, pr.fences = append(pr.via, ad.Via), append(pr.fences, lo.Fence)
+		pr.via, pr.fences = append(pr.via, ad.Via), append(pr.fences, po.Fence)
 		pr.mu.Unlock()
-		return poll(ctx, ad, lo)
+		return poll(ctx, ad, po)
 	}
 	return ag
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -9,20 +9,20 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// assumedEndlessLoad is the share of their declared processor time that endless tasks are
+// assumedLongRunningLoad is the share of their declared processor time that endless tasks are
 // assumed to use, as workers do not report their load.
-const assumedEndlessLoad = 0.5
+const assumedLongRunningLoad = 0.5
 
 // place starts the waiting tasks that fit on a worker, jobs of higher priority first.
 func (ow *Owner) place() {
 	ow.placementDue = false
-	if len(ow.active) == 0 || ow.storeDown() {
+	if len(ow.waitingJobs) == 0 || ow.storeDown() {
 		return
 	}
-	ow.rounds++
+	ow.placementRounds++
 	ow.Metrics.Add(telemetry.PlacementRounds, 1)
 	pl := ow.newPlacer()
-	for jobs := slices.Clone(ow.active); len(jobs) > 0; {
+	for jobs := slices.Clone(ow.waitingJobs); len(jobs) > 0; {
 		n := countSamePriority(jobs)
 		pl.placeInterrupted(jobs[:n])
 		pl.placeJobs(jobs[:n])
@@ -32,8 +32,8 @@
 
 // countSamePriority counts the leading jobs of a sorted list that share the priority of the
 // first.
-func countSamePriority(list []*entry) int {
-	n := slices.IndexFunc(list, func(en *entry) bool { return en.jo.Terms.Priority != list[0].jo.Terms.Priority })
+func countSamePriority(list []*trackedJob) int {
+	n := slices.IndexFunc(list, func(tj *trackedJob) bool { return tj.jo.Terms.Priority != list[0].jo.Terms.Priority })
 	if n < 0 {
 		return len(list)
 	}
@@ -41,15 +41,15 @@
 }
 
 // placeJobs places the waiting tasks of the jobs, in their order.
-func (pl *placer) placeJobs(list []*entry) {
-	for _, en := range list {
+func (pl *placer) placeJobs(list []*trackedJob) {
+	for _, tj := range list {
 		if pl.ow.window.full() {
 			// The next round continues once some launches have been answered.
 			pl.ow.placementDue = true
-			en.waitCause = CauseOrder
+			tj.waitCause = CauseOrder
 			continue
 		}
-		pl.placeJob(en)
+		pl.placeJob(tj)
 	}
 }
 
@@ -58,20 +58,20 @@
 func (ow *Owner) newPlacer() *placer {
 	pl := &placer{ow: ow, now: time.Now()}
 	clear(ow.similarity)
-	ow.noPlace.startRound(pl.now, len(ow.hosts))
+	ow.noFit.startRound(pl.now, len(ow.workers))
 	var reserved, holds int64
-	for _, ho := range ow.sortedWorkers() {
-		if why := ho.unavailableReason(pl.now); why != "" {
-			if why == unavailableFailing && ho.trial == nil {
-				pl.failing = append(pl.failing, newCandidate(ho, pl.now))
+	for _, wk := range ow.sortedWorkers() {
+		if why := wk.unavailableReason(pl.now); why != "" {
+			if why == unavailableFailing && wk.trial == nil {
+				pl.failing = append(pl.failing, newCandidate(wk, pl.now))
 			}
 			continue
 		}
-		ca := newCandidate(ho, pl.now)
-		ca.index, ca.earmarked = len(pl.hosts), ho.restartReady
-		pl.hosts = append(pl.hosts, ca)
-		reserved += ho.reserved.MilliCores
-		holds += ho.Capacity.MilliCores
+		ca := newCandidate(wk, pl.now)
+		ca.index, ca.earmarked = len(pl.candidates), wk.restartReady
+		pl.candidates = append(pl.candidates, ca)
+		reserved += wk.reserved.MilliCores
+		holds += wk.Capacity.MilliCores
 	}
 	pl.fillerWait = fillerWaitLimit(share(reserved, holds))
 	return pl
@@ -79,7 +79,7 @@
 
 // candidate is a worker with the resources that are still free in one round of placement.
 type candidate struct {
-	ho *workerState
+	wk *workerState
 	// index is the position among the candidates, which breaks ties between scores.
 	index int
 	free  worker.Resources
@@ -94,24 +94,24 @@
 	isolated  bool
 }
 
-func newCandidate(ho *workerState, now time.Time) *candidate {
-	return &candidate{ho: ho, free: ho.Capacity.Sub(ho.reserved), idle: ho.Capacity.MilliCores - ho.expectedUse, overTarget: ho.anyOverTargetTooLong(now)}
+func newCandidate(wk *workerState, now time.Time) *candidate {
+	return &candidate{wk: wk, free: wk.Capacity.Sub(wk.reserved), idle: wk.Capacity.MilliCores - wk.expectedUse, overTarget: wk.anyOverTargetTooLong(now)}
 }
 
 // likelyUse returns the processor time that a task of the step is expected to use, in
 // thousandths of a core.
 func likelyUse(st *job.Step) int64 {
-	if st.Endless {
-		return int64(float64(st.Each.MilliCores) * assumedEndlessLoad)
+	if st.LongRunning {
+		return int64(float64(st.Each.MilliCores) * assumedLongRunningLoad)
 	}
 	return st.Each.MilliCores
 }
 
 // placer holds the state of one round of placement.
 type placer struct {
-	ow    *Owner
-	now   time.Time
-	hosts []*candidate
+	ow         *Owner
+	now        time.Time
+	candidates []*candidate
 	// failing are the workers that are quarantined for failed tasks.
 	failing []*candidate
 	// fillerWait is how long fillers wait for a worker that accepts them without harm to
@@ -122,66 +122,66 @@
 }
 
 // placeJob starts the waiting tasks of a job that fit on a worker.
-func (pl *placer) placeJob(en *entry) {
-	for step := range en.jo.Spec.Steps {
-		if en.jo.Ready(step) {
-			pl.placeStep(en, step, false)
+func (pl *placer) placeJob(tj *trackedJob) {
+	for step := range tj.jo.Spec.Steps {
+		if tj.jo.Ready(step) {
+			pl.placeStep(tj, step, false)
 		}
 	}
 }
 
 // placeStep starts the waiting tasks of a step that fit on a worker: only those that were
 // interrupted, or only the others.
-func (pl *placer) placeStep(en *entry, step int, interrupted bool) {
-	var ra *ranking
-	for index, ta := range en.jo.Tasks[step] {
+func (pl *placer) placeStep(tj *trackedJob, step int, interrupted bool) {
+	var rk *ranking
+	for index, ta := range tj.jo.Tasks[step] {
 		ref := job.TaskRef{Step: step, Index: index}
-		if ta.State != job.Waiting || en.interrupted(ref) != interrupted {
+		if ta.State != job.Waiting || tj.interrupted(ref) != interrupted {
 			continue
 		}
-		if en.backoffs.active(ref, pl.now) {
-			en.waitCause = CauseBackoff
+		if tj.backoffs.active(ref, pl.now) {
+			tj.waitCause = CauseBackoff
 			continue
 		}
 		if pl.ow.window.full() {
-			en.waitCause = CauseOrder
+			tj.waitCause = CauseOrder
 			return
 		}
 		if ta.Suspect() {
-			pl.placeSuspect(en, ref)
+			pl.placeSuspect(tj, ref)
 			// The isolated task may have changed a worker other than the best one, so all
 			// have to be rated again.
-			ra = nil
+			rk = nil
 			continue
 		}
-		if ra == nil {
-			ra = pl.rank(en, step, interrupted)
+		if rk == nil {
+			rk = pl.rank(tj, step, interrupted)
 		}
-		ca := ra.best()
-		en.waitCause = ra.cause
-		if ca == nil && pl.startAsLastResort(en, ref) {
+		ca := rk.best()
+		tj.waitCause = rk.cause
+		if ca == nil && pl.startAsLastResort(tj, ref) {
 			continue
 		}
 		if ca == nil {
-			pl.earmark(en, ref)
+			pl.earmark(tj, ref)
 			if interrupted {
 				continue
 			}
 			return
 		}
-		pl.start(en, ref, ca)
-		ra.update(ca)
+		pl.start(tj, ref, ca)
+		rk.update(ca)
 	}
 }
 
 // selective reports whether the fillers of a job still wait for a worker that accepts them
 // without harm to its services.
-func (pl *placer) selective(en *entry) bool {
-	return pl.ow.uses(MechFillerWait) && pl.now.Sub(en.waitingSince) <= pl.fillerWait
+func (pl *placer) selective(tj *trackedJob) bool {
+	return pl.ow.enabled(MechFillerWait) && pl.now.Sub(tj.waitingSince) <= pl.fillerWait
 }
 
-func (ca *candidate) fits(en *entry, ref job.TaskRef, st *job.Step) bool {
-	return ca.allowed(en, ref, st) && ca.hasCapacity(st, en.interrupted(ref))
+func (ca *candidate) fits(tj *trackedJob, ref job.TaskRef, st *job.Step) bool {
+	return ca.allowed(tj, ref, st) && ca.hasCapacity(st, tj.interrupted(ref))
 }
 
 // hasCapacity reports whether the worker has enough free capacity for a task of the step.
@@ -192,14 +192,14 @@
 }
 
 // allowed reports whether a task may run on the worker, regardless of free capacity.
-func (ca *candidate) allowed(en *entry, ref job.TaskRef, st *job.Step) bool {
-	return ca.suitable(en, st) && (st.MaxPerWorker == 0 || en.countAt(ref.Step, ca.ho) < st.MaxPerWorker)
+func (ca *candidate) allowed(tj *trackedJob, ref job.TaskRef, st *job.Step) bool {
+	return ca.suitable(tj, st) && (st.MaxPerWorker == 0 || tj.countAt(ref.Step, ca.wk) < st.MaxPerWorker)
 }
 
 // suitable reports whether the worker belongs to the job's service and has the label that
 // the step requires.
-func (ca *candidate) suitable(en *entry, st *job.Step) bool {
-	return ca.ho.Service == en.jo.Terms.Service && (st.Label == "" || ca.ho.hasLabel(st.Label))
+func (ca *candidate) suitable(tj *trackedJob, st *job.Step) bool {
+	return ca.wk.Service == tj.jo.Terms.Service && (st.Label == "" || ca.wk.hasLabel(st.Label))
 }
 
 // fillerWaitLimit returns how long a job's fillers wait for a worker that accepts them;
@@ -220,7 +220,7 @@
 	if ca.overTarget || ca.idle < int64(minIdlePart*float64(st.Each.MilliCores)) {
 		return false
 	}
-	_, over := ca.disturbance(st)
+	_, over := ca.interferencePenalty(st)
 	return over <= 0
 }
 
@@ -235,8 +235,8 @@
 	minIdlePart = 0.3
 )
 
-func (ho *workerState) hasLabel(label string) bool {
-	for _, la := range ho.Labels {
+func (wk *workerState) hasLabel(label string) bool {
+	for _, la := range wk.Labels {
 		if la == label {
 			return true
 		}
@@ -245,10 +245,10 @@
 }
 
 // countAt counts the attempts of a step on a worker.
-func (en *entry) countAt(step int, ho *workerState) int {
+func (tj *trackedJob) countAt(step int, wk *workerState) int {
 	n := 0
-	for ref, at := range en.attempts {
-		if ref.Step == step && at.ho == ho {
+	for ref, at := range tj.attempts {
+		if ref.Step == step && at.wk == wk {
 			n++
 		}
 	}
@@ -264,20 +264,20 @@
 
 // start places a new attempt on a worker; the launch order is sent once the attempt is
 // durable.
-func (pl *placer) start(en *entry, ref job.TaskRef, ca *candidate) {
-	number := en.jo.Start(ref, ca.ho.incarnation)
+func (pl *placer) start(tj *trackedJob, ref job.TaskRef, ca *candidate) {
+	number := tj.jo.Start(ref, ca.wk.incarnation)
 	if number == 0 {
 		return
 	}
-	at := &attempt{ref: ref, number: number, ho: ca.ho, en: en, pace: fullPace}
-	ca.ho.addAttempt(at)
+	at := &attempt{ref: ref, number: number, wk: ca.wk, tj: tj, pace: fullPace}
+	ca.wk.addAttempt(at)
 	pl.ow.beginStart(at)
-	st := &en.jo.Spec.Steps[ref.Step]
+	st := &tj.jo.Spec.Steps[ref.Step]
 	ca.free = ca.free.Sub(st.Reserved())
 	ca.idle -= likelyUse(st)
-	pl.ow.Log.Info("attempt placed", "task", taskID(at), "attempt", number, "worker", ca.ho.incarnation, "free_millicores", ca.free.MilliCores)
-	en.onWritten = append(en.onWritten, func() { pl.ow.launch(at) })
-	pl.ow.markDirty(en)
+	pl.ow.Log.Info("attempt placed", "task", taskID(at), "attempt", number, "worker", ca.wk.incarnation, "free_millicores", ca.free.MilliCores)
+	tj.onWritten = append(tj.onWritten, func() { pl.ow.launch(at) })
+	pl.ow.markDirty(tj)
 	pl.ow.placementDue = false
 }
 
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -26,20 +26,20 @@
 
 // emptyHost adds a worker of 32 cores that runs nothing.
 func emptyHost(ow *Owner, name string) *workerState {
-	ho := &workerState{
+	wk := &workerState{
 		WorkerEntry: WorkerEntry{Service: testService, Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
 		ow:          ow, incarnation: worker.Incarnation{ID: name}, settled: true, attempts: map[*attempt]bool{},
 	}
-	ow.hosts[ho.incarnation] = ho
-	return ho
+	ow.workers[wk.incarnation] = wk
+	return wk
 }
 
 // serviceStep returns a step of services with a latency target.
 func serviceStep(tasks int, image string) job.Step {
-	return job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 6000}, Endless: true, TargetMS: testTargetMS, Image: image}
+	return job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 6000}, LongRunning: true, TargetMS: testTargetMS, Image: image}
 }
 
-func addJob(ow *Owner, n int, st job.Step) *entry {
+func addJob(ow *Owner, n int, st job.Step) *trackedJob {
 	return ow.addJob(job.New(jobID(n), job.Terms{Service: testService, MaxFailures: 1}, job.Spec{Steps: []job.Step{st}}))
 }
 
@@ -50,13 +50,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
 		own, other := emptyHost(ow, "own"), emptyHost(ow, "other")
-		en, otherJob := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
-		own.addAttempt(&attempt{ho: own, en: en, number: 1})
-		other.addAttempt(&attempt{ho: other, en: otherJob, number: 1})
+		tj, otherJob := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
+		own.addAttempt(&attempt{wk: own, tj: tj, number: 1})
+		other.addAttempt(&attempt{wk: other, tj: otherJob, number: 1})
 		other.reserved = other.reserved.Add(worker.Resources{MilliCores: 8000})
 		pl := ow.newPlacer()
-		ca := pl.rank(en, 0, false).best()
-		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "own")
+		ca := pl.rank(tj, 0, false).best()
+		qt.Assert(t, ca.wk.incarnation.ID, qt.Equals, "own")
 	})
 }
 
@@ -67,14 +67,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
 		mixed, empty := emptyHost(ow, "mixed"), emptyHost(ow, "empty")
-		for _, ho := range []*workerState{mixed, empty} {
-			ho.Capacity = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
+		for _, wk := range []*workerState{mixed, empty} {
+			wk.Capacity = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
 		}
 		otherJob := addJob(ow, 1, serviceStep(1, "other"))
-		mixed.addAttempt(&attempt{ho: mixed, en: otherJob, number: 1})
+		mixed.addAttempt(&attempt{wk: mixed, tj: otherJob, number: 1})
 		mixed.reserved = mixed.reserved.Add(worker.Resources{MilliCores: 48_000})
 		ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "s")), 0, false).best()
-		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "empty")
+		qt.Assert(t, ca.wk.incarnation.ID, qt.Equals, "empty")
 	})
 }
 
@@ -109,9 +109,9 @@
 				ow.model = tc.model
 				emptyHost(ow, "empty")
 				other := emptyHost(ow, "other")
-				other.addAttempt(&attempt{ho: other, en: addJob(ow, 1, serviceStep(1, "other")), number: 1})
+				other.addAttempt(&attempt{wk: other, tj: addJob(ow, 1, serviceStep(1, "other")), number: 1})
 				ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "one")), 0, false).best()
-				qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, tc.want)
+				qt.Assert(t, ca.wk.incarnation.ID, qt.Equals, tc.want)
 			})
 		})
 	}
@@ -130,8 +130,8 @@
 		}
 		ow.sortActive(time.Now())
 		var order []int
-		for _, en := range ow.active {
-			order = append(order, en.jo.Spec.Steps[0].Tasks)
+		for _, tj := range ow.waitingJobs {
+			order = append(order, tj.jo.Spec.Steps[0].Tasks)
 		}
 		qt.Assert(t, order, qt.DeepEquals, []int{2, 2, 9, 2, 2})
 	})
@@ -147,7 +147,7 @@
 		fuller.Capacity = worker.Resources{MilliCores: 96_000, MemMB: 384_000}
 		fuller.reserved = worker.Resources{MilliCores: 56_000}
 		ca := ow.newPlacer().rank(addJob(ow, 1, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3000}}), 0, false).best()
-		qt.Assert(t, ca.ho.incarnation.ID, qt.Equals, "fuller")
+		qt.Assert(t, ca.wk.incarnation.ID, qt.Equals, "fuller")
 	})
 }
 
@@ -161,8 +161,8 @@
 		}
 		ow.sortActive(time.Now())
 		var order []int
-		for _, en := range ow.active {
-			order = append(order, en.jo.Spec.Steps[0].Tasks)
+		for _, tj := range ow.waitingJobs {
+			order = append(order, tj.jo.Spec.Steps[0].Tasks)
 		}
 		qt.Assert(t, order, qt.DeepEquals, []int{60, 10, 20, 50, 30, 40})
 	})
@@ -174,17 +174,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
 		for i, tasks := range []int{99, 60, 10, 20} {
-			en := addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000})
-			en.targetMS = 2000
+			tj := addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000})
+			tj.targetMS = 2000
 			if tasks == 99 {
-				en.acceptedAt = time.Now().Add(-time.Minute)
+				tj.acceptedAt = time.Now().Add(-time.Minute)
 			}
-			ow.markDirty(en)
+			ow.markDirty(tj)
 		}
 		ow.sortActive(time.Now())
 		var order []int
-		for _, en := range ow.active {
-			order = append(order, en.jo.Spec.Steps[0].Tasks)
+		for _, tj := range ow.waitingJobs {
+			order = append(order, tj.jo.Spec.Steps[0].Tasks)
 		}
 		qt.Assert(t, order, qt.DeepEquals, []int{60, 10, 20, 99})
 	})
@@ -199,13 +199,13 @@
 		defer end()
 		time.Sleep(time.Second)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
-		before, err := call(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
+		before, err := call(t.Context(), ow, func(answer func(int)) { answer(ow.placementRounds) })
 		qt.Assert(t, err, qt.IsNil)
 		for n := range 20 {
 			go la.submit(ow, n, batch(1, 2))
 			time.Sleep(10 * time.Millisecond)
 		}
-		after, err := call(t.Context(), ow, func(answer func(int)) { answer(ow.rounds) })
+		after, err := call(t.Context(), ow, func(answer func(int)) { answer(ow.placementRounds) })
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, after-before <= 1, qt.IsTrue, qt.Commentf("%d rounds within one write", after-before))
 	})
@@ -218,7 +218,7 @@
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 			id, _, _ := job.ParseTaskID(at.Task)
-			if la.spec(id).Steps[0].Endless {
+			if la.spec(id).Steps[0].LongRunning {
 				return -1, ""
 			}
 			return 700 * time.Millisecond, "done"
--- a/internal/sched/polls.go
+++ b/internal/sched/polls.go
@@ -41,36 +41,36 @@
 )
 
 // pollLoop polls the worker until ctx ends.
-func (ho *workerState) pollLoop(ctx context.Context) {
+func (wk *workerState) pollLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		lo, err := call(ctx, ho.ow, func(answer func(worker.Poll)) { answer(ho.nextPoll()) })
+		po, err := call(ctx, wk.ow, func(answer func(worker.Poll)) { answer(wk.nextPoll()) })
 		if err != nil {
 			return
 		}
 		sent := time.Now()
-		lctx, cancel := context.WithTimeout(ctx, lo.Wait+pollGrace)
-		clearWake(ho.pathChanged)
-		wa := ho.currentPath()
-		lo.Fence = wa.fence
-		si, err := ho.ow.Agent.PollFunc(lctx, wa.addr, lo)
+		lctx, cancel := context.WithTimeout(ctx, po.Wait+pollGrace)
+		clearWake(wk.pathChanged)
+		wa := wk.currentPath()
+		po.Fence = wa.fence
+		res, err := wk.ow.Agent.PollFunc(lctx, wa.addr, po)
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
 		got := time.Now()
-		if !ho.ow.post(func() { ho.handlePoll(sent, got, wa.fence, si, err) }) {
+		if !wk.ow.post(func() { wk.handlePoll(sent, got, wa.fence, res, err) }) {
 			return
 		}
-		ho.waitForNextPoll(ctx, err)
+		wk.waitForNextPoll(ctx, err)
 	}
 }
 
 // waitForNextPoll waits until the ends just listed are durable or, after a failed poll, until
 // there is another path, for a limited time.
-func (ho *workerState) waitForNextPoll(ctx context.Context, err error) {
-	due, limit := ho.pollWake, maxDurableWait
+func (wk *workerState) waitForNextPoll(ctx context.Context, err error) {
+	due, limit := wk.pollWake, maxDurableWait
 	if err != nil {
-		due, limit = ho.pathChanged, pollRetry
+		due, limit = wk.pathChanged, pollRetry
 	}
 	ti := time.NewTimer(limit)
 	defer ti.Stop()
@@ -99,157 +99,157 @@
 
 // nextPoll returns the next request. It acknowledges ends only right after a poll listed some,
 // as by now another process may answer.
-func (ho *workerState) nextPoll() worker.Poll {
+func (wk *workerState) nextPoll() worker.Poll {
 	now := time.Now()
-	lo := worker.Poll{}
-	ho.ackWithheld = ho.lastPollHadEnds && !ho.mayAcknowledge(now)
-	if ho.lastPollHadEnds && !ho.ackWithheld {
-		lo.AckedEnd = ho.endsAcked
+	po := worker.Poll{}
+	wk.ackWithheld = wk.lastPollHadEnds && !wk.mayAcknowledge(now)
+	if wk.lastPollHadEnds && !wk.ackWithheld {
+		po.AckedEnd = wk.endsAcked
 	}
-	if ho.failingSince.IsZero() || now.Sub(ho.failingSince) < extendUnresponsive {
-		lo.LeaseUntilMS = ho.nextLeaseEnd(now)
+	if wk.failingSince.IsZero() || now.Sub(wk.failingSince) < extendUnresponsive {
+		po.LeaseUntilMS = wk.nextLeaseEnd(now)
 	}
 	switch {
-	case ho.leaseRecorded() && ho.failingSince.IsZero():
-		lo.Wait = recordedPollWait
-	case !ho.settled || ho.ackWithheld || ho.clockAt.IsZero() || ho.undurableEnds > 0 || !ho.failingSince.IsZero():
-	case ho.hasFillersBesideServices():
-		lo.Wait = mixedPollWait
-	case len(ho.attempts) > 0:
-		lo.Wait = pollWait
+	case wk.leaseRecorded() && wk.failingSince.IsZero():
+		po.Wait = recordedPollWait
+	case !wk.settled || wk.ackWithheld || wk.clockAt.IsZero() || wk.undurableEnds > 0 || !wk.failingSince.IsZero():
+	case wk.hasFillersBesideServices():
+		po.Wait = mixedPollWait
+	case len(wk.attempts) > 0:
+		po.Wait = pollWait
 	default:
-		lo.Wait = idlePollWait
+		po.Wait = idlePollWait
 	}
-	return lo
+	return po
 }
 
 // mayAcknowledge reports whether the next poll may acknowledge ends: soon after an answer, or
 // if the last poll already withheld the acknowledgement. Otherwise a busy owner would withhold
 // it forever.
-func (ho *workerState) mayAcknowledge(now time.Time) bool {
-	return ho.failingSince.IsZero() && (ho.ackWithheld || now.Sub(ho.lastPoll) <= ackWithin)
+func (wk *workerState) mayAcknowledge(now time.Time) bool {
+	return wk.failingSince.IsZero() && (wk.ackWithheld || now.Sub(wk.lastPoll) <= ackWithin)
 }
 
 // hasFillersBesideServices reports whether fillers run on the worker together with services
 // that have latency targets.
-func (ho *workerState) hasFillersBesideServices() bool {
+func (wk *workerState) hasFillersBesideServices() bool {
 	fillers, services := false, false
-	for at := range ho.attempts {
+	for at := range wk.attempts {
 		fillers = fillers || at.step().Filler
-		services = services || at.serves()
+		services = services || at.isMeasuredService()
 	}
 	return fillers && services
 }
 
 // handlePoll handles the result of a poll that was sent with the given fencing token.
-func (ho *workerState) handlePoll(sent, got time.Time, fence int64, si worker.PollResult, err error) {
-	if ho.dead {
+func (wk *workerState) handlePoll(sent, got time.Time, fence int64, res worker.PollResult, err error) {
+	if wk.dead {
 		return
 	}
 	if err != nil {
-		ho.handlePollError(err)
+		wk.handlePollError(err)
 		return
 	}
-	if !ho.failingSince.IsZero() {
-		ho.ow.Log.Info("worker answers again", "worker", ho.incarnation, "after", got.Sub(ho.failingSince))
-		ho.failingSince, ho.unresponsive = time.Time{}, false
+	if !wk.failingSince.IsZero() {
+		wk.ow.Log.Info("worker answers again", "worker", wk.incarnation, "after", got.Sub(wk.failingSince))
+		wk.failingSince, wk.unresponsive = time.Time{}, false
 	}
-	ho.ow.clearUnresponsive(ho)
-	if ho.leaseRecorded() {
-		ho.ow.recordLeases(got)
+	wk.ow.clearUnresponsive(wk)
+	if wk.leaseRecorded() {
+		wk.ow.recordLeases(got)
 	}
-	ho.supersedeOthers(sent)
-	ho.lastPoll = got
-	ho.recordClock(si.ClockMS, got)
-	ho.lastPollHadEnds = len(si.Ended) > 0
-	ended := ho.handleEnds(si)
-	ho.handleRunning(si, got)
-	if len(si.Ended) < maxEnds {
-		settles := !ho.settled && fence >= ho.settleFence
-		ho.endMissing(si, sent, ended, settles)
+	wk.supersedeOthers(sent)
+	wk.lastPoll = got
+	wk.recordClock(res.ClockMS, got)
+	wk.lastPollHadEnds = len(res.Ended) > 0
+	ended := wk.handleEnds(res)
+	wk.handleRunning(res, got)
+	if len(res.Ended) < maxEnds {
+		settles := !wk.settled && fence >= wk.settleFence
+		wk.endMissing(res, sent, ended, settles)
 		if settles {
-			ho.markSettled()
-			ho.ow.Log.Info("worker settled", "worker", ho.incarnation, "running", len(si.Running), "ended", len(si.Ended))
+			wk.markSettled()
+			wk.ow.Log.Info("worker settled", "worker", wk.incarnation, "running", len(res.Running), "ended", len(res.Ended))
 			// Only now can the leases be extended. That must not wait for a write, as a
 			// takeover has used up most of their time.
-			wake(ho.pollWake)
+			wake(wk.pollWake)
 		}
 	}
-	ho.measure(got)
-	ho.acknowledge()
+	wk.measure(got)
+	wk.acknowledge()
 }
 
 // handlePollError handles a failed poll.
-func (ho *workerState) handlePollError(err error) {
-	ho.ow.Metrics.Add(telemetry.PollFailures, 1, "outcome", "failed")
+func (wk *workerState) handlePollError(err error) {
+	wk.ow.Metrics.Add(telemetry.PollFailures, 1, "outcome", "failed")
 	le := (*worker.IncarnationError)(nil)
 	switch {
 	case errors.As(err, &le):
-		ho.handleOtherIncarnation(le.Answered)
+		wk.handleOtherIncarnation(le.Answered)
 	case errors.Is(err, worker.ErrOtherIncarnation):
-		ho.markDead("another process answers at its address", worker.Incarnation{})
+		wk.markDead("another process answers at its address", worker.Incarnation{})
 	case errors.Is(err, worker.ErrFenced):
-		ho.ow.Log.Warn("worker obeys a higher fencing token", "worker", ho.incarnation, "epoch", ho.ow.Tenure.Epoch, "fence", ho.currentPath().fence)
-		ho.failingSince = time.Now()
+		wk.ow.Log.Warn("worker obeys a higher fencing token", "worker", wk.incarnation, "epoch", wk.ow.Tenure.Epoch, "fence", wk.currentPath().fence)
+		wk.failingSince = time.Now()
 		// The higher token may be this owner's own, sent on a path that was given up. If it is
 		// that of a next owner, it stays higher than any token of this one.
-		ho.raiseFence()
-	case ho.failingSince.IsZero():
-		ho.failingSince, ho.unresponsive = time.Now(), !errors.Is(err, worker.ErrConnectionLost)
-		ho.ow.Log.Warn("worker does not answer", "worker", ho.incarnation, "attempts", len(ho.attempts), "err", err)
+		wk.raiseFence()
+	case wk.failingSince.IsZero():
+		wk.failingSince, wk.unresponsive = time.Now(), !errors.Is(err, worker.ErrConnectionLost)
+		wk.ow.Log.Warn("worker does not answer", "worker", wk.incarnation, "attempts", len(wk.attempts), "err", err)
 	}
 }
 
 // handleEnds handles the ends that are new and returns all that are listed.
-func (ho *workerState) handleEnds(si worker.PollResult) map[worker.Attempt]bool {
+func (wk *workerState) handleEnds(res worker.PollResult) map[worker.Attempt]bool {
 	ended := map[worker.Attempt]bool{}
-	for _, ea := range si.Ended {
+	for _, ea := range res.Ended {
 		ended[ea.Attempt] = true
-		if ea.EndNumber <= ho.endsHandled {
-			ho.logSkippedEnd(ea)
+		if ea.EndNumber <= wk.endsHandled {
+			wk.logSkippedEnd(ea)
 			continue
 		}
-		ho.endsHandled = ea.EndNumber
-		ho.handleEnd(ea)
+		wk.endsHandled = ea.EndNumber
+		wk.handleEnd(ea)
 	}
 	return ended
 }
 
 // logSkippedEnd logs an end that counts as handled though its attempt counts as running.
-func (ho *workerState) logSkippedEnd(ea worker.EndedAttempt) {
-	if ho.findAttempt(ea.Attempt) != nil {
-		ho.ow.Log.Warn("end skipped as known", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.Outcome,
-			"number", ea.EndNumber, "handled", ho.endsHandled, "acked", ho.endsAcked)
+func (wk *workerState) logSkippedEnd(ea worker.EndedAttempt) {
+	if wk.findAttempt(ea.Attempt) != nil {
+		wk.ow.Log.Warn("end skipped as known", "task", ea.Task, "attempt", ea.Number, "worker", wk.incarnation, "end", ea.Outcome,
+			"number", ea.EndNumber, "handled", wk.endsHandled, "acked", wk.endsAcked)
 	}
 }
 
 // handleEnd ends the attempt of a listed end.
-func (ho *workerState) handleEnd(ea worker.EndedAttempt) {
+func (wk *workerState) handleEnd(ea worker.EndedAttempt) {
 	id, ref, ok := job.ParseTaskID(ea.Task)
-	en := ho.ow.entries[id]
-	if !ok || en == nil {
-		ho.ow.Log.Info("worker lists the end of an unknown task", "task", ea.Task, "attempt", ea.Number, "worker", ho.incarnation, "end", ea.Outcome)
+	tj := wk.ow.jobs[id]
+	if !ok || tj == nil {
+		wk.ow.Log.Info("worker lists the end of an unknown task", "task", ea.Task, "attempt", ea.Number, "worker", wk.incarnation, "end", ea.Outcome)
 		return
 	}
-	ho.recordOutcome(en, ea.Outcome)
+	wk.recordOutcome(tj, ea.Outcome)
 	end := parseEnd(ea.Outcome)
-	if !ho.ow.recordEnd(en, ref, ea.Number, end, ea.Checkpoint, "listed by the worker") {
-		ho.ow.recordLateEnd(en, ref, ea.Number, end, ho.incarnation)
+	if !wk.ow.recordEnd(tj, ref, ea.Number, end, ea.Checkpoint, "listed by the worker") {
+		wk.ow.recordLateEnd(tj, ref, ea.Number, end, wk.incarnation)
 	}
-	ho.awaitDurableEnd(en)
+	wk.awaitDurableEnd(tj)
 }
 
 // awaitDurableEnd delays the acknowledgement of the ends just listed until the job's current
 // state is written. This holds also for an end that changes nothing, as the attempt may have
 // been given up in a state that is not written yet: the next owner would read that the attempt
 // runs and find it neither running nor ended.
-func (ho *workerState) awaitDurableEnd(en *entry) {
-	if !en.dirty && !en.writing {
+func (wk *workerState) awaitDurableEnd(tj *trackedJob) {
+	if !tj.dirty && !tj.writing {
 		return
 	}
-	ho.undurableEnds++
-	en.onWritten = append(en.onWritten, ho.endBecameDurable)
-	ho.ow.markDirty(en)
+	wk.undurableEnds++
+	tj.onWritten = append(tj.onWritten, wk.endBecameDurable)
+	wk.ow.markDirty(tj)
 }
 
 // parseEnd converts a worker's report of how an attempt ended. Anything but done, failed and
@@ -267,74 +267,74 @@
 }
 
 // endBecameDurable records that a listed end was written.
-func (ho *workerState) endBecameDurable() {
-	ho.undurableEnds--
-	ho.acknowledge()
+func (wk *workerState) endBecameDurable() {
+	wk.undurableEnds--
+	wk.acknowledge()
 }
 
 // acknowledge starts the next poll, which acknowledges the ends, once all of them are durable.
-func (ho *workerState) acknowledge() {
-	if ho.undurableEnds > 0 {
+func (wk *workerState) acknowledge() {
+	if wk.undurableEnds > 0 {
 		return
 	}
-	ho.endsAcked = ho.endsHandled
-	wake(ho.pollWake)
+	wk.endsAcked = wk.endsHandled
+	wake(wk.pollWake)
 }
 
 // handleRunning updates the attempts that run and stops those that should not.
-func (ho *workerState) handleRunning(si worker.PollResult, got time.Time) {
-	for _, ra := range si.Running {
-		at := ho.findAttempt(ra.Attempt)
+func (wk *workerState) handleRunning(res worker.PollResult, got time.Time) {
+	for _, ra := range res.Running {
+		at := wk.findAttempt(ra.Attempt)
 		if at == nil {
-			ho.stopUnknownAttempt(ra)
+			wk.stopUnknownAttempt(ra)
 			continue
 		}
 		if at.endIfNotRun != "" {
-			ho.confirmRunning(at)
+			wk.confirmRunning(at)
 		}
-		ho.markStarted(at, got)
-		at.recordSighting(got)
+		wk.markStarted(at, got)
+		at.recordObservation(got)
 		at.usage = ra.Usage
 		at.recordProgress(ra.Percent, got)
 		if ra.Checkpoint != "" {
-			at.en.jo.Task(at.ref).Checkpoint = ra.Checkpoint
+			at.tj.jo.Task(at.ref).Checkpoint = ra.Checkpoint
 		}
-		if at.en.jo.State().Final() {
-			ho.ow.halt(at, "still running after the end of its job")
+		if at.tj.jo.State().Final() {
+			wk.ow.halt(at, "still running after the end of its job")
 		}
 		if !at.haltSentAt.IsZero() {
-			ho.ow.halt(at, "still running after it was ordered to stop")
+			wk.ow.halt(at, "still running after it was ordered to stop")
 		}
 		if at.stalled(got) {
-			ho.stopStalled(at, got)
+			wk.stopStalled(at, got)
 		}
 	}
 }
 
 // stopUnknownAttempt stops an attempt that the cell has no record of.
-func (ho *workerState) stopUnknownAttempt(ra worker.RunningAttempt) {
-	ho.ow.Log.Warn("stopping an attempt that the cell has no record of", "task", ra.Task, "attempt", ra.Number, "worker", ho.incarnation)
-	go ho.ow.sendHalt(ho, ra.Attempt)
+func (wk *workerState) stopUnknownAttempt(ra worker.RunningAttempt) {
+	wk.ow.Log.Warn("stopping an attempt that the cell has no record of", "task", ra.Task, "attempt", ra.Number, "worker", wk.incarnation)
+	go wk.ow.sendHalt(wk, ra.Attempt)
 }
 
 // markStarted records that the worker has the attempt.
-func (ho *workerState) markStarted(at *attempt, now time.Time) {
+func (wk *workerState) markStarted(at *attempt, now time.Time) {
 	if !at.launchedAt.IsZero() {
 		return
 	}
 	at.launchedAt = now
-	ho.setInitialPace(at, now)
+	wk.setInitialPace(at, now)
 }
 
 // findAttempt returns the attempt of that name if it is recorded on this worker, or nil.
-func (ho *workerState) findAttempt(wa worker.Attempt) *attempt {
+func (wk *workerState) findAttempt(wa worker.Attempt) *attempt {
 	id, ref, ok := job.ParseTaskID(wa.Task)
-	en := ho.ow.entries[id]
-	if !ok || en == nil {
+	tj := wk.ow.jobs[id]
+	if !ok || tj == nil {
 		return nil
 	}
-	at := en.attempts[ref]
-	if at == nil || at.ho != ho || at.number != wa.Number {
+	at := tj.attempts[ref]
+	if at == nil || at.wk != wk || at.number != wa.Number {
 		return nil
 	}
 	return at
@@ -343,26 +343,26 @@
 // endMissing ends the attempts that a poll should have listed and did not: those whose order
 // was acknowledged before the poll was sent and, if the poll settles the worker, those ordered
 // by former owners or from earlier incarnations.
-func (ho *workerState) endMissing(si worker.PollResult, sent time.Time, ended map[worker.Attempt]bool, settles bool) {
+func (wk *workerState) endMissing(res worker.PollResult, sent time.Time, ended map[worker.Attempt]bool, settles bool) {
 	running := map[worker.Attempt]bool{}
-	for _, ra := range si.Running {
+	for _, ra := range res.Running {
 		running[ra.Attempt] = true
 	}
-	for at := range ho.attempts {
-		wa := worker.Attempt{Task: at.en.jo.TaskID(at.ref), Number: at.number}
+	for at := range wk.attempts {
+		wa := worker.Attempt{Task: at.tj.jo.TaskID(at.ref), Number: at.number}
 		if running[wa] || ended[wa] {
 			continue
 		}
 		if !at.launchedAt.IsZero() && at.launchedAt.Before(sent) {
-			ho.ow.recordEnd(at.en, at.ref, at.number, job.EndLapsed, "", "no longer listed by the worker")
+			wk.ow.recordEnd(at.tj, at.ref, at.number, job.EndLapsed, "", "no longer listed by the worker")
 			continue
 		}
 		switch {
 		case !settles:
 		case at.endIfNotRun != "":
-			ho.ow.recordEnd(at.en, at.ref, at.number, at.endIfNotRun, "", "another incarnation of its worker answers")
+			wk.ow.recordEnd(at.tj, at.ref, at.number, at.endIfNotRun, "", "another incarnation of its worker answers")
 		case at.inherited:
-			ho.ow.recordEnd(at.en, at.ref, at.number, job.EndNeverRan, "", "ordered by a former owner and not listed")
+			wk.ow.recordEnd(at.tj, at.ref, at.number, job.EndNeverRan, "", "ordered by a former owner and not listed")
 		}
 	}
 }
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -12,28 +12,28 @@
 // proofs of its other tasks: the polls of their workers return within a second.
 const proofWriteDelay = 500 * time.Millisecond
 
-// recordSighting records that a poll listed the attempt as running.
-func (at *attempt) recordSighting(now time.Time) {
+// recordObservation records that a poll listed the attempt as running.
+func (at *attempt) recordObservation(now time.Time) {
 	at.lastSeenAt = now
 	ran := at.observed().ran
 	switch {
-	case ran >= crashBlameLimit && at.en.jo.MarkStable(at.ref, at.number):
-		at.en.backoffs.reset(at.ref)
-		at.en.scheduleProofWrite(now)
-	case ran >= startupDuration && at.en.jo.MarkStarted(at.ref, at.number) && at.wrongBlameCostly():
-		at.en.scheduleProofWrite(now)
+	case ran >= crashBlameLimit && at.tj.jo.MarkStable(at.ref, at.number):
+		at.tj.backoffs.reset(at.ref)
+		at.tj.scheduleProofWrite(now)
+	case ran >= startupDuration && at.tj.jo.MarkStarted(at.ref, at.number) && at.needsEarlyProof():
+		at.tj.scheduleProofWrite(now)
 	}
 }
 
-// wrongBlameCostly reports whether it is costly to attribute a crash to the attempt by
+// needsEarlyProof reports whether it is costly to attribute a crash to the attempt by
 // mistake: it is endless, and so outlives many owners, or was suspected before. Most other
 // attempts end before their proof would be written.
-func (at *attempt) wrongBlameCostly() bool { return at.step().Endless || at.task().Suspect() }
+func (at *attempt) needsEarlyProof() bool { return at.step().LongRunning || at.task().Suspect() }
 
 // scheduleProofWrite has the job's row written within proofWriteDelay.
-func (en *entry) scheduleProofWrite(now time.Time) {
-	if en.proofDue.IsZero() {
-		en.proofDue = now.Add(proofWriteDelay)
+func (tj *trackedJob) scheduleProofWrite(now time.Time) {
+	if tj.proofDue.IsZero() {
+		tj.proofDue = now.Add(proofWriteDelay)
 	}
 }
 
@@ -42,9 +42,9 @@
 	if ow.storeDown() {
 		return
 	}
-	for _, en := range ow.entries {
-		if !en.proofDue.IsZero() && now.After(en.proofDue) {
-			ow.markDirty(en)
+	for _, tj := range ow.jobs {
+		if !tj.proofDue.IsZero() && now.After(tj.proofDue) {
+			ow.markDirty(tj)
 		}
 	}
 }
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -8,36 +8,36 @@
 
 // recordOutcome records how an attempt on the worker ended, and quarantines the worker if it
 // fails tasks of several jobs in a row.
-func (ho *workerState) recordOutcome(en *entry, outcome string) {
+func (wk *workerState) recordOutcome(tj *trackedJob, outcome string) {
 	switch outcome {
 	case "done":
-		ho.failures, ho.failureQuarantines = 0, 0
-		clear(ho.failedJobs)
+		wk.failures, wk.failureQuarantines = 0, 0
+		clear(wk.failedJobs)
 	case "failed":
-		ho.failures++
-		ho.failedJobs[en.jo.ID] = true
+		wk.failures++
+		wk.failedJobs[tj.jo.ID] = true
 	}
-	if ho.failures < quarantineFailures || len(ho.failedJobs) < quarantineJobs || !ho.ow.mayQuarantine(ho) {
+	if wk.failures < quarantineFailures || len(wk.failedJobs) < quarantineJobs || !wk.ow.mayQuarantine(wk) {
 		return
 	}
-	d := initialQuarantine << min(ho.failureQuarantines, maxQuarantineDoublings)
-	ho.failureQuarantineUntil = time.Now().Add(d)
-	ho.logQuarantine(d, "fails tasks of several jobs")
-	ho.failureQuarantines++
-	ho.failures = quarantineFailures - 1
+	d := initialQuarantine << min(wk.failureQuarantines, maxQuarantineDoublings)
+	wk.failureQuarantineUntil = time.Now().Add(d)
+	wk.logQuarantine(d, "fails tasks of several jobs")
+	wk.failureQuarantines++
+	wk.failures = quarantineFailures - 1
 }
 
 // mayQuarantine reports whether one more worker of a service may be quarantined for failures.
 // If more than a share of them fail tasks of several jobs, the tasks are at fault and not the
 // workers.
-func (ow *Owner) mayQuarantine(ho *workerState) bool {
+func (ow *Owner) mayQuarantine(wk *workerState) bool {
 	now, all, quarantined := time.Now(), 0, 0
-	for _, other := range ow.hosts {
-		if other.Service != ho.Service || other.dead || other.unlisted {
+	for _, other := range ow.workers {
+		if other.Service != wk.Service || other.dead || other.unlisted {
 			continue
 		}
 		all++
-		if other != ho && other.quarantinedForFailures(now) {
+		if other != wk && other.quarantinedForFailures(now) {
 			quarantined++
 		}
 	}
@@ -46,8 +46,8 @@
 
 // quarantinedForFailures reports whether the worker is quarantined because tasks failed
 // there.
-func (ho *workerState) quarantinedForFailures(now time.Time) bool {
-	return !now.After(ho.failureQuarantineUntil)
+func (wk *workerState) quarantinedForFailures(now time.Time) bool {
+	return !now.After(wk.failureQuarantineUntil)
 }
 
 // Rules of the quarantine.
@@ -74,37 +74,37 @@
 )
 
 // quarantine keeps new tasks away from the worker for d.
-func (ho *workerState) quarantine(d time.Duration, why string) {
+func (wk *workerState) quarantine(d time.Duration, why string) {
 	until := time.Now().Add(d)
-	if until.Before(ho.quarantinedUntil) {
+	if until.Before(wk.quarantinedUntil) {
 		return
 	}
-	ho.quarantinedUntil = until
-	ho.logQuarantine(d, why)
+	wk.quarantinedUntil = until
+	wk.logQuarantine(d, why)
 }
 
-func (ho *workerState) logQuarantine(d time.Duration, why string) {
-	ho.ow.Log.Warn("worker set aside", "worker", ho.incarnation, "for", d, "failures", ho.failures, "why", why)
+func (wk *workerState) logQuarantine(d time.Duration, why string) {
+	wk.ow.Log.Warn("worker set aside", "worker", wk.incarnation, "for", d, "failures", wk.failures, "why", why)
 }
 
 // startAsLastResort starts an endless task on a worker that is quarantined for failures, once
 // the task has waited for another worker, and reports whether it did. Endless tasks have no
 // limit of failures, and the task may well run there.
-func (pl *placer) startAsLastResort(en *entry, ref job.TaskRef) bool {
-	if !en.jo.Spec.Steps[ref.Step].Endless || pl.now.Sub(en.waitingSince) < lastResortAfter {
+func (pl *placer) startAsLastResort(tj *trackedJob, ref job.TaskRef) bool {
+	if !tj.jo.Spec.Steps[ref.Step].LongRunning || pl.now.Sub(tj.waitingSince) < lastResortAfter {
 		return false
 	}
 	var best *candidate
-	st := &en.jo.Spec.Steps[ref.Step]
+	st := &tj.jo.Spec.Steps[ref.Step]
 	for _, ca := range pl.failing {
-		if ca.fits(en, ref, st) && (best == nil || ca.score(en, st) > best.score(en, st)) {
+		if ca.fits(tj, ref, st) && (best == nil || ca.score(tj, st) > best.score(tj, st)) {
 			best = ca
 		}
 	}
 	if best == nil {
 		return false
 	}
-	pl.start(en, ref, best)
-	en.waitCause = CauseOrder
+	pl.start(tj, ref, best)
+	tj.waitCause = CauseOrder
 	return true
 }
--- a/internal/sched/quarantine_test.go
+++ b/internal/sched/quarantine_test.go
@@ -29,7 +29,7 @@
 // each time, and a healthy job submitted then has to wait.
 func TestFailingJobsDoNotQuarantineAllWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 4)
+		la, ll := loggedLab(t, 4)
 		failTasksOfJobs(la, func(worker.Attempt) (time.Duration, string) { return time.Second, "done" })
 		ow, end := la.startOwner()
 		defer end()
@@ -40,7 +40,7 @@
 		}
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(time.Second)
-		qt.Assert(t, li.matching(`msg="attempt placed"`, jobID(1)), qt.HasLen, 1)
+		qt.Assert(t, ll.matching(`msg="attempt placed"`, jobID(1)), qt.HasLen, 1)
 	})
 }
 
@@ -51,15 +51,15 @@
 func TestLastingTaskStartsOnQuarantinedWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		ow := la.withLasting(2*16 - 1)
+		ow := la.startLongRunning(2*16 - 1)
 		ow.post(func() {
-			for _, ho := range ow.hosts {
-				ho.failures, ho.failureQuarantines = quarantineFailures, maxQuarantineDoublings
-				ho.failedJobs["other"] = true
+			for _, wk := range ow.workers {
+				wk.failures, wk.failureQuarantines = quarantineFailures, maxQuarantineDoublings
+				wk.failedJobs["other"] = true
 			}
-			for _, ho := range ow.hosts {
-				if len(ho.attempts) < 16 {
-					ho.recordOutcome(&entry{jo: ow.entries[jobID(1)].jo}, "failed")
+			for _, wk := range ow.workers {
+				if len(wk.attempts) < 16 {
+					wk.recordOutcome(&trackedJob{jo: ow.jobs[jobID(1)].jo}, "failed")
 				}
 			}
 		})
@@ -75,7 +75,7 @@
 // quarantined, and the others do the work.
 func TestOnlyFailingWorkerIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 4)
+		la, ll := loggedLab(t, 4)
 		faulty := la.fleetWorkers[0].Addr.Incarnation
 		la.fleetWorkers[0].RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
 		ow, end := la.startOwner()
@@ -86,9 +86,9 @@
 			time.Sleep(250 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		lines := li.matching(`msg="worker set aside"`)
+		lines := ll.matching(`msg="worker set aside"`)
 		qt.Assert(t, len(lines) > 0, qt.IsTrue)
-		qt.Assert(t, li.matching(`msg="worker set aside"`, "worker="+faulty.String()), qt.HasLen, len(lines))
-		qt.Assert(t, li.matching(`msg="job time"`, "state=succeeded"), qt.HasLen, 20)
+		qt.Assert(t, ll.matching(`msg="worker set aside"`, "worker="+faulty.String()), qt.HasLen, len(lines))
+		qt.Assert(t, ll.matching(`msg="job time"`, "state=succeeded"), qt.HasLen, 20)
 	})
 }
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -54,7 +54,7 @@
 		switch {
 		case ref == (job.TaskRef{}) && crashesWorkers(jobNumber(id)):
 			return crashDelay, standin.Crashes
-		case fr.spec(id).Steps[0].Endless:
+		case fr.spec(id).Steps[0].LongRunning:
 			return -1, ""
 		case at.Number == 1 && at.Task[15]%4 == 0:
 			return 300 * time.Millisecond, "failed"
@@ -287,7 +287,7 @@
 	fr.checkStates()
 	for n := range fr.accepted {
 		state := fr.lastStates[n]
-		endless := fr.spec(jobID(n)).Steps[0].Endless
+		endless := fr.spec(jobID(n)).Steps[0].LongRunning
 		switch {
 		case fr.cancelled[n] && !state.Final():
 			fr.rt.Errorf("job %d was cancelled and is %s", n, state)
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -11,7 +11,7 @@
 // workers are rated once per step, and that worker again after each placement.
 type ranking struct {
 	pl   *placer
-	en   *entry
+	tj   *trackedJob
 	step int
 	st   *job.Step
 	// selective is set if fillers still wait for a worker that accepts them.
@@ -29,43 +29,43 @@
 }
 
 // rank rates all workers for a step, either for its interrupted tasks or for the others.
-func (pl *placer) rank(en *entry, step int, interrupted bool) *ranking {
-	st := &en.jo.Spec.Steps[step]
-	ra := &ranking{pl: pl, en: en, step: step, st: st, selective: st.Filler && pl.selective(en), interrupted: interrupted, cause: CauseRoom}
-	ra.respectsReservations = st.Endless && !interrupted && pl.ow.reservations.appliesTo(en)
-	sh := shape{st: st, service: en.jo.Terms.Service, selective: ra.selective, interrupted: interrupted, respectsReservations: ra.respectsReservations}
-	if pl.ow.noPlace.has(sh) {
+func (pl *placer) rank(tj *trackedJob, step int, interrupted bool) *ranking {
+	st := &tj.jo.Spec.Steps[step]
+	rk := &ranking{pl: pl, tj: tj, step: step, st: st, selective: st.Filler && pl.selective(tj), interrupted: interrupted, cause: CauseRoom}
+	rk.respectsReservations = st.LongRunning && !interrupted && pl.ow.reservations.appliesTo(tj)
+	sh := shape{st: st, service: tj.jo.Terms.Service, selective: rk.selective, interrupted: interrupted, respectsReservations: rk.respectsReservations}
+	if pl.ow.noFit.has(sh) {
 		if st.Filler {
-			ra.cause = CausePlace
+			rk.cause = CausePlace
 		}
-		return ra
+		return rk
 	}
 	if st.MaxPerWorker > 0 {
-		ra.counts = en.countBy(step)
+		rk.counts = tj.countBy(step)
 	}
-	for _, ca := range pl.hosts {
-		if ra.fits(ca) {
-			ra.heap = append(ra.heap, rating{ca: ca, score: ca.score(en, st)})
+	for _, ca := range pl.candidates {
+		if rk.fits(ca) {
+			rk.heap = append(rk.heap, rating{ca: ca, score: ca.score(tj, st)})
 		}
 	}
-	if len(ra.heap) == 0 {
-		pl.ow.noPlace.add(sh)
+	if len(rk.heap) == 0 {
+		pl.ow.noFit.add(sh)
 	}
-	heap.Init(&ra.heap)
-	return ra
+	heap.Init(&rk.heap)
+	return rk
 }
 
 // fits reports whether the worker can take a task of the step now, and records the cause if
 // not.
-func (ra *ranking) fits(ca *candidate) bool {
-	if !ca.hasCapacity(ra.st, ra.interrupted) || !ca.suitable(ra.en, ra.st) || (ra.counts != nil && ra.counts[ca.ho] >= ra.st.MaxPerWorker) {
+func (rk *ranking) fits(ca *candidate) bool {
+	if !ca.hasCapacity(rk.st, rk.interrupted) || !ca.suitable(rk.tj, rk.st) || (rk.counts != nil && rk.counts[ca.wk] >= rk.st.MaxPerWorker) {
 		return false
 	}
-	if ra.respectsReservations && !ra.st.Reserved().Fits(ca.free.Sub(ca.ho.restartReserved)) {
+	if rk.respectsReservations && !rk.st.Reserved().Fits(ca.free.Sub(ca.wk.restartReserved)) {
 		return false
 	}
-	if ra.selective && !ca.acceptsFiller(ra.st) {
-		ra.cause = CausePlace
+	if rk.selective && !ca.acceptsFiller(rk.st) {
+		rk.cause = CausePlace
 		return false
 	}
 	return true
@@ -73,26 +73,26 @@
 
 // best returns the worker with the highest score, or nil if none can take a task. If there
 // is one, the task waits only for its launch order, so the cause becomes CauseOrder.
-func (ra *ranking) best() *candidate {
-	if len(ra.heap) == 0 {
+func (rk *ranking) best() *candidate {
+	if len(rk.heap) == 0 {
 		return nil
 	}
-	ra.cause = CauseOrder
-	return ra.heap[0].ca
+	rk.cause = CauseOrder
+	return rk.heap[0].ca
 }
 
 // update rates the best worker again after a task was placed there.
-func (ra *ranking) update(ca *candidate) {
-	if ra.counts != nil {
-		ra.counts[ca.ho]++
+func (rk *ranking) update(ca *candidate) {
+	if rk.counts != nil {
+		rk.counts[ca.wk]++
 	}
-	ra.cause = CauseRoom
-	if !ra.fits(ca) {
-		heap.Pop(&ra.heap)
+	rk.cause = CauseRoom
+	if !rk.fits(ca) {
+		heap.Pop(&rk.heap)
 		return
 	}
-	ra.heap[0].score = ca.score(ra.en, ra.st)
-	heap.Fix(&ra.heap, 0)
+	rk.heap[0].score = ca.score(rk.tj, rk.st)
+	heap.Fix(&rk.heap, 0)
 }
 
 // rating is a worker with its score.
@@ -106,35 +106,35 @@
 type ratingHeap []rating
 
 // Len implements heap.Interface.
-func (ra ratingHeap) Len() int { return len(ra) }
+func (rh ratingHeap) Len() int { return len(rh) }
 
 // Less implements heap.Interface.
-func (ra ratingHeap) Less(i, j int) bool {
-	if ra[i].score != ra[j].score {
-		return ra[i].score > ra[j].score
+func (rh ratingHeap) Less(i, j int) bool {
+	if rh[i].score != rh[j].score {
+		return rh[i].score > rh[j].score
 	}
-	return ra[i].ca.index < ra[j].ca.index
+	return rh[i].ca.index < rh[j].ca.index
 }
 
 // Swap implements heap.Interface.
-func (ra ratingHeap) Swap(i, j int) { ra[i], ra[j] = ra[j], ra[i] }
+func (rh ratingHeap) Swap(i, j int) { rh[i], rh[j] = rh[j], rh[i] }
 
 // Push implements heap.Interface.
-func (ra *ratingHeap) Push(x any) { *ra = append(*ra, x.(rating)) }
+func (rh *ratingHeap) Push(x any) { *rh = append(*rh, x.(rating)) }
 
 // Pop implements heap.Interface.
-func (ra *ratingHeap) Pop() any {
-	last := (*ra)[len(*ra)-1]
-	*ra = (*ra)[:len(*ra)-1]
+func (rh *ratingHeap) Pop() any {
+	last := (*rh)[len(*rh)-1]
+	*rh = (*rh)[:len(*rh)-1]
 	return last
 }
 
 // countBy counts the attempts of a step by worker.
-func (en *entry) countBy(step int) map[*workerState]int {
+func (tj *trackedJob) countBy(step int) map[*workerState]int {
 	counts := map[*workerState]int{}
-	for ref, at := range en.attempts {
+	for ref, at := range tj.attempts {
 		if ref.Step == step {
-			counts[at.ho]++
+			counts[at.wk]++
 		}
 	}
 	return counts
--- a/internal/sched/reach.go
+++ b/internal/sched/reach.go
@@ -40,50 +40,50 @@
 }
 
 // reach returns the state of the worker.
-func (ho *workerState) reach(now time.Time) reach {
+func (wk *workerState) reach(now time.Time) reach {
 	switch {
-	case !ho.settled:
+	case !wk.settled:
 		return reachUnsettled
-	case !ho.failingSince.IsZero() || now.Sub(ho.lastPoll) > pollOverdueAfter:
+	case !wk.failingSince.IsZero() || now.Sub(wk.lastPoll) > pollOverdueAfter:
 		return reachUnresponsive
 	}
 	return reachAnswering
 }
 
 // needsOrders reports whether the worker is expected to get orders at all.
-func (ho *workerState) needsOrders() bool { return !ho.unlisted && !ho.dead }
+func (wk *workerState) needsOrders() bool { return !wk.unlisted && !wk.dead }
 
 // recordReach records since when the worker gets no orders.
-func (ho *workerState) recordReach(re reach, now time.Time) {
+func (wk *workerState) recordReach(re reach, now time.Time) {
 	switch {
 	case re == reachAnswering:
-		ho.noContactSince = time.Time{}
-	case ho.noContactSince.IsZero():
-		ho.noContactSince = now
+		wk.noContactSince = time.Time{}
+	case wk.noContactSince.IsZero():
+		wk.noContactSince = now
 	}
 }
 
 // sinceLastContact returns how long ago the worker last answered or, if it never did, was
 // first found to get no orders.
-func (ho *workerState) sinceLastContact(now time.Time) time.Duration {
-	if ho.lastPoll.IsZero() {
-		return now.Sub(ho.noContactSince)
+func (wk *workerState) sinceLastContact(now time.Time) time.Duration {
+	if wk.lastPoll.IsZero() {
+		return now.Sub(wk.noContactSince)
 	}
-	return now.Sub(ho.lastPoll)
+	return now.Sub(wk.lastPoll)
 }
 
 // updateReach counts the workers by state, sets their gauge, and logs outages.
 func (ow *Owner) updateReach(now time.Time) {
 	counts := map[reach]int{}
 	late := 0
-	for _, ho := range ow.hosts {
-		if !ho.needsOrders() {
+	for _, wk := range ow.workers {
+		if !wk.needsOrders() {
 			continue
 		}
-		re := ho.reach(now)
-		ho.recordReach(re, now)
+		re := wk.reach(now)
+		wk.recordReach(re, now)
 		counts[re]++
-		if !ho.noContactSince.IsZero() && now.Sub(ho.noContactSince) > outageLogAfter {
+		if !wk.noContactSince.IsZero() && now.Sub(wk.noContactSince) > outageLogAfter {
 			late++
 		}
 	}
@@ -125,20 +125,20 @@
 func (ow *Owner) logWithoutOrders(counts map[reach]int, now time.Time) {
 	attempts, longest := 0, time.Duration(0)
 	var relays, centres groupCounts
-	for _, ho := range ow.hosts {
-		if !ho.needsOrders() {
+	for _, wk := range ow.workers {
+		if !wk.needsOrders() {
 			continue
 		}
-		without := !ho.noContactSince.IsZero()
-		relays.add(ho.currentPath().addr.Via, without)
-		centres.add(ho.DataCentre, without)
+		without := !wk.noContactSince.IsZero()
+		relays.add(wk.currentPath().addr.Via, without)
+		centres.add(wk.DataCentre, without)
 		if !without {
 			continue
 		}
-		attempts += len(ho.attempts)
-		longest = max(longest, ho.sinceLastContact(now))
-		if ow.outage.beganAt.IsZero() || ho.noContactSince.Before(ow.outage.beganAt) {
-			ow.outage.beganAt = ho.noContactSince
+		attempts += len(wk.attempts)
+		longest = max(longest, wk.sinceLastContact(now))
+		if ow.outage.beganAt.IsZero() || wk.noContactSince.Before(ow.outage.beganAt) {
+			ow.outage.beganAt = wk.noContactSince
 		}
 	}
 	relay, centre := relays.largest(), centres.largest()
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -37,11 +37,11 @@
 
 func (ur *unresponsiveRelay) wrap(ag worker.Agent) worker.Agent {
 	poll, launch := ag.PollFunc, ag.LaunchFunc
-	ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+	ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
 		if err := ur.block(ctx, ad); err != nil {
 			return worker.PollResult{}, err
 		}
-		return poll(ctx, ad, lo)
+		return poll(ctx, ad, po)
 	}
 	ag.LaunchFunc = func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
 		if err := ur.block(ctx, ad); err != nil {
@@ -56,11 +56,11 @@
 // become unresponsive.
 func relayedLab(t *testing.T) (*lab, *logLines, *unresponsiveRelay) {
 	t.Helper()
-	la, li := loggedLab(t, 6)
+	la, ll := loggedLab(t, 6)
 	ur := &unresponsiveRelay{name: "e1"}
 	la.wrapAgentFunc = ur.wrap
 	la.viaByWorker = map[string]string{"i-0": "e1", "i-1": "e1", "i-2": "e1", "i-3": "e1", "i-4": "e2", "i-5": "e2"}
-	return la, li, ur
+	return la, ll, ur
 }
 
 // TestWorkersWithoutOrdersAreLogged has a relay that never answers the new owner of a cell,
@@ -69,12 +69,12 @@
 // told that a third of the capacity was missing for as long as the relay did not answer.
 func TestWorkersWithoutOrdersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li, ur := relayedLab(t)
+		la, ll, ur := relayedLab(t)
 		ur.enabled.Store(true)
 		_, end := la.startOwner()
 		defer end()
 		time.Sleep(10 * time.Second)
-		logged := li.matching("level=WARN", `msg="workers without orders"`, "workers=4", "of=6", "via=e1", "via_workers=4", "via_all=4")
+		logged := ll.matching("level=WARN", `msg="workers without orders"`, "workers=4", "of=6", "via=e1", "via_workers=4", "via_all=4")
 		qt.Assert(t, len(logged) >= 8 && len(logged) <= 10, qt.IsTrue, qt.Commentf("%d lines", len(logged)))
 	})
 }
@@ -83,7 +83,7 @@
 // and answer again.
 func TestRelayBecomesUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li, ur := relayedLab(t)
+		la, ll, ur := relayedLab(t)
 		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.startOwner()
 		defer end()
@@ -93,18 +93,18 @@
 		la.assertRunning(6 * 16)
 		ur.enabled.Store(true)
 		time.Sleep(4 * time.Second)
-		outageLines := li.matching("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
+		outageLines := ll.matching("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
 		qt.Assert(t, outageLines, qt.Not(qt.HasLen), 0)
 		// A poll that was under way at that time was still answered.
 		longest := longestOf(t, outageLines[len(outageLines)-1])
 		qt.Assert(t, longest > 4*time.Second-pollWait-outageLogInterval && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
 		ur.enabled.Store(false)
 		time.Sleep(4 * time.Second)
-		logged := len(li.matching("workers without orders"))
-		qt.Assert(t, li.matching("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
+		logged := len(ll.matching("workers without orders"))
+		qt.Assert(t, ll.matching("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
 		time.Sleep(10 * time.Second)
-		qt.Assert(t, li.matching("workers without orders"), qt.HasLen, logged)
-		qt.Assert(t, li.matching("all workers get orders again"), qt.HasLen, 1)
+		qt.Assert(t, ll.matching("workers without orders"), qt.HasLen, logged)
+		qt.Assert(t, ll.matching("all workers get orders again"), qt.HasLen, 1)
 	})
 }
 
@@ -119,7 +119,7 @@
 // TestSingleLostPollIsNotLogged has each worker miss one poll.
 func TestSingleLostPollIsNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 4)
+		la, ll := loggedLab(t, 4)
 		_, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
@@ -127,9 +127,9 @@
 			fw.Gate.Set(standin.Fault{Mode: standin.ModeLost, Count: 1})
 		}
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, li.matching("worker does not answer"), qt.HasLen, 4)
-		qt.Assert(t, li.matching("workers without orders"), qt.HasLen, 0)
-		qt.Assert(t, li.matching("all workers get orders again"), qt.HasLen, 0)
+		qt.Assert(t, ll.matching("worker does not answer"), qt.HasLen, 4)
+		qt.Assert(t, ll.matching("workers without orders"), qt.HasLen, 0)
+		qt.Assert(t, ll.matching("all workers get orders again"), qt.HasLen, 0)
 	})
 }
 
@@ -137,16 +137,16 @@
 // timeout: no poll fails, and yet the workers get no orders.
 func TestPollsThatNeverReturnAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 3)
+		la, ll := loggedLab(t, 3)
 		released := make(chan struct{})
 		var blocked atomic.Bool
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			poll := ag.PollFunc
-			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
 				if blocked.Load() {
 					<-released
 				}
-				return poll(ctx, ad, lo)
+				return poll(ctx, ad, po)
 			}
 			return ag
 		}
@@ -156,8 +156,8 @@
 		time.Sleep(time.Second)
 		blocked.Store(true)
 		time.Sleep(10 * time.Second)
-		qt.Assert(t, li.matching("worker does not answer"), qt.HasLen, 0)
-		qt.Assert(t, li.matching("workers without orders", "workers=3 of=3 silent=3 "), qt.Not(qt.HasLen), 0)
+		qt.Assert(t, ll.matching("worker does not answer"), qt.HasLen, 0)
+		qt.Assert(t, ll.matching("workers without orders", "workers=3 of=3 silent=3 "), qt.Not(qt.HasLen), 0)
 	})
 }
 
@@ -165,7 +165,7 @@
 // still run something.
 func TestUnlistedWorkersAreNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 2)
+		la, ll := loggedLab(t, 2)
 		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.startOwner()
 		defer end()
@@ -175,8 +175,8 @@
 		la.fleetWorkers[0].Gate.Set(standin.Fault{Mode: standin.ModeFreeze})
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, li.matching("worker does not answer", "worker=i-0"), qt.HasLen, 1)
-		qt.Assert(t, li.matching("workers without orders"), qt.HasLen, 0)
+		qt.Assert(t, ll.matching("worker does not answer", "worker=i-0"), qt.HasLen, 1)
+		qt.Assert(t, ll.matching("workers without orders"), qt.HasLen, 0)
 	})
 }
 
--- a/internal/sched/reservation.go
+++ b/internal/sched/reservation.go
@@ -21,7 +21,7 @@
 
 // pendingRestart is an interrupted task that is expected to start again soon.
 type pendingRestart struct {
-	en *entry
+	tj *trackedJob
 	st *job.Step
 	// ready is set once it may start.
 	ready bool
@@ -40,21 +40,21 @@
 
 // appliesTo reports whether tasks of the job that never ran must leave the reserved capacity
 // free.
-func (pr *restartReservations) appliesTo(en *entry) bool {
-	return pr.active && en.jo.Terms.Priority >= pr.priority
+func (rr *restartReservations) appliesTo(tj *trackedJob) bool {
+	return rr.active && tj.jo.Terms.Priority >= rr.priority
 }
 
 // likelyLost reports whether the worker has attempts and is likely to be lost with them.
-func (ho *workerState) likelyLost(now time.Time) bool {
-	if ho.dead || len(ho.attempts) == 0 {
+func (wk *workerState) likelyLost(now time.Time) bool {
+	if wk.dead || len(wk.attempts) == 0 {
 		return false
 	}
-	return ho.unlisted && !ho.failingSince.IsZero() || !ho.noContactSince.IsZero() && now.Sub(ho.noContactSince) >= unresponsiveAfter
+	return wk.unlisted && !wk.failingSince.IsZero() || !wk.noContactSince.IsZero() && now.Sub(wk.noContactSince) >= unresponsiveAfter
 }
 
 // reserveForRestarts reserves capacity for the long-running tasks that are to start again.
 func (ow *Owner) reserveForRestarts(now time.Time) {
-	if !ow.uses(MechReserveCapacity) {
+	if !ow.enabled(MechReserveCapacity) {
 		return
 	}
 	list := ow.pendingRestarts(now)
@@ -63,25 +63,25 @@
 	}
 	ow.reservations = restartReservations{active: len(list) > 0}
 	var workers []reservableWorker
-	for _, ho := range ow.sortedWorkers() {
-		ho.restartReserved, ho.restartReady = worker.Resources{}, false
-		if ho.available(now) {
-			workers = append(workers, reservableWorker{ca: newCandidate(ho, now), free: ho.Capacity.Sub(ho.reserved).Add(ho.finiteReserved)})
+	for _, wk := range ow.sortedWorkers() {
+		wk.restartReserved, wk.restartReady = worker.Resources{}, false
+		if wk.available(now) {
+			workers = append(workers, reservableWorker{ca: newCandidate(wk, now), free: wk.Capacity.Sub(wk.reserved).Add(wk.finiteReserved)})
 		}
 	}
 	slices.SortFunc(list, func(a, b pendingRestart) int {
-		return cmp.Or(compareSizes(a.st, b.st), cmp.Compare(a.en.order, b.en.order))
+		return cmp.Or(compareSizes(a.st, b.st), cmp.Compare(a.tj.order, b.tj.order))
 	})
-	for i, ex := range list {
-		if i == 0 || ex.en.jo.Terms.Priority < ow.reservations.priority {
-			ow.reservations.priority = ex.en.jo.Terms.Priority
+	for i, pr := range list {
+		if i == 0 || pr.tj.jo.Terms.Priority < ow.reservations.priority {
+			ow.reservations.priority = pr.tj.jo.Terms.Priority
 		}
-		ho := ex.reserve(workers)
-		if ho == nil {
+		wk := pr.reserve(workers)
+		if wk == nil {
 			ow.reservations.unmet++
 			continue
 		}
-		ho.restartReady = ho.restartReady || ex.ready
+		wk.restartReady = wk.restartReady || pr.ready
 	}
 }
 
@@ -102,12 +102,12 @@
 // reserve reserves capacity on the worker with the least left that has enough, and returns it.
 // If none has enough, it reserves all of the worker that has the most left, as more may become
 // free there, and returns nil.
-func (ex pendingRestart) reserve(workers []reservableWorker) *workerState {
-	need := ex.st.Reserved()
+func (pr pendingRestart) reserve(workers []reservableWorker) *workerState {
+	need := pr.st.Reserved()
 	var best, largest *reservableWorker
 	for i := range workers {
 		rw := &workers[i]
-		if rw.exhausted || !rw.ca.suitable(ex.en, ex.st) {
+		if rw.exhausted || !rw.ca.suitable(pr.tj, pr.st) {
 			continue
 		}
 		if need.Fits(rw.free) && (best == nil || rw.free.MilliCores < best.free.MilliCores) {
@@ -119,12 +119,12 @@
 	}
 	if best != nil {
 		best.free = best.free.Sub(need)
-		best.ca.ho.restartReserved = best.ca.ho.restartReserved.Add(need)
-		return best.ca.ho
+		best.ca.wk.restartReserved = best.ca.wk.restartReserved.Add(need)
+		return best.ca.wk
 	}
 	if largest != nil {
 		largest.exhausted = true
-		largest.ca.ho.restartReserved = largest.ca.ho.Capacity
+		largest.ca.wk.restartReserved = largest.ca.wk.Capacity
 	}
 	return nil
 }
@@ -133,41 +133,41 @@
 // that are likely lost and those that wait for capacity.
 func (ow *Owner) pendingRestarts(now time.Time) []pendingRestart {
 	var list []pendingRestart
-	for _, ho := range ow.sortedWorkers() {
-		if !ho.likelyLost(now) {
+	for _, wk := range ow.sortedWorkers() {
+		if !wk.likelyLost(now) {
 			continue
 		}
-		for at := range ho.attempts {
-			if at.step().Endless && at.haltSentAt.IsZero() {
-				list = append(list, pendingRestart{en: at.en, st: at.step()})
+		for at := range wk.attempts {
+			if at.step().LongRunning && at.haltSentAt.IsZero() {
+				list = append(list, pendingRestart{tj: at.tj, st: at.step()})
 			}
 		}
 	}
 	unseen := len(ow.unowned) > 0 && now.Sub(ow.startedAt) >= unresponsiveAfter
-	for _, en := range ow.active {
-		if en.jo.Endless() {
-			list = en.appendWaitingRestarts(list, now)
+	for _, tj := range ow.waitingJobs {
+		if tj.jo.LongRunning() {
+			list = tj.appendWaitingRestarts(list, now)
 		}
 	}
 	if unseen {
-		for _, en := range ow.entries {
-			list = en.appendUnownedRestarts(list)
+		for _, tj := range ow.jobs {
+			list = tj.appendUnownedRestarts(list)
 		}
 	}
 	return list[:min(len(list), maxRestartReservations)]
 }
 
 // appendWaitingRestarts appends the job's interrupted tasks that may start now.
-func (en *entry) appendWaitingRestarts(list []pendingRestart, now time.Time) []pendingRestart {
-	for step, tasks := range en.jo.Tasks {
-		st := &en.jo.Spec.Steps[step]
-		if !st.Endless || !en.jo.Ready(step) {
+func (tj *trackedJob) appendWaitingRestarts(list []pendingRestart, now time.Time) []pendingRestart {
+	for step, tasks := range tj.jo.Tasks {
+		st := &tj.jo.Spec.Steps[step]
+		if !st.LongRunning || !tj.jo.Ready(step) {
 			continue
 		}
 		for index := range tasks {
 			ref := job.TaskRef{Step: step, Index: index}
-			if tasks[index].State == job.Waiting && en.interrupted(ref) && !en.backoffs.active(ref, now) {
-				list = append(list, pendingRestart{en: en, st: st, ready: true})
+			if tasks[index].State == job.Waiting && tj.interrupted(ref) && !tj.backoffs.active(ref, now) {
+				list = append(list, pendingRestart{tj: tj, st: st, ready: true})
 			}
 		}
 	}
@@ -176,10 +176,10 @@
 
 // appendUnownedRestarts appends the job's tasks on workers that were not seen since the
 // takeover.
-func (en *entry) appendUnownedRestarts(list []pendingRestart) []pendingRestart {
-	for _, ref := range en.unowned {
-		if st := &en.jo.Spec.Steps[ref.Step]; st.Endless {
-			list = append(list, pendingRestart{en: en, st: st})
+func (tj *trackedJob) appendUnownedRestarts(list []pendingRestart) []pendingRestart {
+	for _, ref := range tj.unowned {
+		if st := &tj.jo.Spec.Steps[ref.Step]; st.LongRunning {
+			list = append(list, pendingRestart{tj: tj, st: st})
 		}
 	}
 	return list
--- a/internal/sched/reservation_test.go
+++ b/internal/sched/reservation_test.go
@@ -15,7 +15,7 @@
 	for _, takeover := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 4)
-			ow := la.withLasting(40)
+			ow := la.startLongRunning(40)
 			lost, n := la.busiest()
 			qt.Assert(t, n, qt.Equals, 16)
 			la.fleet.Kill(lost)
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -57,7 +57,7 @@
 	for _, where := range []string{"10.0.0.0:80", "10.9.0.0:80"} {
 		t.Run(where, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				la, ow := newLastingLab(t, 3, 12)
+				la, ow := newLongRunningLab(t, 3, 12)
 				time.Sleep(20 * time.Second)
 				la.restart(0, 50*time.Millisecond, where)
 				ow.SetWorkers(la.listed(), nil, true)
@@ -82,7 +82,7 @@
 // process.
 func TestRestartIsNoticedBeforeItIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 3, 12)
+		la, ow := newLongRunningLab(t, 3, 12)
 		was := la.listed()
 		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
@@ -111,14 +111,14 @@
 		la := newLab(t, 2)
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			poll := ag.PollFunc
-			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-				si, err := poll(ctx, ad, lo)
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
+				res, err := poll(ctx, ad, po)
 				clock.Sleep(ctx, 50*time.Millisecond)
-				return si, err
+				return res, err
 			}
 			return ag
 		}
-		ow := la.withLasting(12)
+		ow := la.startLongRunning(12)
 		was := la.listed()[:1]
 		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		ow.SetWorkers(la.listed(), nil, true)
@@ -161,8 +161,8 @@
 		time.Sleep(time.Second)
 		la.assertRunning(42)
 		ow.post(func() {
-			ho := ow.soleIncarnation("i-0")
-			ho.handleOtherIncarnation(ho.incarnation)
+			wk := ow.soleIncarnation("i-0")
+			wk.handleOtherIncarnation(wk.incarnation)
 		})
 		time.Sleep(10 * time.Second)
 		la.assertRunning(42)
@@ -175,11 +175,11 @@
 	began := time.Now().UnixMilli()
 	return func(ag worker.Agent) worker.Agent {
 		poll := ag.PollFunc
-		ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+		ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
 			if ad.Incarnation.StartedMS > began && !clock.Sleep(ctx, d) {
 				return worker.PollResult{}, ctx.Err()
 			}
-			return poll(ctx, ad, lo)
+			return poll(ctx, ad, po)
 		}
 		return ag
 	}
@@ -283,12 +283,12 @@
 		var busy atomic.Pointer[Owner]
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			poll := ag.PollFunc
-			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-				si, err := poll(ctx, ad, lo)
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
+				res, err := poll(ctx, ad, po)
 				if ow := busy.Load(); ow != nil {
 					ow.post(func() { time.Sleep(ackWithin + 200*time.Millisecond) })
 				}
-				return si, err
+				return res, err
 			}
 			return ag
 		}
--- a/internal/sched/score.go
+++ b/internal/sched/score.go
@@ -6,22 +6,22 @@
 // share of processor time is idle. All others go where the least is left unreserved, so
 // that large tasks fit elsewhere and workers without services stay available to fillers
 // that interfere with every service.
-func (ca *candidate) score(en *entry, st *job.Step) float64 {
-	score := -share(ca.free.MilliCores, ca.ho.Capacity.MilliCores)
+func (ca *candidate) score(tj *trackedJob, st *job.Step) float64 {
+	score := -share(ca.free.MilliCores, ca.wk.Capacity.MilliCores)
 	if st.Filler {
-		sum, over := ca.disturbance(st)
-		score = share(ca.idle, ca.ho.Capacity.MilliCores) - disturbanceWeight*sum - excessWeight*over
+		sum, over := ca.interferencePenalty(st)
+		score = share(ca.idle, ca.wk.Capacity.MilliCores) - interferenceWeight*sum - excessWeight*over
 	}
-	if st.Endless && st.Image != "" {
-		score += ca.affinity(en, st.Image)
+	if st.LongRunning && st.Image != "" {
+		score += ca.affinity(tj, st.Image)
 	}
-	if st.Rack != "" && st.Rack != ca.ho.Rack {
+	if st.Rack != "" && st.Rack != ca.wk.Rack {
 		score -= otherRackPenalty
 	}
-	if en.failedOn[ca.ho.incarnation] {
+	if tj.failedOn[ca.wk.incarnation] {
 		score -= failedPenalty
 	}
-	return score - float64(ca.ho.failures)*perFailurePenalty
+	return score - float64(ca.wk.failures)*perFailurePenalty
 }
 
 // affinity rates how well an endless task matches the services on the worker. A filler must
@@ -29,23 +29,23 @@
 // services there react alike to fillers: those of one image do, and others may have been
 // observed to. Replicas of one step share their load, so that on one worker they leave
 // capacity to fillers at the same time.
-func (ca *candidate) affinity(en *entry, image string) float64 {
-	ow, all := ca.ho.ow, len(ca.ho.services)
+func (ca *candidate) affinity(tj *trackedJob, image string) float64 {
+	ow, all := ca.wk.ow, len(ca.wk.services)
 	if all == 0 {
 		return 0
 	}
 	similar, sameJob := 0.0, 0
-	for _, at := range ca.ho.services {
+	for _, at := range ca.wk.services {
 		similar += ow.imageSimilarity(image, at.step().Image)
-		if at.en == en {
+		if at.tj == tj {
 			sameJob++
 		}
 	}
 	sum := 0.0
-	if ow.uses(MechSeparateImages) {
+	if ow.enabled(MechSeparateImages) {
 		sum += imageWeight * similar / float64(all)
 	}
-	if ow.uses(MechColocateReplicas) {
+	if ow.enabled(MechColocateReplicas) {
 		sum += jobWeight * balance(sameJob, all)
 	}
 	return sum
@@ -60,7 +60,7 @@
 	switch {
 	case a == b:
 		return 1
-	case !ow.uses(MechSimilarImages):
+	case !ow.enabled(MechSimilarImages):
 		return -1
 	}
 	pa := imagePair{a, b}
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -24,22 +24,22 @@
 }
 
 // findShortage compares the step's needs with all workers that it may run on.
-func (ow *Owner) findShortage(en *entry, step int, now time.Time) shortage {
-	st := &en.jo.Spec.Steps[step]
+func (ow *Owner) findShortage(tj *trackedJob, step int, now time.Time) shortage {
+	st := &tj.jo.Spec.Steps[step]
 	sh := shortage{st: st, barred: map[string]int{}}
-	for _, ho := range ow.sortedWorkers() {
-		ca := newCandidate(ho, now)
-		if !ca.suitable(en, st) {
+	for _, wk := range ow.sortedWorkers() {
+		ca := newCandidate(wk, now)
+		if !ca.suitable(tj, st) {
 			continue
 		}
-		if why := cmp.Or(ho.unavailableReason(now), ho.stepBar(en, step)); why != "" {
+		if why := cmp.Or(wk.unavailableReason(now), wk.stepBar(tj, step)); why != "" {
 			if st.Reserved().Fits(ca.free) {
 				sh.barred[why]++
 			}
 			continue
 		}
 		if missing := shortfall(st.Reserved(), ca.free); sh.nearest == nil || missing < sh.shortfall {
-			sh.nearest, sh.shortfall = ho, missing
+			sh.nearest, sh.shortfall = wk, missing
 		}
 	}
 	return sh
@@ -55,12 +55,12 @@
 
 // stepBar returns why a worker that accepts new tasks accepts none of the step, or an empty
 // string if it does.
-func (ho *workerState) stepBar(en *entry, step int) string {
-	st := &en.jo.Spec.Steps[step]
+func (wk *workerState) stepBar(tj *trackedJob, step int) string {
+	st := &tj.jo.Spec.Steps[step]
 	switch {
-	case ho.isEarmarked() && !st.Filler && en.waitingInterrupted(step) == 0:
+	case wk.isEarmarked() && !st.Filler && tj.waitingInterrupted(step) == 0:
 		return barEarmarked
-	case st.MaxPerWorker > 0 && en.countAt(step, ho) >= st.MaxPerWorker:
+	case st.MaxPerWorker > 0 && tj.countAt(step, wk) >= st.MaxPerWorker:
 		return barSpread
 	}
 	return ""
@@ -106,9 +106,9 @@
 }
 
 // stopping returns the resources held by attempts that are being stopped.
-func (ho *workerState) stopping() worker.Resources {
+func (wk *workerState) stopping() worker.Resources {
 	var sum worker.Resources
-	for at := range ho.attempts {
+	for at := range wk.attempts {
 		if !at.haltSentAt.IsZero() {
 			sum = sum.Add(at.step().Reserved())
 		}
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -18,18 +18,18 @@
 func TestLogOfMissingCapacityNamesItsCause(t *testing.T) {
 	waitLine := `msg="lasting tasks wait"`
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 2)
-		ow := la.withLasting(2*16 - 1)
+		la, ll := loggedLab(t, 2)
+		ow := la.startLongRunning(2*16 - 1)
 		full, other := la.fleetWorkers[0], la.fleetWorkers[1]
 		if la.running()[full.Addr.Incarnation] < 16 {
 			full, other = other, full
 		}
-		ow.post(func() { ow.hosts[other.Addr.Incarnation].quarantine(time.Minute, "for a test") })
+		ow.post(func() { ow.workers[other.Addr.Incarnation].quarantine(time.Minute, "for a test") })
 		sp := longRunning(1)
 		sp.Steps[0].Each = worker.Resources{MilliCores: 1000, MemMB: 1000}
 		la.submit(ow, 2, sp)
 		time.Sleep(1500 * time.Millisecond)
-		logged := li.matching(waitLine, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
+		logged := ll.matching(waitLine, "job="+jobID(2), "for=room", "need_millicores=1000", "need_mem_mb=1000", "barred=aside:1",
 			"best="+full.Addr.Incarnation.String(), "free_millicores=0", "free_mem_mb=64000", "passing_millicores=0", "stopping_millicores=0", "attempts=16")
 		qt.Assert(t, logged, qt.HasLen, 1)
 	})
@@ -39,22 +39,22 @@
 // of its step, and then has its capacity earmarked: the log lines name these reasons.
 func TestLogNamesSpreadAndEarmarkedWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 1)
-		ow := la.withLasting(15)
+		la, ll := loggedLab(t, 1)
+		ow := la.startLongRunning(15)
 		spread := longRunning(2)
 		spread.Steps[0].Each = worker.Resources{MilliCores: 500, MemMB: 500}
 		spread.Steps[0].MaxPerWorker = 1
 		la.submit(ow, 2, spread)
 		time.Sleep(1500 * time.Millisecond)
 		waitLine := `msg="lasting tasks wait"`
-		qt.Assert(t, li.matching(waitLine, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
+		qt.Assert(t, ll.matching(waitLine, "job="+jobID(2), "for=room", "barred=apart:1"), qt.HasLen, 1)
 		ow.post(func() {
-			ow.soleIncarnation("i-0").reservedInRound = ow.rounds
-			ow.entries[jobID(2)].timeBreakdown.nextWaitLog = 0
+			ow.soleIncarnation("i-0").earmarkedInRound = ow.placementRounds
+			ow.jobs[jobID(2)].timeBreakdown.nextWaitLog = 0
 			ow.accountTime(time.Now())
 		})
 		synctest.Wait()
-		qt.Assert(t, li.matching(waitLine, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
+		qt.Assert(t, ll.matching(waitLine, "job="+jobID(2), "for=room", "barred=kept:1"), qt.HasLen, 1)
 	})
 }
 
@@ -62,11 +62,11 @@
 // how many wait, and what capacity there is in total.
 func TestEndlessDemandIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 1)
-		ow := la.withLasting(16)
+		la, ll := loggedLab(t, 1)
+		ow := la.startLongRunning(16)
 		la.submit(ow, 2, longRunning(4))
 		time.Sleep(3500 * time.Millisecond)
-		logged := li.matching(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
+		logged := ll.matching(`msg="room for lasting tasks"`, "jobs=1", "tasks=4", "again=0", "need_millicores=8000", "workers=1", "kept=0", "free_millicores=0", "most_millicores=0", "passing_millicores=0")
 		qt.Assert(t, logged, qt.HasLen, 3)
 	})
 }
@@ -75,7 +75,7 @@
 // lines name the backoff between its starts as the cause, not a lack of capacity.
 func TestBackoffIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 1)
+		la, ll := loggedLab(t, 1)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
 		ow, end := la.startOwner()
 		defer end()
@@ -83,9 +83,9 @@
 		la.submit(ow, 1, longRunning(1))
 		time.Sleep(20 * time.Second)
 		waitLine := `msg="lasting tasks wait"`
-		qt.Assert(t, len(li.matching(waitLine, "for=rest")) > 0, qt.IsTrue)
-		qt.Assert(t, li.matching(waitLine, "for=room"), qt.HasLen, 0)
-		qt.Assert(t, li.matching(waitLine, "for=order"), qt.HasLen, 0)
+		qt.Assert(t, len(ll.matching(waitLine, "for=rest")) > 0, qt.IsTrue)
+		qt.Assert(t, ll.matching(waitLine, "for=room"), qt.HasLen, 0)
+		qt.Assert(t, ll.matching(waitLine, "for=order"), qt.HasLen, 0)
 	})
 }
 
@@ -94,13 +94,13 @@
 // before.
 func TestFullLaunchWindowIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 1)
-		ow := la.withLasting(16)
+		la, ll := loggedLab(t, 1)
+		ow := la.startLongRunning(16)
 		la.submit(ow, 2, longRunning(1))
 		time.Sleep(500 * time.Millisecond)
 		ow.post(func() { ow.window.inFlight = ow.window.limit(); ow.place() })
 		time.Sleep(time.Second)
 		waitLine := `msg="lasting tasks wait"`
-		qt.Assert(t, li.matching(waitLine, "job="+jobID(2), "for=order"), qt.HasLen, 1)
+		qt.Assert(t, ll.matching(waitLine, "job="+jobID(2), "for=order"), qt.HasLen, 1)
 	})
 }
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -44,11 +44,11 @@
 
 // stalled reports whether an attempt has made no progress for too long.
 func (at *attempt) stalled(now time.Time) bool {
-	if at.step().Endless || !at.ho.ow.uses(MechStall) || at.pollsWithoutProgress < stalledPolls || !at.haltSentAt.IsZero() {
+	if at.step().LongRunning || !at.wk.ow.enabled(MechStall) || at.pollsWithoutProgress < stalledPolls || !at.haltSentAt.IsZero() {
 		return false
 	}
 	part := time.Duration(stalledPart * float64(at.step().EstimateMS) * float64(time.Millisecond))
-	limit := (stalledAfter + part) << min(at.en.stallCounts[at.ref], stalledDoublings)
+	limit := (stalledAfter + part) << min(at.tj.stallCounts[at.ref], stalledDoublings)
 	return now.Sub(at.progressedAt) > max(limit, stalledPercents*at.timePerPercent())
 }
 
@@ -64,12 +64,12 @@
 
 // stopStalled stops a stalled attempt, so that its task is retried elsewhere, and
 // quarantines the worker.
-func (ho *workerState) stopStalled(at *attempt, now time.Time) {
-	if at.en.stallCounts == nil {
-		at.en.stallCounts = map[job.TaskRef]int{}
+func (wk *workerState) stopStalled(at *attempt, now time.Time) {
+	if at.tj.stallCounts == nil {
+		at.tj.stallCounts = map[job.TaskRef]int{}
 	}
-	at.en.stallCounts[at.ref]++
-	ho.ow.Metrics.Add(telemetry.Stalls, 1)
-	ho.quarantine(quarantineStalled, "attempts stand still")
-	ho.ow.halt(at, "no progress for "+now.Sub(at.progressedAt).Round(time.Millisecond).String())
+	at.tj.stallCounts[at.ref]++
+	wk.ow.Metrics.Add(telemetry.Stalls, 1)
+	wk.quarantine(quarantineStalled, "attempts stand still")
+	wk.ow.halt(at, "no progress for "+now.Sub(at.progressedAt).Round(time.Millisecond).String())
 }
