--- a/internal/sched/stall_test.go
+++ b/internal/sched/stall_test.go
@@ -91,14 +91,14 @@
 // that without a growing limit it was stopped and restarted without end.
 func TestTaskFarOverEstimateEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 3)
+		la, ll := loggedLab(t, 3)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 300 * time.Second, "done" }
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
 		time.Sleep(320 * time.Second)
-		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded, qt.Commentf("%s", li.matching(jobID(1))))
+		qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded, qt.Commentf("%s", ll.matching(jobID(1))))
 		qt.Check(t, len(la.fleet.Runs()) <= 4, qt.IsTrue, qt.Commentf("%d runs", len(la.fleet.Runs())))
 	})
 }
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -29,7 +29,7 @@
 			}
 			return ag
 		}
-		ow := la.withLasting(31)
+		ow := la.startLongRunning(31)
 		leaving, n := la.busiest()
 		qt.Assert(t, n, qt.Equals, 16)
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
@@ -57,7 +57,7 @@
 			}
 			return ag
 		}
-		ow := la.withLasting(8)
+		ow := la.startLongRunning(8)
 		leaving, n := la.busiest()
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(10 * time.Second)
@@ -73,7 +73,7 @@
 func TestCapacityIsReservedForStoppedTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		ow := la.withLasting(31)
+		ow := la.startLongRunning(31)
 		leaving, _ := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 		unplaceable := batch(1, 1)
@@ -107,10 +107,10 @@
 			}
 			return ag
 		}
-		ow := la.withLasting(1)
+		ow := la.startLongRunning(1)
 		ow.post(func() {
-			for _, ho := range ow.hosts {
-				for at := range ho.attempts {
+			for _, wk := range ow.workers {
+				for at := range wk.attempts {
 					ow.halt(at, "held for the sake of a service, and another worker has room")
 				}
 			}
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -51,7 +51,7 @@
 // stuckJob holds the stuck tasks of one job, counted by obstacle, and the longest wait
 // among them.
 type stuckJob struct {
-	en     *entry
+	tj     *trackedJob
 	counts map[obstacle]int
 	wait   time.Duration
 }
@@ -65,14 +65,14 @@
 	ow.stuckCheckedAt = now
 	var list []stuckJob
 	counts := map[bool]map[obstacle]int{true: {}, false: {}}
-	for _, en := range ow.entries {
-		sj := en.stuck(now)
+	for _, tj := range ow.jobs {
+		sj := tj.stuck(now)
 		if len(sj.counts) == 0 {
 			continue
 		}
 		list = append(list, sj)
 		for ob, n := range sj.counts {
-			counts[en.jo.Endless()][ob] += n
+			counts[tj.jo.LongRunning()][ob] += n
 		}
 	}
 	held, reserved, barred := ow.capacity(now)
@@ -106,28 +106,28 @@
 // why they accept none.
 func (ow *Owner) capacity(now time.Time) (held, reserved int64, barred map[string]int) {
 	barred = map[string]int{}
-	for _, ho := range ow.hosts {
-		if why := ho.unavailableReason(now); why != "" {
+	for _, wk := range ow.workers {
+		if why := wk.unavailableReason(now); why != "" {
 			barred[why]++
 			continue
 		}
-		held += ho.Capacity.MilliCores
-		reserved += ho.reserved.MilliCores
+		held += wk.Capacity.MilliCores
+		reserved += wk.reserved.MilliCores
 	}
 	return held, reserved, barred
 }
 
 // stuck returns the job's stuck tasks.
-func (en *entry) stuck(now time.Time) stuckJob {
-	sj := stuckJob{en: en, counts: map[obstacle]int{}}
-	if !en.endedAt.IsZero() {
+func (tj *trackedJob) stuck(now time.Time) stuckJob {
+	sj := stuckJob{tj: tj, counts: map[obstacle]int{}}
+	if !tj.endedAt.IsZero() {
 		return sj
 	}
-	if wait := now.Sub(en.waitingSince); en.waitingTasks > 0 && wait >= stuckAfter {
+	if wait := now.Sub(tj.waitingSince); tj.waitingTasks > 0 && wait >= stuckAfter {
 		sj.wait = wait
-		en.countObstacles(sj.counts, now)
+		tj.countObstacles(sj.counts, now)
 	}
-	for _, at := range en.attempts {
+	for _, at := range tj.attempts {
 		ob, since := at.obstacle()
 		if wait := now.Sub(since); ob != "" && wait >= stuckAfter {
 			sj.wait = max(sj.wait, wait)
@@ -138,10 +138,10 @@
 }
 
 // countObstacles counts the job's waiting tasks by obstacle.
-func (en *entry) countObstacles(counts map[obstacle]int, now time.Time) {
-	cause := obstacle(en.currentCause(en.ow.storeDown()).String())
-	for step, tasks := range en.jo.Tasks {
-		if !en.jo.Ready(step) {
+func (tj *trackedJob) countObstacles(counts map[obstacle]int, now time.Time) {
+	cause := obstacle(tj.currentCause(tj.ow.storeDown()).String())
+	for step, tasks := range tj.jo.Tasks {
+		if !tj.jo.Ready(step) {
 			continue
 		}
 		for index := range tasks {
@@ -149,7 +149,7 @@
 				continue
 			}
 			switch {
-			case en.backoffs.active(job.TaskRef{Step: step, Index: index}, now):
+			case tj.backoffs.active(job.TaskRef{Step: step, Index: index}, now):
 				counts[obstacleBackoff]++
 			case tasks[index].Suspect():
 				counts[obstacleIsolation]++
@@ -164,10 +164,10 @@
 // when; an empty string if nothing suggests it.
 func (at *attempt) obstacle() (obstacle, time.Time) {
 	switch {
-	case !at.ho.failingSince.IsZero():
-		return obstacleUnresponsive, at.ho.failingSince
-	case !at.ho.settled:
-		return obstacleUnresponsive, at.ho.firstSeen
+	case !at.wk.failingSince.IsZero():
+		return obstacleUnresponsive, at.wk.failingSince
+	case !at.wk.settled:
+		return obstacleUnresponsive, at.wk.firstSeen
 	case !at.haltSentAt.IsZero():
 		return obstacleStopping, at.haltSentAt
 	}
@@ -177,11 +177,11 @@
 // formatLongest formats the jobs with the longest waits.
 func formatLongest(list []stuckJob) string {
 	slices.SortFunc(list, func(a, b stuckJob) int {
-		return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(a.en.jo.ID, b.en.jo.ID))
+		return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(a.tj.jo.ID, b.tj.jo.ID))
 	})
 	var named []string
 	for _, sj := range list[:min(len(list), stuckJobsLogged)] {
-		named = append(named, fmt.Sprintf("%s %s %.1fs", sj.en.jo.ID, formatCounts(sj.counts), sj.wait.Seconds()))
+		named = append(named, fmt.Sprintf("%s %s %.1fs", sj.tj.jo.ID, formatCounts(sj.counts), sj.wait.Seconds()))
 	}
 	return strings.Join(named, "; ")
 }
--- a/internal/sched/stuck_test.go
+++ b/internal/sched/stuck_test.go
@@ -15,7 +15,7 @@
 
 func TestStuckTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 2)
+		la, ll := loggedLab(t, 2)
 		me, handler, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
@@ -32,12 +32,12 @@
 		la.submit(ow, 1, longRunning(40))
 		time.Sleep(4 * time.Second)
 		assertGauge("lasting", obstacleCapacity, 0)
-		qt.Check(t, li.matching(`msg="tasks are stuck"`), qt.HasLen, 0)
+		qt.Check(t, ll.matching(`msg="tasks are stuck"`), qt.HasLen, 0)
 		time.Sleep(3 * time.Second)
 		waiting := 40 - len(la.fleet.Runs())
 		qt.Assert(t, waiting > 0, qt.IsTrue)
 		assertGauge("lasting", obstacleCapacity, waiting)
-		qt.Check(t, len(li.matching(`msg="tasks are stuck"`, fmt.Sprintf("lasting=room:%d", waiting), "reserved_share=", "longest=")) > 0, qt.IsTrue)
+		qt.Check(t, len(ll.matching(`msg="tasks are stuck"`, fmt.Sprintf("lasting=room:%d", waiting), "reserved_share=", "longest=")) > 0, qt.IsTrue)
 		end()
 		time.Sleep(time.Second)
 		assertGauge("lasting", obstacleCapacity, 0)
@@ -47,7 +47,7 @@
 func TestObstacleOfAttempts(t *testing.T) {
 	long := time.Now().Add(-time.Minute)
 	for _, tc := range []struct {
-		ho     *workerState
+		wk     *workerState
 		halted time.Time
 		want   obstacle
 	}{
@@ -56,7 +56,7 @@
 		{&workerState{settled: true, failingSince: long}, long, obstacleUnresponsive},
 		{&workerState{firstSeen: long}, time.Time{}, obstacleUnresponsive},
 	} {
-		at := &attempt{ho: tc.ho, haltSentAt: tc.halted}
+		at := &attempt{wk: tc.wk, haltSentAt: tc.halted}
 		ob, since := at.obstacle()
 		qt.Check(t, ob, qt.Equals, tc.want)
 		qt.Check(t, ob == "" || since.Equal(long), qt.IsTrue)
--- a/internal/sched/successiveowners_test.go
+++ b/internal/sched/successiveowners_test.go
@@ -14,31 +14,31 @@
 
 // withThreeHosts runs test on a cell whose first host owns it and runs long-running tasks on
 // two workers. The second and third host take over in this order.
-func withThreeHosts(t *testing.T, test func(cr *cluster, first, second, third *clusterHost)) {
+func withThreeHosts(t *testing.T, test func(cl *cluster, first, second, third *clusterHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		cr := &cluster{lab: newLab(t, 2)}
-		defer cr.stop()
-		cr.fleet.RunFunc = runUntilStopped
-		first := cr.join("a", 0.8)
+		cl := &cluster{lab: newLab(t, 2)}
+		defer cl.stop()
+		cl.fleet.RunFunc = runUntilStopped
+		first := cl.join("a", 0.8)
 		time.Sleep(time.Second)
-		second, third := cr.join("b", 0.8), cr.join("c", 0.5)
+		second, third := cl.join("b", 0.8), cl.join("c", 0.5)
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cl.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(time.Second)
-		cr.assertRunning(4)
-		test(cr, first, second, third)
+		cl.assertRunning(4)
+		test(cl, first, second, third)
 	})
 }
 
 // busyWorker returns a worker that runs a task.
-func (cr *cluster) busyWorker() *standin.FleetWorker {
-	for _, fw := range cr.fleetWorkers {
-		if cr.running()[fw.Addr.Incarnation] > 0 {
+func (cl *cluster) busyWorker() *standin.FleetWorker {
+	for _, fw := range cl.fleetWorkers {
+		if cl.running()[fw.Addr.Incarnation] > 0 {
 			return fw
 		}
 	}
-	cr.t.Fatal("no worker runs anything")
+	cl.t.Fatal("no worker runs anything")
 	return nil
 }
 
@@ -48,14 +48,14 @@
 // one's host when that owner ceased to act. It must not compute lease expiries from then,
 // because the first may still extend leases.
 func TestThirdOwnerWaitsForTheFirst(t *testing.T) {
-	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
-		cr.partitionWith(first, cr.busyWorker())
-		cr.awaitOwner(second)
+	withThreeHosts(t, func(cl *cluster, first, second, third *clusterHost) {
+		cl.partitionWith(first, cl.busyWorker())
+		cl.awaitOwner(second)
 		time.Sleep(300 * time.Millisecond)
 		second.kill()
-		cr.awaitOwner(third)
+		cl.awaitOwner(third)
 		time.Sleep(20 * time.Second)
-		cr.assertRunning(4)
+		cl.assertRunning(4)
 	})
 }
 
@@ -63,15 +63,15 @@
 // the cell before it has read it, as at a planned stop while the store is slow. The third one
 // must not take a released cell for one whose former owners have all ceased to act.
 func TestCellReleasedBeforeLoad(t *testing.T) {
-	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
+	withThreeHosts(t, func(cl *cluster, first, second, third *clusterHost) {
 		second.set(func(co *clusterHost) { co.readsBlocked = true })
-		cr.partitionWith(first, cr.busyWorker())
-		cr.awaitOwner(second)
+		cl.partitionWith(first, cl.busyWorker())
+		cl.awaitOwner(second)
 		time.Sleep(300 * time.Millisecond)
 		second.keeper.Release(tenure.HeartbeatTimeout)
-		cr.awaitOwner(third)
+		cl.awaitOwner(third)
 		time.Sleep(20 * time.Second)
-		cr.assertRunning(4)
+		cl.assertRunning(4)
 	})
 }
 
@@ -83,50 +83,50 @@
 	for _, tc := range []struct {
 		name string
 		// lose loses the owners, the last of them together with a busy worker.
-		lose    func(cr *cluster, first, second *clusterHost)
+		lose    func(cl *cluster, first, second *clusterHost)
 		maxTime time.Duration
 	}{
-		{"its host answers", func(cr *cluster, first, _ *clusterHost) { cr.killWorkerAndOwner(first) }, 8600 * time.Millisecond},
-		{"its host never answers", func(cr *cluster, first, _ *clusterHost) {
+		{"its host answers", func(cl *cluster, first, _ *clusterHost) { cl.killWorkerAndOwner(first) }, 8600 * time.Millisecond},
+		{"its host never answers", func(cl *cluster, first, _ *clusterHost) {
 			first.set(func(co *clusterHost) { co.partitioned = true })
-			cr.killWorkerAndOwner(first)
+			cl.killWorkerAndOwner(first)
 		}, 16200 * time.Millisecond},
-		{"all hosts lose power", func(cr *cluster, first, _ *clusterHost) {
-			for _, co := range cr.hosts {
+		{"all hosts lose power", func(cl *cluster, first, _ *clusterHost) {
+			for _, co := range cl.hosts {
 				co.kill()
 			}
-			cr.killWorkerAndOwner(first)
+			cl.killWorkerAndOwner(first)
 			time.Sleep(500 * time.Millisecond)
-			cr.join("b", 0.8)
-			cr.join("c", 0.5)
+			cl.join("b", 0.8)
+			cl.join("c", 0.5)
 		}, 9 * time.Second},
-		{"the former owner had stopped a second before", func(cr *cluster, first, second *clusterHost) {
+		{"the former owner had stopped a second before", func(cl *cluster, first, second *clusterHost) {
 			first.keeper.Release(tenure.HeartbeatTimeout)
-			cr.awaitOwner(second)
+			cl.awaitOwner(second)
 			time.Sleep(time.Second)
-			cr.killWorkerAndOwner(second)
+			cl.killWorkerAndOwner(second)
 		}, 8600 * time.Millisecond},
-		{"the former owner was lost a second before, and its host answers", func(cr *cluster, first, second *clusterHost) {
+		{"the former owner was lost a second before, and its host answers", func(cl *cluster, first, second *clusterHost) {
 			first.kill()
-			cr.awaitOwner(second)
+			cl.awaitOwner(second)
 			time.Sleep(time.Second)
-			cr.killWorkerAndOwner(second)
+			cl.killWorkerAndOwner(second)
 		}, 8600 * time.Millisecond},
-		{"the next owner stops before a heartbeat says that its host answered", func(cr *cluster, first, second *clusterHost) {
-			cr.killWorkerAndOwner(first)
-			cr.awaitOwner(second)
+		{"the next owner stops before a heartbeat says that its host answered", func(cl *cluster, first, second *clusterHost) {
+			cl.killWorkerAndOwner(first)
+			cl.awaitOwner(second)
 			time.Sleep(50 * time.Millisecond)
 			second.keeper.Release(tenure.HeartbeatTimeout)
 		}, 8600 * time.Millisecond},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			withThreeHosts(t, func(cr *cluster, first, second, _ *clusterHost) {
-				tc.lose(cr, first, second)
-				lost := cr.lostAt
+			withThreeHosts(t, func(cl *cluster, first, second, _ *clusterHost) {
+				tc.lose(cl, first, second)
+				lost := cl.lostAt
 				time.Sleep(20 * time.Second)
-				cr.assertRunning(4)
+				cl.assertRunning(4)
 				began := time.Time{}
-				for _, ru := range cr.fleet.Runs() {
+				for _, ru := range cl.fleet.Runs() {
 					if ru.Until.IsZero() && ru.From.After(began) {
 						began = ru.From
 					}
@@ -139,10 +139,10 @@
 }
 
 // killWorkerAndOwner kills a busy worker and then its owner.
-func (cr *cluster) killWorkerAndOwner(co *clusterHost) {
-	cr.fleet.Kill(cr.busyWorker())
+func (cl *cluster) killWorkerAndOwner(co *clusterHost) {
+	cl.fleet.Kill(cl.busyWorker())
 	co.kill()
-	cr.lostAt = time.Now()
+	cl.lostAt = time.Now()
 }
 
 // TestOwnerThatLoadsNothingPassesOnLeaseExpiries guards against tasks of a lost worker that
@@ -150,19 +150,19 @@
 // stops before it has read the cell. If it does not hand over what it received, the third one
 // waits from the beginning.
 func TestOwnerThatLoadsNothingPassesOnLeaseExpiries(t *testing.T) {
-	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
+	withThreeHosts(t, func(cl *cluster, first, second, third *clusterHost) {
 		second.set(func(co *clusterHost) { co.readsBlocked = true })
-		cr.fleet.Kill(cr.busyWorker())
+		cl.fleet.Kill(cl.busyWorker())
 		lost := time.Now()
 		time.Sleep(3 * time.Second)
 		first.keeper.Release(tenure.HeartbeatTimeout)
-		cr.awaitOwner(second)
+		cl.awaitOwner(second)
 		time.Sleep(500 * time.Millisecond)
 		second.keeper.Release(tenure.HeartbeatTimeout)
-		cr.awaitOwner(third)
+		cl.awaitOwner(third)
 		// The lease by the slowest clock, the margins, and a second to notice and start.
 		time.Sleep(time.Until(lost.Add(8 * time.Second)))
-		cr.assertRunning(4)
+		cl.assertRunning(4)
 	})
 }
 
@@ -171,12 +171,12 @@
 // connection again. That it has granted no lease itself does not mean that the worker's
 // leases have expired: one that the former owner granted may still run.
 func TestWorkerPolledWithoutExtendingLease(t *testing.T) {
-	withThreeHosts(t, func(cr *cluster, first, second, third *clusterHost) {
+	withThreeHosts(t, func(cl *cluster, first, second, third *clusterHost) {
 		down := standin.Fault{Mode: standin.ModeDown}
 		third.gate.Set(down)
-		fw := cr.busyWorker()
-		cr.partitionWith(first, fw)
-		cr.awaitOwner(second)
+		fw := cl.busyWorker()
+		cl.partitionWith(first, fw)
+		cl.awaitOwner(second)
 		time.Sleep(50 * time.Millisecond)
 		second.gate.Set(down)
 		time.Sleep(tenure.ExtendFor)
@@ -184,7 +184,7 @@
 		time.Sleep(pollRetry + unresponsiveAfter)
 		second.gate.Set(standin.Fault{})
 		time.Sleep(10 * time.Second)
-		cr.assertRunning(4)
+		cl.assertRunning(4)
 	})
 }
 
@@ -194,21 +194,21 @@
 // first one resumes and learns that it was replaced. The leases must not be counted from that
 // moment, because the first owner has extended none since it froze.
 func TestResumedOwnerReportsItsLastLease(t *testing.T) {
-	withThreeHosts(t, func(cr *cluster, first, second, _ *clusterHost) {
-		fw := cr.busyWorker()
+	withThreeHosts(t, func(cl *cluster, first, second, _ *clusterHost) {
+		fw := cl.busyWorker()
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
 		first.set(func(co *clusterHost) {
 			co.partitioned = true
-			for _, fw := range cr.fleetWorkers {
+			for _, fw := range cl.fleetWorkers {
 				co.unreachable[fw.Addr.Incarnation] = true
 			}
 		})
-		cr.fleet.Kill(fw)
-		cr.awaitOwner(second)
+		cl.fleet.Kill(fw)
+		cl.awaitOwner(second)
 		time.Sleep(8 * time.Second)
 		first.set(func(co *clusterHost) { co.partitioned = false })
 		time.Sleep(1500 * time.Millisecond)
-		cr.assertRunning(4)
+		cl.assertRunning(4)
 	})
 }
 
@@ -218,9 +218,9 @@
 const maxRestartTime = 8600 * time.Millisecond
 
 // killWorkerThenOwner kills a busy worker, and some time later its owner's host for good.
-func (cr *cluster) killWorkerThenOwner(co *clusterHost, later time.Duration) {
-	cr.fleet.Kill(cr.busyWorker())
-	cr.lostAt = time.Now()
+func (cl *cluster) killWorkerThenOwner(co *clusterHost, later time.Duration) {
+	cl.fleet.Kill(cl.busyWorker())
+	cl.lostAt = time.Now()
 	time.Sleep(later)
 	co.set(func(co *clusterHost) { co.partitioned = true })
 	co.kill()
@@ -236,10 +236,10 @@
 func TestLastingTasksRestartAfterWorkerLostBeforeUnreachableOwner(t *testing.T) {
 	for _, later := range []time.Duration{2500 * time.Millisecond, 3 * time.Second, 4 * time.Second} {
 		t.Run(later.String(), func(t *testing.T) {
-			withThreeHosts(t, func(cr *cluster, first, _, _ *clusterHost) {
-				cr.killWorkerThenOwner(first, later)
-				time.Sleep(time.Until(cr.lostAt.Add(later + maxRestartTime)))
-				cr.assertRunning(4)
+			withThreeHosts(t, func(cl *cluster, first, _, _ *clusterHost) {
+				cl.killWorkerThenOwner(first, later)
+				time.Sleep(time.Until(cl.lostAt.Add(later + maxRestartTime)))
+				cl.assertRunning(4)
 			})
 		})
 	}
@@ -253,37 +253,37 @@
 	const step = 50 * time.Millisecond
 	for _, lose := range []struct {
 		name string
-		fn   func(cr *cluster, first *clusterHost, fw *standin.FleetWorker)
+		fn   func(cl *cluster, first *clusterHost, fw *standin.FleetWorker)
 	}{
 		{"the owner's host is lost", func(_ *cluster, first *clusterHost, _ *standin.FleetWorker) {
 			first.set(func(co *clusterHost) { co.partitioned = true })
 			first.kill()
 		}},
-		{"the owner is cut off with the worker", func(cr *cluster, first *clusterHost, fw *standin.FleetWorker) { cr.partitionWith(first, fw) }},
-		{"the store answers the owner late, then not at all", func(cr *cluster, first *clusterHost, fw *standin.FleetWorker) {
+		{"the owner is cut off with the worker", func(cl *cluster, first *clusterHost, fw *standin.FleetWorker) { cl.partitionWith(first, fw) }},
+		{"the store answers the owner late, then not at all", func(cl *cluster, first *clusterHost, fw *standin.FleetWorker) {
 			first.gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 			time.Sleep(600 * time.Millisecond)
-			cr.partitionWith(first, fw)
+			cl.partitionWith(first, fw)
 		}},
 	} {
 		t.Run(lose.name, func(t *testing.T) {
 			for around := -500 * time.Millisecond; around <= time.Second; around += step {
-				withThreeHosts(t, func(cr *cluster, first, _, _ *clusterHost) {
-					fw := cr.busyWorker()
+				withThreeHosts(t, func(cl *cluster, first, _, _ *clusterHost) {
+					fw := cl.busyWorker()
 					first.set(func(co *clusterHost) { co.unreachable[fw.Addr.Incarnation] = true })
 					time.Sleep(3*time.Second + min(around, 0))
 					if around < 0 {
-						lose.fn(cr, first, fw)
+						lose.fn(cl, first, fw)
 						time.Sleep(-around)
 					}
 					first.set(func(co *clusterHost) { delete(co.unreachable, fw.Addr.Incarnation) })
 					if around >= 0 {
 						time.Sleep(around)
-						lose.fn(cr, first, fw)
+						lose.fn(cl, first, fw)
 					}
 					time.Sleep(25 * time.Second)
-					cr.assertRunsConsistent()
-					cr.assertRunning(4)
+					cl.assertRunsConsistent()
+					cl.assertRunning(4)
 				})
 			}
 		})
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -32,56 +32,56 @@
 // trial is a suspect task that runs isolated on a worker, or waits there until the other
 // attempts are past their startup.
 type trial struct {
-	en  *entry
+	tj  *trackedJob
 	ref job.TaskRef
 	// at is nil until the task starts. since is when the worker was chosen.
 	at    *attempt
 	since time.Time
 }
 
-func (at *attempt) task() *job.Task { return at.en.jo.Task(at.ref) }
+func (at *attempt) task() *job.Task { return at.tj.jo.Task(at.ref) }
 
 // starting reports whether the attempt may still be in its startup. If the worker had crashed
 // since, its polls would fail.
 func (at *attempt) starting(now time.Time) bool {
-	if !at.ho.failingSince.IsZero() {
+	if !at.wk.failingSince.IsZero() {
 		return true
 	}
 	return at.inheritedRunTime < startupDuration && (at.launchedAt.IsZero() || now.Sub(at.launchedAt) < startupDuration)
 }
 
 // endTrial allows other attempts to start again on the worker after the isolated one.
-func (ho *workerState) endTrial(at *attempt) {
-	if ho.trial != nil && ho.trial.at == at {
-		ho.trial = nil
-		ho.ow.placementDue = true
+func (wk *workerState) endTrial(at *attempt) {
+	if wk.trial != nil && wk.trial.at == at {
+		wk.trial = nil
+		wk.ow.placementDue = true
 	}
 }
 
 // tickTrial ends a trial whose attempt is past its startup, or that will not start.
-func (ho *workerState) tickTrial(now time.Time) {
-	tr := ho.trial
+func (wk *workerState) tickTrial(now time.Time) {
+	tr := wk.trial
 	switch {
 	case tr == nil:
 		return
-	case tr.at != nil && tr.at.starting(now), tr.at == nil && tr.pending(ho, now):
+	case tr.at != nil && tr.at.starting(now), tr.at == nil && tr.pending(wk, now):
 		return
 	}
-	ho.trial = nil
-	ho.ow.placementDue = true
+	wk.trial = nil
+	wk.ow.placementDue = true
 }
 
 // pending reports whether a trial that has not started still can.
-func (tr *trial) pending(ho *workerState, now time.Time) bool {
-	waiting := tr.en.jo.Task(tr.ref).State == job.Waiting && tr.en.jo.Ready(tr.ref.Step)
-	return waiting && ho.available(now) && now.Sub(tr.since) < 2*maxTrialWait
+func (tr *trial) pending(wk *workerState, now time.Time) bool {
+	waiting := tr.tj.jo.Task(tr.ref).State == job.Waiting && tr.tj.jo.Ready(tr.ref.Step)
+	return waiting && wk.available(now) && now.Sub(tr.since) < 2*maxTrialWait
 }
 
 // trialWorker returns the worker that was chosen for the trial of a task, or nil.
-func (ow *Owner) trialWorker(en *entry, ref job.TaskRef) *workerState {
-	for _, ho := range ow.hosts {
-		if ho.trial != nil && ho.trial.en == en && ho.trial.ref == ref {
-			return ho
+func (ow *Owner) trialWorker(tj *trackedJob, ref job.TaskRef) *workerState {
+	for _, wk := range ow.workers {
+		if wk.trial != nil && wk.trial.tj == tj && wk.trial.ref == ref {
+			return wk
 		}
 	}
 	return nil
@@ -90,9 +90,9 @@
 // trialUnresolved reports whether a worker on which a task of the job runs isolated does not
 // answer. Where several tasks of a job crash their workers, the first of them ends the job if
 // the others wait for its outcome.
-func (en *entry) trialUnresolved(now time.Time) bool {
-	for _, at := range en.attempts {
-		if at.task().Isolated() && !at.ho.failingSince.IsZero() && now.Sub(at.ho.failingSince) < trialCrashWait {
+func (tj *trackedJob) trialUnresolved(now time.Time) bool {
+	for _, at := range tj.attempts {
+		if at.task().Isolated() && !at.wk.failingSince.IsZero() && now.Sub(at.wk.failingSince) < trialCrashWait {
 			return true
 		}
 	}
@@ -100,81 +100,81 @@
 }
 
 // placeSuspect starts a suspect task on the worker where another crash would cost least.
-func (pl *placer) placeSuspect(en *entry, ref job.TaskRef) {
-	if en.jo.Task(ref).Isolated() {
-		pl.placeIsolated(en, ref)
+func (pl *placer) placeSuspect(tj *trackedJob, ref job.TaskRef) {
+	if tj.jo.Task(ref).Isolated() {
+		pl.placeIsolated(tj, ref)
 		return
 	}
-	if ca := pl.leastOccupied(en, ref); ca != nil {
-		pl.startSuspect(en, ref, ca, "apart")
+	if ca := pl.leastOccupied(tj, ref); ca != nil {
+		pl.startSuspect(tj, ref, ca, "apart")
 		return
 	}
-	en.waitCause = CauseRoom
-	pl.earmark(en, ref)
+	tj.waitCause = CauseRoom
+	pl.earmark(tj, ref)
 }
 
 // placeIsolated starts a task isolated once no other trial of its job is unresolved and its
 // worker is ready.
-func (pl *placer) placeIsolated(en *entry, ref job.TaskRef) {
-	en.waitCause = CausePlace
-	if en.trialUnresolved(pl.now) {
+func (pl *placer) placeIsolated(tj *trackedJob, ref job.TaskRef) {
+	tj.waitCause = CausePlace
+	if tj.trialUnresolved(pl.now) {
 		return
 	}
-	ho := pl.ow.trialWorker(en, ref)
-	if ho == nil {
-		ho = pl.chooseTrialWorker(en, ref)
+	wk := pl.ow.trialWorker(tj, ref)
+	if wk == nil {
+		wk = pl.chooseTrialWorker(tj, ref)
 	}
-	if ho == nil || !ho.available(pl.now) {
+	if wk == nil || !wk.available(pl.now) {
 		return
 	}
-	ca := newCandidate(ho, pl.now)
-	if !ca.fits(en, ref, &en.jo.Spec.Steps[ref.Step]) {
+	ca := newCandidate(wk, pl.now)
+	if !ca.fits(tj, ref, &tj.jo.Spec.Steps[ref.Step]) {
 		return
 	}
-	if ho.occupancy(pl.now).starting == 0 || pl.now.Sub(ho.trial.since) > maxTrialWait {
-		pl.startSuspect(en, ref, ca, "alone")
+	if wk.occupancy(pl.now).starting == 0 || pl.now.Sub(wk.trial.since) > maxTrialWait {
+		pl.startSuspect(tj, ref, ca, "alone")
 	}
 }
 
 // chooseTrialWorker chooses a worker for the trial of a task. It returns nil if the last
 // choice for the job was too recent, or no worker has the capacity.
-func (pl *placer) chooseTrialWorker(en *entry, ref job.TaskRef) *workerState {
-	if pl.now.Sub(en.isolatedTrialAt) < trialInterval {
+func (pl *placer) chooseTrialWorker(tj *trackedJob, ref job.TaskRef) *workerState {
+	if pl.now.Sub(tj.isolatedTrialAt) < trialInterval {
 		return nil
 	}
-	ca := pl.leastOccupied(en, ref)
+	ca := pl.leastOccupied(tj, ref)
 	if ca == nil {
-		en.waitCause = CauseRoom
-		pl.earmark(en, ref)
+		tj.waitCause = CauseRoom
+		pl.earmark(tj, ref)
 		return nil
 	}
-	en.isolatedTrialAt, ca.isolated = pl.now, true
-	ca.ho.trial = &trial{en: en, ref: ref, since: pl.now}
-	return ca.ho
+	tj.isolatedTrialAt, ca.isolated = pl.now, true
+	ca.wk.trial = &trial{tj: tj, ref: ref, since: pl.now}
+	return ca.wk
 }
 
 // startSuspect starts a suspect task and logs the conditions.
-func (pl *placer) startSuspect(en *entry, ref job.TaskRef, ca *candidate, how string) {
-	oc := ca.ho.occupancy(pl.now)
+func (pl *placer) startSuspect(tj *trackedJob, ref job.TaskRef, ca *candidate, how string) {
+	oc := ca.wk.occupancy(pl.now)
 	pl.ow.Metrics.Add(telemetry.SuspectStarts, 1, "how", how)
-	pl.ow.Log.Info("trying a task under which workers ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "worker", ca.ho.incarnation,
-		"crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses, "how", how, "beside", oc.attempts, "fresh", oc.starting)
-	pl.start(en, ref, ca)
-	en.waitCause = CauseOrder
+	pl.ow.Log.Info("trying a task under which workers ended", "job", tj.jo.ID, "task", tj.jo.TaskID(ref), "worker", ca.wk.incarnation,
+		"crashes", tj.jo.Task(ref).Crashes, "losses", tj.jo.Task(ref).Losses, "how", how, "beside", oc.attempts, "fresh", oc.starting)
+	pl.start(tj, ref, ca)
+	tj.waitCause = CauseOrder
 }
 
 // leastOccupied returns the worker with capacity for the task that has the fewest starting
 // attempts, then the fewest with a latency target, then the fewest at all. It returns nil if
 // there is none.
-func (pl *placer) leastOccupied(en *entry, ref job.TaskRef) *candidate {
-	st := &en.jo.Spec.Steps[ref.Step]
+func (pl *placer) leastOccupied(tj *trackedJob, ref job.TaskRef) *candidate {
+	st := &tj.jo.Spec.Steps[ref.Step]
 	var best *candidate
 	var least occupancy
-	for _, ca := range pl.hosts {
-		if !ca.fits(en, ref, st) {
+	for _, ca := range pl.candidates {
+		if !ca.fits(tj, ref, st) {
 			continue
 		}
-		if oc := ca.ho.occupancy(pl.now); best == nil || oc.compare(least) < 0 {
+		if oc := ca.wk.occupancy(pl.now); best == nil || oc.compare(least) < 0 {
 			best, least = ca, oc
 		}
 	}
@@ -184,9 +184,9 @@
 // occupancy counts the attempts that a crash of a worker would end.
 type occupancy struct{ starting, services, attempts int }
 
-func (ho *workerState) occupancy(now time.Time) occupancy {
-	oc := occupancy{services: len(ho.services), attempts: len(ho.attempts)}
-	for at := range ho.attempts {
+func (wk *workerState) occupancy(now time.Time) occupancy {
+	oc := occupancy{services: len(wk.services), attempts: len(wk.attempts)}
+	for at := range wk.attempts {
 		if at.starting(now) {
 			oc.starting++
 		}
@@ -199,8 +199,8 @@
 }
 
 // logGivenUp logs and counts a task that is not retried any more.
-func (ow *Owner) logGivenUp(en *entry, ref job.TaskRef, end job.End) {
-	ta := en.jo.Task(ref)
+func (ow *Owner) logGivenUp(tj *trackedJob, ref job.TaskRef, end job.End) {
+	ta := tj.jo.Task(ref)
 	if ta.State != job.Abandoned {
 		return
 	}
@@ -209,6 +209,6 @@
 		why = "crashes"
 	}
 	ow.Metrics.Add(telemetry.TasksGivenUp, 1, "why", why)
-	ow.Log.Warn("task given up", "job", en.jo.ID, "task", en.jo.TaskID(ref), "why", why, "attempt", ta.Attempt,
-		"failures", ta.Failures, "failures_most", en.jo.Terms.MaxFailures, "crashes", ta.Crashes, "losses", ta.Losses)
+	ow.Log.Warn("task given up", "job", tj.jo.ID, "task", tj.jo.TaskID(ref), "why", why, "attempt", ta.Attempt,
+		"failures", ta.Failures, "failures_most", tj.jo.Terms.MaxFailures, "crashes", ta.Crashes, "losses", ta.Losses)
 }
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -69,14 +69,14 @@
 // line, also by an owner that never saw the worker.
 func TestLostWorkersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 2)
+		la, ll := loggedLab(t, 2)
 		cr, ow := startCrashLab(t, la)
 		cr.noRestart = true
 		cr.submit(ow, 1, longRunning(12))
 		time.Sleep(20 * time.Second)
 		cr.loseOwnerAndCrash(1)
 		time.Sleep(20 * time.Second)
-		lines := li.matching(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
+		lines := ll.matching(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
 		qt.Assert(t, lines, qt.HasLen, 1)
 	})
 }
--- a/internal/sched/timebreakdown.go
+++ b/internal/sched/timebreakdown.go
@@ -75,38 +75,38 @@
 // have not ended, and logs those that wait. The time of long-running jobs is not accounted.
 func (ow *Owner) accountTime(now time.Time) {
 	down := ow.storeDown()
-	for _, en := range ow.entries {
-		if !en.endedAt.IsZero() {
+	for _, tj := range ow.jobs {
+		if !tj.endedAt.IsZero() {
 			continue
 		}
-		if !en.jo.Endless() {
-			en.addTime(en.currentCause(down), now)
+		if !tj.jo.LongRunning() {
+			tj.addTime(tj.currentCause(down), now)
 		}
-		ow.logWait(en, now)
+		ow.logWait(tj, now)
 	}
 }
 
 // addTime accounts the time since the last call to a cause.
-func (en *entry) addTime(ca Cause, now time.Time) {
-	if en.timeBreakdown.accountedUntil.IsZero() {
-		en.timeBreakdown.accountedUntil = en.acceptedAt
+func (tj *trackedJob) addTime(ca Cause, now time.Time) {
+	if tj.timeBreakdown.accountedUntil.IsZero() {
+		tj.timeBreakdown.accountedUntil = tj.acceptedAt
 	}
-	en.timeBreakdown.byCause[ca] += max(now.Sub(en.timeBreakdown.accountedUntil), 0)
-	en.timeBreakdown.accountedUntil = now
+	tj.timeBreakdown.byCause[ca] += max(now.Sub(tj.timeBreakdown.accountedUntil), 0)
+	tj.timeBreakdown.accountedUntil = now
 }
 
 // currentCause returns what the job's time is spent on now.
-func (en *entry) currentCause(storeDown bool) Cause {
+func (tj *trackedJob) currentCause(storeDown bool) Cause {
 	switch {
-	case storeDown && (en.waitingTasks > 0 || en.progressVersion == 0):
+	case storeDown && (tj.waitingTasks > 0 || tj.progressVersion == 0):
 		return CauseStore
-	case en.progressVersion == 0:
+	case tj.progressVersion == 0:
 		return CauseOrder
-	case en.waitingTasks > 0:
-		return en.waitCause
+	case tj.waitingTasks > 0:
+		return tj.waitCause
 	}
 	worst := CauseWork
-	for _, at := range en.attempts {
+	for _, at := range tj.attempts {
 		switch {
 		case !at.haltSentAt.IsZero():
 			return CauseStop
@@ -129,36 +129,36 @@
 }
 
 // logWait logs a job whose tasks have waited for long.
-func (ow *Owner) logWait(en *entry, now time.Time) {
-	wait := now.Sub(en.waitingSince)
-	if en.waitingTasks == 0 || wait < firstWaitLog {
-		en.timeBreakdown.nextWaitLog = firstWaitLog
+func (ow *Owner) logWait(tj *trackedJob, now time.Time) {
+	wait := now.Sub(tj.waitingSince)
+	if tj.waitingTasks == 0 || wait < firstWaitLog {
+		tj.timeBreakdown.nextWaitLog = firstWaitLog
 		return
 	}
-	if wait < en.timeBreakdown.nextWaitLog {
+	if wait < tj.timeBreakdown.nextWaitLog {
 		return
 	}
-	en.timeBreakdown.nextWaitLog = 2 * wait
-	lack := en.currentCause(ow.storeDown())
-	attrs := []slog.Attr{slog.String("for", lack.String()), slog.Duration("wait", wait), slog.Int("tasks", en.waitingTasks)}
-	if en.jo.Endless() {
-		attrs = append(attrs, slog.Int("again", en.waitingInterrupted(en.waitingStep())))
+	tj.timeBreakdown.nextWaitLog = 2 * wait
+	lack := tj.currentCause(ow.storeDown())
+	attrs := []slog.Attr{slog.String("for", lack.String()), slog.Duration("wait", wait), slog.Int("tasks", tj.waitingTasks)}
+	if tj.jo.LongRunning() {
+		attrs = append(attrs, slog.Int("again", tj.waitingInterrupted(tj.waitingStep())))
 	}
-	if step := en.waitingStep(); lack == CauseRoom && step >= 0 {
-		attrs = append(attrs, ow.findShortage(en, step, now).attrs()...)
+	if step := tj.waitingStep(); lack == CauseRoom && step >= 0 {
+		attrs = append(attrs, ow.findShortage(tj, step, now).attrs()...)
 	}
-	if !en.jo.Endless() {
-		ow.logTimeBreakdown("job waits", en, now, attrs...)
+	if !tj.jo.LongRunning() {
+		ow.logTimeBreakdown("job waits", tj, now, attrs...)
 		return
 	}
-	named := []slog.Attr{slog.String("job", en.jo.ID), slog.String("queue", en.jo.Terms.Queue)}
+	named := []slog.Attr{slog.String("job", tj.jo.ID), slog.String("queue", tj.jo.Terms.Queue)}
 	ow.Log.LogAttrs(ow.ctx, slog.LevelInfo, "lasting tasks wait", append(named, attrs...)...)
 }
 
 // waitingStep returns the first step with waiting tasks, or -1.
-func (en *entry) waitingStep() int {
-	for step := range en.jo.Spec.Steps {
-		if en.waitingIn(step) > 0 {
+func (tj *trackedJob) waitingStep() int {
+	for step := range tj.jo.Spec.Steps {
+		if tj.waitingIn(step) > 0 {
 			return step
 		}
 	}
@@ -166,24 +166,24 @@
 }
 
 // logJobTime logs and counts the time by cause of a job that has ended.
-func (ow *Owner) logJobTime(en *entry, now time.Time) {
-	if en.jo.Endless() {
+func (ow *Owner) logJobTime(tj *trackedJob, now time.Time) {
+	if tj.jo.LongRunning() {
 		return
 	}
-	en.addTime(en.currentCause(ow.storeDown()), now)
-	for ca, d := range en.timeBreakdown.byCause {
+	tj.addTime(tj.currentCause(ow.storeDown()), now)
+	for ca, d := range tj.timeBreakdown.byCause {
 		if d > 0 {
 			ow.Metrics.Add(telemetry.JobTime, d.Milliseconds(), "cause", causeNames[ca])
 		}
 	}
-	ow.logTimeBreakdown("job time", en, now)
+	ow.logTimeBreakdown("job time", tj, now)
 }
 
 // logTimeBreakdown logs a job's time by cause.
-func (ow *Owner) logTimeBreakdown(msg string, en *entry, now time.Time, more ...slog.Attr) {
+func (ow *Owner) logTimeBreakdown(msg string, tj *trackedJob, now time.Time, more ...slog.Attr) {
 	attrs := append([]slog.Attr{
-		slog.String("job", en.jo.ID), slog.String("queue", en.jo.Terms.Queue), slog.String("state", string(en.jo.State())),
-		slog.Int64("age_ms", now.Sub(en.acceptedAt).Milliseconds()), slog.Int64("aim_ms", en.targetMS),
+		slog.String("job", tj.jo.ID), slog.String("queue", tj.jo.Terms.Queue), slog.String("state", string(tj.jo.State())),
+		slog.Int64("age_ms", now.Sub(tj.acceptedAt).Milliseconds()), slog.Int64("aim_ms", tj.targetMS),
 	}, more...)
-	ow.Log.LogAttrs(ow.ctx, slog.LevelInfo, msg, append(attrs, en.timeBreakdown.attrs()...)...)
+	ow.Log.LogAttrs(ow.ctx, slog.LevelInfo, msg, append(attrs, tj.timeBreakdown.attrs()...)...)
 }
--- a/internal/sched/timebreakdown_test.go
+++ b/internal/sched/timebreakdown_test.go
@@ -20,18 +20,18 @@
 	buf bytes.Buffer
 }
 
-func (li *logLines) Write(line []byte) (int, error) {
-	li.mu.Lock()
-	defer li.mu.Unlock()
-	return li.buf.Write(line)
+func (ll *logLines) Write(line []byte) (int, error) {
+	ll.mu.Lock()
+	defer ll.mu.Unlock()
+	return ll.buf.Write(line)
 }
 
 // matching returns the lines that contain all of the words.
-func (li *logLines) matching(words ...string) []string {
-	li.mu.Lock()
-	defer li.mu.Unlock()
+func (ll *logLines) matching(words ...string) []string {
+	ll.mu.Lock()
+	defer ll.mu.Unlock()
 	var list []string
-	for line := range strings.Lines(li.buf.String()) {
+	for line := range strings.Lines(ll.buf.String()) {
 		has := true
 		for _, word := range words {
 			has = has && strings.Contains(line, word)
@@ -46,9 +46,9 @@
 // loggedLab returns a lab whose log is retained.
 func loggedLab(t *testing.T, workers int) (*lab, *logLines) {
 	t.Helper()
-	la, li := newLab(t, workers), &logLines{}
-	la.log = slog.New(slog.NewTextHandler(li, nil))
-	return la, li
+	la, ll := newLab(t, workers), &logLines{}
+	la.log = slog.New(slog.NewTextHandler(ll, nil))
+	return la, ll
 }
 
 // TestJobTimeAddsUp guards against time of a job that is accounted to no cause, or to two. A
@@ -56,22 +56,22 @@
 // part for the lack of capacity.
 func TestJobTimeAddsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 1)
+		la, ll := loggedLab(t, 1)
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 40))
 		time.Sleep(5 * time.Second)
-		qt.Assert(t, li.matching(`msg="job time"`, "job="+jobID(1), "state=succeeded"), qt.HasLen, 1)
+		qt.Assert(t, ll.matching(`msg="job time"`, "job="+jobID(1), "state=succeeded"), qt.HasLen, 1)
 		synctest.Wait()
-		tb, err := call(t.Context(), ow, func(answer func(timeBreakdown)) { answer(ow.entries[jobID(1)].timeBreakdown) })
+		tb, err := call(t.Context(), ow, func(answer func(timeBreakdown)) { answer(ow.jobs[jobID(1)].timeBreakdown) })
 		qt.Assert(t, err, qt.IsNil)
 		var sum time.Duration
 		for _, d := range tb.byCause {
 			sum += d
 		}
 		age, err := call(t.Context(), ow, func(answer func(time.Duration)) {
-			answer(ow.entries[jobID(1)].endedAt.Sub(ow.entries[jobID(1)].acceptedAt))
+			answer(ow.jobs[jobID(1)].endedAt.Sub(ow.jobs[jobID(1)].acceptedAt))
 		})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, sum, qt.Equals, age)
@@ -85,7 +85,7 @@
 // intervals.
 func TestLongWaitsAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 1)
+		la, ll := loggedLab(t, 1)
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
@@ -93,7 +93,7 @@
 		sp.Steps[0].Each = worker.Resources{MilliCores: 99_000}
 		la.submit(ow, 1, sp)
 		time.Sleep(20 * time.Second)
-		waits := li.matching(`msg="job waits"`, "for=room")
+		waits := ll.matching(`msg="job waits"`, "for=room")
 		qt.Assert(t, len(waits) >= 3 && len(waits) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(waits)))
 	})
 }
@@ -104,7 +104,7 @@
 // had log lines while their tasks waited.
 func TestWaitingLongRunningTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li, mu := relayedLab(t)
+		la, ll, mu := relayedLab(t)
 		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.startOwner()
 		defer end()
@@ -113,8 +113,8 @@
 		time.Sleep(time.Second)
 		mu.enabled.Store(true)
 		time.Sleep(30 * time.Second)
-		qt.Assert(t, li.matching("end=lapsed", "job="+jobID(1)), qt.HasLen, 4*16)
-		waits := li.matching(`msg="lasting tasks wait"`, "job="+jobID(1), "for=room", "tasks=64")
+		qt.Assert(t, ll.matching("end=lapsed", "job="+jobID(1)), qt.HasLen, 4*16)
+		waits := ll.matching(`msg="lasting tasks wait"`, "job="+jobID(1), "for=room", "tasks=64")
 		qt.Assert(t, len(waits) >= 3 && len(waits) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(waits)))
 		mu.enabled.Store(false)
 		time.Sleep(10 * time.Second)
--- a/internal/sched/entry.go
+++ b/internal/sched/trackedjob.go
@@ -12,7 +12,7 @@
 )
 
 // entry is a job together with the owner's bookkeeping about it.
-type entry struct {
+type trackedJob struct {
 	ow *Owner
 	jo *job.Job
 	// order is the order of arrival; it breaks ties between jobs.
@@ -71,66 +71,66 @@
 }
 
 // track returns the load history of a step, which it creates if needed.
-func (en *entry) track(step int) *interfere.Track {
-	tr := en.tracks[step]
+func (tj *trackedJob) track(step int) *interfere.Track {
+	tr := tj.tracks[step]
 	if tr == nil {
-		if en.tracks == nil {
-			en.tracks = map[int]*interfere.Track{}
+		if tj.tracks == nil {
+			tj.tracks = map[int]*interfere.Track{}
 		}
 		tr = &interfere.Track{}
-		en.tracks[step] = tr
+		tj.tracks[step] = tr
 	}
 	return tr
 }
 
 // markDirty records that a job has changed: it will be written, and its waiting tasks are
 // counted again.
-func (ow *Owner) markDirty(en *entry) {
-	if !en.dirty {
-		en.dirty = true
-		ow.dirty = append(ow.dirty, en)
+func (ow *Owner) markDirty(tj *trackedJob) {
+	if !tj.dirty {
+		tj.dirty = true
+		ow.dirtyJobs = append(ow.dirtyJobs, tj)
 	}
-	ow.recountWaiting(en)
+	ow.recountWaiting(tj)
 	ow.placementDue = true
 }
 
 // recountWaiting counts the tasks that may start now and updates the list of jobs that have
 // any.
-func (ow *Owner) recountWaiting(en *entry) {
-	before := en.waitingTasks
-	en.waitingTasks = 0
-	if !en.removing {
-		for i := range en.jo.Spec.Steps {
-			en.waitingTasks += en.waitingIn(i)
+func (ow *Owner) recountWaiting(tj *trackedJob) {
+	before := tj.waitingTasks
+	tj.waitingTasks = 0
+	if !tj.removing {
+		for i := range tj.jo.Spec.Steps {
+			tj.waitingTasks += tj.waitingIn(i)
 		}
 	}
-	if before == 0 && en.waitingTasks > 0 {
-		en.waitingSince = time.Now()
+	if before == 0 && tj.waitingTasks > 0 {
+		tj.waitingSince = time.Now()
 	}
-	at, found := slices.BinarySearchFunc(ow.active, en, compareEntries)
+	at, found := slices.BinarySearchFunc(ow.waitingJobs, tj, compareEntries)
 	switch {
-	case en.waitingTasks > 0 && !found:
-		ow.active = slices.Insert(ow.active, at, en)
-	case en.waitingTasks == 0 && found:
-		ow.active = slices.Delete(ow.active, at, at+1)
+	case tj.waitingTasks > 0 && !found:
+		ow.waitingJobs = slices.Insert(ow.waitingJobs, at, tj)
+	case tj.waitingTasks == 0 && found:
+		ow.waitingJobs = slices.Delete(ow.waitingJobs, at, at+1)
 	}
 }
 
 // waitingIn counts the tasks of a step that may start now.
-func (en *entry) waitingIn(step int) int {
-	return en.countWaiting(step, func(job.TaskRef) bool { return true })
+func (tj *trackedJob) waitingIn(step int) int {
+	return tj.countWaiting(step, func(job.TaskRef) bool { return true })
 }
 
 // waitingInterrupted counts those of them that ran before and were interrupted.
-func (en *entry) waitingInterrupted(step int) int { return en.countWaiting(step, en.interrupted) }
+func (tj *trackedJob) waitingInterrupted(step int) int { return tj.countWaiting(step, tj.interrupted) }
 
-func (en *entry) countWaiting(step int, count func(job.TaskRef) bool) int {
-	if !en.jo.Ready(step) {
+func (tj *trackedJob) countWaiting(step int, count func(job.TaskRef) bool) int {
+	if !tj.jo.Ready(step) {
 		return 0
 	}
 	n := 0
-	for index := range en.jo.Tasks[step] {
-		if ref := (job.TaskRef{Step: step, Index: index}); en.jo.Tasks[step][index].State == job.Waiting && count(ref) {
+	for index := range tj.jo.Tasks[step] {
+		if ref := (job.TaskRef{Step: step, Index: index}); tj.jo.Tasks[step][index].State == job.Waiting && count(ref) {
 			n++
 		}
 	}
@@ -138,99 +138,99 @@
 }
 
 // addJob creates the entry of a job.
-func (ow *Owner) addJob(jo *job.Job) *entry {
+func (ow *Owner) addJob(jo *job.Job) *trackedJob {
 	ow.seq++
-	en := &entry{ow: ow, jo: jo, order: ow.seq, targetMS: jo.TargetDurationMS(), sortKey: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
-	ow.entries[jo.ID] = en
-	return en
+	tj := &trackedJob{ow: ow, jo: jo, order: ow.seq, targetMS: jo.TargetDurationMS(), sortKey: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
+	ow.jobs[jo.ID] = tj
+	return tj
 }
 
 // recordEnd records the end of an attempt. It reports false if the end was already known.
-func (ow *Owner) recordEnd(en *entry, ref job.TaskRef, number int, end job.End, checkpoint, reason string) bool {
-	if !en.jo.End(ref, number, end, checkpoint) {
+func (ow *Owner) recordEnd(tj *trackedJob, ref job.TaskRef, number int, end job.End, checkpoint, reason string) bool {
+	if !tj.jo.End(ref, number, end, checkpoint) {
 		return false
 	}
 	var incarnation worker.Incarnation
 	var seen observation
-	if at := en.attempts[ref]; at != nil && at.number == number {
-		incarnation, seen = at.ho.incarnation, at.observed()
-		at.ho.removeAttempt(at)
-		delete(en.attempts, ref)
+	if at := tj.attempts[ref]; at != nil && at.number == number {
+		incarnation, seen = at.wk.incarnation, at.observed()
+		at.wk.removeAttempt(at)
+		delete(tj.attempts, ref)
 	}
 	if end == job.EndFailed {
-		en.timeBreakdown.failed++
-		if en.failedOn == nil {
-			en.failedOn = map[worker.Incarnation]bool{}
+		tj.timeBreakdown.failed++
+		if tj.failedOn == nil {
+			tj.failedOn = map[worker.Incarnation]bool{}
 		}
-		en.failedOn[incarnation] = true
-		en.backoffs.recordFailure(en, ref, time.Now())
+		tj.failedOn[incarnation] = true
+		tj.backoffs.recordFailure(tj, ref, time.Now())
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", string(end))
-	ow.Log.Info("attempt ended", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "end", end, "why", reason, "state", en.jo.State(),
-		"acked", seen.acked, "ran_at_least", seen.ran, "crashes", en.jo.Task(ref).Crashes, "losses", en.jo.Task(ref).Losses)
-	ow.logGivenUp(en, ref, end)
-	ow.stopFinished(en)
-	ow.markDirty(en)
+	ow.Log.Info("attempt ended", "job", tj.jo.ID, "task", tj.jo.TaskID(ref), "attempt", number, "worker", incarnation, "end", end, "why", reason, "state", tj.jo.State(),
+		"acked", seen.acked, "ran_at_least", seen.ran, "crashes", tj.jo.Task(ref).Crashes, "losses", tj.jo.Task(ref).Losses)
+	ow.logGivenUp(tj, ref, end)
+	ow.stopFinished(tj)
+	ow.markDirty(tj)
 	return true
 }
 
 // recordLateEnd records the end of an attempt that had been given up.
-func (ow *Owner) recordLateEnd(en *entry, ref job.TaskRef, number int, end job.End, incarnation worker.Incarnation) {
+func (ow *Owner) recordLateEnd(tj *trackedJob, ref job.TaskRef, number int, end job.End, incarnation worker.Incarnation) {
 	switch end {
 	case job.EndDone:
-		ow.recordLateSuccess(en, ref, number, incarnation)
+		ow.recordLateSuccess(tj, ref, number, incarnation)
 	case job.EndFailed:
-		ow.recordLateFailure(en, ref, number, incarnation)
+		ow.recordLateFailure(tj, ref, number, incarnation)
 	}
 }
 
 // recordLateFailure records that an attempt which had been given up had failed. If this
 // failure exhausts the task's limit, the next attempt is withdrawn unless an order for it was
 // sent.
-func (ow *Owner) recordLateFailure(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
-	if !en.jo.RecordLateFailure(ref, number) {
+func (ow *Owner) recordLateFailure(tj *trackedJob, ref job.TaskRef, number int, incarnation worker.Incarnation) {
+	if !tj.jo.RecordLateFailure(ref, number) {
 		return
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "failed-late")
-	ow.Log.Info("abandoned attempt had failed", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation,
-		"failures", en.jo.Task(ref).Failures, "state", en.jo.State())
-	if at := en.attempts[ref]; at != nil && en.jo.Exhausted(ref) && !at.orderSent && !at.inherited {
-		ow.recordEnd(en, ref, at.number, job.EndNeverRan, "", "an earlier attempt had failed")
+	ow.Log.Info("abandoned attempt had failed", "job", tj.jo.ID, "task", tj.jo.TaskID(ref), "attempt", number, "worker", incarnation,
+		"failures", tj.jo.Task(ref).Failures, "state", tj.jo.State())
+	if at := tj.attempts[ref]; at != nil && tj.jo.Exhausted(ref) && !at.orderSent && !at.inherited {
+		ow.recordEnd(tj, ref, at.number, job.EndNeverRan, "", "an earlier attempt had failed")
 	} else {
-		ow.logGivenUp(en, ref, job.EndFailed)
+		ow.logGivenUp(tj, ref, job.EndFailed)
 	}
-	ow.stopFinished(en)
-	ow.markDirty(en)
+	ow.stopFinished(tj)
+	ow.markDirty(tj)
 }
 
 // recordLateSuccess records that an attempt which had been given up had succeeded. The next
 // attempt is withdrawn if no order for it was sent, and stopped otherwise.
-func (ow *Owner) recordLateSuccess(en *entry, ref job.TaskRef, number int, incarnation worker.Incarnation) {
-	if at := en.attempts[ref]; at != nil && at.number > number && !at.orderSent && !at.inherited {
-		ow.recordEnd(en, ref, at.number, job.EndNeverRan, "", "an earlier attempt had succeeded")
+func (ow *Owner) recordLateSuccess(tj *trackedJob, ref job.TaskRef, number int, incarnation worker.Incarnation) {
+	if at := tj.attempts[ref]; at != nil && at.number > number && !at.orderSent && !at.inherited {
+		ow.recordEnd(tj, ref, at.number, job.EndNeverRan, "", "an earlier attempt had succeeded")
 	}
-	if !en.jo.RecordLateCompletion(ref, number) {
+	if !tj.jo.RecordLateCompletion(ref, number) {
 		return
 	}
 	ow.Metrics.Add(telemetry.AttemptEnds, 1, "end", "done-late")
-	ow.Log.Info("abandoned attempt had succeeded", "job", en.jo.ID, "task", en.jo.TaskID(ref), "attempt", number, "worker", incarnation, "state", en.jo.State())
-	if at := en.attempts[ref]; at != nil {
-		en.onWritten = append(en.onWritten, func() { ow.halt(at, "an earlier attempt had succeeded") })
+	ow.Log.Info("abandoned attempt had succeeded", "job", tj.jo.ID, "task", tj.jo.TaskID(ref), "attempt", number, "worker", incarnation, "state", tj.jo.State())
+	if at := tj.attempts[ref]; at != nil {
+		tj.onWritten = append(tj.onWritten, func() { ow.halt(at, "an earlier attempt had succeeded") })
 	}
-	ow.stopFinished(en)
-	ow.markDirty(en)
+	ow.stopFinished(tj)
+	ow.markDirty(tj)
 }
 
 // stopFinished stops the remaining attempts of a job in a final state.
-func (ow *Owner) stopFinished(en *entry) {
-	if !en.jo.State().Final() {
+func (ow *Owner) stopFinished(tj *trackedJob) {
+	if !tj.jo.State().Final() {
 		return
 	}
-	if en.endedAt.IsZero() {
-		en.endedAt = time.Now()
-		ow.logJobTime(en, en.endedAt)
+	if tj.endedAt.IsZero() {
+		tj.endedAt = time.Now()
+		ow.logJobTime(tj, tj.endedAt)
 	}
-	for _, at := range en.attempts {
-		en.onWritten = append(en.onWritten, func() { ow.halt(at, "job "+string(en.jo.State())) })
+	for _, at := range tj.attempts {
+		tj.onWritten = append(tj.onWritten, func() { ow.halt(at, "job "+string(tj.jo.State())) })
 	}
 }
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -78,8 +78,8 @@
 // part, than that all of them left.
 func (ow *Owner) updateListDoubt(now time.Time) {
 	listed := 0
-	for _, ho := range ow.hosts {
-		if ho.needsOrders() {
+	for _, wk := range ow.workers {
+		if wk.needsOrders() {
 			listed++
 		}
 	}
@@ -100,16 +100,16 @@
 
 // lostFromList reports whether the worker's entry is not expected back: it has been missing
 // for longer than entryReturnWait, and no store outage explains that.
-func (ho *workerState) lostFromList(now time.Time) bool {
-	return ho.unlisted && now.Sub(ho.unlistedAt) > entryReturnWait && ho.ow.listReliable(now)
+func (wk *workerState) lostFromList(now time.Time) bool {
+	return wk.unlisted && now.Sub(wk.unlistedAt) > entryReturnWait && wk.ow.listReliable(now)
 }
 
 // logEvacuation logs once that a worker without an entry is evacuated.
-func (ho *workerState) logEvacuation(now time.Time) {
-	if ho.evacuationLogged {
+func (wk *workerState) logEvacuation(now time.Time) {
+	if wk.evacuationLogged {
 		return
 	}
-	ho.evacuationLogged = true
-	ho.ow.Log.Warn("emptying a worker without an entry", "worker", ho.incarnation, "attempts", len(ho.attempts), "draining", ho.Draining,
-		"gone_for", now.Sub(ho.unlistedAt), "list_age", ho.ow.listAge(now), "store_well_for", now.Sub(ho.ow.listTrust.untrustedAt))
+	wk.evacuationLogged = true
+	wk.ow.Log.Warn("emptying a worker without an entry", "worker", wk.incarnation, "attempts", len(wk.attempts), "draining", wk.Draining,
+		"gone_for", now.Sub(wk.unlistedAt), "list_age", wk.ow.listAge(now), "store_well_for", now.Sub(wk.ow.listTrust.untrustedAt))
 }
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -39,15 +39,15 @@
 	return counts
 }
 
-// newLastingLab returns a lab whose owner runs the given number of long-running tasks.
-func newLastingLab(t *testing.T, workers, tasks int) (*lab, *Owner) {
+// newLongRunningLab returns a lab whose owner runs the given number of long-running tasks.
+func newLongRunningLab(t *testing.T, workers, tasks int) (*lab, *Owner) {
 	t.Helper()
 	la := newLab(t, workers)
-	return la, la.withLasting(tasks)
+	return la, la.startLongRunning(tasks)
 }
 
-// withLasting starts an owner and the given number of long-running tasks.
-func (la *lab) withLasting(tasks int) *Owner {
+// startLongRunning starts an owner and the given number of long-running tasks.
+func (la *lab) startLongRunning(tasks int) *Owner {
 	la.t.Helper()
 	la.fleet.RunFunc = runUntilStopped
 	ow, end := la.startOwner()
@@ -66,7 +66,7 @@
 // its tasks stay until the host stops and restart only after their leases have expired.
 func TestWorkerRemovedFromListWithoutDraining(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 3, 12)
+		la, ow := newLongRunningLab(t, 3, 12)
 		leaving, _ := la.busiest()
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(30 * time.Second)
@@ -82,16 +82,16 @@
 // 2 s after it, one after the other: running tasks stay where they are.
 func TestEntriesExpireDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 4, 24)
+		la, ow := newLongRunningLab(t, 4, 24)
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		// A pending write lets the owner notice the outage.
 		la.submit(ow, 2, longRunning(1))
 		time.Sleep(8 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
-		for _, li := range la.listed() {
+		for _, we := range la.listed() {
 			time.Sleep(500 * time.Millisecond)
-			ow.SetWorkers([]WorkerEntry{li}, nil, false)
+			ow.SetWorkers([]WorkerEntry{we}, nil, false)
 		}
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
@@ -105,7 +105,7 @@
 // and gets no new tasks.
 func TestOneEntryMissingAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 4, 24)
+		la, ow := newLongRunningLab(t, 4, 24)
 		lost, _ := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, longRunning(1))
@@ -114,9 +114,9 @@
 		back := time.Now()
 		ow.SetWorkers(nil, nil, true)
 		time.Sleep(2 * time.Second)
-		for _, li := range la.listed() {
-			if li.Incarnation != lost.Addr.Incarnation {
-				ow.SetWorkers([]WorkerEntry{li}, nil, false)
+		for _, we := range la.listed() {
+			if we.Incarnation != lost.Addr.Incarnation {
+				ow.SetWorkers([]WorkerEntry{we}, nil, false)
 			}
 		}
 		time.Sleep(6 * time.Second)
@@ -138,7 +138,7 @@
 // returns with another incarnation at its address, and its tasks restart at once.
 func TestWorkerRestartsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 3, 12)
+		la, ow := newLongRunningLab(t, 3, 12)
 		was := la.fleetWorkers[0]
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		la.submit(ow, 2, longRunning(1))
@@ -160,7 +160,7 @@
 // TestNothingStartsWithoutAnEntry has a job wait while no worker has an entry.
 func TestNothingStartsWithoutAnEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 3, 6)
+		la, ow := newLongRunningLab(t, 3, 6)
 		ow.SetWorkers(nil, nil, true)
 		la.submit(ow, 2, longRunning(6))
 		time.Sleep(20 * time.Second)
@@ -193,18 +193,18 @@
 // TestEvacuationIsLoggedAndCounted checks that the reason of moves is logged and counted.
 func TestEvacuationIsLoggedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 2)
+		la, ll := loggedLab(t, 2)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
-		ow := la.withLasting(2)
+		ow := la.startLongRunning(2)
 		leaving, n := la.busiest()
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(10 * time.Second)
 		worker := "worker=" + leaving.Addr.Incarnation.String()
-		qt.Check(t, li.matching(`msg="worker no longer listed"`, worker, "list_age=0s", "store_trouble=false"), qt.HasLen, 1)
-		qt.Check(t, li.matching(`msg="emptying a worker without an entry"`, worker, fmt.Sprintf("attempts=%d ", n), "list_age=0s"), qt.HasLen, 1)
-		qt.Check(t, li.matching(`msg="stopping attempt"`, worker, "has no entry"), qt.HasLen, n)
+		qt.Check(t, ll.matching(`msg="worker no longer listed"`, worker, "list_age=0s", "store_trouble=false"), qt.HasLen, 1)
+		qt.Check(t, ll.matching(`msg="emptying a worker without an entry"`, worker, fmt.Sprintf("attempts=%d ", n), "list_age=0s"), qt.HasLen, 1)
+		qt.Check(t, ll.matching(`msg="stopping attempt"`, worker, "has no entry"), qt.HasLen, n)
 		re := httptest.NewRecorder()
 		page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 		qt.Check(t, re.Body.String(), qt.Contains, fmt.Sprintf("pepperhatch_attempts_emptied_total{why=%q} %d\n", "unlisted", n))
@@ -216,12 +216,12 @@
 // reach the store. Nothing is moved before the list is trusted again.
 func TestListWithMostEntriesMissingIsDoubted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 4)
-		ow := la.withLasting(24)
+		la, ll := loggedLab(t, 4)
+		ow := la.startLongRunning(24)
 		ow.SetWorkers(la.listed()[3:], nil, true)
 		time.Sleep(doubtDuration - time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
-		qt.Check(t, li.matching("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
+		qt.Check(t, ll.matching("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.runningAt("i-3"), qt.Equals, 16)
 		la.assertRunning(24)
@@ -253,7 +253,7 @@
 			}
 			since = time.Now().Add(2 * time.Second)
 			until = since.Add(12 * time.Second)
-			ow := la.withLasting(24)
+			ow := la.startLongRunning(24)
 			leaving, n := la.busiest()
 			time.Sleep(5 * time.Second)
 			ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
@@ -272,7 +272,7 @@
 // announced time. The evacuation must not end when the entry is removed.
 func TestDrainingWorkerLosesItsEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 2, 2*16)
+		la, ow := newLongRunningLab(t, 2, 2*16)
 		leaving := la.fleetWorkers[0]
 		list := la.listed()
 		list[0].Draining, list[0].Remaining = true, 4*time.Second
@@ -327,7 +327,7 @@
 // [entryReturnWait], without a visible store outage.
 func TestEntryReturnsWithinWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 3, 12)
+		la, ow := newLongRunningLab(t, 3, 12)
 		worker, _ := la.busiest()
 		for range 5 {
 			ow.SetWorkers(nil, []string{worker.Addr.Incarnation.ID}, false)
@@ -344,7 +344,7 @@
 // when they succeed.
 func TestEntryRemovedDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 3, 12)
+		la, ow := newLongRunningLab(t, 3, 12)
 		worker, n := la.busiest()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 		go la.submit(ow, 2, longRunning(1))
@@ -367,7 +367,7 @@
 		var since atomic.Pointer[time.Time]
 		since.Store(&time.Time{})
 		la.listFunc = func() (last, began time.Time) { return time.Now(), *since.Load() }
-		ow := la.withLasting(12)
+		ow := la.startLongRunning(12)
 		worker, n := la.busiest()
 		ow.SetWorkers(nil, []string{worker.Addr.Incarnation.ID}, false)
 		time.Sleep(2 * time.Second)
@@ -394,12 +394,12 @@
 			la.submit(ow, 1, longRunning(12))
 			time.Sleep(time.Second)
 			end()
-			crew := la.fleetWorkers
+			fleet := la.fleetWorkers
 			la.fleetWorkers = nil
 			ow, end = la.startOwner()
 			defer end()
 			time.Sleep(2 * time.Second)
-			la.fleetWorkers = crew
+			la.fleetWorkers = fleet
 			ow.SetWorkers(la.listed(), nil, true)
 			time.Sleep(15 * time.Second)
 			la.assertRunning(12)
--- a/internal/sched/usage.go
+++ b/internal/sched/usage.go
@@ -37,7 +37,7 @@
 }
 
 // invalidate discards the derived values, so that they are computed again.
-func (fi *fillerStats) invalidate() { fi.expectedShares, fi.summariesAt = nil, time.Time{} }
+func (fs *fillerStats) invalidate() { fs.expectedShares, fs.summariesAt = nil, time.Time{} }
 
 // endedFiller is a filler that ended, with the share of the worker's processors that it
 // used.
@@ -47,11 +47,11 @@
 	at    time.Time
 }
 
-func (at *attempt) step() *job.Step { return &at.en.jo.Spec.Steps[at.ref.Step] }
+func (at *attempt) step() *job.Step { return &at.tj.jo.Spec.Steps[at.ref.Step] }
 
 // serves reports whether the attempt is a service with a latency target that has reported
 // its tail.
-func (at *attempt) serves() bool {
+func (at *attempt) isMeasuredService() bool {
 	return at.usage > 0 && at.step().HasTarget()
 }
 
@@ -66,7 +66,7 @@
 
 // fullShare returns the share of the worker's processors that a filler uses at full speed.
 func (at *attempt) fullShare() float64 {
-	declared := share(at.step().Each.MilliCores, at.ho.Capacity.MilliCores)
+	declared := share(at.step().Each.MilliCores, at.wk.Capacity.MilliCores)
 	if at.cpuShare == 0 {
 		return declared
 	}
@@ -95,18 +95,18 @@
 
 // usedShares returns the shares of the worker's processors that fillers used in the window
 // that ends now, by image, as the worker reported them.
-func (ho *workerState) usedShares(now time.Time) interfere.Shares {
+func (wk *workerState) usedShares(now time.Time) interfere.Shares {
 	sh := interfere.Shares{}
-	for at := range ho.attempts {
+	for at := range wk.attempts {
 		if !at.step().Filler || at.launchedAt.IsZero() {
 			continue
 		}
 		at.learnUsage(now)
 		if at.usage > 0 {
-			sh[at.step().Image] += share(at.usage, ho.Capacity.MilliCores)
+			sh[at.step().Image] += share(at.usage, wk.Capacity.MilliCores)
 		}
 	}
-	for _, ef := range ho.fillers.ended {
+	for _, ef := range wk.fillers.ended {
 		if within := usageWindow - now.Sub(ef.at); within > 0 {
 			sh[ef.image] += ef.share * within.Seconds() / usageWindow.Seconds()
 		}
@@ -116,50 +116,50 @@
 
 // expectedShares returns the shares of fillers at the ordered paces by image, including
 // attempts that are still being launched.
-func (ho *workerState) expectedShares() interfere.Shares {
-	if ho.fillers.expectedShares != nil {
-		return ho.fillers.expectedShares
+func (wk *workerState) expectedShares() interfere.Shares {
+	if wk.fillers.expectedShares != nil {
+		return wk.fillers.expectedShares
 	}
-	ho.fillers.expectedShares = interfere.Shares{}
-	for at := range ho.attempts {
+	wk.fillers.expectedShares = interfere.Shares{}
+	for at := range wk.attempts {
 		if at.step().Filler {
-			ho.fillers.expectedShares[at.step().Image] += at.expectedShare()
+			wk.fillers.expectedShares[at.step().Image] += at.expectedShare()
 		}
 	}
-	return ho.fillers.expectedShares
+	return wk.fillers.expectedShares
 }
 
 // recordEndedFiller records the share of a filler that is removed from the worker.
-func (ho *workerState) recordEndedFiller(at *attempt, now time.Time) {
-	ho.fillers.invalidate()
+func (wk *workerState) recordEndedFiller(at *attempt, now time.Time) {
+	wk.fillers.invalidate()
 	if at.step().Filler && !at.launchedAt.IsZero() {
-		ho.fillers.ended = append(ho.fillers.ended, endedFiller{image: at.step().Image, share: at.expectedShare(), at: now})
+		wk.fillers.ended = append(wk.fillers.ended, endedFiller{image: at.step().Image, share: at.expectedShare(), at: now})
 	}
 }
 
 // measure updates the model from the usage reported by a poll, at most once per half usage
 // window, and adjusts the paces of fillers.
-func (ho *workerState) measure(got time.Time) {
-	fi := &ho.fillers
-	if got.Sub(fi.measuredAt) < usageWindow/2 {
+func (wk *workerState) measure(got time.Time) {
+	fs := &wk.fillers
+	if got.Sub(fs.measuredAt) < usageWindow/2 {
 		return
 	}
-	fi.measuredAt = got
-	fi.invalidate()
-	used := ho.usedShares(got)
-	for _, at := range ho.services {
-		if at.serves() {
+	fs.measuredAt = got
+	fs.invalidate()
+	used := wk.usedShares(got)
+	for _, at := range wk.services {
+		if at.isMeasuredService() {
 			me := interfere.Measurement{At: got, TailMS: at.usage, TargetMS: at.step().TargetMS, Shares: used}
-			ho.ow.model.Observe(&at.replica, at.step().Image, me)
+			wk.ow.model.Observe(&at.replica, at.step().Image, me)
 		}
 	}
-	fi.ended = slices.DeleteFunc(fi.ended, func(ef endedFiller) bool { return got.Sub(ef.at) > usageWindow })
-	ho.adjustPaces(got)
+	fs.ended = slices.DeleteFunc(fs.ended, func(ef endedFiller) bool { return got.Sub(ef.at) > usageWindow })
+	wk.adjustPaces(got)
 }
 
 // predictionHorizon returns how far ahead control predicts the load.
 func (ow *Owner) predictionHorizon() time.Duration {
-	if !ow.uses(MechTrend) {
+	if !ow.enabled(MechTrend) {
 		return 0
 	}
 	return predictAhead
@@ -167,7 +167,7 @@
 
 // excess returns by how much a service's headroom is predicted to fall short of the
 // headroom at the given part of its target, with the fillers at their ordered paces.
-func (ho *workerState) excess(at *attempt, part float64) float64 {
-	left := at.replica.Baseline(time.Now().Add(ho.ow.predictionHorizon())) - ho.ow.model.PredictedDrop(at.step().Image, ho.expectedShares())
+func (wk *workerState) excess(at *attempt, part float64) float64 {
+	left := at.replica.Baseline(time.Now().Add(wk.ow.predictionHorizon())) - wk.ow.model.PredictedDrop(at.step().Image, wk.expectedShares())
 	return 1/part - left
 }
--- a/internal/sched/window.go
+++ b/internal/sched/window.go
@@ -34,32 +34,32 @@
 }
 
 // full reports whether no more starts may be in flight.
-func (wi *startWindow) full() bool { return wi.inFlight >= wi.limit() }
+func (sw *startWindow) full() bool { return sw.inFlight >= sw.limit() }
 
-func (wi *startWindow) limit() int {
-	if wi.size == 0 {
+func (sw *startWindow) limit() int {
+	if sw.size == 0 {
 		return initialWindow
 	}
-	return int(wi.size)
+	return int(sw.size)
 }
 
 // recordAnswer adds the duration of an answer, and reports whether the window shrank.
-func (wi *startWindow) recordAnswer(took time.Duration, now time.Time) bool {
+func (sw *startWindow) recordAnswer(took time.Duration, now time.Time) bool {
 	slow := 0.0
 	if took >= slowAnswer {
 		slow = 1
 	}
-	wi.slowRate += (slow - wi.slowRate) / slowSamples
-	size := float64(wi.limit())
-	if wi.slowRate < slowShare {
-		wi.size = min(size+1, maxWindow)
+	sw.slowRate += (slow - sw.slowRate) / slowSamples
+	size := float64(sw.limit())
+	if sw.slowRate < slowShare {
+		sw.size = min(size+1, maxWindow)
 		return false
 	}
-	if now.Sub(wi.shrunkAt) < shrinkInterval {
+	if now.Sub(sw.shrunkAt) < shrinkInterval {
 		return false
 	}
-	wi.shrunkAt = now
-	wi.size = max(size*shrinkFactor, minWindow)
+	sw.shrunkAt = now
+	sw.size = max(size*shrinkFactor, minWindow)
 	return true
 }
 
--- a/internal/sched/workers_test.go
+++ b/internal/sched/workers_test.go
@@ -19,7 +19,7 @@
 // longRunning returns a job of one step of long-running tasks.
 func longRunning(tasks int) job.Spec {
 	sp := batch(1, tasks)
-	sp.Steps[0].Endless = true
+	sp.Steps[0].LongRunning = true
 	return sp
 }
 
--- a/internal/sched/workerstate.go
+++ b/internal/sched/workerstate.go
@@ -105,9 +105,9 @@
 	restartReserved worker.Resources
 	// restartReady is set if some of these tasks may start now.
 	restartReady bool
-	// reservedInRound is the last placement round in which the worker's capacity was reserved
+	// earmarkedInRound is the last placement round in which the worker's capacity was reserved
 	// for a long-running task that never ran.
-	reservedInRound int
+	earmarkedInRound int
 	// trial is the suspect task that runs isolated here, or is about to.
 	trial *trial
 	// quarantinedUntil is the time until which the worker gets no new attempts. failures
@@ -129,24 +129,24 @@
 }
 
 func (ow *Owner) setWorkers(listed []WorkerEntry, removed []string, whole bool) {
-	for _, li := range listed {
-		if li.Undecodable {
-			ow.retainWorker(li.Incarnation.ID)
+	for _, we := range listed {
+		if we.Undecodable {
+			ow.retainWorker(we.Incarnation.ID)
 			continue
 		}
-		ow.updateWorker(li)
+		ow.updateWorker(we)
 	}
 	for _, id := range removed {
 		ow.unlistWorker(id)
 	}
 	if whole {
 		listedIDs := map[string]bool{}
-		for _, li := range listed {
-			listedIDs[li.Incarnation.ID] = true
+		for _, we := range listed {
+			listedIDs[we.Incarnation.ID] = true
 		}
-		for _, ho := range ow.sortedWorkers() {
-			if !listedIDs[ho.incarnation.ID] {
-				ho.markUnlisted()
+		for _, wk := range ow.sortedWorkers() {
+			if !listedIDs[wk.incarnation.ID] {
+				wk.markUnlisted()
 			}
 		}
 	}
@@ -155,157 +155,157 @@
 
 // retainWorker marks a known worker as listed though its entry could not be decoded.
 func (ow *Owner) retainWorker(id string) {
-	if ho := ow.soleIncarnation(id); ho != nil {
-		ho.unlisted, ho.evacuationLogged = false, false
+	if wk := ow.soleIncarnation(id); wk != nil {
+		wk.unlisted, wk.evacuationLogged = false, false
 	}
 }
 
 // updateWorker adds or updates a worker from its entry.
-func (ow *Owner) updateWorker(li WorkerEntry) {
-	ho := ow.workerOfEntry(li)
-	if ho == nil {
-		ow.pollOthers(li)
-		ho = ow.addWorker(li)
-		ho.unlistOthers()
+func (ow *Owner) updateWorker(we WorkerEntry) {
+	wk := ow.workerOfEntry(we)
+	if wk == nil {
+		ow.pollOthers(we)
+		wk = ow.addWorker(we)
+		wk.unlistOthers()
 		return
 	}
-	ho.update(li)
-	if !ho.dead {
-		ho.unlistOthers()
+	wk.update(we)
+	if !wk.dead {
+		wk.unlistOthers()
 	}
 }
 
-func (ho *workerState) update(li WorkerEntry) {
-	if ho.Draining != li.Draining || ho.unlisted {
-		ho.ow.Log.Info("worker changed", "worker", ho.incarnation, "draining", li.Draining, "listed", true)
+func (wk *workerState) update(we WorkerEntry) {
+	if wk.Draining != we.Draining || wk.unlisted {
+		wk.ow.Log.Info("worker changed", "worker", wk.incarnation, "draining", we.Draining, "listed", true)
 	}
-	if li.Draining && !ho.Draining {
-		ho.leavesAt = time.Now().Add(li.Remaining)
+	if we.Draining && !wk.Draining {
+		wk.leavesAt = time.Now().Add(we.Remaining)
 	}
-	ho.WorkerEntry, ho.unlisted, ho.evacuationLogged = li, false, false
+	wk.WorkerEntry, wk.unlisted, wk.evacuationLogged = we, false, false
 }
 
 // addWorker adds a worker and starts to poll it.
-func (ow *Owner) addWorker(li WorkerEntry) *workerState {
-	ow.Log.Info("worker seen", "worker", li.Incarnation, "addr", li.HostPort, "service", li.Service, "rack", li.Rack,
-		"millicores", li.Capacity.MilliCores, "mem_mb", li.Capacity.MemMB, "draining", li.Draining)
+func (ow *Owner) addWorker(we WorkerEntry) *workerState {
+	ow.Log.Info("worker seen", "worker", we.Incarnation, "addr", we.HostPort, "service", we.Service, "rack", we.Rack,
+		"millicores", we.Capacity.MilliCores, "mem_mb", we.Capacity.MemMB, "draining", we.Draining)
 	ctx, stopPolling := context.WithCancel(ow.ctx)
-	ho := &workerState{
-		WorkerEntry: li, ow: ow, incarnation: li.Incarnation, stopPolling: stopPolling, pollWake: make(chan struct{}, 1), pathChanged: make(chan struct{}, 1),
+	wk := &workerState{
+		WorkerEntry: we, ow: ow, incarnation: we.Incarnation, stopPolling: stopPolling, pollWake: make(chan struct{}, 1), pathChanged: make(chan struct{}, 1),
 		firstSeen: time.Now(), attempts: map[*attempt]bool{}, failedJobs: map[string]bool{},
 	}
-	ho.leavesAt = time.Now().Add(li.Remaining)
-	ho.path.Store(ow.newPath(li))
-	ow.hosts[li.Incarnation] = ho
-	ow.sorted = nil
-	ow.byAddr[li.HostPort] = append(ow.byAddr[li.HostPort], ho)
-	ow.byID[li.Incarnation.ID] = append(ow.byID[li.Incarnation.ID], ho)
-	ow.adopt(ho)
-	go ho.pollLoop(ctx)
-	return ho
+	wk.leavesAt = time.Now().Add(we.Remaining)
+	wk.path.Store(ow.newPath(we))
+	ow.workers[we.Incarnation] = wk
+	ow.sortedWorkerCache = nil
+	ow.workersByAddr[we.HostPort] = append(ow.workersByAddr[we.HostPort], wk)
+	ow.workersByID[we.Incarnation.ID] = append(ow.workersByID[we.Incarnation.ID], wk)
+	ow.adopt(wk)
+	go wk.pollLoop(ctx)
+	return wk
 }
 
 // unlistWorker marks all incarnations of a worker as unlisted.
 func (ow *Owner) unlistWorker(id string) {
-	for _, ho := range slices.Clone(ow.byID[id]) {
-		ho.markUnlisted()
+	for _, wk := range slices.Clone(ow.workersByID[id]) {
+		wk.markUnlisted()
 	}
 }
 
 // markUnlisted records that the list has no entry of the worker any more. The worker stays
 // known as long as it may run an attempt.
-func (ho *workerState) markUnlisted() {
-	if ho.unlisted {
+func (wk *workerState) markUnlisted() {
+	if wk.unlisted {
 		return
 	}
-	ow, now := ho.ow, time.Now()
-	ho.unlisted, ho.unlistedAt = true, now
-	ow.Log.Info("worker no longer listed", "worker", ho.incarnation, "attempts", len(ho.attempts), "draining", ho.Draining,
+	ow, now := wk.ow, time.Now()
+	wk.unlisted, wk.unlistedAt = true, now
+	ow.Log.Info("worker no longer listed", "worker", wk.incarnation, "attempts", len(wk.attempts), "draining", wk.Draining,
 		"list_age", ow.listAge(now), "store_trouble", ow.storeUnhealthy(now))
-	ow.removeIfIdle(ho)
+	ow.removeIfIdle(wk)
 }
 
 // removeIfIdle removes an unlisted worker that has no attempts. A dead worker stays known
 // while it is listed, so that its entry does not add it again.
-func (ow *Owner) removeIfIdle(ho *workerState) {
-	if !ho.unlisted || len(ho.attempts) > 0 {
+func (ow *Owner) removeIfIdle(wk *workerState) {
+	if !wk.unlisted || len(wk.attempts) > 0 {
 		return
 	}
-	ho.deregister()
+	wk.deregister()
 }
 
 // deregister removes the worker from the owner's state, as if it had never been seen.
-func (ho *workerState) deregister() {
-	ow := ho.ow
-	ho.disconnect()
-	delete(ow.hosts, ho.incarnation)
-	removeFromIndex(ow.byID, ho.incarnation.ID, ho)
-	ow.sorted = nil
+func (wk *workerState) deregister() {
+	ow := wk.ow
+	wk.disconnect()
+	delete(ow.workers, wk.incarnation)
+	removeFromIndex(ow.workersByID, wk.incarnation.ID, wk)
+	ow.sortedWorkerCache = nil
 }
 
 // removeFromIndex removes a worker from the slice under a key, and the key once its slice is
 // empty.
-func removeFromIndex(lists map[string][]*workerState, key string, ho *workerState) {
-	lists[key] = slices.DeleteFunc(lists[key], func(other *workerState) bool { return other == ho })
+func removeFromIndex(lists map[string][]*workerState, key string, wk *workerState) {
+	lists[key] = slices.DeleteFunc(lists[key], func(other *workerState) bool { return other == wk })
 	if len(lists[key]) == 0 {
 		delete(lists, key)
 	}
 }
 
 // disconnect stops the polls of the worker and frees its path.
-func (ho *workerState) disconnect() {
-	ow := ho.ow
-	ho.stopPolling()
+func (wk *workerState) disconnect() {
+	ow := wk.ow
+	wk.stopPolling()
 	if ow.DroppedFunc != nil {
-		ow.DroppedFunc(ho.incarnation)
+		ow.DroppedFunc(wk.incarnation)
 		// The path was chosen by the incarnation in the entry, which may differ.
-		if ho.Incarnation != ho.incarnation {
-			ow.DroppedFunc(ho.Incarnation)
+		if wk.Incarnation != wk.incarnation {
+			ow.DroppedFunc(wk.Incarnation)
 		}
 	}
-	removeFromIndex(ow.byAddr, ho.HostPort, ho)
+	removeFromIndex(ow.workersByAddr, wk.HostPort, wk)
 }
 
 // removeAttempt removes an attempt and its resources from the worker.
-func (ho *workerState) removeAttempt(at *attempt) {
-	if !ho.attempts[at] {
+func (wk *workerState) removeAttempt(at *attempt) {
+	if !wk.attempts[at] {
 		return
 	}
-	delete(ho.attempts, at)
-	ho.endTrial(at)
-	ho.ow.endStart(at)
-	ho.recordEndedFiller(at, time.Now())
-	ho.services = slices.DeleteFunc(ho.services, func(other *attempt) bool { return other == at })
-	ho.reserved = ho.reserved.Sub(at.step().Reserved())
-	ho.expectedUse -= likelyUse(at.step())
-	if !at.step().Endless {
-		ho.finiteReserved = ho.finiteReserved.Sub(at.step().Reserved())
+	delete(wk.attempts, at)
+	wk.endTrial(at)
+	wk.ow.endStart(at)
+	wk.recordEndedFiller(at, time.Now())
+	wk.services = slices.DeleteFunc(wk.services, func(other *attempt) bool { return other == at })
+	wk.reserved = wk.reserved.Sub(at.step().Reserved())
+	wk.expectedUse -= likelyUse(at.step())
+	if !at.step().LongRunning {
+		wk.finiteReserved = wk.finiteReserved.Sub(at.step().Reserved())
 	}
 }
 
 // addAttempt adds an attempt and its resources to the worker.
-func (ho *workerState) addAttempt(at *attempt) {
-	ho.attempts[at] = true
-	ho.reserved = ho.reserved.Add(at.step().Reserved())
-	ho.expectedUse += likelyUse(at.step())
-	if !at.step().Endless {
-		ho.finiteReserved = ho.finiteReserved.Add(at.step().Reserved())
+func (wk *workerState) addAttempt(at *attempt) {
+	wk.attempts[at] = true
+	wk.reserved = wk.reserved.Add(at.step().Reserved())
+	wk.expectedUse += likelyUse(at.step())
+	if !at.step().LongRunning {
+		wk.finiteReserved = wk.finiteReserved.Add(at.step().Reserved())
 	}
 	if at.step().HasTarget() {
-		ho.services = append(ho.services, at)
-		at.replica.Track = at.en.track(at.ref.Step)
+		wk.services = append(wk.services, at)
+		at.replica.Track = at.tj.track(at.ref.Step)
 	}
 	if at.task().Isolated() {
-		ho.trial = &trial{en: at.en, ref: at.ref, at: at}
+		wk.trial = &trial{tj: at.tj, ref: at.ref, at: at}
 	}
-	ho.fillers.invalidate()
-	at.en.attempts[at.ref] = at
+	wk.fillers.invalidate()
+	at.tj.attempts[at.ref] = at
 }
 
 // available reports whether the worker may get new attempts, not counting the restriction to
 // an isolated task.
-func (ho *workerState) available(now time.Time) bool {
-	reason := ho.unavailableReason(now)
+func (wk *workerState) available(now time.Time) bool {
+	reason := wk.unavailableReason(now)
 	return reason == "" || reason == unavailableTrial
 }
 
@@ -318,23 +318,23 @@
 )
 
 // unavailableReason returns why the worker may not get new attempts, or "" if it may.
-func (ho *workerState) unavailableReason(now time.Time) string {
+func (wk *workerState) unavailableReason(now time.Time) string {
 	switch {
-	case ho.dead:
+	case wk.dead:
 		return "dead"
-	case ho.unlisted:
+	case wk.unlisted:
 		return "unlisted"
-	case ho.Draining:
+	case wk.Draining:
 		return "draining"
-	case !ho.settled:
+	case !wk.settled:
 		return "unsettled"
-	case !ho.failingSince.IsZero() || ho.leaseRecorded():
+	case !wk.failingSince.IsZero() || wk.leaseRecorded():
 		return "unanswered"
-	case !now.After(ho.quarantinedUntil):
+	case !now.After(wk.quarantinedUntil):
 		return "aside"
-	case ho.quarantinedForFailures(now):
+	case wk.quarantinedForFailures(now):
 		return unavailableFailing
-	case ho.trial != nil:
+	case wk.trial != nil:
 		return unavailableTrial
 	}
 	return ""
@@ -342,27 +342,27 @@
 
 // earliestClock returns a lower bound of the worker's clock at a time, in milliseconds, or 0
 // if the clock was never read.
-func (ho *workerState) earliestClock(now time.Time) int64 {
-	if ho.clockAt.IsZero() {
+func (wk *workerState) earliestClock(now time.Time) int64 {
+	if wk.clockAt.IsZero() {
 		return 0
 	}
-	passed := float64(now.Sub(ho.clockAt).Milliseconds())
-	return ho.clockMS + int64(passed*(1-clockDrift))
+	passed := float64(now.Sub(wk.clockAt).Milliseconds())
+	return wk.clockMS + int64(passed*(1-clockDrift))
 }
 
 // nextLeaseEnd returns the lease end to send to the worker now, by its clock in milliseconds.
 // It returns 0 if the clock is not known, the tenure was not confirmed recently enough, or the
 // row of unresponsive workers (SilentTable), which the next owner may read, says that the
 // worker gets no lease.
-func (ho *workerState) nextLeaseEnd(now time.Time) int64 {
-	te := &ho.ow.Tenure
+func (wk *workerState) nextLeaseEnd(now time.Time) int64 {
+	te := &wk.ow.Tenure
 	age := now.Sub(te.LastConfirmed())
-	if ho.leaseRecorded() || ho.clockAt.IsZero() || age > minDriftDuration(tenure.ExtendFor) || (te.MayExtend != nil && !te.MayExtend()) {
+	if wk.leaseRecorded() || wk.clockAt.IsZero() || age > minDriftDuration(tenure.ExtendFor) || (te.MayExtend != nil && !te.MayExtend()) {
 		return 0
 	}
-	earliest := ho.earliestClock(now)
-	until := earliest + leaseDuration(age, ho.ow.Limits.MaxLease).Milliseconds()
-	ho.leaseUntilMS = max(ho.leaseUntilMS, until)
+	earliest := wk.earliestClock(now)
+	until := earliest + leaseDuration(age, wk.ow.Limits.MaxLease).Milliseconds()
+	wk.leaseUntilMS = max(wk.leaseUntilMS, until)
 	return until
 }
 
@@ -376,22 +376,22 @@
 // markSettled records that the worker accepts this owner's fencing token. A former owner may
 // have extended the worker's leases until now, so they count as extended by a full lease even
 // if this owner never extends them.
-func (ho *workerState) markSettled() {
-	ho.settled = true
-	ho.leaseUntilMS = max(ho.leaseUntilMS, ho.clockMS+ho.ow.Limits.MaxLease.Milliseconds())
+func (wk *workerState) markSettled() {
+	wk.settled = true
+	wk.leaseUntilMS = max(wk.leaseUntilMS, wk.clockMS+wk.ow.Limits.MaxLease.Milliseconds())
 }
 
 // recordClock records a reading of the worker's clock. Readings behind the lower bound are
 // ignored, and logged if they are far behind.
-func (ho *workerState) recordClock(clockMS int64, at time.Time) {
+func (wk *workerState) recordClock(clockMS int64, at time.Time) {
 	if clockMS == 0 {
 		return
 	}
-	if earliest := ho.earliestClock(at); clockMS >= earliest {
-		ho.clockMS, ho.clockAt = clockMS, at
+	if earliest := wk.earliestClock(at); clockMS >= earliest {
+		wk.clockMS, wk.clockAt = clockMS, at
 	}
-	if regression := time.Duration(ho.clockMS-clockMS) * time.Millisecond; regression > maxClockRegression {
-		ho.ow.Log.Warn("worker's clock went back", "worker", ho.incarnation, "by", regression, "clock_ms", clockMS, "attempts", len(ho.attempts))
+	if regression := time.Duration(wk.clockMS-clockMS) * time.Millisecond; regression > maxClockRegression {
+		wk.ow.Log.Warn("worker's clock went back", "worker", wk.incarnation, "by", regression, "clock_ms", clockMS, "attempts", len(wk.attempts))
 	}
 }
 
@@ -401,28 +401,28 @@
 
 // tick handles what changes with time alone: the end of trials, idle unlisted workers and
 // lapsed leases.
-func (ho *workerState) tick(now time.Time) {
-	ho.tickTrial(now)
-	if len(ho.attempts) == 0 {
-		ho.ow.removeIfIdle(ho)
+func (wk *workerState) tick(now time.Time) {
+	wk.tickTrial(now)
+	if len(wk.attempts) == 0 {
+		wk.ow.removeIfIdle(wk)
 		return
 	}
-	if ho.failingSince.IsZero() || now.Sub(ho.lastPoll) < unresponsiveAfter {
+	if wk.failingSince.IsZero() || now.Sub(wk.lastPoll) < unresponsiveAfter {
 		return
 	}
-	if ho.leasesLapsed(now) {
-		ho.endLapsed(now)
+	if wk.leasesLapsed(now) {
+		wk.endLapsed(now)
 	}
 }
 
 // leasesLapsed reports whether every lease that the worker may have been given has lapsed by
 // the slowest clock.
-func (ho *workerState) leasesLapsed(now time.Time) bool {
-	if !ho.settled {
-		return now.After(ho.unsettledUntil())
+func (wk *workerState) leasesLapsed(now time.Time) bool {
+	if !wk.settled {
+		return now.After(wk.unsettledUntil())
 	}
-	earliest := ho.earliestClock(now)
-	return earliest > ho.leaseUntilMS+lapseMargin.Milliseconds()
+	earliest := wk.earliestClock(now)
+	return earliest > wk.leaseUntilMS+lapseMargin.Milliseconds()
 }
 
 // formerLeasesLapsed reports whether all attempts that former owners ordered from an
@@ -483,16 +483,16 @@
 
 // sortedWorkers returns the workers in a stable order, by id and start.
 func (ow *Owner) sortedWorkers() []*workerState {
-	if ow.sorted != nil {
-		return ow.sorted
+	if ow.sortedWorkerCache != nil {
+		return ow.sortedWorkerCache
 	}
-	list := make([]*workerState, 0, len(ow.hosts))
-	for _, ho := range ow.hosts {
-		list = append(list, ho)
+	list := make([]*workerState, 0, len(ow.workers))
+	for _, wk := range ow.workers {
+		list = append(list, wk)
 	}
 	slices.SortFunc(list, func(a, b *workerState) int {
 		return cmp.Or(strings.Compare(a.incarnation.ID, b.incarnation.ID), cmp.Compare(a.incarnation.StartedMS, b.incarnation.StartedMS))
 	})
-	ow.sorted = list
+	ow.sortedWorkerCache = list
 	return list
 }
