--- a/internal/job/giveup_test.go
+++ b/internal/job/giveup_test.go
@@ -27,9 +27,9 @@
 }
 
 func TestTaskIsGivenUpAfterCrashes(t *testing.T) {
-	endless := chain(1, 1)
-	endless.Steps[0].LongRunning = true
-	for _, sp := range []Spec{chain(1, 1), endless} {
+	longRunning := chain(1, 1)
+	longRunning.Steps[0].LongRunning = true
+	for _, sp := range []Spec{chain(1, 1), longRunning} {
 		for _, tc := range []struct {
 			ends              []End
 			want              State
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -70,7 +70,7 @@
 	qt.Assert(t, reread(t, jo).State(), qt.Equals, Failed)
 }
 
-func TestEndlessTasksAreRestarted(t *testing.T) {
+func TestLongRunningTasksAreRestarted(t *testing.T) {
 	sp := chain(1, 1)
 	sp.Steps[0].LongRunning = true
 	jo := New(testID, Terms{MaxFailures: 1}, sp)
--- a/internal/sched/backoff_test.go
+++ b/internal/sched/backoff_test.go
@@ -10,10 +10,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestBackoffOfEndlessTaskThatFailsAtOnce has an endless task fail 10 ms after each start
+// TestBackoffOfLongRunningTaskThatFailsAtOnce has an endless task fail 10 ms after each start
 // for 20 s, and then keep running. Without a backoff it was started as fast as writes
 // allow; with it the starts become rarer, and the task is back soon after it stops failing.
-func TestBackoffOfEndlessTaskThatFailsAtOnce(t *testing.T) {
+func TestBackoffOfLongRunningTaskThatFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
 		began := time.Now()
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -33,53 +33,53 @@
 	if now.Sub(ow.scarcityLoggedAt) < demandLogInterval {
 		return
 	}
-	ed := ow.longRunningDemand(now)
-	if ed.tasks == 0 {
+	lrd := ow.longRunningDemand(now)
+	if lrd.tasks == 0 {
 		return
 	}
 	ow.scarcityLoggedAt = now
-	ow.Log.Info("room for lasting tasks", "jobs", ed.jobs, "tasks", ed.tasks, "again", ed.interrupted, "need_millicores", ed.needMilliCores, "longest", ed.longestWait,
-		"workers", ed.workers, "kept", ed.earmarked, "free_millicores", ed.free, "most_millicores", ed.mostFree, "passing_millicores", ed.finite,
-		"promised_millicores", ed.reserved, "promises_lacking", ow.reservations.unmet)
+	ow.Log.Info("room for lasting tasks", "jobs", lrd.jobs, "tasks", lrd.tasks, "again", lrd.interrupted, "need_millicores", lrd.needMilliCores, "longest", lrd.longestWait,
+		"workers", lrd.workers, "kept", lrd.earmarked, "free_millicores", lrd.free, "most_millicores", lrd.mostFree, "passing_millicores", lrd.finite,
+		"promised_millicores", lrd.reserved, "promises_lacking", ow.reservations.unmet)
 }
 
 // longRunningDemand sums up the endless jobs that have waited for capacity for at least
 // firstWait, and the capacity of all workers.
 func (ow *Owner) longRunningDemand(now time.Time) longRunningDemand {
-	var ed longRunningDemand
+	var lrd longRunningDemand
 	for _, tj := range ow.waitingJobs {
 		if tj.jo.LongRunning() && tj.waitCause == CauseRoom && now.Sub(tj.waitingSince) >= firstWaitLog {
-			ed.add(tj, now)
+			lrd.add(tj, now)
 		}
 	}
-	if ed.tasks == 0 {
-		return ed
+	if lrd.tasks == 0 {
+		return lrd
 	}
 	for _, wk := range ow.workers {
 		if wk.unavailableReason(now) != "" {
 			continue
 		}
 		free := max(wk.Capacity.MilliCores-wk.reserved.MilliCores, 0)
-		ed.workers++
-		ed.free += free
-		ed.mostFree = max(ed.mostFree, free)
-		ed.finite += wk.finiteReserved.MilliCores
-		ed.reserved += wk.restartReserved.MilliCores
+		lrd.workers++
+		lrd.free += free
+		lrd.mostFree = max(lrd.mostFree, free)
+		lrd.finite += wk.finiteReserved.MilliCores
+		lrd.reserved += wk.restartReserved.MilliCores
 		if wk.isEarmarked() {
-			ed.earmarked++
+			lrd.earmarked++
 		}
 	}
-	return ed
+	return lrd
 }
 
 // add adds the waiting tasks of a job.
-func (ed *longRunningDemand) add(tj *trackedJob, now time.Time) {
-	ed.jobs++
-	ed.longestWait = max(ed.longestWait, now.Sub(tj.waitingSince))
+func (lrd *longRunningDemand) add(tj *trackedJob, now time.Time) {
+	lrd.jobs++
+	lrd.longestWait = max(lrd.longestWait, now.Sub(tj.waitingSince))
 	for step := range tj.jo.Spec.Steps {
 		n := tj.waitingIn(step)
-		ed.tasks += n
-		ed.needMilliCores += int64(n) * tj.jo.Spec.Steps[step].Reserved().MilliCores
-		ed.interrupted += tj.waitingInterrupted(step)
+		lrd.tasks += n
+		lrd.needMilliCores += int64(n) * tj.jo.Spec.Steps[step].Reserved().MilliCores
+		lrd.interrupted += tj.waitingInterrupted(step)
 	}
 }
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -87,9 +87,9 @@
 	delete(wk.ow.workers, wk.incarnation)
 	wk.incarnation = answered
 	wk.ow.workers[answered], wk.ow.sortedWorkerCache = wk, nil
-	wa := wk.currentPath()
-	wa.addr.Incarnation = answered
-	wk.path.Store(&wa)
+	pt := wk.currentPath()
+	pt.addr.Incarnation = answered
+	wk.path.Store(&pt)
 	wake(wk.pathChanged)
 }
 
@@ -140,9 +140,9 @@
 
 // raiseFence sends the worker a fencing token above all earlier ones from now on.
 func (wk *workerState) raiseFence() {
-	wa := wk.currentPath()
-	wa.fence = wk.ow.nextFence()
-	wk.path.Store(&wa)
+	pt := wk.currentPath()
+	pt.fence = wk.ow.nextFence()
+	wk.path.Store(&pt)
 }
 
 // unsettle requires the worker to answer a poll with its current fencing token before it gets
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -60,9 +60,9 @@
 func (ow *Owner) sendLaunch(at *attempt, la worker.Launch) {
 	sent := time.Now()
 	ctx, cancel := context.WithTimeout(ow.ctx, launchTimeout)
-	wa := at.wk.currentPath()
-	la.Fence = wa.fence
-	ack, err := ow.Agent.LaunchFunc(ctx, wa.addr, la)
+	pt := at.wk.currentPath()
+	la.Fence = pt.fence
+	ack, err := ow.Agent.LaunchFunc(ctx, pt.addr, la)
 	cancel()
 	got := time.Now()
 	ow.post(func() { ow.handleLaunchAnswer(at, ack, sent, got, err) })
@@ -195,8 +195,8 @@
 func (ow *Owner) listsAttempt(wk *workerState, wa worker.Attempt) (bool, error) {
 	ctx, cancel := context.WithTimeout(ow.ctx, pollGrace)
 	defer cancel()
-	way := wk.currentPath()
-	res, err := ow.Agent.PollFunc(ctx, way.addr, worker.Poll{Fence: way.fence})
+	pt := wk.currentPath()
+	res, err := ow.Agent.PollFunc(ctx, pt.addr, worker.Poll{Fence: pt.fence})
 	if err != nil {
 		wk.reportIncarnation(err)
 		return false, err
@@ -230,11 +230,11 @@
 func (ow *Owner) sendHalt(wk *workerState, wa worker.Attempt) bool {
 	ctx, cancel := context.WithTimeout(ow.ctx, haltTimeout)
 	defer cancel()
-	way := wk.currentPath()
-	_, err := ow.Agent.HaltFunc(ctx, way.addr, worker.Halt{Attempt: wa, Fence: way.fence})
+	pt := wk.currentPath()
+	_, err := ow.Agent.HaltFunc(ctx, pt.addr, worker.Halt{Attempt: wa, Fence: pt.fence})
 	if err != nil {
 		wk.reportIncarnation(err)
-		ow.Log.Info("halt not done", "task", wa.Task, "attempt", wa.Number, "worker", way.addr.Incarnation, "err", err)
+		ow.Log.Info("halt not done", "task", wa.Task, "attempt", wa.Number, "worker", pt.addr.Incarnation, "err", err)
 	}
 	return err == nil
 }
--- a/internal/sched/leasebound_test.go
+++ b/internal/sched/leasebound_test.go
@@ -17,13 +17,13 @@
 // with its owner's host, if that host is without power for 9 s: 10 s after its power is back.
 const restartDeadline = 19 * time.Second
 
-// TestLastingTasksRestartAfterWorkerLostWithUnreachableOwner guards against long-running
+// TestLongRunningTasksRestartAfterWorkerLostWithUnreachableOwner guards against long-running
 // tasks that do not run for 20 s. The owner's host loses power for 9 s, and workers are lost
 // at the same moment. The next owner can ask no one, and the lease expiry row does not name
 // the workers. If a lease extended late had its full length, the next owner would have to
 // wait for the 8 s that an owner may go on without the store, and then for a whole lease of
 // 10 s. Therefore no lease may run beyond the time for which its owner is confirmed.
-func TestLastingTasksRestartAfterWorkerLostWithUnreachableOwner(t *testing.T) {
+func TestLongRunningTasksRestartAfterWorkerLostWithUnreachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
 		defer cl.stop()
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestEndlessJobTakesTurnByAgeOnly has an endless job that is submitted after the first of
+// TestLongRunningJobTakesTurnByAgeOnly has an endless job that is submitted after the first of
 // several short ones: it gets a turn by age, but none by size.
-func TestEndlessJobTakesTurnByAgeOnly(t *testing.T) {
+func TestLongRunningJobTakesTurnByAgeOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
 		short := job.Step{Tasks: 2, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}
@@ -211,9 +211,9 @@
 	})
 }
 
-// TestEndlessTaskIsNotStarvedByShortTasks submits short tasks all the time, which take each
+// TestLongRunningTaskIsNotStarvedByShortTasks submits short tasks all the time, which take each
 // part of a worker as it becomes free: a large endless task starts all the same.
-func TestEndlessTaskIsNotStarvedByShortTasks(t *testing.T) {
+func TestLongRunningTaskIsNotStarvedByShortTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
--- a/internal/sched/polls.go
+++ b/internal/sched/polls.go
@@ -50,15 +50,15 @@
 		sent := time.Now()
 		lctx, cancel := context.WithTimeout(ctx, po.Wait+pollGrace)
 		clearWake(wk.pathChanged)
-		wa := wk.currentPath()
-		po.Fence = wa.fence
-		res, err := wk.ow.Agent.PollFunc(lctx, wa.addr, po)
+		pt := wk.currentPath()
+		po.Fence = pt.fence
+		res, err := wk.ow.Agent.PollFunc(lctx, pt.addr, po)
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
 		got := time.Now()
-		if !wk.ow.post(func() { wk.handlePoll(sent, got, wa.fence, res, err) }) {
+		if !wk.ow.post(func() { wk.handlePoll(sent, got, pt.fence, res, err) }) {
 			return
 		}
 		wk.waitForNextPoll(ctx, err)
--- a/internal/sched/quarantine_test.go
+++ b/internal/sched/quarantine_test.go
@@ -44,11 +44,11 @@
 	})
 }
 
-// TestLastingTaskStartsOnQuarantinedWorker guards against a service that does not run for 12
+// TestLongRunningTaskStartsOnQuarantinedWorker guards against a service that does not run for 12
 // s while a worker is idle. That worker is quarantined because tasks of two jobs failed
 // there, and all other workers are full. The task must not wait for the end of the
 // quarantine: running where others failed is better than not running.
-func TestLastingTaskStartsOnQuarantinedWorker(t *testing.T) {
+func TestLongRunningTaskStartsOnQuarantinedWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		ow := la.startLongRunning(2*16 - 1)
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -287,7 +287,7 @@
 	fr.checkStates()
 	for n := range fr.accepted {
 		state := fr.lastStates[n]
-		endless := fr.spec(jobID(n)).Steps[0].LongRunning
+		untilCancelled := fr.spec(jobID(n)).Steps[0].LongRunning
 		switch {
 		case fr.cancelled[n] && !state.Final():
 			fr.rt.Errorf("job %d was cancelled and is %s", n, state)
@@ -295,7 +295,7 @@
 		case state == job.Failed && fr.crashedUnder(n) >= 2:
 		case crashesWorkers(n) && !fr.cancelled[n] && !fr.cancelUnknown[n] && fr.crashedUnder(n) > 0:
 			fr.rt.Errorf("job %d crashes its workers and is %s", n, state)
-		case !fr.cancelled[n] && !endless && state != job.Succeeded:
+		case !fr.cancelled[n] && !untilCancelled && state != job.Succeeded:
 			fr.rt.Errorf("job %d is %s, with runs %s", n, state, fr.describeRuns(n))
 		}
 	}
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -58,9 +58,9 @@
 	})
 }
 
-// TestEndlessDemandIsLogged has 16 of 20 endless tasks fit: once a second a log line tells
+// TestLongRunningDemandIsLogged has 16 of 20 endless tasks fit: once a second a log line tells
 // how many wait, and what capacity there is in total.
-func TestEndlessDemandIsLogged(t *testing.T) {
+func TestLongRunningDemandIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll := loggedLab(t, 1)
 		ow := la.startLongRunning(16)
--- a/internal/sched/successiveowners_test.go
+++ b/internal/sched/successiveowners_test.go
@@ -226,14 +226,14 @@
 	co.kill()
 }
 
-// TestLastingTasksRestartAfterWorkerLostBeforeUnreachableOwner guards against long-running
+// TestLongRunningTasksRestartAfterWorkerLostBeforeUnreachableOwner guards against long-running
 // tasks that do not run for 18 s. Workers are lost for good; 3 s later the host of their
 // owner is lost too, which had stopped extending their leases 2 s before. No process is left
 // that can say when those leases were last extended, so the next owner would have to wait for
 // the 8 s that an owner may go on without the store, and for a lease of 6 s after that.
 // Therefore an owner stores the lease expiries of unresponsive workers, and extends no lease
 // of a worker until the store has accepted a row without it.
-func TestLastingTasksRestartAfterWorkerLostBeforeUnreachableOwner(t *testing.T) {
+func TestLongRunningTasksRestartAfterWorkerLostBeforeUnreachableOwner(t *testing.T) {
 	for _, later := range []time.Duration{2500 * time.Millisecond, 3 * time.Second, 4 * time.Second} {
 		t.Run(later.String(), func(t *testing.T) {
 			withThreeHosts(t, func(cl *cluster, first, _, _ *clusterHost) {
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -15,10 +15,10 @@
 )
 
 // workersPerCrash is how many workers crash with each owner of
-// [TestLastingTasksNotGivenUpAfterOwnerLosses].
+// [TestLongRunningTasksNotGivenUpAfterOwnerLosses].
 const workersPerCrash = 3
 
-// TestLastingTasksNotGivenUpAfterOwnerLosses guards against healthy long-running jobs that
+// TestLongRunningTasksNotGivenUpAfterOwnerLosses guards against healthy long-running jobs that
 // end as failed. Their tasks run for 20 s; then their owner's host freezes, and 0.2 s later
 // workers crash. The next owner finds another process at the workers' addresses, or no entry
 // of them. Unless the job's row says how long an attempt had run, that owner classifies each
@@ -27,7 +27,7 @@
 //
 // [TestTaskThatCrashesItsWorkers] checks the opposite case: a task that does crash its
 // workers is given up also if its owners are lost with them.
-func TestLastingTasksNotGivenUpAfterOwnerLosses(t *testing.T) {
+func TestLongRunningTasksNotGivenUpAfterOwnerLosses(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		// forGood is set if the workers do not come back.
