--- a/internal/job/criticalpath.go
+++ b/internal/job/criticalpath.go
@@ -30,7 +30,7 @@
 }
 
 // RemainingWork returns the estimated processor time of the tasks that are not done, in
-// thousandths of a core times milliseconds. Endless tasks are left out.
+// thousandths of a core times milliseconds. Long-running tasks are left out.
 func (jo *Job) RemainingWork() int64 {
 	var sum int64
 	for i := range jo.Spec.Steps {
--- a/internal/job/giveup.go
+++ b/internal/job/giveup.go
@@ -85,7 +85,7 @@
 	return true
 }
 
-// Exhausted reports whether the task has failed as often as its queue allows. Endless
+// Exhausted reports whether the task has failed as often as its queue allows. Long-running
 // tasks have no such limit.
 func (jo *Job) Exhausted(ref TaskRef) bool {
 	ta := jo.Task(ref)
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -187,7 +187,7 @@
 	return n
 }
 
-// Endless reports whether the job has tasks that run until it is cancelled.
+// LongRunning reports whether the job has tasks that run until it is cancelled.
 func (jo *Job) LongRunning() bool {
 	return slices.ContainsFunc(jo.Spec.Steps, func(st Step) bool { return st.LongRunning })
 }
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -51,17 +51,17 @@
 	MaxPerWorker int `json:"per_worker,omitempty"`
 	// Copies is set if several attempts of a task may run in parallel.
 	Copies bool `json:"copies,omitempty"`
-	// Endless tasks run until the job is cancelled.
+	// LongRunning tasks run until the job is cancelled.
 	LongRunning bool `json:"endless,omitempty"`
 	// Image is the name of the program; tasks of one image behave alike.
 	Image string `json:"image,omitempty"`
-	// TargetMS is the target of the tail latency of the requests that an endless task
+	// TargetMS is the target of the tail latency of the requests that a long-running task
 	// serves, in milliseconds; 0 for no target.
 	TargetMS int64 `json:"target_ms,omitempty"`
 	// Filler tasks use the processor time that other tasks leave idle; none is reserved
 	// for them.
 	Filler bool `json:"filler,omitempty"`
-	// MaxUnavailable is how many of the step's endless tasks may be down at the same time.
+	// MaxUnavailable is how many of the step's long-running tasks may be down at the same time.
 	MaxUnavailable int `json:"may_miss,omitempty"`
 	// Gang tasks make progress only while all of them run.
 	Gang bool `json:"gang,omitempty"`
--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -35,15 +35,15 @@
 	haltSentAt time.Time
 	// percent is its progress. usage is the last reported figure: the tail latency of a
 	// service in milliseconds, the CPU use of other tasks in thousandths of a core.
-	percent int
-	usage   int64
+	progress int
+	usage    int64
 	// progressedAt is when it was last seen to make progress, and pollsWithoutProgress counts
 	// the polls since.
 	progressedAt time.Time
 	// workingSince is when it was first seen at work without having been throttled since, and
-	// initialPercent its progress at that time.
+	// initialProgress its progress at that time.
 	workingSince         time.Time
-	initialPercent       int
+	initialProgress      int
 	pollsWithoutProgress int
 	// replica has the measurements of a service replica.
 	replica interfere.Replica
@@ -54,7 +54,7 @@
 	// pace is the share of full speed last ordered, in percent, or unknownPace.
 	pace int
 	// pacing is set while an order to set the pace is in flight.
-	pacing bool
+	paceInFlight bool
 	// throttledSince is since when a filler's pace has been so low that it hardly makes
 	// progress.
 	throttledSince time.Time
--- a/internal/sched/backoff.go
+++ b/internal/sched/backoff.go
@@ -6,7 +6,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// Backoff of endless tasks that fail. Such tasks are restarted however they end, without a
+// Backoff of long-running tasks that fail. Such tasks are restarted however they end, without a
 // limit on failures, so only the time between two starts limits them: without it a task
 // that failed at once was started 50 times a second.
 const (
@@ -19,7 +19,7 @@
 	backoffDoublings = 5
 )
 
-// backoffs holds the backoffs of a job's endless tasks. The zero value has none.
+// backoffs holds the backoffs of a job's long-running tasks. The zero value has none.
 type backoffs struct{ tasks map[job.TaskRef]taskBackoff }
 
 type taskBackoff struct {
@@ -29,7 +29,7 @@
 	until time.Time
 }
 
-// recordFailure records that an attempt of a task failed; tasks that are not endless are
+// recordFailure records that an attempt of a task failed; tasks that are not long-running are
 // ignored.
 func (bo *backoffs) recordFailure(tj *trackedJob, ref job.TaskRef, now time.Time) {
 	if !tj.jo.Spec.Steps[ref.Step].LongRunning {
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -14,7 +14,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// fillWithServicesAndFillers fills a cell with the users' mix of jobs: endless services on
+// fillWithServicesAndFillers fills a cell with the users' mix of jobs: long-running services on
 // most of the CPUs, and fillers that wait for a suitable worker.
 func fillWithServicesAndFillers(la *lab, ow *Owner, workers int) {
 	n := 0
--- a/internal/sched/reach.go
+++ b/internal/sched/contact.go
@@ -7,15 +7,15 @@
 )
 
 // reach is the state of a worker with regard to the owner's orders.
-type reach string
+type contactState string
 
 const (
-	// reachAnswering: it gets orders.
-	reachAnswering reach = "answering"
-	// reachUnresponsive: it got orders before, and its last poll failed or takes too long.
-	reachUnresponsive reach = "silent"
-	// reachUnsettled: it has not yet reported to this owner what it runs.
-	reachUnsettled reach = "unsettled"
+	// contactAnswering: it gets orders.
+	contactAnswering contactState = "answering"
+	// contactUnresponsive: it got orders before, and its last poll failed or takes too long.
+	contactUnresponsive contactState = "silent"
+	// contactUnsettled: it has not yet reported to this owner what it runs.
+	contactUnsettled contactState = "unsettled"
 )
 
 // Limits on the reports of workers that get no orders.
@@ -40,23 +40,23 @@
 }
 
 // reach returns the state of the worker.
-func (wk *workerState) reach(now time.Time) reach {
+func (wk *workerState) contactState(now time.Time) contactState {
 	switch {
 	case !wk.settled:
-		return reachUnsettled
-	case !wk.failingSince.IsZero() || now.Sub(wk.lastPoll) > pollOverdueAfter:
-		return reachUnresponsive
+		return contactUnsettled
+	case !wk.failingSince.IsZero() || now.Sub(wk.lastAnsweredAt) > pollOverdueAfter:
+		return contactUnresponsive
 	}
-	return reachAnswering
+	return contactAnswering
 }
 
 // needsOrders reports whether the worker is expected to get orders at all.
 func (wk *workerState) needsOrders() bool { return !wk.unlisted && !wk.dead }
 
-// recordReach records since when the worker gets no orders.
-func (wk *workerState) recordReach(re reach, now time.Time) {
+// recordContactState records since when the worker gets no orders.
+func (wk *workerState) recordContactState(cs contactState, now time.Time) {
 	switch {
-	case re == reachAnswering:
+	case cs == contactAnswering:
 		wk.noContactSince = time.Time{}
 	case wk.noContactSince.IsZero():
 		wk.noContactSince = now
@@ -66,35 +66,35 @@
 // sinceLastContact returns how long ago the worker last answered or, if it never did, was
 // first found to get no orders.
 func (wk *workerState) sinceLastContact(now time.Time) time.Duration {
-	if wk.lastPoll.IsZero() {
+	if wk.lastAnsweredAt.IsZero() {
 		return now.Sub(wk.noContactSince)
 	}
-	return now.Sub(wk.lastPoll)
+	return now.Sub(wk.lastAnsweredAt)
 }
 
-// updateReach counts the workers by state, sets their gauge, and logs outages.
-func (ow *Owner) updateReach(now time.Time) {
-	counts := map[reach]int{}
+// updateContactStates counts the workers by state, sets their gauge, and logs outages.
+func (ow *Owner) updateContactStates(now time.Time) {
+	counts := map[contactState]int{}
 	late := 0
 	for _, wk := range ow.workers {
 		if !wk.needsOrders() {
 			continue
 		}
-		re := wk.reach(now)
-		wk.recordReach(re, now)
-		counts[re]++
+		cs := wk.contactState(now)
+		wk.recordContactState(cs, now)
+		counts[cs]++
 		if !wk.noContactSince.IsZero() && now.Sub(wk.noContactSince) > outageLogAfter {
 			late++
 		}
 	}
 	setWorkersGauge(ow.Metrics, counts)
-	ow.logReach(counts, late, now)
+	ow.logOutage(counts, late, now)
 }
 
 // setWorkersGauge sets the gauge of workers by state.
-func setWorkersGauge(me *telemetry.Metrics, counts map[reach]int) {
-	for _, re := range []reach{reachAnswering, reachUnresponsive, reachUnsettled} {
-		me.Set(telemetry.Workers, int64(counts[re]), "state", string(re))
+func setWorkersGauge(me *telemetry.Metrics, counts map[contactState]int) {
+	for _, cs := range []contactState{contactAnswering, contactUnresponsive, contactUnsettled} {
+		me.Set(telemetry.Workers, int64(counts[cs]), "state", string(cs))
 	}
 }
 
@@ -106,23 +106,23 @@
 	setCoresGauge(me, 0, 0)
 }
 
-// logReach logs workers that get no orders, and the end of such an outage. late is the
+// logOutage logs workers that get no orders, and the end of such an outage. late is the
 // number of workers that have had none for more than outageLogAfter.
-func (ow *Owner) logReach(counts map[reach]int, late int, now time.Time) {
-	without := counts[reachUnresponsive] + counts[reachUnsettled]
+func (ow *Owner) logOutage(counts map[contactState]int, late int, now time.Time) {
+	without := counts[contactUnresponsive] + counts[contactUnsettled]
 	switch {
 	case late > 0 && now.Sub(ow.outage.loggedAt) >= outageLogInterval:
 		ow.outage.loggedAt = now
 		ow.logWithoutOrders(counts, now)
 	case without == 0 && !ow.outage.loggedAt.IsZero():
-		ow.Log.Info("all workers get orders again", "cell", ow.Cell, "workers", counts[reachAnswering], "after", now.Sub(ow.outage.beganAt))
+		ow.Log.Info("all workers get orders again", "cell", ow.Cell, "workers", counts[contactAnswering], "after", now.Sub(ow.outage.beganAt))
 		ow.outage = outage{}
 	}
 }
 
 // logWithoutOrders logs the workers that get no orders, with the relay and the data centre
 // that most of them share.
-func (ow *Owner) logWithoutOrders(counts map[reach]int, now time.Time) {
+func (ow *Owner) logWithoutOrders(counts map[contactState]int, now time.Time) {
 	attempts, longest := 0, time.Duration(0)
 	var relays, centres groupCounts
 	for _, wk := range ow.workers {
@@ -142,32 +142,32 @@
 		}
 	}
 	relay, centre := relays.largest(), centres.largest()
-	ow.Log.Warn("workers without orders", "cell", ow.Cell, "workers", counts[reachUnresponsive]+counts[reachUnsettled],
-		"of", counts[reachUnresponsive]+counts[reachUnsettled]+counts[reachAnswering],
-		"silent", counts[reachUnresponsive], "unsettled", counts[reachUnsettled], "attempts", attempts, "longest", longest,
-		"via", relay, "via_workers", relays.without[relay], "via_all", relays.all[relay],
-		"data_centre", centre, "data_centre_workers", centres.without[centre], "data_centre_all", centres.all[centre])
+	ow.Log.Warn("workers without orders", "cell", ow.Cell, "workers", counts[contactUnresponsive]+counts[contactUnsettled],
+		"of", counts[contactUnresponsive]+counts[contactUnsettled]+counts[contactAnswering],
+		"silent", counts[contactUnresponsive], "unsettled", counts[contactUnsettled], "attempts", attempts, "longest", longest,
+		"via", relay, "via_workers", relays.withoutOrders[relay], "via_all", relays.all[relay],
+		"data_centre", centre, "data_centre_workers", centres.withoutOrders[centre], "data_centre_all", centres.all[centre])
 }
 
 // groupCounts counts workers by a common property: all of them, and those without orders.
 // The zero value has none.
-type groupCounts struct{ all, without map[string]int }
+type groupCounts struct{ all, withoutOrders map[string]int }
 
 func (gc *groupCounts) add(property string, without bool) {
 	if gc.all == nil {
-		gc.all, gc.without = map[string]int{}, map[string]int{}
+		gc.all, gc.withoutOrders = map[string]int{}, map[string]int{}
 	}
 	gc.all[property]++
 	if without {
-		gc.without[property]++
+		gc.withoutOrders[property]++
 	}
 }
 
 // largest returns the property that most workers without orders share.
 func (gc *groupCounts) largest() string {
 	best := ""
-	for property, n := range gc.without {
-		if n > gc.without[best] || n == gc.without[best] && property < best {
+	for property, n := range gc.withoutOrders {
+		if n > gc.withoutOrders[best] || n == gc.withoutOrders[best] && property < best {
 			best = property
 		}
 	}
--- a/internal/sched/reach_test.go
+++ b/internal/sched/contact_test.go
@@ -186,7 +186,7 @@
 	re := httptest.NewRecorder()
 	page.ServeHTTP(re, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	var list []string
-	for _, state := range []reach{reachAnswering, reachUnresponsive, reachUnsettled} {
+	for _, state := range []contactState{contactAnswering, contactUnresponsive, contactUnsettled} {
 		_, after, found := strings.Cut(re.Body.String(), fmt.Sprintf("%s{state=%q} ", telemetry.Workers, state))
 		qt.Assert(t, found, qt.IsTrue, qt.Commentf("no gauge of workers in state %s", state))
 		value, _, _ := strings.Cut(after, "\n")
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -37,7 +37,7 @@
 			if other.firstSeen.Before(sent) {
 				other.supersedeBy(wk)
 			}
-		case !other.lastPoll.IsZero() && other.lastPoll.Before(sent):
+		case !other.lastAnsweredAt.IsZero() && other.lastAnsweredAt.Before(sent):
 			other.markDead("another process answers at its address", wk.incarnation)
 		}
 	}
@@ -111,12 +111,12 @@
 	if wk.leftAsPlanned() {
 		return false
 	}
-	wk.ow.Metrics.Add(telemetry.WorkersCrashed, 1, "attempts", someOrNone(len(wk.attempts)))
+	wk.ow.Metrics.Add(telemetry.WorkersCrashed, 1, "attempts", countLabel(len(wk.attempts)))
 	return true
 }
 
-// someOrNone returns the metric label of a count.
-func someOrNone(n int) string {
+// countLabel returns the metric label of a count.
+func countLabel(n int) string {
 	if n == 0 {
 		return "none"
 	}
@@ -126,7 +126,7 @@
 // leftAsPlanned reports whether the worker, whose process has ended, was expected to: it
 // drained, or still answered after its entry was removed.
 func (wk *workerState) leftAsPlanned() bool {
-	return wk.Draining || (wk.unlisted && wk.lastPoll.After(wk.unlistedAt))
+	return wk.Draining || (wk.unlisted && wk.lastAnsweredAt.After(wk.unlistedAt))
 }
 
 // crashEnd returns how the attempt ended if its worker's process crashed.
@@ -150,19 +150,19 @@
 // unseenEnd returns how an attempt ended whose worker this owner never saw. If the list of
 // workers is reliable, the worker's process has ended, since no running process goes without
 // an entry for so long.
-func unseenEnd(pr job.Phase, listSound bool) job.End {
+func unseenEnd(ph job.Phase, listReliable bool) job.End {
 	switch {
-	case pr == job.PhaseStable:
+	case ph == job.PhaseStable:
 		return job.EndLapsed
-	case pr == job.PhaseStarted || !listSound:
+	case ph == job.PhaseStarted || !listReliable:
 		return job.EndLost
 	}
 	return job.EndCrashed
 }
 
 // minRunTime returns how long an attempt ran at least, by its row.
-func minRunTime(pr job.Phase) time.Duration {
-	switch pr {
+func minRunTime(ph job.Phase) time.Duration {
+	switch ph {
 	case job.PhaseStarted:
 		return startupDuration
 	case job.PhaseStable:
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// demandLogInterval is the time between log lines on endless tasks that wait for capacity.
+// demandLogInterval is the time between log lines on long-running tasks that wait for capacity.
 // The lines of single jobs tell neither how many such tasks there are nor the total free
 // capacity.
 const demandLogInterval = time.Second
 
-// longRunningDemand sums up the endless tasks that wait and the capacity that there is for
+// longRunningDemand sums up the long-running tasks that wait and the capacity that there is for
 // them.
 type longRunningDemand struct {
 	// jobs and tasks count what waits for capacity; interrupted counts the tasks among them
@@ -18,7 +18,7 @@
 	needMilliCores int64
 	longestWait    time.Duration
 	// workers counts those that accept new tasks, earmarked those of them whose free
-	// capacity is set aside for an endless task. The rest is in thousandths of a core: free
+	// capacity is set aside for a long-running task. The rest is in thousandths of a core: free
 	// is the sum of what is free, mostFree the largest free part of one worker, finite what
 	// is taken by tasks that end by themselves, and reserved what is reserved for
 	// interrupted tasks.
@@ -27,23 +27,23 @@
 	free, mostFree, finite int64
 }
 
-// logLongRunningDemand logs how many endless tasks wait for capacity, and what capacity there
+// logLongRunningDemand logs how many long-running tasks wait for capacity, and what capacity there
 // is.
 func (ow *Owner) logLongRunningDemand(now time.Time) {
-	if now.Sub(ow.scarcityLoggedAt) < demandLogInterval {
+	if now.Sub(ow.demandLoggedAt) < demandLogInterval {
 		return
 	}
 	lrd := ow.longRunningDemand(now)
 	if lrd.tasks == 0 {
 		return
 	}
-	ow.scarcityLoggedAt = now
+	ow.demandLoggedAt = now
 	ow.Log.Info("room for lasting tasks", "jobs", lrd.jobs, "tasks", lrd.tasks, "again", lrd.interrupted, "need_millicores", lrd.needMilliCores, "longest", lrd.longestWait,
 		"workers", lrd.workers, "kept", lrd.earmarked, "free_millicores", lrd.free, "most_millicores", lrd.mostFree, "passing_millicores", lrd.finite,
 		"promised_millicores", lrd.reserved, "promises_lacking", ow.reservations.unmet)
 }
 
-// longRunningDemand sums up the endless jobs that have waited for capacity for at least
+// longRunningDemand sums up the long-running jobs that have waited for capacity for at least
 // firstWait, and the capacity of all workers.
 func (ow *Owner) longRunningDemand(now time.Time) longRunningDemand {
 	var lrd longRunningDemand
--- a/internal/sched/earmark.go
+++ b/internal/sched/earmark.go
@@ -6,12 +6,12 @@
 // in this many, but at least one.
 const earmarkShare = 16
 
-// isEarmarked reports whether the worker's free capacity is set aside for an endless task.
+// isEarmarked reports whether the worker's free capacity is set aside for a long-running task.
 func (wk *workerState) isEarmarked() bool {
 	return wk.restartReady || wk.earmarkedInRound == wk.ow.placementRounds
 }
 
-// earmark sets aside the free capacity of a worker for an endless task that never ran and
+// earmark sets aside the free capacity of a worker for a long-running task that never ran and
 // fits nowhere: otherwise short tasks would take each part of it as it becomes free, and
 // the task would wait for as long as they arrive. It chooses the worker that is least short
 // of the capacity and will have it once the tasks there that end by themselves have ended.
--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -12,7 +12,7 @@
 	// leaveMargin is added to the time to stop an attempt. It covers the delivery of the
 	// order, the poll that lists the end, and the write of the end.
 	leaveMargin = 700 * time.Millisecond
-	// maxEvacuationsPerTick bounds the moves of endless tasks per tick, so that the tasks of
+	// maxEvacuationsPerTick bounds the moves of long-running tasks per tick, so that the tasks of
 	// a step are not all interrupted at once.
 	maxEvacuationsPerTick = 6
 	// maxReservedWaiting bounds the waiting tasks for which capacity is reserved; each can
@@ -21,7 +21,7 @@
 )
 
 // evacuate moves tasks off workers that leave, because they are draining or because their
-// entry was removed. An endless task is stopped as soon as another worker has capacity for
+// entry was removed. A long-running task is stopped as soon as another worker has capacity for
 // it. Tasks that end by themselves are left running.
 func (ow *Owner) evacuate(now time.Time) {
 	if ow.storeDown() {
@@ -96,7 +96,7 @@
 	return !at.haltSentAt.IsZero() && evac.now.Sub(at.haltSentAt) < evac.ow.Limits.StopTime+leaveMargin
 }
 
-// move stops an endless task if another worker has capacity for it.
+// move stops a long-running task if another worker has capacity for it.
 func (evac *evacuation) move(at *attempt, cause string) {
 	if evac.noCapacity[at.step()] {
 		return
@@ -135,7 +135,7 @@
 	return evac.cachedPlacer
 }
 
-// reserveForWaiting reserves capacity for endless tasks that wait for placement.
+// reserveForWaiting reserves capacity for long-running tasks that wait for placement.
 func (pl *placer) reserveForWaiting() {
 	remaining := maxReservedWaiting
 	for _, tj := range pl.ow.waitingJobs {
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -77,8 +77,8 @@
 // reportIncarnation handles the error of an order or a poll, in which another incarnation may
 // have answered. It may be called from any goroutine.
 func (wk *workerState) reportIncarnation(err error) {
-	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
-		wk.ow.post(func() { wk.handleOtherIncarnation(le.Answered) })
+	if ie := (*worker.IncarnationError)(nil); errors.As(err, &ie) {
+		wk.ow.post(func() { wk.handleOtherIncarnation(ie.Answered) })
 	}
 }
 
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -85,8 +85,8 @@
 		return
 	}
 	ow.Log.Info("launch not done", "task", taskID(at), "attempt", at.number, "worker", at.wk.incarnation, "err", err)
-	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
-		at.wk.handleOtherIncarnation(le.Answered)
+	if ie := (*worker.IncarnationError)(nil); errors.As(err, &ie) {
+		at.wk.handleOtherIncarnation(ie.Answered)
 		if at.wk.dead {
 			return
 		}
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -41,7 +41,7 @@
 	MechMove
 	// MechStall retries attempts without progress on another worker.
 	MechStall
-	// MechReserveCapacity sets capacity aside for endless tasks that fit on no worker.
+	// MechReserveCapacity reserves capacity for long-running tasks that fit on no worker.
 	MechReserveCapacity
 )
 
@@ -69,7 +69,7 @@
 	{MechHold, "hold", "stops fillers beside services that are over their target for long"},
 	{MechMove, "move", "moves held fillers to better workers"},
 	{MechStall, "stall", "retries attempts without progress on another worker"},
-	{MechReserveCapacity, "keep-room", "sets capacity aside for endless tasks that fit on no worker"},
+	{MechReserveCapacity, "keep-room", "reserves capacity for long-running tasks that fit on no worker"},
 }
 
 // ErrMechanism is returned for a name that is not in Mechanisms.
@@ -93,9 +93,9 @@
 }
 
 func parseMechanism(name string) (Mechanism, error) {
-	for _, en := range Mechanisms {
-		if en.Name == name {
-			return en.Mechanism, nil
+	for _, entry := range Mechanisms {
+		if entry.Name == name {
+			return entry.Mechanism, nil
 		}
 	}
 	return 0, fmt.Errorf("%w: %q", ErrMechanism, name)
--- a/internal/sched/mechanism_test.go
+++ b/internal/sched/mechanism_test.go
@@ -13,13 +13,13 @@
 	t.Run("every name, alone and together", func(t *testing.T) {
 		var all Mechanism
 		names := ""
-		for _, en := range Mechanisms {
-			one, err := ParseMechanisms(en.Name)
+		for _, entry := range Mechanisms {
+			one, err := ParseMechanisms(entry.Name)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, one, qt.Equals, en.Mechanism)
-			qt.Assert(t, all&one, qt.Equals, Mechanism(0), qt.Commentf("%s shares a bit", en.Name))
+			qt.Assert(t, one, qt.Equals, entry.Mechanism)
+			qt.Assert(t, all&one, qt.Equals, Mechanism(0), qt.Commentf("%s shares a bit", entry.Name))
 			all |= one
-			names += "," + en.Name
+			names += "," + entry.Name
 		}
 		got, err := ParseMechanisms(names)
 		qt.Assert(t, err, qt.IsNil)
--- a/internal/sched/move.go
+++ b/internal/sched/move.go
@@ -52,10 +52,10 @@
 	if at.throttledSince.IsZero() || now.Sub(at.throttledSince) < moveAfter || !at.haltSentAt.IsZero() {
 		return false
 	}
-	if at.percent >= nearlyDonePercent {
+	if at.progress >= nearlyDonePercent {
 		return false
 	}
-	return at.step().Checkpoints || at.percent <= maxLostPercent
+	return at.step().Checkpoints || at.progress <= maxLostPercent
 }
 
 // reserveIdleElsewhere reports whether another worker can run the filler without harm to its
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// compareEntries compares by priority, then by feasibility, then by sort key.
-func compareEntries(a, b *trackedJob) int {
+// compareJobs compares by priority, then by feasibility, then by sort key.
+func compareJobs(a, b *trackedJob) int {
 	return cmp.Or(compareGroups(a, b), cmp.Compare(a.sortKey, b.sortKey), cmp.Compare(a.order, b.order))
 }
 
@@ -34,7 +34,7 @@
 
 // evaluateFeasibility returns the job's feasibility at the given time.
 func (tj *trackedJob) evaluateFeasibility(now time.Time) feasibility {
-	// An endless task has no time by which it is worthless.
+	// A long-running task has no time by which it is worthless.
 	if tj.targetMS <= 0 || tj.jo.LongRunning() || !tj.ow.enabled(MechFeasibleFirst) {
 		return inTime
 	}
@@ -48,11 +48,11 @@
 	return tooLate
 }
 
-// sortActive sorts the waiting jobs by current feasibility and remaining work. When capacity
+// sortWaitingJobs sorts the waiting jobs by current feasibility and remaining work. When capacity
 // is short, running small jobs first and finishing those that have begun lets more jobs meet
 // their targets, but large jobs must not starve. Therefore two jobs by remaining work
 // alternate with one by age.
-func (ow *Owner) sortActive(now time.Time) {
+func (ow *Owner) sortWaitingJobs(now time.Time) {
 	for _, tj := range ow.waitingJobs {
 		tj.feasibility, tj.workLeft = tj.evaluateFeasibility(now), tj.remainingWork()
 	}
@@ -65,10 +65,10 @@
 	if ow.enabled(MechTurnsByAge) {
 		ow.assignSortKeys(bySizePerAge, func(a, b *trackedJob) int { return cmp.Compare(a.order, b.order) })
 	}
-	slices.SortFunc(ow.waitingJobs, compareEntries)
+	slices.SortFunc(ow.waitingJobs, compareJobs)
 }
 
-// remainingWork is the work that is left of the job. That of endless tasks is unbounded, so
+// remainingWork is the work that is left of the job. That of long-running tasks is unbounded, so
 // among jobs of equal priority they are ordered by age: a short task that waits behind them
 // misses its target, while they lose only the time that they wait.
 func (tj *trackedJob) remainingWork() int64 {
@@ -81,14 +81,14 @@
 // assignSortKeys ranks the jobs by compare and lowers each job's sort key to every times its
 // rank, if that is lower.
 func (ow *Owner) assignSortKeys(every int, compare func(a, b *trackedJob) int) {
-	ow.rankActive(compare)
+	ow.rankWaitingJobs(compare)
 	for _, tj := range ow.waitingJobs {
 		tj.sortKey = min(tj.sortKey, every*tj.rank)
 	}
 }
 
-// rankActive ranks each job among those of its priority and feasibility.
-func (ow *Owner) rankActive(compare func(a, b *trackedJob) int) {
+// rankWaitingJobs ranks each job among those of its priority and feasibility.
+func (ow *Owner) rankWaitingJobs(compare func(a, b *trackedJob) int) {
 	slices.SortFunc(ow.waitingJobs, func(a, b *trackedJob) int {
 		return cmp.Or(compareGroups(a, b), compare(a, b), cmp.Compare(a.order, b.order))
 	})
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -130,8 +130,8 @@
 	// is in flight.
 	modelSavedAt time.Time
 	savingModel  bool
-	// scarcityLoggedAt is when waiting long-running tasks without capacity were last logged.
-	scarcityLoggedAt time.Time
+	// demandLoggedAt is when waiting long-running tasks without capacity were last logged.
+	demandLoggedAt time.Time
 	// reservations holds the capacity reserved for long-running tasks that are to restart.
 	reservations restartReservations
 	// stuckCheckedAt is when stuck tasks were last searched for.
@@ -241,13 +241,13 @@
 	}
 	ow.recordUnresponsive(now)
 	ow.recordLeases(now)
-	ow.updateReach(now)
+	ow.updateContactStates(now)
 	ow.writeDueProofs(now)
 	ow.accountTime(now)
 	ow.reserveForRestarts(now)
 	ow.logLongRunningDemand(now)
 	ow.reportStuck(now)
-	ow.sortActive(now)
+	ow.sortWaitingJobs(now)
 	ow.moveHeld(now)
 	ow.checkWorkerList(now)
 	ow.evacuate(now)
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -133,14 +133,14 @@
 		}
 		less := min(float64(at.effectivePace())/fullPace, excess/drop)
 		excess -= less * drop
-		wk.pace(at, at.effectivePace()-int(math.Ceil(less*fullPace)), now, "service over its target")
+		wk.setPace(at, at.effectivePace()-int(math.Ceil(less*fullPace)), now, "service over its target")
 	}
 }
 
 // holdAll stops every filler, as slowing some did not suffice.
 func (wk *workerState) holdAll(fillers []*attempt, now time.Time) {
 	for _, at := range fillers {
-		wk.pace(at, 0, now, "service over its target for long")
+		wk.setPace(at, 0, now, "service over its target for long")
 	}
 }
 
@@ -184,7 +184,7 @@
 		for service := range spare {
 			spare[service] -= more * wk.interference(at, service)
 		}
-		wk.pace(at, at.effectivePace()+int(more*fullPace), now, "services have room")
+		wk.setPace(at, at.effectivePace()+int(more*fullPace), now, "services have room")
 	}
 }
 
@@ -209,12 +209,12 @@
 		}
 	}
 	if least < fullPace {
-		wk.pace(at, int(least), now, "started beside services with little room")
+		wk.setPace(at, int(least), now, "started beside services with little room")
 	}
 }
 
 // pace orders a pace in per cent, if it differs enough from the last.
-func (wk *workerState) pace(at *attempt, percent int, now time.Time, why string) {
+func (wk *workerState) setPace(at *attempt, percent int, now time.Time, why string) {
 	percent = max(percent, 0)
 	if at.pace == percent || (percent > 0 && percent < fullPace && abs(percent-at.pace) < minPaceChange) {
 		return
@@ -235,17 +235,17 @@
 // orderPace sends the wanted pace of an attempt, one order at a time: concurrent orders
 // could arrive in the wrong order, and the worker would keep the older one.
 func (ow *Owner) orderPace(at *attempt) {
-	if at.pacing {
+	if at.paceInFlight {
 		return
 	}
-	at.pacing = true
+	at.paceInFlight = true
 	go ow.sendPace(at, worker.Pace{Attempt: at.name(), Percent: at.pace})
 }
 
 // handlePaceResult handles the result of an order, and sends another if the wanted pace has
 // changed since. After an order without an answer the pace is unknown.
 func (ow *Owner) handlePaceResult(at *attempt, percent int, err error) {
-	at.pacing = false
+	at.paceInFlight = false
 	switch {
 	case at.tj.attempts[at.ref] != at:
 	case at.pace != percent && at.pace != unknownPace:
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -130,7 +130,7 @@
 			return worker.Ack{}, nil
 		}
 		for _, percent := range []int{70, 40, 0} {
-			pf.wk.pace(at, percent, time.Now(), "test")
+			pf.wk.setPace(at, percent, time.Now(), "test")
 			time.Sleep(10 * time.Millisecond)
 		}
 		for range 3 {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -9,7 +9,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// assumedLongRunningLoad is the share of their declared processor time that endless tasks are
+// assumedLongRunningLoad is the share of their declared processor time that long-running tasks are
 // assumed to use, as workers do not report their load.
 const assumedLongRunningLoad = 0.5
 
@@ -88,7 +88,7 @@
 	idle int64
 	// overTarget is set if a service there has exceeded its latency target for too long.
 	overTarget bool
-	// earmarked is set if the free capacity is set aside for an endless task. isolated is
+	// earmarked is set if the free capacity is set aside for a long-running task. isolated is
 	// set if a task is to run alone there, so that nothing else may start.
 	earmarked bool
 	isolated  bool
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestLongRunningJobTakesTurnByAgeOnly has an endless job that is submitted after the first of
+// TestLongRunningJobTakesTurnByAgeOnly has a long-running job that is submitted after the first of
 // several short ones: it gets a turn by age, but none by size.
 func TestLongRunningJobTakesTurnByAgeOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -128,7 +128,7 @@
 		for n := range 3 {
 			ow.markDirty(addJob(ow, n+3, short))
 		}
-		ow.sortActive(time.Now())
+		ow.sortWaitingJobs(time.Now())
 		var order []int
 		for _, tj := range ow.waitingJobs {
 			order = append(order, tj.jo.Spec.Steps[0].Tasks)
@@ -159,7 +159,7 @@
 		for i, tasks := range []int{60, 50, 40, 30, 20, 10} {
 			ow.markDirty(addJob(ow, i, job.Step{Tasks: tasks, Each: worker.Resources{MilliCores: 3000}, EstimateMS: 1000}))
 		}
-		ow.sortActive(time.Now())
+		ow.sortWaitingJobs(time.Now())
 		var order []int
 		for _, tj := range ow.waitingJobs {
 			order = append(order, tj.jo.Spec.Steps[0].Tasks)
@@ -181,7 +181,7 @@
 			}
 			ow.markDirty(tj)
 		}
-		ow.sortActive(time.Now())
+		ow.sortWaitingJobs(time.Now())
 		var order []int
 		for _, tj := range ow.waitingJobs {
 			order = append(order, tj.jo.Spec.Steps[0].Tasks)
@@ -212,7 +212,7 @@
 }
 
 // TestLongRunningTaskIsNotStarvedByShortTasks submits short tasks all the time, which take each
-// part of a worker as it becomes free: a large endless task starts all the same.
+// part of a worker as it becomes free: a large long-running task starts all the same.
 func TestLongRunningTaskIsNotStarvedByShortTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
--- a/internal/sched/polls.go
+++ b/internal/sched/polls.go
@@ -127,7 +127,7 @@
 // if the last poll already withheld the acknowledgement. Otherwise a busy owner would withhold
 // it forever.
 func (wk *workerState) mayAcknowledge(now time.Time) bool {
-	return wk.failingSince.IsZero() && (wk.ackWithheld || now.Sub(wk.lastPoll) <= ackWithin)
+	return wk.failingSince.IsZero() && (wk.ackWithheld || now.Sub(wk.lastAnsweredAt) <= ackWithin)
 }
 
 // hasFillersBesideServices reports whether fillers run on the worker together with services
@@ -159,7 +159,7 @@
 		wk.ow.recordLeases(got)
 	}
 	wk.supersedeOthers(sent)
-	wk.lastPoll = got
+	wk.lastAnsweredAt = got
 	wk.recordClock(res.ClockMS, got)
 	wk.lastPollHadEnds = len(res.Ended) > 0
 	ended := wk.handleEnds(res)
@@ -182,10 +182,10 @@
 // handlePollError handles a failed poll.
 func (wk *workerState) handlePollError(err error) {
 	wk.ow.Metrics.Add(telemetry.PollFailures, 1, "outcome", "failed")
-	le := (*worker.IncarnationError)(nil)
+	ie := (*worker.IncarnationError)(nil)
 	switch {
-	case errors.As(err, &le):
-		wk.handleOtherIncarnation(le.Answered)
+	case errors.As(err, &ie):
+		wk.handleOtherIncarnation(ie.Answered)
 	case errors.Is(err, worker.ErrOtherIncarnation):
 		wk.markDead("another process answers at its address", worker.Incarnation{})
 	case errors.Is(err, worker.ErrFenced):
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -26,7 +26,7 @@
 }
 
 // needsEarlyProof reports whether it is costly to attribute a crash to the attempt by
-// mistake: it is endless, and so outlives many owners, or was suspected before. Most other
+// mistake: it is long-running, and so outlives many owners, or was suspected before. Most other
 // attempts end before their proof would be written.
 func (at *attempt) needsEarlyProof() bool { return at.step().LongRunning || at.task().Suspect() }
 
--- a/internal/sched/score.go
+++ b/internal/sched/score.go
@@ -24,7 +24,7 @@
 	return score - float64(ca.wk.failures)*perFailurePenalty
 }
 
-// affinity rates how well an endless task matches the services on the worker. A filler must
+// affinity rates how well a long-running task matches the services on the worker. A filler must
 // be tolerated by every service on its worker, so it finds a worker more easily if the
 // services there react alike to fillers: those of one image do, and others may have been
 // observed to. Replicas of one step share their load, so that on one worker they leave
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -20,21 +20,21 @@
 	// shortfall is what the nearest worker lacks, as a share of what the step needs.
 	shortfall float64
 	// barred counts the workers that have enough capacity but may not be used, by reason.
-	barred map[string]int
+	excluded map[string]int
 }
 
 // findShortage compares the step's needs with all workers that it may run on.
 func (ow *Owner) findShortage(tj *trackedJob, step int, now time.Time) shortage {
 	st := &tj.jo.Spec.Steps[step]
-	sh := shortage{st: st, barred: map[string]int{}}
+	sh := shortage{st: st, excluded: map[string]int{}}
 	for _, wk := range ow.sortedWorkers() {
 		ca := newCandidate(wk, now)
 		if !ca.suitable(tj, st) {
 			continue
 		}
-		if why := cmp.Or(wk.unavailableReason(now), wk.stepBar(tj, step)); why != "" {
+		if why := cmp.Or(wk.unavailableReason(now), wk.exclusionReason(tj, step)); why != "" {
 			if st.Reserved().Fits(ca.free) {
-				sh.barred[why]++
+				sh.excluded[why]++
 			}
 			continue
 		}
@@ -47,21 +47,21 @@
 
 // Reasons why a worker that accepts new tasks accepts none of a step.
 const (
-	// barEarmarked: its capacity is set aside for an endless task.
-	barEarmarked = "kept"
-	// barSpread: it already runs as many tasks of the step as one worker may.
-	barSpread = "apart"
+	// exclusionEarmarked: its capacity is set aside for a long-running task.
+	exclusionEarmarked = "kept"
+	// exclusionSpread: it already runs as many tasks of the step as one worker may.
+	exclusionSpread = "apart"
 )
 
-// stepBar returns why a worker that accepts new tasks accepts none of the step, or an empty
+// exclusionReason returns why a worker that accepts new tasks accepts none of the step, or an empty
 // string if it does.
-func (wk *workerState) stepBar(tj *trackedJob, step int) string {
+func (wk *workerState) exclusionReason(tj *trackedJob, step int) string {
 	st := &tj.jo.Spec.Steps[step]
 	switch {
 	case wk.isEarmarked() && !st.Filler && tj.waitingInterrupted(step) == 0:
-		return barEarmarked
+		return exclusionEarmarked
 	case st.MaxPerWorker > 0 && tj.countAt(step, wk) >= st.MaxPerWorker:
-		return barSpread
+		return exclusionSpread
 	}
 	return ""
 }
@@ -81,7 +81,7 @@
 	need := sh.st.Reserved()
 	list := []slog.Attr{
 		slog.Int64("need_millicores", need.MilliCores), slog.Int64("need_mem_mb", need.MemMB),
-		slog.String("barred", formatCounts(sh.barred)),
+		slog.String("barred", formatCounts(sh.excluded)),
 	}
 	if sh.nearest == nil {
 		return append(list, slog.String("best", "none"))
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -58,7 +58,7 @@
 	})
 }
 
-// TestLongRunningDemandIsLogged has 16 of 20 endless tasks fit: once a second a log line tells
+// TestLongRunningDemandIsLogged has 16 of 20 long-running tasks fit: once a second a log line tells
 // how many wait, and what capacity there is in total.
 func TestLongRunningDemandIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -24,22 +24,22 @@
 	// per cent so far. Without it a task that took 3 s per per cent was stopped at its last
 	// one, after 300 s, in one of 1,000 runs.
 	stalledPercents = 3
-	// quarantineStalled is how long a worker is quarantined after an attempt stalled on it.
-	quarantineStalled = 2500 * time.Millisecond
+	// stalledQuarantine is how long a worker is quarantined after an attempt stalled on it.
+	stalledQuarantine = 2500 * time.Millisecond
 )
 
 // recordProgress records the progress that a poll reported, in per cent.
 func (at *attempt) recordProgress(percent int, now time.Time) {
 	begins := at.progressedAt.IsZero() || at.effectivePace() <= heldMaxPace
 	if begins {
-		at.workingSince, at.initialPercent = now, percent
+		at.workingSince, at.initialProgress = now, percent
 	}
-	if begins || percent != at.percent {
+	if begins || percent != at.progress {
 		at.progressedAt, at.pollsWithoutProgress = now, 0
 	} else {
 		at.pollsWithoutProgress++
 	}
-	at.percent = percent
+	at.progress = percent
 }
 
 // stalled reports whether an attempt has made no progress for too long.
@@ -55,7 +55,7 @@
 // timePerPercent returns how long the attempt has taken for each per cent so far, or 0 if
 // it has completed none.
 func (at *attempt) timePerPercent() time.Duration {
-	done := at.percent - at.initialPercent
+	done := at.progress - at.initialProgress
 	if done <= 0 {
 		return 0
 	}
@@ -70,6 +70,6 @@
 	}
 	at.tj.stallCounts[at.ref]++
 	wk.ow.Metrics.Add(telemetry.Stalls, 1)
-	wk.quarantine(quarantineStalled, "attempts stand still")
+	wk.quarantine(stalledQuarantine, "attempts stand still")
 	wk.ow.halt(at, "no progress for "+now.Sub(at.progressedAt).Round(time.Millisecond).String())
 }
--- a/internal/sched/stall_test.go
+++ b/internal/sched/stall_test.go
@@ -77,7 +77,7 @@
 				qt.Assert(t, at.stalled(time.Now()), qt.IsFalse, qt.Commentf("after %v", time.Since(began)))
 			}
 		}
-		last := at.percent
+		last := at.progress
 		for range 20 {
 			time.Sleep(700 * time.Millisecond)
 			at.recordProgress(last, time.Now())
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -75,18 +75,18 @@
 			counts[tj.jo.LongRunning()][ob] += n
 		}
 	}
-	held, reserved, barred := ow.capacity(now)
+	held, reserved, excluded := ow.capacity(now)
 	setStuckGauge(ow.Metrics, counts)
 	setCoresGauge(ow.Metrics, held, reserved)
 	if len(list) == 0 {
 		return
 	}
 	ow.Log.Info("tasks are stuck", "jobs", len(list), "lasting", formatCounts(counts[true]), "ending", formatCounts(counts[false]),
-		"reserved_share", share(reserved, held), "barred", formatCounts(barred), "longest", formatLongest(list))
+		"reserved_share", share(reserved, held), "barred", formatCounts(excluded), "longest", formatLongest(list))
 }
 
 // setStuckGauge sets the gauge of stuck tasks; the key of counts is whether the job is
-// endless.
+// long-running.
 func setStuckGauge(me *telemetry.Metrics, counts map[bool]map[obstacle]int) {
 	for _, ob := range obstacles {
 		me.Set(telemetry.StuckTasks, int64(counts[true][ob]), "kind", "lasting", "why", string(ob))
@@ -104,17 +104,17 @@
 // capacity returns the processor time of the workers that accept new tasks and the part of
 // it that is reserved, in thousandths of a core, and counts the other workers by the reason
 // why they accept none.
-func (ow *Owner) capacity(now time.Time) (held, reserved int64, barred map[string]int) {
-	barred = map[string]int{}
+func (ow *Owner) capacity(now time.Time) (held, reserved int64, excluded map[string]int) {
+	excluded = map[string]int{}
 	for _, wk := range ow.workers {
 		if why := wk.unavailableReason(now); why != "" {
-			barred[why]++
+			excluded[why]++
 			continue
 		}
 		held += wk.Capacity.MilliCores
 		reserved += wk.reserved.MilliCores
 	}
-	return held, reserved, barred
+	return held, reserved, excluded
 }
 
 // stuck returns the job's stuck tasks.
--- a/internal/sched/trackedjob.go
+++ b/internal/sched/trackedjob.go
@@ -107,7 +107,7 @@
 	if before == 0 && tj.waitingTasks > 0 {
 		tj.waitingSince = time.Now()
 	}
-	at, found := slices.BinarySearchFunc(ow.waitingJobs, tj, compareEntries)
+	at, found := slices.BinarySearchFunc(ow.waitingJobs, tj, compareJobs)
 	switch {
 	case tj.waitingTasks > 0 && !found:
 		ow.waitingJobs = slices.Insert(ow.waitingJobs, at, tj)
--- a/internal/sched/workerstate.go
+++ b/internal/sched/workerstate.go
@@ -70,10 +70,10 @@
 	clockMS      int64
 	clockAt      time.Time
 	leaseUntilMS int64
-	// lastPoll is when the last successful poll was answered. failingSince is when polls began
+	// lastAnsweredAt is when the last successful poll was answered. failingSince is when polls began
 	// to fail, or zero.
-	lastPoll     time.Time
-	failingSince time.Time
+	lastAnsweredAt time.Time
+	failingSince   time.Time
 	// unresponsive is set if polls fail because the first failed one timed out, rather than
 	// because the connection broke off.
 	unresponsive bool
@@ -124,12 +124,12 @@
 
 // SetWorkers applies entries of the platform's list of workers and removes those with the ids
 // in removed. If whole is set, listed is the complete list.
-func (ow *Owner) SetWorkers(listed []WorkerEntry, removed []string, whole bool) {
-	ow.post(func() { ow.setWorkers(listed, removed, whole) })
+func (ow *Owner) SetWorkers(entries []WorkerEntry, removed []string, complete bool) {
+	ow.post(func() { ow.setWorkers(entries, removed, complete) })
 }
 
-func (ow *Owner) setWorkers(listed []WorkerEntry, removed []string, whole bool) {
-	for _, we := range listed {
+func (ow *Owner) setWorkers(entries []WorkerEntry, removed []string, complete bool) {
+	for _, we := range entries {
 		if we.Undecodable {
 			ow.retainWorker(we.Incarnation.ID)
 			continue
@@ -139,9 +139,9 @@
 	for _, id := range removed {
 		ow.unlistWorker(id)
 	}
-	if whole {
+	if complete {
 		listedIDs := map[string]bool{}
-		for _, we := range listed {
+		for _, we := range entries {
 			listedIDs[we.Incarnation.ID] = true
 		}
 		for _, wk := range ow.sortedWorkers() {
@@ -407,7 +407,7 @@
 		wk.ow.removeIfIdle(wk)
 		return
 	}
-	if wk.failingSince.IsZero() || now.Sub(wk.lastPoll) < unresponsiveAfter {
+	if wk.failingSince.IsZero() || now.Sub(wk.lastAnsweredAt) < unresponsiveAfter {
 		return
 	}
 	if wk.leasesLapsed(now) {
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -81,7 +81,7 @@
 
 	// Checkpoint is the last checkpoint written.
 	Checkpoint string
-	// Percent is the progress, 0 to 100. An endless task is at 100 once it serves
+	// Percent is the progress, 0 to 100. A long-running task is at 100 once it serves
 	// requests.
 	Percent int
 	// Usage is an approximate figure of the last half second: the tail latency in
