--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -40,12 +40,12 @@
 		ca.record(fw, fw.Holds)
 		fw.Holds = worker.Resources{MilliCores: 1 << 40, MemMB: 1 << 40}
 	}
-	ca.own()
+	ca.replaceOwner()
 	return ca
 }
 
 // own starts an owner; the one before ends.
-func (ca *capacityLab) own() {
+func (ca *capacityLab) replaceOwner() {
 	if ca.end != nil {
 		ca.end()
 	}
@@ -67,10 +67,10 @@
 }
 
 func (ca *capacityLab) sendReports() {
-	list := ca.listed()
+	list := ca.workerEntries()
 	for i := range list {
-		due := ca.reported[list[i].Incarnation]
-		list[i].Capacity = due[len(due)-1].holds
+		reports := ca.reported[list[i].Incarnation]
+		list[i].Capacity = reports[len(reports)-1].holds
 	}
 	ca.ow.SetWorkers(list, nil, true)
 }
@@ -79,9 +79,9 @@
 // be taken to have at the given time.
 func (ca *capacityLab) maxReported(id worker.Incarnation, at time.Time) int64 {
 	var highest int64
-	due := ca.reported[id]
-	for i, rep := range due {
-		over := i+1 < len(due) && due[i+1].at.Before(at.Add(-reportDelay))
+	reports := ca.reported[id]
+	for i, rep := range reports {
+		over := i+1 < len(reports) && reports[i+1].at.Before(at.Add(-reportDelay))
 		if !rep.at.After(at) && !over {
 			highest = max(highest, rep.holds.MilliCores)
 		}
@@ -90,7 +90,7 @@
 }
 
 // overfilled lists the starts that exceeded the reported capacity of their worker.
-func (ca *capacityLab) overfilled() []string {
+func (ca *capacityLab) overcommitted() []string {
 	var list []string
 	runs := ca.fleet.Runs()
 	for _, ru := range runs {
@@ -123,7 +123,7 @@
 			ca.report(ca.fleetWorkers[0], 16)
 			time.Sleep(time.Second)
 			if takeover {
-				ca.own()
+				ca.replaceOwner()
 				time.Sleep(time.Second)
 			}
 			ca.submit(ca.ow, 2, longRunning(4))
@@ -132,7 +132,7 @@
 			ca.report(ca.fleetWorkers[0], 32)
 			time.Sleep(500 * time.Millisecond)
 			ca.assertRunning(16)
-			qt.Check(t, ca.overfilled(), qt.HasLen, 0)
+			qt.Check(t, ca.overcommitted(), qt.HasLen, 0)
 		})
 	}
 }
@@ -155,12 +155,12 @@
 					fw := ca.fleetWorkers[rapid.IntRange(0, len(ca.fleetWorkers)-1).Draw(rt, "worker")]
 					ca.report(fw, int64(rapid.IntRange(0, 40).Draw(rt, "cores")))
 				case "owner":
-					ca.own()
+					ca.replaceOwner()
 				}
 				time.Sleep(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * time.Millisecond)
 			}
 			time.Sleep(5 * time.Second)
-			for _, over := range ca.overfilled() {
+			for _, over := range ca.overcommitted() {
 				rt.Errorf("started over the capacity of its worker: %s", over)
 			}
 			for _, problem := range ca.runProblems() {
--- a/internal/sched/cluster_test.go
+++ b/internal/sched/cluster_test.go
@@ -37,7 +37,7 @@
 
 // clusterHost is one process on a host that may own the cell.
 type clusterHost struct {
-	cr     *cluster
+	cl     *cluster
 	keeper *tenure.Keeper
 	end    context.CancelFunc
 	// gate injects faults into its connection to the store.
@@ -60,52 +60,52 @@
 var errUnreachable = errors.New("unreachable by an injected fault")
 
 // join starts a host with the given CPU cores; those with fewer cores claim later.
-func (cl *cluster) join(name string, cores float64) *clusterHost {
+func (cl *cluster) startHost(name string, cores float64) *clusterHost {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	cl.processes++
-	co := &clusterHost{cr: cl, unreachable: map[worker.Incarnation]bool{}}
-	co.keeper = &tenure.Keeper{
+	ch := &clusterHost{cl: cl, unreachable: map[worker.Incarnation]bool{}}
+	ch.keeper = &tenure.Keeper{
 		Cell: "c0", Self: name, Process: fmt.Sprintf("%s-%d", name, cl.processes), Addr: name, Cores: cores,
-		Table: co.table(cl.lab.table.Client()), Serve: co.serve, AskFunc: co.ask, ConfirmFunc: co.vouch, Log: cl.log,
+		Table: ch.table(cl.lab.table.Client()), Serve: ch.serve, AskFunc: ch.askHost, ConfirmFunc: ch.confirmOwner, Log: cl.log,
 	}
 	ctx, end := context.WithCancel(context.Background())
-	co.end = end
-	cl.hosts = append(cl.hosts, co)
-	go co.keeper.Run(ctx)
-	return co
+	ch.end = end
+	cl.hosts = append(cl.hosts, ch)
+	go ch.keeper.Run(ctx)
+	return ch
 }
 
 // set changes the host's faults under its lock.
-func (co *clusterHost) set(fn func(*clusterHost)) {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	fn(co)
+func (ch *clusterHost) set(fn func(*clusterHost)) {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	fn(ch)
 }
 
-func (co *clusterHost) isPartitioned() bool {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	return co.partitioned
+func (ch *clusterHost) isPartitioned() bool {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	return ch.partitioned
 }
 
 // table wraps the store's client with the host's faults.
-func (co *clusterHost) table(tbl store.Table) store.Table {
+func (ch *clusterHost) table(tbl store.Table) store.Table {
 	return store.Table{
 		ReadFunc: func(ctx context.Context, req store.ReadRequest) (store.ReadReply, error) {
-			if err := co.beforeRead(ctx); err != nil {
+			if err := ch.beforeRead(ctx); err != nil {
 				return store.ReadReply{}, err
 			}
 			return tbl.ReadFunc(ctx, req)
 		},
 		CommitFunc: func(ctx context.Context, txn store.Txn) (store.CommitReply, error) {
-			if _, err := co.gate.Before(ctx); err != nil {
+			if _, err := ch.gate.Before(ctx); err != nil {
 				return store.CommitReply{}, err
 			}
 			return tbl.CommitFunc(ctx, txn)
 		},
 		FeedFunc: func(ctx context.Context, req store.FeedRequest) (store.FeedReply, error) {
-			if _, err := co.gate.Before(ctx); err != nil {
+			if _, err := ch.gate.Before(ctx); err != nil {
 				return store.FeedReply{}, err
 			}
 			return tbl.FeedFunc(ctx, req)
@@ -113,33 +113,33 @@
 	}
 }
 
-func (co *clusterHost) beforeRead(ctx context.Context) error {
-	co.mu.Lock()
-	blocked := co.readsBlocked
-	co.mu.Unlock()
+func (ch *clusterHost) beforeRead(ctx context.Context) error {
+	ch.mu.Lock()
+	blocked := ch.readsBlocked
+	ch.mu.Unlock()
 	if blocked {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	_, err := co.gate.Before(ctx)
+	_, err := ch.gate.Before(ctx)
 	return err
 }
 
 // agent wraps the workers' client with the host's unreachable workers.
-func (co *clusterHost) agent() worker.Agent {
-	ag := co.cr.fleet.Agent()
+func (ch *clusterHost) agent() worker.Agent {
+	ag := ch.cl.fleet.Agent()
 	return worker.Agent{
-		LaunchFunc: withUnreachable(co, ag.LaunchFunc), HaltFunc: withUnreachable(co, ag.HaltFunc),
-		PaceFunc: withUnreachable(co, ag.PaceFunc), PollFunc: withUnreachable(co, ag.PollFunc),
+		LaunchFunc: withUnreachable(ch, ag.LaunchFunc), HaltFunc: withUnreachable(ch, ag.HaltFunc),
+		PaceFunc: withUnreachable(ch, ag.PaceFunc), PollFunc: withUnreachable(ch, ag.PollFunc),
 	}
 }
 
-func withUnreachable[Order, Answer any](co *clusterHost, send func(context.Context, worker.Addr, Order) (Answer, error)) func(context.Context, worker.Addr, Order) (Answer, error) {
+func withUnreachable[Order, Answer any](ch *clusterHost, send func(context.Context, worker.Addr, Order) (Answer, error)) func(context.Context, worker.Addr, Order) (Answer, error) {
 	return func(ctx context.Context, ad worker.Addr, or Order) (Answer, error) {
-		co.mu.Lock()
-		refused := co.unreachable[ad.Incarnation] && !co.reachableOnce[ad.Incarnation]
-		delete(co.reachableOnce, ad.Incarnation)
-		co.mu.Unlock()
+		ch.mu.Lock()
+		refused := ch.unreachable[ad.Incarnation] && !ch.reachableOnce[ad.Incarnation]
+		delete(ch.reachableOnce, ad.Incarnation)
+		ch.mu.Unlock()
 		if refused {
 			var none Answer
 			return none, errUnreachable
@@ -149,11 +149,11 @@
 }
 
 // ask asks the latest process of a host about its tenure.
-func (co *clusterHost) ask(_ context.Context, addr string, epoch int64) (tenure.HostStatus, error) {
+func (ch *clusterHost) askHost(_ context.Context, addr string, epoch int64) (tenure.HostStatus, error) {
 	const latency = 3 * time.Millisecond
 	time.Sleep(latency)
-	other := co.cr.latest(addr)
-	if co.isPartitioned() || other.isPartitioned() {
+	other := ch.cl.latest(addr)
+	if ch.isPartitioned() || other.isPartitioned() {
 		return tenure.HostStatus{}, errUnreachable
 	}
 	if other.isRestarted() {
@@ -164,27 +164,27 @@
 }
 
 // vouch asks the latest process of a host whether it confirms an owner.
-func (co *clusterHost) vouch(_ context.Context, addr string, epoch int64, process string) (bool, error) {
+func (ch *clusterHost) confirmOwner(_ context.Context, addr string, epoch int64, process string) (bool, error) {
 	const latency = 3 * time.Millisecond
 	time.Sleep(latency)
-	other := co.cr.latest(addr)
-	if co.isPartitioned() || other.isPartitioned() || other.isRestarted() {
+	other := ch.cl.latest(addr)
+	if ch.isPartitioned() || other.isPartitioned() || other.isRestarted() {
 		return false, errUnreachable
 	}
 	return other.keeper.Confirm(epoch, process), nil
 }
 
-func (co *clusterHost) isRestarted() bool {
-	co.mu.Lock()
-	defer co.mu.Unlock()
-	return co.restarted
+func (ch *clusterHost) isRestarted() bool {
+	ch.mu.Lock()
+	defer ch.mu.Unlock()
+	return ch.restarted
 }
 
 // reportHosts passes the list of hosts to the owner until its tenure ends.
-func (co *clusterHost) reportHosts(ctx context.Context, te tenure.Tenure) {
+func (ch *clusterHost) reportHosts(ctx context.Context, te tenure.Tenure) {
 	known := 0
 	for {
-		if members := co.cr.members(); len(members) != known {
+		if members := ch.cl.members(); len(members) != known {
 			known = len(members)
 			te.SetHosts(members, nil, true)
 		}
@@ -199,8 +199,8 @@
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	var list []registry.Member
-	for _, co := range cl.hosts {
-		list = append(list, registry.Member{Name: co.keeper.Self, Process: co.keeper.Process, Addr: co.keeper.Addr, DataCentre: co.keeper.Self})
+	for _, ch := range cl.hosts {
+		list = append(list, registry.Member{Name: ch.keeper.Self, Process: ch.keeper.Process, Addr: ch.keeper.Addr, DataCentre: ch.keeper.Self})
 	}
 	return list
 }
@@ -209,73 +209,73 @@
 func (cl *cluster) latest(name string) *clusterHost {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	for _, co := range slices.Backward(cl.hosts) {
-		if co.keeper.Self == name {
-			return co
+	for _, ch := range slices.Backward(cl.hosts) {
+		if ch.keeper.Self == name {
+			return ch
 		}
 	}
 	return nil
 }
 
-func (co *clusterHost) serve(ctx context.Context, te tenure.Tenure) (map[string]int64, error) {
+func (ch *clusterHost) serve(ctx context.Context, te tenure.Tenure) (map[string]int64, error) {
 	ow := New(&Owner{
-		Cell: "c0", Tenure: te, Table: co.keeper.Table, Agent: co.agent(), Log: co.cr.log,
-		Limits: Limits{MaxLease: cmp.Or(co.cr.maxLease, 6*time.Second), StopTime: 900 * time.Millisecond, HarmAfter: 4 * time.Second, KeepEnded: 2 * time.Minute},
+		Cell: "c0", Tenure: te, Table: ch.keeper.Table, Agent: ch.agent(), Log: ch.cl.log,
+		Limits: Limits{MaxLease: cmp.Or(ch.cl.maxLease, 6*time.Second), StopTime: 900 * time.Millisecond, HarmAfter: 4 * time.Second, KeepEnded: 2 * time.Minute},
 	})
-	defer co.ow.Store(nil)
+	defer ch.ow.Store(nil)
 	err := ow.Run(ctx, func() {
-		co.ow.Store(ow)
-		go co.reportHosts(ctx, te)
-		go ow.SetWorkers(co.cr.listed(), nil, true)
+		ch.ow.Store(ow)
+		go ch.reportHosts(ctx, te)
+		go ow.SetWorkers(ch.cl.workerEntries(), nil, true)
 	})
 	return ow.Handover(), err
 }
 
 // kill ends a process at once: it writes nothing more and sends no order.
-func (co *clusterHost) kill() {
-	co.gate.Set(standin.Fault{Mode: standin.ModeDown})
-	co.set(func(co *clusterHost) {
-		for _, fw := range co.cr.fleetWorkers {
-			co.unreachable[fw.Addr.Incarnation] = true
+func (ch *clusterHost) kill() {
+	ch.gate.Set(standin.Fault{Mode: standin.ModeDown})
+	ch.set(func(ch *clusterHost) {
+		for _, fw := range ch.cl.fleetWorkers {
+			ch.unreachable[fw.Addr.Incarnation] = true
 		}
-		co.restarted = true
+		ch.restarted = true
 	})
-	co.end()
+	ch.end()
 }
 
 // partitionWith cuts a host off from the store and the other hosts, and the other hosts off
 // from a worker that it still reaches.
 func (cl *cluster) partitionWith(isolated *clusterHost, fw *standin.FleetWorker) {
 	isolated.gate.Set(standin.Fault{Mode: standin.ModeDown})
-	isolated.set(func(co *clusterHost) { co.partitioned = true })
-	for _, co := range cl.hosts {
-		if co != isolated {
-			co.set(func(co *clusterHost) { co.unreachable[fw.Addr.Incarnation] = true })
+	isolated.set(func(ch *clusterHost) { ch.partitioned = true })
+	for _, ch := range cl.hosts {
+		if ch != isolated {
+			ch.set(func(ch *clusterHost) { ch.unreachable[fw.Addr.Incarnation] = true })
 		}
 	}
 }
 
 // awaitOwner waits until a host owns the cell after its former owner was lost or released it.
-func (cl *cluster) awaitOwner(co *clusterHost) {
+func (cl *cluster) awaitOwner(ch *clusterHost) {
 	const (
 		timeout = 4 * time.Second
 		step    = 10 * time.Millisecond
 	)
-	for end := time.Now().Add(timeout); time.Now().Before(end) && !co.owns(); time.Sleep(step) {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && !ch.owns(); time.Sleep(step) {
 	}
-	qt.Assert(cl.t, co.owns(), qt.IsTrue, qt.Commentf("%s does not own the cell after %v", co.keeper.Self, timeout))
+	qt.Assert(cl.t, ch.owns(), qt.IsTrue, qt.Commentf("%s does not own the cell after %v", ch.keeper.Self, timeout))
 }
 
 // owns reports whether the process is the owner according to the owner row that it last read.
-func (co *clusterHost) owns() bool {
-	row, ok := co.keeper.Current()
-	return ok && row.Process == co.keeper.Process
+func (ch *clusterHost) owns() bool {
+	row, ok := ch.keeper.Current()
+	return ok && row.Process == ch.keeper.Process
 }
 
 // stop ends all hosts and waits until their goroutines have ended.
 func (cl *cluster) stop() {
-	for _, co := range cl.hosts {
-		co.end()
+	for _, ch := range cl.hosts {
+		ch.end()
 	}
 	time.Sleep(tenure.HeartbeatTimeout + time.Second)
 }
--- a/internal/sched/contact_test.go
+++ b/internal/sched/contact_test.go
@@ -52,11 +52,11 @@
 	return ag
 }
 
-// relayedLab returns a logged lab of six workers, four of them behind a relay that can
+// newRelayedLab returns a logged lab of six workers, four of them behind a relay that can
 // become unresponsive.
-func relayedLab(t *testing.T) (*lab, *logLines, *unresponsiveRelay) {
+func newRelayedLab(t *testing.T) (*lab, *logLines, *unresponsiveRelay) {
 	t.Helper()
-	la, ll := loggedLab(t, 6)
+	la, ll := newLoggedLab(t, 6)
 	ur := &unresponsiveRelay{name: "e1"}
 	la.wrapAgentFunc = ur.wrap
 	la.viaByWorker = map[string]string{"i-0": "e1", "i-1": "e1", "i-2": "e1", "i-3": "e1", "i-4": "e2", "i-5": "e2"}
@@ -69,7 +69,7 @@
 // told that a third of the capacity was missing for as long as the relay did not answer.
 func TestWorkersWithoutOrdersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll, ur := relayedLab(t)
+		la, ll, ur := newRelayedLab(t)
 		ur.enabled.Store(true)
 		_, end := la.startOwner()
 		defer end()
@@ -83,7 +83,7 @@
 // and answer again.
 func TestRelayBecomesUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll, ur := relayedLab(t)
+		la, ll, ur := newRelayedLab(t)
 		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.startOwner()
 		defer end()
@@ -119,7 +119,7 @@
 // TestSingleLostPollIsNotLogged has each worker miss one poll.
 func TestSingleLostPollIsNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 4)
+		la, ll := newLoggedLab(t, 4)
 		_, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
@@ -137,7 +137,7 @@
 // timeout: no poll fails, and yet the workers get no orders.
 func TestPollsThatNeverReturnAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 3)
+		la, ll := newLoggedLab(t, 3)
 		released := make(chan struct{})
 		var blocked atomic.Bool
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
@@ -165,7 +165,7 @@
 // still run something.
 func TestUnlistedWorkersAreNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 2)
+		la, ll := newLoggedLab(t, 2)
 		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.startOwner()
 		defer end()
@@ -197,7 +197,7 @@
 
 func TestWorkersGauge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, _, ur := relayedLab(t)
+		la, _, ur := newRelayedLab(t)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -47,7 +47,7 @@
 				for range 6 {
 					time.Sleep(1500 * time.Millisecond)
 					if owners != "one owner" {
-						ow = cr.own()
+						ow = cr.replaceOwner()
 					}
 					// As long as it takes to give up the attempts on a worker that was never
 					// seen.
@@ -68,7 +68,7 @@
 		cr := newCrashLab(t, newLab(t, 6))
 		cr.newAddress = true
 		cr.setCrashingJobs(1)
-		ow := cr.own()
+		ow := cr.replaceOwner()
 		defer func() { cr.end() }()
 		time.Sleep(time.Second)
 		cr.submit(ow, 2, longRunning(12))
@@ -110,7 +110,7 @@
 		}
 		// The next process settles late, so the task is tried where other attempts run.
 		cr.wrapAgentFunc = slowToSettle
-		ow := cr.own()
+		ow := cr.replaceOwner()
 		defer func() { cr.end() }()
 		time.Sleep(time.Second)
 		cr.submit(ow, 1, batch(1, 1))
@@ -186,7 +186,7 @@
 func TestPlannedWorkerExitBlamesNoTask(t *testing.T) {
 	for _, drains := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			la, ll := loggedLab(t, 6)
+			la, ll := newLoggedLab(t, 6)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
 			ow, end := la.startOwner()
 			defer end()
@@ -195,7 +195,7 @@
 			for range 4 {
 				time.Sleep(50 * time.Millisecond)
 				i := slices.IndexFunc(la.fleetWorkers, func(fw *standin.FleetWorker) bool { return la.running()[fw.Addr.Incarnation] > 0 })
-				leaving := la.listed()[i]
+				leaving := la.workerEntries()[i]
 				leaving.Draining, leaving.Remaining = true, time.Minute
 				if drains {
 					ow.SetWorkers([]WorkerEntry{leaving}, nil, false)
@@ -225,7 +225,7 @@
 // although its order reached only the process that started after it.
 func TestOrderRefusedByNextProcessBlamesNoTask(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 1)
+		la, ll := newLoggedLab(t, 1)
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
@@ -234,7 +234,7 @@
 		time.Sleep(99 * time.Millisecond)
 		la.replaceProcess(0)
 		time.Sleep(time.Second)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(3 * time.Second)
 		qt.Check(t, ll.matching("end=never-ran", "refused by another process"), qt.HasLen, 1)
 		qt.Check(t, len(ll.matching("end=crashed"))+len(ll.matching("end=lost")), qt.Equals, 0)
@@ -247,7 +247,7 @@
 // later: when it ended is not known.
 func TestUnresponsiveWorkerIsNoProofOfACrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 2)
+		la, ll := newLoggedLab(t, 2)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 5 * time.Second, "done" }
 		var unresponsive atomic.Pointer[worker.Incarnation]
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
@@ -284,7 +284,7 @@
 // tell why a job was given up. A search for the job's id must lead to the reason.
 func TestTaskGivenUpIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 6)
+		la, ll := newLoggedLab(t, 6)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
--- a/internal/sched/crashcost_test.go
+++ b/internal/sched/crashcost_test.go
@@ -32,7 +32,7 @@
 	cr := newCrashLab(t, newLab(t, 12))
 	isCrash := func(n int) bool { return n >= 1000 && n < 1000+jobs }
 	cr.setCrashingTasks(func(id string, ref job.TaskRef) bool { return isCrash(jobNumber(id)) && ref.Index < tasks })
-	ow := cr.own()
+	ow := cr.replaceOwner()
 	defer func() { cr.end() }()
 	time.Sleep(time.Second)
 	cr.submit(ow, 1, longRunning(24))
@@ -105,7 +105,7 @@
 			}
 			cr.entryTTL = rapid.SampledFrom([]time.Duration{0, crashedEntryTTL, 5 * time.Second}).Draw(rt, "entry stays")
 			cr.setCrashingJobs(crashing...)
-			ow := cr.own()
+			ow := cr.replaceOwner()
 			defer func() { cr.end() }()
 			time.Sleep(time.Second)
 			owners, jobs := 1, 0
@@ -120,7 +120,7 @@
 					cr.crashAny(rt)
 				case "owner":
 					owners++
-					ow = cr.own()
+					ow = cr.replaceOwner()
 				case "pause":
 					time.Sleep(3 * time.Second)
 				}
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -53,7 +53,7 @@
 func newCrashLab(t *testing.T, la *lab) *crashLab {
 	t.Helper()
 	cr := &crashLab{lab: la, entryTTL: crashedEntryTTL, restartAfter: crashRestartAfter, entries: map[worker.Incarnation]WorkerEntry{}, down: map[*standin.FleetWorker]bool{}}
-	for _, we := range la.listed() {
+	for _, we := range la.workerEntries() {
 		cr.entries[we.Incarnation] = we
 	}
 	la.fleet.CrashedFunc = func(fw *standin.FleetWorker) {
@@ -71,14 +71,14 @@
 	t.Helper()
 	cr := newCrashLab(t, la)
 	cr.setCrashingJobs(jobs...)
-	ow := cr.own()
+	ow := cr.replaceOwner()
 	t.Cleanup(func() { cr.end() })
 	time.Sleep(time.Second)
 	return cr, ow
 }
 
 // own starts an owner and stops the one before.
-func (cr *crashLab) own() *Owner {
+func (cr *crashLab) replaceOwner() *Owner {
 	cr.t.Helper()
 	if cr.end != nil {
 		cr.end()
--- a/internal/sched/death_test.go
+++ b/internal/sched/death_test.go
@@ -19,7 +19,7 @@
 // starts at its address.
 func TestWorkerDeathIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 1)
+		la, ll := newLoggedLab(t, 1)
 		ow := la.startLongRunning(2)
 		time.Sleep(3 * time.Second)
 		was := la.fleetWorkers[0]
@@ -30,7 +30,7 @@
 		next := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
 		la.fleet.Add(next)
 		la.fleetWorkers[0] = next
-		ow.SetWorkers(la.listed(), nil, false)
+		ow.SetWorkers(la.workerEntries(), nil, false)
 		time.Sleep(time.Second)
 		dead := ll.matching(`msg="worker is dead"`, "worker="+was.Addr.Incarnation.String()+" ")
 		qt.Assert(t, dead, qt.HasLen, 1)
@@ -49,7 +49,7 @@
 // never received.
 func TestUndeliveredOrderIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 2)
+		la, ll := newLoggedLab(t, 2)
 		cr := newCrashLab(t, la)
 		cr.setCrashingJobs()
 		var once sync.Once
@@ -65,13 +65,13 @@
 			}
 			return ag
 		}
-		ow := cr.own()
+		ow := cr.replaceOwner()
 		defer func() { cr.end() }()
 		time.Sleep(time.Second)
 		cr.submit(ow, 1, batch(1, 4))
 		time.Sleep(50 * time.Millisecond)
 		qt.Assert(t, len(ll.matching(`msg="launch not done"`, jobID(1))) >= 4, qt.IsTrue)
-		ow = cr.own()
+		ow = cr.replaceOwner()
 		time.Sleep(20 * time.Second)
 		qt.Check(t, ll.matching("end=crashed", jobID(1)), qt.HasLen, 0)
 		qt.Check(t, cr.state(ow, 1), qt.Equals, job.Succeeded)
--- a/internal/sched/formerprocess_test.go
+++ b/internal/sched/formerprocess_test.go
@@ -17,14 +17,14 @@
 // replaceProcess ends a worker's process and starts another with a new id at its address. It
 // returns the entries of both.
 func (la *lab) replaceProcess(i int) (former, next WorkerEntry) {
-	former = la.listed()[i]
+	former = la.workerEntries()[i]
 	fw := la.fleetWorkers[i]
 	la.fleet.Kill(fw)
 	fresh := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fw.Addr.Incarnation.ID + "b"}}, Holds: fw.Holds}
 	la.fleet.Add(fresh)
 	la.fleetWorkers[i] = fresh
 	la.formerEntries = append(la.formerEntries, former)
-	return former, la.listed()[i]
+	return former, la.workerEntries()[i]
 }
 
 // TestFormerProcessIsListedAgain guards against tasks that run twice because a worker that
@@ -80,7 +80,7 @@
 			ow, loaded, end := la.startLoading()
 			defer end()
 			qt.Assert(t, <-loaded, qt.IsNil)
-			list := append(la.listed(), la.formerEntries...)
+			list := append(la.workerEntries(), la.formerEntries...)
 			if !formerListedLast {
 				slices.Reverse(list)
 			}
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -159,8 +159,8 @@
 // the latest.
 func (wk *workerState) unsettledUntil() time.Time {
 	until := wk.ow.formerLeasesUntil(wk.incarnation)
-	for _, in := range wk.formerIncarnations {
-		if other := wk.ow.formerLeasesUntil(in).Add(maxOrderDelay); other.After(until) {
+	for _, inc := range wk.formerIncarnations {
+		if other := wk.ow.formerLeasesUntil(inc).Add(maxOrderDelay); other.After(until) {
 			until = other
 		}
 	}
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -54,12 +54,12 @@
 	// accepted a heartbeat.
 	listFunc                   func() (last, since time.Time)
 	confirmedFunc, writtenFunc func() time.Time
-	// formerKnown makes owners know that the former one has ceased to act.
-	formerKnown bool
+	// formerOwnerCeased makes owners know that the former one has ceased to act.
+	formerOwnerCeased bool
 }
 
 func (la *lab) formerEnded(now time.Time) func() time.Time {
-	known := la.formerKnown || la.handover != nil
+	known := la.formerOwnerCeased || la.handover != nil
 	return func() time.Time {
 		if known {
 			return now
@@ -114,7 +114,7 @@
 	la.fleetWorkers = append(la.fleetWorkers, fw)
 }
 
-func (la *lab) listed() []WorkerEntry {
+func (la *lab) workerEntries() []WorkerEntry {
 	var list []WorkerEntry
 	for _, fw := range la.fleetWorkers {
 		list = append(list, WorkerEntry{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Holds})
@@ -167,7 +167,7 @@
 func (la *lab) startOwner() (*Owner, context.CancelFunc) {
 	ow, loaded, cancel := la.startLoading()
 	qt.Assert(la.t, <-loaded, qt.IsNil)
-	ow.SetWorkers(la.listed(), nil, true)
+	ow.SetWorkers(la.workerEntries(), nil, true)
 	return ow, cancel
 }
 
--- a/internal/sched/lateend_test.go
+++ b/internal/sched/lateend_test.go
@@ -59,7 +59,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
 		la.fleet.RunFunc = runLong
-		la.formerKnown = true
+		la.formerOwnerCeased = true
 		ow, end := la.startOwner()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 1))
@@ -109,7 +109,7 @@
 					la.restart(i, 0, fw.Addr.HostPort)
 				}
 			}
-			ow.SetWorkers(la.listed(), nil, true)
+			ow.SetWorkers(la.workerEntries(), nil, true)
 			time.Sleep(15 * time.Second)
 			qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 			qt.Check(t, la.fleet.Runs(), qt.HasLen, 2)
--- a/internal/sched/leasebound_test.go
+++ b/internal/sched/leasebound_test.go
@@ -28,14 +28,14 @@
 		cl := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
 		defer cl.stop()
 		cl.fleet.RunFunc = runUntilStopped
-		first := cl.join("a", 0.8)
+		first := cl.startHost("a", 0.8)
 		time.Sleep(time.Second)
-		cl.join("b", 0.8)
+		cl.startHost("b", 0.8)
 		time.Sleep(time.Second)
 		qt.Assert(t, cl.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(10 * time.Second)
 		cl.assertRunning(4)
-		first.set(func(co *clusterHost) { co.partitioned = true })
+		first.set(func(ch *clusterHost) { ch.partitioned = true })
 		cl.killWorkerAndOwner(first)
 		time.Sleep(restartDeadline)
 		cl.assertRunning(4)
@@ -56,22 +56,22 @@
 		read := granted - time.Duration(rapid.Int64Range(0, int64(maxClockReadingAge)).Draw(rt, "reading's age"))
 		claimed := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(rt, "claimed"))
 
-		by := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
+		measured := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
 		began := time.Now()
 		wk := &workerState{clockMS: 1_000_000, clockAt: began}
-		earliest := wk.earliestClock(began.Add(by(owner, granted-read)))
-		left := time.Duration(earliest-wk.clockMS)*time.Millisecond + leaseDuration(by(owner, granted), maxLease)
+		earliest := wk.earliestClock(began.Add(measured(owner, granted-read)))
+		left := time.Duration(earliest-wk.clockMS)*time.Millisecond + leaseDuration(measured(owner, granted), maxLease)
 		ended := read + time.Duration(float64(left)/wo)
 
 		ow := &Owner{Limits: Limits{MaxLease: maxLease}, startedAt: began}
 		ow.Tenure.Former.Bounded = true
 		ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
-		acts := claimed + time.Duration(float64(ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
-		if bound := claimed + time.Duration(float64(maxDriftDuration(tenure.LeaseLimit)+lapseMargin)/next); acts > bound {
-			rt.Errorf("the next owner acts at %v, later than %v", acts, bound)
+		nextActs := claimed + time.Duration(float64(ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
+		if bound := claimed + time.Duration(float64(maxDriftDuration(tenure.LeaseLimit)+lapseMargin)/next); nextActs > bound {
+			rt.Errorf("the next owner acts at %v, later than %v", nextActs, bound)
 		}
-		if ended > acts {
-			rt.Errorf("a lease ends at %v, the next owner acts at %v", ended, acts)
+		if ended > nextActs {
+			rt.Errorf("a lease ends at %v, the next owner acts at %v", ended, nextActs)
 		}
 	})
 }
--- a/internal/sched/leasewait_test.go
+++ b/internal/sched/leasewait_test.go
@@ -136,12 +136,12 @@
 		time.Sleep(2 * time.Second)
 		var pr pollRecorder
 		la.wrapAgentFunc = pr.wrap
-		opened := time.Now()
+		began := time.Now()
 		ow, end = la.startOwner()
 		defer end()
 		la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
-		qt.Assert(t, pr.firstExtension.Sub(opened), qt.Equals, pr.firstAfter(opened).Sub(opened))
+		qt.Assert(t, pr.firstExtension.Sub(began), qt.Equals, pr.firstAfter(began).Sub(began))
 	})
 }
--- a/internal/sched/ownerloss_test.go
+++ b/internal/sched/ownerloss_test.go
@@ -23,10 +23,10 @@
 		cl := &cluster{lab: newLab(t, 3), maxLease: maxLease}
 		defer cl.stop()
 		cl.fleet.RunFunc = runUntilStopped
-		owner := cl.join("a", 0.8)
+		owner := cl.startHost("a", 0.8)
 		time.Sleep(time.Second)
 		for _, name := range []string{"b", "c", "d", "e", "f"} {
-			cl.join(name, 0.8)
+			cl.startHost(name, 0.8)
 		}
 		time.Sleep(time.Second)
 		qt.Assert(t, cl.submit(owner.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
@@ -43,10 +43,10 @@
 		for _, lost := range []string{"", "b", "bc"} {
 			t.Run(fmt.Sprintf("leases of %v, hosts lost besides: %q", maxLease, lost), func(t *testing.T) {
 				withSixHosts(t, maxLease, func(cl *cluster, owner *clusterHost) {
-					owner.set(func(co *clusterHost) { co.partitioned = true })
+					owner.set(func(ch *clusterHost) { ch.partitioned = true })
 					for _, name := range lost {
 						other := cl.latest(string(name))
-						other.set(func(co *clusterHost) { co.partitioned = true })
+						other.set(func(ch *clusterHost) { ch.partitioned = true })
 						other.kill()
 					}
 					cl.killWorkerAndOwner(owner)
@@ -60,13 +60,13 @@
 
 // refuseStore makes the store refuse all hosts for d.
 func (cl *cluster) refuseStore(d time.Duration) {
-	for _, co := range cl.hosts {
-		co.gate.Set(standin.Fault{Mode: standin.ModeDown})
+	for _, ch := range cl.hosts {
+		ch.gate.Set(standin.Fault{Mode: standin.ModeDown})
 	}
 	time.Sleep(d)
-	for _, co := range cl.hosts {
-		if !co.isRestarted() {
-			co.gate.Set(standin.Fault{})
+	for _, ch := range cl.hosts {
+		if !ch.isRestarted() {
+			ch.gate.Set(standin.Fault{})
 		}
 	}
 }
@@ -97,16 +97,16 @@
 	withSixHosts(t, 10*time.Second, func(cl *cluster, owner *clusterHost) {
 		lost := cl.busyWorker()
 		owner.gate.Set(standin.Fault{Mode: standin.ModeDown})
-		owner.set(func(co *clusterHost) {
-			co.partitioned = true
+		owner.set(func(ch *clusterHost) {
+			ch.partitioned = true
 			for _, fw := range cl.fleetWorkers {
-				co.unreachable[fw.Addr.Incarnation] = true
+				ch.unreachable[fw.Addr.Incarnation] = true
 			}
 		})
 		cl.fleet.Kill(lost)
 		began := time.Now()
 		time.Sleep(5500 * time.Millisecond)
-		owner.set(func(co *clusterHost) { co.partitioned = false })
+		owner.set(func(ch *clusterHost) { ch.partitioned = false })
 		time.Sleep(time.Until(began.Add(9500 * time.Millisecond)))
 		cl.assertRunning(4)
 	})
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -32,14 +32,14 @@
 	ow.ctx = t.Context()
 	wk := &workerState{WorkerEntry: WorkerEntry{Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}}, ow: ow, attempts: map[*attempt]bool{}}
 	pf := &pacingFixture{t: t, wk: wk}
-	pf.service = pf.put(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, LongRunning: true, TargetMS: testTargetMS, Image: "s"})
+	pf.service = pf.addAttempt(0, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 6000}, LongRunning: true, TargetMS: testTargetMS, Image: "s"})
 	for i := range fillers {
-		pf.fillers = append(pf.fillers, pf.put(1+i, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "f"}))
+		pf.fillers = append(pf.fillers, pf.addAttempt(1+i, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "f"}))
 	}
 	return pf
 }
 
-func (pf *pacingFixture) put(n int, st job.Step) *attempt {
+func (pf *pacingFixture) addAttempt(n int, st job.Step) *attempt {
 	tj := pf.wk.ow.addJob(job.New(jobID(n), job.Terms{}, job.Spec{Steps: []job.Step{st}}))
 	at := &attempt{number: 1, wk: pf.wk, tj: tj, pace: fullPace, launchedAt: time.Now()}
 	pf.wk.addAttempt(at)
@@ -108,7 +108,7 @@
 		for range 6 {
 			pf.reportTail(90)
 		}
-		late := pf.put(9, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "g"})
+		late := pf.addAttempt(9, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3200}, Filler: true, Image: "g"})
 		late.launchedAt = time.Time{}
 		pf.wk.markStarted(late, time.Now())
 		qt.Assert(t, late.effectivePace(), qt.Equals, 0)
--- a/internal/sched/path_test.go
+++ b/internal/sched/path_test.go
@@ -104,7 +104,7 @@
 		}
 		ow.SetWorkers(nil, []string{"i-0"}, false)
 		time.Sleep(time.Second)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(time.Second)
 		la.submit(ow, 1, batch(1, 2))
 		time.Sleep(3 * time.Second)
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -24,8 +24,8 @@
 	return ow
 }
 
-// emptyHost adds a worker of 32 cores that runs nothing.
-func emptyHost(ow *Owner, name string) *workerState {
+// addEmptyWorker adds a worker of 32 cores that runs nothing.
+func addEmptyWorker(ow *Owner, name string) *workerState {
 	wk := &workerState{
 		WorkerEntry: WorkerEntry{Service: testService, Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
 		ow:          ow, incarnation: worker.Incarnation{ID: name}, settled: true, attempts: map[*attempt]bool{},
@@ -49,7 +49,7 @@
 func TestReplicasOfOneStepShareWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
-		own, other := emptyHost(ow, "own"), emptyHost(ow, "other")
+		own, other := addEmptyWorker(ow, "own"), addEmptyWorker(ow, "other")
 		tj, otherJob := addJob(ow, 1, serviceStep(2, "s")), addJob(ow, 2, serviceStep(1, "s"))
 		own.addAttempt(&attempt{wk: own, tj: tj, number: 1})
 		other.addAttempt(&attempt{wk: other, tj: otherJob, number: 1})
@@ -66,7 +66,7 @@
 func TestServicesOfDifferentImagesAreSeparated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
-		mixed, empty := emptyHost(ow, "mixed"), emptyHost(ow, "empty")
+		mixed, empty := addEmptyWorker(ow, "mixed"), addEmptyWorker(ow, "empty")
 		for _, wk := range []*workerState{mixed, empty} {
 			wk.Capacity = worker.Resources{MilliCores: 64_000, MemMB: 256_000}
 		}
@@ -107,8 +107,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				ow := ownerWithoutLoop(t)
 				ow.model = tc.model
-				emptyHost(ow, "empty")
-				other := emptyHost(ow, "other")
+				addEmptyWorker(ow, "empty")
+				other := addEmptyWorker(ow, "other")
 				other.addAttempt(&attempt{wk: other, tj: addJob(ow, 1, serviceStep(1, "other")), number: 1})
 				ca := ow.newPlacer().rank(addJob(ow, 2, serviceStep(1, "one")), 0, false).best()
 				qt.Assert(t, ca.wk.incarnation.ID, qt.Equals, tc.want)
@@ -142,8 +142,8 @@
 func TestSmallestFreeShareFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
-		emptyHost(ow, "empty")
-		fuller := emptyHost(ow, "fuller")
+		addEmptyWorker(ow, "empty")
+		fuller := addEmptyWorker(ow, "fuller")
 		fuller.Capacity = worker.Resources{MilliCores: 96_000, MemMB: 384_000}
 		fuller.reserved = worker.Resources{MilliCores: 56_000}
 		ca := ow.newPlacer().rank(addJob(ow, 1, job.Step{Tasks: 1, Each: worker.Resources{MilliCores: 3000}}), 0, false).best()
--- a/internal/sched/quarantine_test.go
+++ b/internal/sched/quarantine_test.go
@@ -29,7 +29,7 @@
 // each time, and a healthy job submitted then has to wait.
 func TestFailingJobsDoNotQuarantineAllWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 4)
+		la, ll := newLoggedLab(t, 4)
 		failTasksOfJobs(la, func(worker.Attempt) (time.Duration, string) { return time.Second, "done" })
 		ow, end := la.startOwner()
 		defer end()
@@ -75,7 +75,7 @@
 // quarantined, and the others do the work.
 func TestOnlyFailingWorkerIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 4)
+		la, ll := newLoggedLab(t, 4)
 		faulty := la.fleetWorkers[0].Addr.Incarnation
 		la.fleetWorkers[0].RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
 		ow, end := la.startOwner()
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -111,7 +111,7 @@
 	case "late":
 		fr.setLate(fr.randomWorker(), 3*time.Second)
 	case "heal":
-		fr.heal()
+		fr.clearFaults()
 	case "store down":
 		fr.table.Gate.Set(standin.Fault{Mode: standin.ModeDown})
 	case "store lost":
@@ -133,18 +133,18 @@
 	case "all entries lapse":
 		fr.ow.SetWorkers(nil, nil, true)
 	case "entries back":
-		fr.ow.SetWorkers(fr.listed(), nil, true)
+		fr.ow.SetWorkers(fr.workerEntries(), nil, true)
 	case "restart":
 		fr.restartWorker(false)
-		fr.ow.SetWorkers(fr.listed(), nil, true)
+		fr.ow.SetWorkers(fr.workerEntries(), nil, true)
 	case "restart elsewhere":
 		fr.restartWorker(true)
-		fr.ow.SetWorkers(fr.listed(), nil, true)
+		fr.ow.SetWorkers(fr.workerEntries(), nil, true)
 	case "restart, entry late":
 		fr.restartWorker(false)
 	case "restart, former entry again":
 		former := fr.restartWorker(rapid.Bool().Draw(fr.rt, "elsewhere"))
-		fr.ow.SetWorkers(fr.listed(), nil, true)
+		fr.ow.SetWorkers(fr.workerEntries(), nil, true)
 		time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 100, 1000}).Draw(fr.rt, "until")) * time.Millisecond)
 		fr.ow.SetWorkers([]WorkerEntry{former}, nil, false)
 	}
@@ -155,7 +155,7 @@
 // start may have been set back or forward.
 func (fr *faultRun) restartWorker(newAddress bool) WorkerEntry {
 	i := rapid.IntRange(0, len(fr.fleetWorkers)-1).Draw(fr.rt, "worker")
-	former, fw := fr.listed()[i], fr.fleetWorkers[i]
+	former, fw := fr.workerEntries()[i], fr.fleetWorkers[i]
 	fr.fleet.Kill(fw)
 	downFor := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(fr.rt, "away")) * time.Millisecond
 	if fr.fleet.Remembers {
@@ -179,7 +179,7 @@
 
 func (fr *faultRun) setLate(fw *standin.FleetWorker, d time.Duration) { fr.fleet.SetLate(fw, d) }
 
-func (fr *faultRun) heal() {
+func (fr *faultRun) clearFaults() {
 	for _, fw := range fr.fleetWorkers {
 		fw.Gate.Set(standin.Fault{})
 		fr.setLate(fw, 0)
@@ -224,13 +224,13 @@
 // replaceProcess ends a worker's process and starts one of another id at its address. The
 // list entry of the former process may stay, before or after that of the new one.
 func (fr *faultRun) replaceProcess(i int, entryStays bool) {
-	fw, former := fr.fleetWorkers[i], fr.listed()[i]
+	fw, former := fr.fleetWorkers[i], fr.workerEntries()[i]
 	fr.fleet.Kill(fw)
 	fr.replacements++
 	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", fr.replacements)}}, Holds: fw.Holds}
 	fr.fleet.Add(next)
 	fr.fleetWorkers[i] = next
-	list := fr.listed()
+	list := fr.workerEntries()
 	if entryStays {
 		list = append(list, former)
 	}
@@ -275,11 +275,11 @@
 	}
 }
 
-// healAndCheck ends all faults, waits, and checks the final states and all runs.
-func (fr *faultRun) healAndCheck() {
+// clearFaultsAndCheck ends all faults, waits, and checks the final states and all runs.
+func (fr *faultRun) clearFaultsAndCheck() {
 	fr.table.Gate.Set(standin.Fault{})
-	fr.heal()
-	fr.ow.SetWorkers(fr.listed(), nil, true)
+	fr.clearFaults()
+	fr.ow.SetWorkers(fr.workerEntries(), nil, true)
 	for range 45 {
 		time.Sleep(time.Second)
 		fr.replaceCrashed()
@@ -380,7 +380,7 @@
 				fr.injectRandom()
 				time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 30, 300, 1500}).Draw(rt, "pause")) * time.Millisecond)
 			}
-			fr.healAndCheck()
+			fr.clearFaultsAndCheck()
 		})
 	})
 }
--- a/internal/sched/reservation_test.go
+++ b/internal/sched/reservation_test.go
@@ -65,7 +65,7 @@
 				lost := la.fleetWorkers[0]
 				for i, cores := range tc.others {
 					la.addWorker(2 + i)
-					ow.SetWorkers(la.listed(), nil, true)
+					ow.SetWorkers(la.workerEntries(), nil, true)
 					la.submit(ow, 3+i, longRunningOf(1, cores))
 					time.Sleep(time.Second)
 				}
@@ -93,7 +93,7 @@
 		time.Sleep(time.Second)
 		lost := la.fleetWorkers[0]
 		la.addWorker(2)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		la.submit(ow, 3, longRunningOf(1, 6))
 		// These tasks are not marked as long-running, but do not end.
 		la.submit(ow, 4, batch(1, 2))
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -38,7 +38,7 @@
 				qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 				for i := range workers {
 					la.restart(i, pause, la.fleetWorkers[i].Addr.HostPort)
-					ow.SetWorkers(la.listed(), nil, true)
+					ow.SetWorkers(la.workerEntries(), nil, true)
 				}
 				time.Sleep(time.Second)
 				la.submit(ow, 2, batch(1, tasks))
@@ -60,11 +60,11 @@
 				la, ow := newLongRunningLab(t, 3, 12)
 				time.Sleep(20 * time.Second)
 				la.restart(0, 50*time.Millisecond, where)
-				ow.SetWorkers(la.listed(), nil, true)
+				ow.SetWorkers(la.workerEntries(), nil, true)
 				time.Sleep(time.Second)
 				la.assertRunning(12)
 				la.restart(0, 0, where)
-				ow.SetWorkers(la.listed(), nil, true)
+				ow.SetWorkers(la.workerEntries(), nil, true)
 				time.Sleep(time.Second)
 				la.assertRunning(12)
 				la.fleet.Kill(la.fleetWorkers[0])
@@ -83,17 +83,17 @@
 func TestRestartIsNoticedBeforeItIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLongRunningLab(t, 3, 12)
-		was := la.listed()
+		was := la.workerEntries()
 		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
 		la.assertRunning(12)
 		qt.Check(t, la.runningAt("i-0"), qt.Equals, 0)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(100 * time.Millisecond)
 		for range 3 {
 			ow.SetWorkers(was[:1], nil, false)
 			time.Sleep(100 * time.Millisecond)
-			ow.SetWorkers(la.listed()[:1], nil, false)
+			ow.SetWorkers(la.workerEntries()[:1], nil, false)
 			time.Sleep(time.Second)
 		}
 		la.submit(ow, 2, longRunning(30))
@@ -119,16 +119,16 @@
 			return ag
 		}
 		ow := la.startLongRunning(12)
-		was := la.listed()[:1]
+		was := la.workerEntries()[:1]
 		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(time.Second)
 		la.submit(ow, 2, longRunning(18))
 		time.Sleep(time.Second)
 		la.assertRunning(30)
 		ow.SetWorkers(was, nil, false)
 		time.Sleep(10 * time.Millisecond)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(30 * time.Second)
 		la.assertRunning(30)
 		qt.Check(t, la.ends()["lapsed"], qt.Equals, 0)
@@ -145,7 +145,7 @@
 		ow, end := la.startOwner()
 		defer end()
 		listWithoutStart := func() {
-			list := la.listed()
+			list := la.workerEntries()
 			for i := range list {
 				list[i].Incarnation.StartedMS = 0
 			}
@@ -208,7 +208,7 @@
 				}
 				la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
 				time.Sleep(2 * time.Second)
-				ow.SetWorkers(la.listed(), nil, true)
+				ow.SetWorkers(la.workerEntries(), nil, true)
 				time.Sleep(20 * time.Second)
 				qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 				la.assertRunsConsistent()
@@ -267,7 +267,7 @@
 		time.Sleep(10 * time.Millisecond)
 		la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.state(ow, 2), qt.Equals, job.Succeeded)
 		qt.Check(t, la.fleet.Runs(), qt.HasLen, tasks+12)
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -18,7 +18,7 @@
 func TestLogOfMissingCapacityNamesItsCause(t *testing.T) {
 	waitLine := `msg="lasting tasks wait"`
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 2)
+		la, ll := newLoggedLab(t, 2)
 		ow := la.startLongRunning(2*16 - 1)
 		full, other := la.fleetWorkers[0], la.fleetWorkers[1]
 		if la.running()[full.Addr.Incarnation] < 16 {
@@ -39,7 +39,7 @@
 // of its step, and then has its capacity earmarked: the log lines name these reasons.
 func TestLogNamesSpreadAndEarmarkedWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 1)
+		la, ll := newLoggedLab(t, 1)
 		ow := la.startLongRunning(15)
 		spread := longRunning(2)
 		spread.Steps[0].Each = worker.Resources{MilliCores: 500, MemMB: 500}
@@ -62,7 +62,7 @@
 // how many wait, and what capacity there is in total.
 func TestLongRunningDemandIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 1)
+		la, ll := newLoggedLab(t, 1)
 		ow := la.startLongRunning(16)
 		la.submit(ow, 2, longRunning(4))
 		time.Sleep(3500 * time.Millisecond)
@@ -75,7 +75,7 @@
 // lines name the backoff between its starts as the cause, not a lack of capacity.
 func TestBackoffIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 1)
+		la, ll := newLoggedLab(t, 1)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 10 * time.Millisecond, "failed" }
 		ow, end := la.startOwner()
 		defer end()
@@ -94,7 +94,7 @@
 // before.
 func TestFullLaunchWindowIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 1)
+		la, ll := newLoggedLab(t, 1)
 		ow := la.startLongRunning(16)
 		la.submit(ow, 2, longRunning(1))
 		time.Sleep(500 * time.Millisecond)
--- a/internal/sched/stall_test.go
+++ b/internal/sched/stall_test.go
@@ -91,7 +91,7 @@
 // that without a growing limit it was stopped and restarted without end.
 func TestTaskFarOverEstimateEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 3)
+		la, ll := newLoggedLab(t, 3)
 		la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 300 * time.Second, "done" }
 		ow, end := la.startOwner()
 		defer end()
--- a/internal/sched/stuck_test.go
+++ b/internal/sched/stuck_test.go
@@ -15,7 +15,7 @@
 
 func TestStuckTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 2)
+		la, ll := newLoggedLab(t, 2)
 		me, handler, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
--- a/internal/sched/successiveowners_test.go
+++ b/internal/sched/successiveowners_test.go
@@ -20,9 +20,9 @@
 		cl := &cluster{lab: newLab(t, 2)}
 		defer cl.stop()
 		cl.fleet.RunFunc = runUntilStopped
-		first := cl.join("a", 0.8)
+		first := cl.startHost("a", 0.8)
 		time.Sleep(time.Second)
-		second, third := cl.join("b", 0.8), cl.join("c", 0.5)
+		second, third := cl.startHost("b", 0.8), cl.startHost("c", 0.5)
 		time.Sleep(time.Second)
 		qt.Assert(t, cl.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(time.Second)
@@ -64,7 +64,7 @@
 // must not take a released cell for one whose former owners have all ceased to act.
 func TestCellReleasedBeforeLoad(t *testing.T) {
 	withThreeHosts(t, func(cl *cluster, first, second, third *clusterHost) {
-		second.set(func(co *clusterHost) { co.readsBlocked = true })
+		second.set(func(ch *clusterHost) { ch.readsBlocked = true })
 		cl.partitionWith(first, cl.busyWorker())
 		cl.awaitOwner(second)
 		time.Sleep(300 * time.Millisecond)
@@ -88,17 +88,17 @@
 	}{
 		{"its host answers", func(cl *cluster, first, _ *clusterHost) { cl.killWorkerAndOwner(first) }, 8600 * time.Millisecond},
 		{"its host never answers", func(cl *cluster, first, _ *clusterHost) {
-			first.set(func(co *clusterHost) { co.partitioned = true })
+			first.set(func(ch *clusterHost) { ch.partitioned = true })
 			cl.killWorkerAndOwner(first)
 		}, 16200 * time.Millisecond},
 		{"all hosts lose power", func(cl *cluster, first, _ *clusterHost) {
-			for _, co := range cl.hosts {
-				co.kill()
+			for _, ch := range cl.hosts {
+				ch.kill()
 			}
 			cl.killWorkerAndOwner(first)
 			time.Sleep(500 * time.Millisecond)
-			cl.join("b", 0.8)
-			cl.join("c", 0.5)
+			cl.startHost("b", 0.8)
+			cl.startHost("c", 0.5)
 		}, 9 * time.Second},
 		{"the former owner had stopped a second before", func(cl *cluster, first, second *clusterHost) {
 			first.keeper.Release(tenure.HeartbeatTimeout)
@@ -139,9 +139,9 @@
 }
 
 // killWorkerAndOwner kills a busy worker and then its owner.
-func (cl *cluster) killWorkerAndOwner(co *clusterHost) {
+func (cl *cluster) killWorkerAndOwner(ch *clusterHost) {
 	cl.fleet.Kill(cl.busyWorker())
-	co.kill()
+	ch.kill()
 	cl.lostAt = time.Now()
 }
 
@@ -151,7 +151,7 @@
 // waits from the beginning.
 func TestOwnerThatLoadsNothingPassesOnLeaseExpiries(t *testing.T) {
 	withThreeHosts(t, func(cl *cluster, first, second, third *clusterHost) {
-		second.set(func(co *clusterHost) { co.readsBlocked = true })
+		second.set(func(ch *clusterHost) { ch.readsBlocked = true })
 		cl.fleet.Kill(cl.busyWorker())
 		lost := time.Now()
 		time.Sleep(3 * time.Second)
@@ -180,7 +180,7 @@
 		time.Sleep(50 * time.Millisecond)
 		second.gate.Set(down)
 		time.Sleep(tenure.ExtendFor)
-		second.set(func(co *clusterHost) { co.reachableOnce = map[worker.Incarnation]bool{fw.Addr.Incarnation: true} })
+		second.set(func(ch *clusterHost) { ch.reachableOnce = map[worker.Incarnation]bool{fw.Addr.Incarnation: true} })
 		time.Sleep(pollRetry + unresponsiveAfter)
 		second.gate.Set(standin.Fault{})
 		time.Sleep(10 * time.Second)
@@ -197,16 +197,16 @@
 	withThreeHosts(t, func(cl *cluster, first, second, _ *clusterHost) {
 		fw := cl.busyWorker()
 		first.gate.Set(standin.Fault{Mode: standin.ModeDown})
-		first.set(func(co *clusterHost) {
-			co.partitioned = true
+		first.set(func(ch *clusterHost) {
+			ch.partitioned = true
 			for _, fw := range cl.fleetWorkers {
-				co.unreachable[fw.Addr.Incarnation] = true
+				ch.unreachable[fw.Addr.Incarnation] = true
 			}
 		})
 		cl.fleet.Kill(fw)
 		cl.awaitOwner(second)
 		time.Sleep(8 * time.Second)
-		first.set(func(co *clusterHost) { co.partitioned = false })
+		first.set(func(ch *clusterHost) { ch.partitioned = false })
 		time.Sleep(1500 * time.Millisecond)
 		cl.assertRunning(4)
 	})
@@ -218,12 +218,12 @@
 const maxRestartTime = 8600 * time.Millisecond
 
 // killWorkerThenOwner kills a busy worker, and some time later its owner's host for good.
-func (cl *cluster) killWorkerThenOwner(co *clusterHost, later time.Duration) {
+func (cl *cluster) killWorkerThenOwner(ch *clusterHost, later time.Duration) {
 	cl.fleet.Kill(cl.busyWorker())
 	cl.lostAt = time.Now()
 	time.Sleep(later)
-	co.set(func(co *clusterHost) { co.partitioned = true })
-	co.kill()
+	ch.set(func(ch *clusterHost) { ch.partitioned = true })
+	ch.kill()
 }
 
 // TestLongRunningTasksRestartAfterWorkerLostBeforeUnreachableOwner guards against long-running
@@ -256,7 +256,7 @@
 		fn   func(cl *cluster, first *clusterHost, fw *standin.FleetWorker)
 	}{
 		{"the owner's host is lost", func(_ *cluster, first *clusterHost, _ *standin.FleetWorker) {
-			first.set(func(co *clusterHost) { co.partitioned = true })
+			first.set(func(ch *clusterHost) { ch.partitioned = true })
 			first.kill()
 		}},
 		{"the owner is cut off with the worker", func(cl *cluster, first *clusterHost, fw *standin.FleetWorker) { cl.partitionWith(first, fw) }},
@@ -270,13 +270,13 @@
 			for around := -500 * time.Millisecond; around <= time.Second; around += step {
 				withThreeHosts(t, func(cl *cluster, first, _, _ *clusterHost) {
 					fw := cl.busyWorker()
-					first.set(func(co *clusterHost) { co.unreachable[fw.Addr.Incarnation] = true })
+					first.set(func(ch *clusterHost) { ch.unreachable[fw.Addr.Incarnation] = true })
 					time.Sleep(3*time.Second + min(around, 0))
 					if around < 0 {
 						lose.fn(cl, first, fw)
 						time.Sleep(-around)
 					}
-					first.set(func(co *clusterHost) { delete(co.unreachable, fw.Addr.Incarnation) })
+					first.set(func(ch *clusterHost) { delete(ch.unreachable, fw.Addr.Incarnation) })
 					if around >= 0 {
 						time.Sleep(around)
 						lose.fn(cl, first, fw)
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -62,14 +62,14 @@
 		cr.crash(fw)
 	}
 	time.Sleep(2 * time.Second)
-	return cr.own()
+	return cr.replaceOwner()
 }
 
 // TestLostWorkersAreLogged checks that the ends of a lost worker's attempts are logged in one
 // line, also by an owner that never saw the worker.
 func TestLostWorkersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 2)
+		la, ll := newLoggedLab(t, 2)
 		cr, ow := startCrashLab(t, la)
 		cr.noRestart = true
 		cr.submit(ow, 1, longRunning(12))
@@ -132,7 +132,7 @@
 			cr.setCrashingJobs()
 			cr.newAddress = rapid.Bool().Draw(rt, "elsewhere")
 			cr.entryTTL = rapid.SampledFrom([]time.Duration{0, crashedEntryTTL, 5 * time.Second}).Draw(rt, "entry stays")
-			ow := cr.own()
+			ow := cr.replaceOwner()
 			defer func() { cr.end() }()
 			time.Sleep(time.Second)
 			cr.submit(ow, 1, longRunning(8))
@@ -145,7 +145,7 @@
 					time.Sleep(time.Duration(rapid.IntRange(0, 300).Draw(rt, "between ms")) * time.Millisecond)
 				}
 				time.Sleep(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "owner after ms")) * time.Millisecond)
-				ow = cr.own()
+				ow = cr.replaceOwner()
 			}
 			time.Sleep(22 * time.Second)
 			if state := cr.state(ow, 1); state != job.Running {
--- a/internal/sched/timebreakdown_test.go
+++ b/internal/sched/timebreakdown_test.go
@@ -43,8 +43,8 @@
 	return list
 }
 
-// loggedLab returns a lab whose log is retained.
-func loggedLab(t *testing.T, workers int) (*lab, *logLines) {
+// newLoggedLab returns a lab whose log is retained.
+func newLoggedLab(t *testing.T, workers int) (*lab, *logLines) {
 	t.Helper()
 	la, ll := newLab(t, workers), &logLines{}
 	la.log = slog.New(slog.NewTextHandler(ll, nil))
@@ -56,7 +56,7 @@
 // part for the lack of capacity.
 func TestJobTimeAddsUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 1)
+		la, ll := newLoggedLab(t, 1)
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
@@ -85,7 +85,7 @@
 // intervals.
 func TestLongWaitsAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 1)
+		la, ll := newLoggedLab(t, 1)
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
@@ -104,19 +104,19 @@
 // had log lines while their tasks waited.
 func TestWaitingLongRunningTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll, mu := relayedLab(t)
+		la, ll, ur := newRelayedLab(t)
 		la.fleet.RunFunc = runUntilStopped
 		ow, end := la.startOwner()
 		defer end()
 		time.Sleep(time.Second)
 		la.submit(ow, 1, longRunning(6*16))
 		time.Sleep(time.Second)
-		mu.enabled.Store(true)
+		ur.enabled.Store(true)
 		time.Sleep(30 * time.Second)
 		qt.Assert(t, ll.matching("end=lapsed", "job="+jobID(1)), qt.HasLen, 4*16)
 		waits := ll.matching(`msg="lasting tasks wait"`, "job="+jobID(1), "for=room", "tasks=64")
 		qt.Assert(t, len(waits) >= 3 && len(waits) <= 5, qt.IsTrue, qt.Commentf("%d lines", len(waits)))
-		mu.enabled.Store(false)
+		ur.enabled.Store(false)
 		time.Sleep(10 * time.Second)
 		la.assertRunning(6 * 16)
 	})
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -89,7 +89,7 @@
 		time.Sleep(8 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
-		for _, we := range la.listed() {
+		for _, we := range la.workerEntries() {
 			time.Sleep(500 * time.Millisecond)
 			ow.SetWorkers([]WorkerEntry{we}, nil, false)
 		}
@@ -114,7 +114,7 @@
 		back := time.Now()
 		ow.SetWorkers(nil, nil, true)
 		time.Sleep(2 * time.Second)
-		for _, we := range la.listed() {
+		for _, we := range la.workerEntries() {
 			if we.Incarnation != lost.Addr.Incarnation {
 				ow.SetWorkers([]WorkerEntry{we}, nil, false)
 			}
@@ -144,14 +144,14 @@
 		la.submit(ow, 2, longRunning(1))
 		time.Sleep(time.Second)
 		la.fleet.Kill(was)
-		now := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
-		la.fleet.Add(now)
-		la.fleetWorkers[0] = now
+		next := &standin.FleetWorker{Addr: worker.Addr{HostPort: was.Addr.HostPort, Incarnation: worker.Incarnation{ID: "i-0b"}}, Holds: was.Holds}
+		la.fleet.Add(next)
+		la.fleetWorkers[0] = next
 		time.Sleep(2 * time.Second)
 		la.table.Gate.Set(standin.Fault{})
 		ow.SetWorkers(nil, nil, true)
 		time.Sleep(2 * time.Second)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(time.Second)
 		la.assertRunning(13)
 	})
@@ -166,7 +166,7 @@
 		time.Sleep(20 * time.Second)
 		la.assertRunning(6)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(3 * time.Second)
 		la.assertRunning(12)
 	})
@@ -193,7 +193,7 @@
 // TestEvacuationIsLoggedAndCounted checks that the reason of moves is logged and counted.
 func TestEvacuationIsLoggedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 2)
+		la, ll := newLoggedLab(t, 2)
 		me, page, err := telemetry.New()
 		qt.Assert(t, err, qt.IsNil)
 		la.metrics = me
@@ -216,9 +216,9 @@
 // reach the store. Nothing is moved before the list is trusted again.
 func TestListWithMostEntriesMissingIsDoubted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ll := loggedLab(t, 4)
+		la, ll := newLoggedLab(t, 4)
 		ow := la.startLongRunning(24)
-		ow.SetWorkers(la.listed()[3:], nil, true)
+		ow.SetWorkers(la.workerEntries()[3:], nil, true)
 		time.Sleep(doubtDuration - time.Second)
 		qt.Check(t, la.ends(), qt.HasLen, 0)
 		qt.Check(t, ll.matching("list of workers doubted", "listed=1", "most=4"), qt.HasLen, 1)
@@ -274,14 +274,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLongRunningLab(t, 2, 2*16)
 		leaving := la.fleetWorkers[0]
-		list := la.listed()
+		list := la.workerEntries()
 		list[0].Draining, list[0].Remaining = true, 4*time.Second
 		ow.SetWorkers(list, nil, true)
 		time.Sleep(time.Second)
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(time.Second)
 		la.addWorker(2)
-		ow.SetWorkers(la.listed()[2:], nil, false)
+		ow.SetWorkers(la.workerEntries()[2:], nil, false)
 		time.Sleep(2 * time.Second)
 		la.fleet.Kill(leaving)
 		time.Sleep(500 * time.Millisecond)
@@ -305,7 +305,7 @@
 			la.table.Gate.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 			go la.submit(ow, 1, batch(1, 20))
 			time.Sleep(200 * time.Millisecond)
-			list := la.listed()
+			list := la.workerEntries()
 			list[0].Draining, list[0].Remaining = draining, time.Minute
 			if !draining {
 				list = list[1:]
@@ -332,7 +332,7 @@
 		for range 5 {
 			ow.SetWorkers(nil, []string{worker.Addr.Incarnation.ID}, false)
 			time.Sleep(2500 * time.Millisecond)
-			ow.SetWorkers(la.listed(), nil, true)
+			ow.SetWorkers(la.workerEntries(), nil, true)
 			time.Sleep(time.Second)
 		}
 		qt.Check(t, la.ends(), qt.HasLen, 0)
@@ -387,7 +387,7 @@
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
-			la.formerKnown = known
+			la.formerOwnerCeased = known
 			la.fleet.RunFunc = runUntilStopped
 			ow, end := la.startOwner()
 			time.Sleep(time.Second)
@@ -400,7 +400,7 @@
 			defer end()
 			time.Sleep(2 * time.Second)
 			la.fleetWorkers = fleet
-			ow.SetWorkers(la.listed(), nil, true)
+			ow.SetWorkers(la.workerEntries(), nil, true)
 			time.Sleep(15 * time.Second)
 			la.assertRunning(12)
 			qt.Check(t, la.ends(), qt.HasLen, 0)
--- a/internal/sched/workers_test.go
+++ b/internal/sched/workers_test.go
@@ -26,8 +26,8 @@
 // runningAt counts the running attempts on a worker.
 func (la *lab) runningAt(id string) int {
 	n := 0
-	for in, runs := range la.running() {
-		if in.ID == id {
+	for inc, runs := range la.running() {
+		if inc.ID == id {
 			n += runs
 		}
 	}
@@ -250,7 +250,7 @@
 	for _, known := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
-			la.formerKnown = known
+			la.formerOwnerCeased = known
 			la.fleet.RunFunc = runUntilStopped
 			ow, end := la.startOwner()
 			time.Sleep(time.Second)
@@ -303,7 +303,7 @@
 				leaving = fw
 			}
 		}
-		list := la.listed()
+		list := la.workerEntries()
 		for i := range list {
 			if list[i].Incarnation == leaving.Addr.Incarnation {
 				list[i].Draining, list[i].Remaining = true, 4500*time.Millisecond
