--- a/internal/cell/owner.go
+++ b/internal/cell/owner.go
@@ -354,9 +354,9 @@
 	return rec, now.After(ow.leaseExpiry(ws, ow.st.Jobs[ta.Job].Spec.Service))
 }
 
-// leaseExpiry returns the time after which a worker's batch or service leases
-// have certainly expired if it is not heard from again. Before its first report
-// those of a former owner count.
+// leaseExpiry returns the time after which a worker's batch or service leases have certainly
+// expired if no further message arrives from it. Before its first report those of a former
+// owner count.
 func (ow *Owner) leaseExpiry(ws *workerStatus, service bool) time.Time {
 	end := ws.leaseEnd[leaseIndex(service)]
 	if ws.incarnation == "" {
--- a/internal/door/frontend.go
+++ b/internal/door/frontend.go
@@ -147,8 +147,8 @@
 	defer cancel()
 	if ow := fe.Local(); ow != nil {
 		resp, err := local(ctx, ow)
-		// A request has no effect if the tenure was over before it, so the next owner is
-		// tried. If the tenure ended during it, only the store tells the outcome.
+		// A request has no effect if the tenure was over before it, so the next owner is tried.
+		// If the tenure ended during it, only the store shows the outcome.
 		if !errors.Is(err, sched.ErrTenureOver) {
 			return resp, err
 		}
@@ -179,9 +179,9 @@
 	Spec  job.Spec  `json:"spec"`
 }
 
-// Submit submits a job to the owner. If the owner can't be reached, or refuses the job
-// because its own writes to the store fail, this host writes the job to the intake table.
-// Submitting the same id again is harmless.
+// Submit submits a job to the owner. If the owner can't be reached, or refuses the job because
+// its own writes to the store fail, this host writes the job to the intake table. Submitting
+// the same id again has no further effect.
 func (fe *FrontEnd) Submit(ctx context.Context, id string, te job.Terms, sp job.Spec) sched.Verdict {
 	start := time.Now()
 	ve, err := call(ctx, fe, pathSubmit, submission{ID: id, Terms: te, Spec: sp}, func(ctx context.Context, ow *sched.Owner) (sched.Verdict, error) {
--- a/internal/door/frontend_test.go
+++ b/internal/door/frontend_test.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// TestRefusedJobsAreAbsent checks that a refused job does not exist later, in whichever way
-// the store fails, and that every answer comes within half of the time that callers wait.
+// TestRefusedJobsAreAbsent checks that a refused job does not exist later, however the store
+// fails, and that every answer comes within half of the time that callers wait.
 func TestRefusedJobsAreAbsent(t *testing.T) {
 	for _, fault := range []standin.Fault{
 		{Mode: standin.ModeDown}, {Mode: standin.ModeLost}, {Mode: standin.ModeFreeze}, {Mode: standin.ModeSlow, DelayMS: 2000},
--- a/internal/door/reported_states.go
+++ b/internal/door/reported_states.go
@@ -6,7 +6,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// maxReportedStates bounds the jobs whose last reported state is kept.
+// maxReportedStates bounds the jobs whose last reported state is retained.
 const maxReportedStates = 4096
 
 // reportedStates holds the state that was last reported of each job. Callers poll each
--- a/internal/interfere/interfere.go
+++ b/internal/interfere/interfere.go
@@ -9,11 +9,11 @@
 // baseline changes with the service's own load, which all replicas of a step share because
 // one balancer distributes it; a [Track] follows it.
 //
-// Each measurement corrects the track, the replica's offset from it and the drops of the
-// pairs involved, each in proportion to its uncertainty: a Kalman filter without the
-// covariances between them. Fillers are thus told apart by replicas of one step on
-// different workers at the same time as well as by changes on one worker. The zero [Model]
-// assumes the same prior of every pair.
+// Each measurement corrects the track, the replica's offset from it and the drops of the pairs
+// involved, each in proportion to its uncertainty: a Kalman filter without the covariances
+// between them. Fillers are thus distinguished by replicas of one step on different workers at
+// the same time as well as by changes on one worker. The zero [Model] assumes the same prior of
+// every pair.
 //
 // The package sees no tasks or workers, only measurements, and makes no decisions.
 package interfere
@@ -112,9 +112,9 @@
 	neutralDifference = 2
 )
 
-// Similarity returns how similarly the images of two services are disturbed by fillers: 1
-// if all drops are equal, 0 if they differ by neutralDifference, -1 if they differ by
-// twice as much or more. Images of which too little is known count as -1.
+// Similarity returns how similarly fillers interfere with the images of two services: 1 if all
+// drops are equal, 0 if they differ by neutralDifference, -1 if they differ by twice as much or
+// more. Images of which too little is known count as -1.
 func (mo *Model) Similarity(a, b string) float64 {
 	if a == b {
 		return 1
--- a/internal/interfere/interfere_test.go
+++ b/internal/interfere/interfere_test.go
@@ -87,7 +87,7 @@
 }
 
 // TestObserveConstantFillers has fillers with constant shares beside replicas whose load
-// varies. The drops are told apart by the replicas without fillers.
+// varies. The drops are distinguished by the replicas without fillers.
 func TestObserveConstantFillers(t *testing.T) {
 	for seed := range uint64(20) {
 		ss := newSimulatedStep(seed, map[string]float64{"good": 0, "bad": 9})
--- a/internal/job/giveup.go
+++ b/internal/job/giveup.go
@@ -59,7 +59,7 @@
 // is better started on a worker with few other tasks.
 func (ta *Task) Suspect() bool { return ta.Crashes+ta.Losses > 0 }
 
-// Isolated reports whether nothing else may be started beside the task, as one more crash
+// Isolated reports whether nothing else may be started on the task's worker, as one more crash
 // may cause it to be given up.
 func (ta *Task) Isolated() bool {
 	return ta.Crashes >= maxCrashes-1 || ta.Crashes+ta.Losses >= maxEndsWithCrashes-1
--- a/internal/job/steprow.go
+++ b/internal/job/steprow.go
@@ -117,7 +117,7 @@
 	return len(sr.Workers) - 1
 }
 
-// errRow: a row of progress does not match the spec of its job.
+// errRowMismatch is the error of a progress row that does not match the spec of its job.
 var errRowMismatch = errors.New("row of progress does not fit its job")
 
 // tasks decodes the row, which must hold n tasks.
--- a/internal/jobhost/host.go
+++ b/internal/jobhost/host.go
@@ -33,8 +33,8 @@
 
 // Limits of a process.
 const (
-	// storeConns, workerConns and peerConns are the numbers of idle connections kept
-	// per address.
+	// storeConns, workerConns and peerConns are the numbers of idle connections retained per
+	// address.
 	storeConns  = 6
 	workerConns = 10
 	peerConns   = 8
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,8 +1,7 @@
-// Package logs writes log lines without blocking the caller: lines wait in a bounded
-// buffer, and those that find it full, or that are over the budget of lines a second,
-// are dropped and counted. An output that is read slowly or not at all costs lines and
-// nothing else. Rare kinds of lines have a reserve, so that frequent ones do not
-// displace them.
+// Package logs writes log lines without blocking the caller: lines wait in a bounded buffer,
+// and those that find it full, or that are over the budget of lines a second, are dropped and
+// counted. An output that is read slowly or not at all costs lines and nothing else. Rare kinds
+// of lines have a reserve, so that frequent ones do not displace them.
 package logs
 
 import (
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -263,7 +263,7 @@
 	}
 }
 
-// cmpTrue orders true before false.
+// compareTrueFirst orders true before false.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/place/trial_test.go
+++ b/internal/place/trial_test.go
@@ -315,8 +315,7 @@
 	}
 }
 
-// decide applies the decisions of a policy, which sees measurements with a delay of
-// trialLag.
+// decide applies the decisions of a policy, which sees measurements with a delay of trialLagS.
 func (ce *simCell) decide(po policy) {
 	sn := Snapshot{Policy: ce.pol, Model: ce.model}
 	by := ce.byWorker()
--- a/internal/relay/assigner.go
+++ b/internal/relay/assigner.go
@@ -98,7 +98,7 @@
 
 // fallbackRelay returns the relay under which a worker stays, or is entered, while no host may
 // relay, or "" if the worker is to be reached directly. That is so if there is no other host,
-// or while the limit on directly reached workers allows it. Half of the limit is kept for
+// or while the limit on directly reached workers allows it. Half of the limit is reserved for
 // workers in the owner's own data centre, as the whole data centre may be cut off from the
 // others.
 func (as *assigner) fallbackRelay(prev, dataCentre string) string {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -11,7 +11,7 @@
 //
 // A stream is one HTTP request whose request and response bodies stay open; each body is a
 // sequence of JSON values, one per frame. Both sides send a frame at least every
-// [heartbeatInterval], so that a connection that went silent is detected.
+// [heartbeatInterval], so that a connection on which nothing more arrives is detected.
 package relay
 
 import (
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -87,8 +87,9 @@
 // the orders on it, so that workers obey orders and no answer comes back.
 //
 // An owner read answers slowly, so that too many were queued. The relay cancelled the stream's
-// context and its writer ended, but the reader did not check the context and kept receiving
-// frames, as the owner sends heartbeats. Only the owner's own watchdog ended the stream.
+// context and its writer ended, but the reader did not check the context and continued to
+// receive frames, as the owner sends heartbeats. Only the owner's own watchdog ended the
+// stream.
 func TestFullQueueEndsStream(t *testing.T) {
 	ow := newSlowOwner(t)
 	ow.flood()
--- a/internal/route/compare_test.go
+++ b/internal/route/compare_test.go
@@ -40,7 +40,7 @@
 	batDeadline  = 30 * time.Second
 )
 
-// strategy is a way for entry hosts to share the runners.
+// strategy is a method by which entry hosts share the runners.
 type strategy struct {
 	name string
 	// hosts is the number of entry hosts.
--- a/internal/sched/api.go
+++ b/internal/sched/api.go
@@ -16,7 +16,7 @@
 const (
 	// Accepted means that the change is durable.
 	Accepted Outcome = "accepted"
-	// Refused means that the change was not made and never will be.
+	// Refused means that the change was not made and will not be made later.
 	Refused Outcome = "refused"
 	// Unknown means that the change may have been made or may still be made. A repeated
 	// request returns a definite answer.
@@ -60,7 +60,7 @@
 const (
 	// maxJobs bounds the jobs in memory, at about 4 kB a job.
 	maxJobs = 20_000
-	// retryAfter is when a refused caller is told to retry.
+	// retryAfter is the delay before a retry that a refusal asks for.
 	retryAfter = time.Second
 )
 
--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -7,12 +7,12 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// attempt is what the owner knows of an attempt that runs, or may run.
+// attempt is the owner's state of an attempt at a task that runs, or may run.
 type attempt struct {
 	ref    job.TaskRef
 	number int
 	wk     *workerState
-	// en is its job.
+	// tj is its job.
 	tj *trackedJob
 	// inFlight is set from its placement until its start order is answered.
 	inFlight bool
@@ -33,14 +33,15 @@
 	resolvingOrder bool
 	// haltSentAt is when an order to stop it was last sent, or zero.
 	haltSentAt time.Time
-	// percent is its progress. usage is the last reported figure: the tail latency of a
-	// service in milliseconds, the CPU use of other tasks in thousandths of a core.
+	// progress is its last reported progress, in percent. usage is the last reported usage: the
+	// tail latency of a service in milliseconds, or the CPU use of another task in thousandths
+	// of a core.
 	progress int
 	usage    int64
 	// progressedAt is when it was last seen to make progress, and pollsWithoutProgress counts
 	// the polls since.
 	progressedAt time.Time
-	// workingSince is when it was first seen at work without having been throttled since, and
+	// workingSince is when it was first seen running without having been throttled since, and
 	// initialProgress its progress at that time.
 	workingSince         time.Time
 	initialProgress      int
@@ -53,10 +54,9 @@
 	lastOverTarget time.Time
 	// pace is the share of full speed last ordered, in percent, or unknownPace.
 	pace int
-	// pacing is set while an order to set the pace is in flight.
+	// paceInFlight is set while an order to set the pace is in flight.
 	paceInFlight bool
-	// throttledSince is since when a filler's pace has been so low that it hardly makes
-	// progress.
+	// throttledSince is since when a filler's pace has been at most heldMaxPace, or zero.
 	throttledSince time.Time
 	// pacedAt is when its pace last changed.
 	pacedAt time.Time
--- a/internal/sched/backlog_test.go
+++ b/internal/sched/backlog_test.go
@@ -9,8 +9,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// fillWithBacklog fills a cell with long-running tasks of many sizes, kills three tenths of
-// its workers, and submits more short jobs than there is capacity for.
+// fillWithBacklog fills a cell with long-running tasks of many sizes, kills 30% of its workers,
+// and submits more short jobs than there is capacity for.
 func fillWithBacklog(la *lab, ow *Owner, workers int) {
 	n := 0
 	for i := range 3 * workers / 10 {
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -99,7 +99,8 @@
 	}
 }
 
-// gaps returns the times between the first two steps of jobs, sorted.
+// startIntervals returns, for each job, the time from the end of its first step to the start of
+// its second, sorted.
 func (la *lab) startIntervals(jobs int) []time.Duration {
 	last, first := make([]time.Time, jobs+1), make([]time.Time, jobs+1)
 	for _, ru := range la.fleet.Runs() {
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -44,7 +44,7 @@
 	return ca
 }
 
-// own starts an owner; the one before ends.
+// replaceOwner starts an owner and stops the one before.
 func (ca *capacityLab) replaceOwner() {
 	if ca.end != nil {
 		ca.end()
@@ -89,7 +89,7 @@
 	return highest
 }
 
-// overfilled lists the starts that exceeded the reported capacity of their worker.
+// overcommitted lists the starts that exceeded the reported capacity of their worker.
 func (ca *capacityLab) overcommitted() []string {
 	var list []string
 	runs := ca.fleet.Runs()
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestNoStartExceedsReportedCapacity plays random changes of the reported capacities, with
-// jobs and takeovers.
+// TestNoStartExceedsReportedCapacity runs random sequences of changes of the reported
+// capacities, jobs and takeovers, and checks that no start exceeds the reported capacity.
 func TestNoStartExceedsReportedCapacity(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: capacityScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
--- a/internal/sched/cluster_test.go
+++ b/internal/sched/cluster_test.go
@@ -59,7 +59,8 @@
 
 var errUnreachable = errors.New("unreachable by an injected fault")
 
-// join starts a host with the given CPU cores; those with fewer cores claim later.
+// startHost starts a host with the given CPU cores; hosts with fewer cores claim the cell
+// later.
 func (cl *cluster) startHost(name string, cores float64) *clusterHost {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -148,7 +149,7 @@
 	}
 }
 
-// ask asks the latest process of a host about its tenure.
+// askHost asks the latest process of a host about its tenure.
 func (ch *clusterHost) askHost(_ context.Context, addr string, epoch int64) (tenure.HostStatus, error) {
 	const latency = 3 * time.Millisecond
 	time.Sleep(latency)
@@ -163,7 +164,7 @@
 	return other.keeper.HostStatus(), nil
 }
 
-// vouch asks the latest process of a host whether it confirms an owner.
+// confirmOwner asks the latest process of a host whether it confirms an owner.
 func (ch *clusterHost) confirmOwner(_ context.Context, addr string, epoch int64, process string) (bool, error) {
 	const latency = 3 * time.Millisecond
 	time.Sleep(latency)
--- a/internal/sched/contact.go
+++ b/internal/sched/contact.go
@@ -6,7 +6,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// reach is the state of a worker with regard to the owner's orders.
+// contactState says whether a worker gets the owner's orders.
 type contactState string
 
 const (
@@ -39,7 +39,7 @@
 	beganAt, loggedAt time.Time
 }
 
-// reach returns the state of the worker.
+// contactState returns the contact state of the worker.
 func (wk *workerState) contactState(now time.Time) contactState {
 	switch {
 	case !wk.settled:
--- a/internal/sched/contact_test.go
+++ b/internal/sched/contact_test.go
@@ -63,10 +63,10 @@
 	return la, ll, ur
 }
 
-// TestWorkersWithoutOrdersAreLogged has a relay that never answers the new owner of a cell,
-// so that the workers behind it get no orders. The log must keep reporting how many there
-// are and which relay they share: with one line per worker at its first failed poll nothing
-// told that a third of the capacity was missing for as long as the relay did not answer.
+// TestWorkersWithoutOrdersAreLogged has a relay that never answers the new owner of a cell, so
+// that the workers behind it get no orders. The log must keep reporting how many there are and
+// which relay they share: a single line per worker at its first failed poll does not show that
+// two thirds of the capacity are missing for as long as the relay does not answer.
 func TestWorkersWithoutOrdersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll, ur := newRelayedLab(t)
@@ -95,7 +95,7 @@
 		time.Sleep(4 * time.Second)
 		outageLines := ll.matching("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
 		qt.Assert(t, outageLines, qt.Not(qt.HasLen), 0)
-		// A poll that was under way at that time was still answered.
+		// A poll that was in flight at that time was still answered.
 		longest := longestOf(t, outageLines[len(outageLines)-1])
 		qt.Assert(t, longest > 4*time.Second-pollWait-outageLogInterval && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
 		ur.enabled.Store(false)
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -77,7 +77,7 @@
 	return cr, ow
 }
 
-// own starts an owner and stops the one before.
+// replaceOwner starts an owner and stops the one before.
 func (cr *crashLab) replaceOwner() *Owner {
 	cr.t.Helper()
 	if cr.end != nil {
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -3,7 +3,7 @@
 import "time"
 
 // demandLogInterval is the time between log lines on long-running tasks that wait for capacity.
-// The lines of single jobs tell neither how many such tasks there are nor the total free
+// The lines of single jobs contain neither the number of such tasks nor the total free
 // capacity.
 const demandLogInterval = time.Second
 
@@ -17,11 +17,11 @@
 	// longestWait the longest time that a job has waited.
 	needMilliCores int64
 	longestWait    time.Duration
-	// workers counts those that accept new tasks, earmarked those of them whose free
-	// capacity is set aside for a long-running task. The rest is in thousandths of a core: free
-	// is the sum of what is free, mostFree the largest free part of one worker, finite what
-	// is taken by tasks that end by themselves, and reserved what is reserved for
-	// interrupted tasks.
+	// workers counts those that accept new tasks, earmarked those of them that are earmarked
+	// for a long-running task. The other fields are in thousandths of a core: free is the total
+	// free capacity, mostFree the largest free capacity of one worker, finite the capacity used
+	// by tasks that end by themselves, and reserved the capacity reserved for interrupted
+	// tasks.
 	workers, earmarked     int
 	reserved               int64
 	free, mostFree, finite int64
@@ -44,7 +44,7 @@
 }
 
 // longRunningDemand sums up the long-running jobs that have waited for capacity for at least
-// firstWait, and the capacity of all workers.
+// firstWaitLog, and the capacity of all workers.
 func (ow *Owner) longRunningDemand(now time.Time) longRunningDemand {
 	var lrd longRunningDemand
 	for _, tj := range ow.waitingJobs {
--- a/internal/sched/earmark.go
+++ b/internal/sched/earmark.go
@@ -6,16 +6,17 @@
 // in this many, but at least one.
 const earmarkShare = 16
 
-// isEarmarked reports whether the worker's free capacity is set aside for a long-running task.
+// isEarmarked reports whether the worker's free capacity is earmarked for a long-running task:
+// one that never ran, or an interrupted one that may start now.
 func (wk *workerState) isEarmarked() bool {
 	return wk.restartReady || wk.earmarkedInRound == wk.ow.placementRounds
 }
 
-// earmark sets aside the free capacity of a worker for a long-running task that never ran and
-// fits nowhere: otherwise short tasks would take each part of it as it becomes free, and
-// the task would wait for as long as they arrive. It chooses the worker that is least short
-// of the capacity and will have it once the tasks there that end by themselves have ended.
-// The next round chooses again, and usually the same worker.
+// earmark earmarks the free capacity of a worker for a long-running task that never ran and
+// fits on no worker. Otherwise short tasks would use each part of it as it becomes free, and
+// the task would wait for as long as they arrive. It chooses the worker that is least short of
+// the capacity and will have it once the tasks there that end by themselves have ended. The
+// next round chooses again, and usually the same worker.
 func (pl *placer) earmark(tj *trackedJob, ref job.TaskRef) {
 	st := &tj.jo.Spec.Steps[ref.Step]
 	if !st.LongRunning || !pl.ow.enabled(MechReserveCapacity) || pl.earmarks > len(pl.candidates)/earmarkShare || tj.interrupted(ref) {
--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// stopping reports whether an order to stop the attempt may still take effect. After that
-// time the order counts as lost.
+// stopping reports whether an order to stop the attempt may still take effect. After that time
+// the order is considered lost.
 func (evac *evacuation) stopping(at *attempt) bool {
 	return !at.haltSentAt.IsZero() && evac.now.Sub(at.haltSentAt) < evac.ow.Limits.StopTime+leaveMargin
 }
@@ -116,9 +116,9 @@
 	evac.ow.halt(at, why)
 }
 
-// placer returns the remaining capacity after that of the tasks which are being stopped or
-// wait. Without those reservations, one free place would be counted at every tick until it is
-// taken.
+// placer returns a placer from whose free capacity that of the tasks which are being stopped or
+// wait was subtracted. Without those reservations, the same free capacity would be counted at
+// every tick until a task starts there.
 func (evac *evacuation) placer() *placer {
 	if evac.cachedPlacer != nil {
 		return evac.cachedPlacer
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -44,8 +44,8 @@
 	return only
 }
 
-// unlistOthers marks the other incarnations of the worker as unlisted. Which of them runs is
-// decided by their answers, as entries may come late.
+// unlistOthers marks the other incarnations of the worker as unlisted. Their answers to polls
+// show which of them runs, as entries may come late.
 func (wk *workerState) unlistOthers() {
 	for _, other := range slices.Clone(wk.ow.workersByID[wk.incarnation.ID]) {
 		if other != wk {
@@ -107,8 +107,8 @@
 	return next
 }
 
-// supersedeBy records that the worker's process has ended, as another incarnation of the
-// worker answered. Its attempts move to that one, whose lists decide which of them run.
+// supersedeBy records that the worker's process has ended, as another incarnation of the worker
+// answered. Its attempts move to that one, whose poll results show which of them run.
 func (wk *workerState) supersedeBy(next *workerState) {
 	wk.dead = true
 	wk.logDeath("another life of the worker answers", next.incarnation, time.Now())
--- a/internal/sched/interference.go
+++ b/internal/sched/interference.go
@@ -9,8 +9,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// The owner stores what it learnt about interference between pairs of images. Without that,
-// the next owner would disturb services for seconds while it learns it again.
+// The owner stores the interference that it learnt for pairs of images. Otherwise the next
+// owner would place fillers where they harm services for some seconds, until it has learnt the
+// interference again.
 const (
 	// InterferenceTable is the table of the row.
 	InterferenceTable = "learnt"
@@ -21,15 +22,15 @@
 	maxPairs = 500
 )
 
-// interferenceRow has what was learnt in a cell.
+// interferenceRow is the stored row of the interference learnt in a cell.
 type interferenceRow struct {
 	Pairs []interfere.PairEstimate `json:"pairs"`
 }
 
 func (ow *Owner) interferenceKey() string { return InterferenceTable + "/" + ow.Cell + "/pairs" }
 
-// loadInterference reads what former owners learnt. If it can't be read, this owner learns it
-// again.
+// loadInterference reads the interference that former owners learnt. If the row cannot be read,
+// this owner learns it again.
 func (ow *Owner) loadInterference(ctx context.Context) {
 	if !ow.enabled(MechPersistPairs) {
 		return
@@ -46,7 +47,7 @@
 	ow.Log.Info("loaded what former owners learnt of interference", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
 }
 
-// saveInterference writes what was learnt, at most every saveInterval.
+// saveInterference writes the learnt interference, at most every saveInterval.
 func (ow *Owner) saveInterference(now time.Time) {
 	if !ow.enabled(MechPersistPairs) || ow.savingModel || now.Sub(ow.modelSavedAt) < saveInterval || ow.storeDown() {
 		return
--- a/internal/sched/interferencescore.go
+++ b/internal/sched/interferencescore.go
@@ -7,9 +7,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// disturbance returns the sum by which a filler would lower the headroom of the services on
-// a worker, and the largest predicted excess of a service over placeBelowPart with the
-// filler there; zero or less if there is none.
+// interferencePenalty returns the sum by which a filler would lower the headroom of the
+// services on a worker, and the largest amount by which the headroom of a service would fall
+// short of that at placeBelowPart with the filler there; zero if none would.
 func (ca *candidate) interferencePenalty(st *job.Step) (sum, over float64) {
 	part := share(st.Each.MilliCores, ca.wk.Capacity.MilliCores)
 	for _, ims := range ca.serviceSummaries() {
@@ -22,8 +22,8 @@
 	return sum, over
 }
 
-// imageServices sums up the services of one image on a worker for placement: how many there
-// are, and the largest excess among them.
+// imageServices summarizes the services of one image on a worker for placement: their number,
+// and the largest excess among them (see [workerState.excess]).
 type imageServices struct {
 	image  string
 	count  int
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -32,7 +32,7 @@
 	// formerEntries are the list entries of processes that ended, in their order.
 	formerEntries []WorkerEntry
 	epoch         int64
-	// specs are the specs of submitted jobs, by id.
+	// mu guards specs: the specs of submitted jobs, by id.
 	mu    sync.Mutex
 	specs map[string]job.Spec
 	log   *slog.Logger
@@ -49,9 +49,9 @@
 	via atomic.Pointer[string]
 	// viaByWorker has the relays of workers with one of their own, by id.
 	viaByWorker map[string]string
-	// listFunc, confirmedFunc and writtenFunc replace, if set, what owners are told of the
-	// age of the list of workers, of when the store confirmed their tenure and of when it
-	// accepted a heartbeat.
+	// listFunc, confirmedFunc and writtenFunc replace, if set, the functions from which owners
+	// learn the age of the list of workers, when the store last confirmed their tenure, and
+	// when it last accepted a heartbeat.
 	listFunc                   func() (last, since time.Time)
 	confirmedFunc, writtenFunc func() time.Time
 	// formerOwnerCeased makes owners know that the former one has ceased to act.
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -13,12 +13,12 @@
 
 // Times of orders.
 const (
-	// launchTimeout is how long a launch may go without an answer before the owner finds out
-	// what became of it. An order takes under 5 ms in normal operation.
+	// launchTimeout is how long a launch may go without an answer before the owner determines
+	// its outcome. An order takes under 5 ms in normal operation.
 	launchTimeout = 400 * time.Millisecond
 	// haltTimeout is the same for a halt, which may last as long as the task takes to stop.
 	haltTimeout = 500 * time.Millisecond
-	// resolveRetry is the pause between tries to find out what became of an order.
+	// resolveRetry is the pause between attempts to determine the outcome of an order.
 	resolveRetry = 200 * time.Millisecond
 )
 
@@ -154,7 +154,8 @@
 	return "done"
 }
 
-// handleLaunchResolved handles what became of a launch without an answer.
+// handleLaunchResolved handles the outcome of a launch without an answer; present is set if the
+// worker has the attempt.
 func (ow *Owner) handleLaunchResolved(at *attempt, present bool) {
 	if at.tj.attempts[at.ref] != at {
 		return
@@ -167,8 +168,8 @@
 	ow.recordEnd(at.tj, at.ref, at.number, job.EndNeverRan, "", "its launch had no answer and it was prevented from starting")
 }
 
-// resolveOrder finds out whether an attempt reached a worker whose answer was lost, and
-// otherwise prevents that it ever starts there. It retries until the worker confirms one or
+// resolveOrder determines whether an attempt reached a worker whose answer was lost, and
+// otherwise prevents it from ever starting there. It retries until the worker confirms one or
 // the other, or the attempt has ended.
 func (ow *Owner) resolveOrder(wk *workerState, wa worker.Attempt, done func(present bool)) {
 	for {
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -61,7 +61,7 @@
 
 func lastKeySegment(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// restore creates the entry of a job read from the store.
+// restore creates the owner's state of a job that was read from the store.
 func (ow *Owner) restore(jo *job.Job, progVer int64) *trackedJob {
 	tj := ow.addJob(jo)
 	tj.progressVersion, tj.writtenState = progVer, jo.State()
--- a/internal/sched/lossreport.go
+++ b/internal/sched/lossreport.go
@@ -8,7 +8,7 @@
 )
 
 // lostEnds counts the ends of the attempts on a lost worker for one log line. The lines of the
-// single attempts are of a frequent kind, which is rate-limited in just such moments.
+// single attempts are rate-limited when many attempts end at once.
 type lostEnds struct {
 	attempts, longRunning int
 	ends                  map[job.End]int
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -47,7 +47,7 @@
 
 // MechanismEntry documents a mechanism.
 type MechanismEntry struct {
-	// Mechanism is its bit, Name the word in the settings, Means a description.
+	// Mechanism is its bit, Name its name in the settings, and Means its description.
 	Mechanism Mechanism
 	Name      string
 	Means     string
@@ -101,5 +101,5 @@
 	return 0, fmt.Errorf("%w: %q", ErrMechanism, name)
 }
 
-// uses reports whether a mechanism is enabled.
+// enabled reports whether a mechanism is enabled.
 func (ow *Owner) enabled(me Mechanism) bool { return ow.Without&me == 0 }
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -86,15 +86,15 @@
 
 	// The loop owns all fields below.
 	ctx context.Context
-	// entries has all jobs in memory by id, active those with tasks that may start now, in
-	// order of placement, and seq the number of the latest arrival.
+	// jobs has all jobs in memory by id, waitingJobs those with tasks that may start now, in
+	// order of placement, and seq the arrival number of the latest job.
 	jobs        map[string]*trackedJob
 	waitingJobs []*trackedJob
 	seq         int64
 	workers     map[worker.Incarnation]*workerState
-	// paths counts the paths to workers created so far.
+	// pathCount counts the paths to workers created so far.
 	pathCount int64
-	// sorted caches the workers in a stable order; nil if out of date.
+	// sortedWorkerCache has the workers in a stable order; nil if out of date.
 	sortedWorkerCache []*workerState
 	// workersByAddr has the workers whose processes are not known to have ended, by listen address.
 	// Only one process listens on an address at a time.
@@ -102,8 +102,8 @@
 	// workersByID has the workers by id. Several entries under one id are incarnations of one
 	// worker.
 	workersByID map[string][]*workerState
-	// placementDue is set if something may have become placeable since the last round of
-	// placement; rounds counts the rounds.
+	// placementDue is set if a task may have become placeable since the last round of
+	// placement; placementRounds counts the rounds.
 	placementDue    bool
 	placementRounds int
 	dirtyJobs       []*trackedJob
@@ -119,7 +119,7 @@
 	startedAt time.Time
 	// leaseRecord tracks the stored lease expiries of unresponsive workers.
 	leaseRecord leaseRecord
-	// model predicts how fillers disturb services.
+	// model predicts the interference of fillers with services.
 	model interfere.Model
 	// noFit has the shapes of tasks for which no worker was found, in this round of
 	// placement or recently.
--- a/internal/sched/ownerloss_test.go
+++ b/internal/sched/ownerloss_test.go
@@ -16,7 +16,7 @@
 const lostRestartDeadline = 9 * time.Second
 
 // withSixHosts runs a long-running job of four tasks on three workers of six hosts, of which
-// the first owns the cell, and then calls play.
+// the first owns the cell, and then calls test.
 func withSixHosts(t *testing.T, maxLease time.Duration, test func(cl *cluster, owner *clusterHost)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -12,15 +12,17 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Thresholds and times of the control of fillers.
+// Thresholds and times of the control of fillers, which lowers their pace, or holds them,
+// beside services that are over their latency target. A part is a fraction of a service's
+// target.
 const (
 	// nearTargetPart is the part of its target above which a service may be over it, as its
 	// reported tail is inexact. clearAfter is how long the tail must stay below that before
 	// the service counts as under its target again.
 	nearTargetPart = 0.9
 	clearAfter     = time.Second
-	// predictAhead is how far ahead control predicts the load: an order takes 0.1 s to take
-	// effect, and the next poll comes 0.6 s later.
+	// predictAhead is how far ahead the load of services is predicted: an order takes 0.1 s to
+	// take effect, and the next poll follows 0.6 s later.
 	predictAhead = 600 * time.Millisecond
 	// slowAbovePart is the part of the target above which fillers beside a service are
 	// slowed, speedUpBelowPart the part below which they are sped up again, and
@@ -137,7 +139,7 @@
 	}
 }
 
-// holdAll stops every filler, as slowing some did not suffice.
+// holdAll sets the pace of every filler to 0, as slowing some did not suffice.
 func (wk *workerState) holdAll(fillers []*attempt, now time.Time) {
 	for _, at := range fillers {
 		wk.setPace(at, 0, now, "service over its target for long")
@@ -213,7 +215,7 @@
 	}
 }
 
-// pace orders a pace in per cent, if it differs enough from the last.
+// setPace orders a pace in per cent, if it differs enough from the last.
 func (wk *workerState) setPace(at *attempt, percent int, now time.Time, why string) {
 	percent = max(percent, 0)
 	if at.pace == percent || (percent > 0 && percent < fullPace && abs(percent-at.pace) < minPaceChange) {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -88,8 +88,8 @@
 	idle int64
 	// overTarget is set if a service there has exceeded its latency target for too long.
 	overTarget bool
-	// earmarked is set if the free capacity is set aside for a long-running task. isolated is
-	// set if a task is to run alone there, so that nothing else may start.
+	// earmarked is set if the free capacity is earmarked for a long-running task. isolated is
+	// set if a task is to run isolated there, so that nothing else may start.
 	earmarked bool
 	isolated  bool
 }
--- a/internal/sched/polls.go
+++ b/internal/sched/polls.go
@@ -29,7 +29,7 @@
 	// lost: capacity is reserved for its long-running tasks, and its attempts end once its
 	// leases have lapsed.
 	unresponsiveAfter = 2500 * time.Millisecond
-	// extendUnresponsive is how long polls that fail still extend leases. An order under way
+	// extendUnresponsive is how long polls that fail still extend leases. An order in flight
 	// may take effect without an answer, so if all of them extended leases, these would never
 	// lapse.
 	extendUnresponsive = time.Second
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// The rows of jobs retain how long attempts are known to have run. The next owner uses that
-// to classify the ends of attempts on workers that it never saw. Otherwise every attempt on a
-// worker that was lost together with an owner would count as a possible cause of the worker's
-// crash. The proof is written with each change of its job; where a wrong classification is
-// costly, the row is also written for the proof alone.
+// The progress rows of jobs record how long attempts are known to have run; that record is
+// called a proof. The next owner uses that to classify the ends of attempts on workers that it
+// never saw. Otherwise every attempt on a worker that was lost together with an owner would
+// count as a possible cause of the worker's crash. The proof is written with each change of its
+// job; where a wrong classification is costly, the row is also written for the proof alone.
 
 // proofWriteDelay is how long such a proof waits for another change of the job, and for the
 // proofs of its other tasks: the polls of their workers return within a second.
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -36,7 +36,7 @@
 	jobs       int
 	// replacements counts the worker processes that replaced others.
 	replacements int
-	// crashed are the workers that a task crashed and that were not replaced yet.
+	// crashedMu guards crashed: the workers that a task crashed and that were not replaced yet.
 	crashedMu sync.Mutex
 	crashed   []*standin.FleetWorker
 }
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -103,9 +103,9 @@
 	})
 }
 
-// TestEntryOfAFormerIncarnationDoesNotFenceTheNext guards against attempts that lapse after
-// the entry of a former process is seen again and is replaced before that process is polled:
-// its fencing token must not shut out this owner's orders for the running process.
+// TestEntryOfAFormerIncarnationDoesNotFenceTheNext guards against attempts that lapse after the
+// entry of a former process is seen again and is replaced before that process is polled: its
+// fencing token must not make the running process reject this owner's orders.
 func TestEntryOfAFormerIncarnationDoesNotFenceTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
--- a/internal/sched/score.go
+++ b/internal/sched/score.go
@@ -25,10 +25,10 @@
 }
 
 // affinity rates how well a long-running task matches the services on the worker. A filler must
-// be tolerated by every service on its worker, so it finds a worker more easily if the
-// services there react alike to fillers: those of one image do, and others may have been
-// observed to. Replicas of one step share their load, so that on one worker they leave
-// capacity to fillers at the same time.
+// be tolerated by every service on its worker, so it finds a worker more easily if fillers
+// affect all services there in the same way. They do so with services of one image, and may
+// have been observed to do so with other images. Replicas of one step share their load, so that
+// on one worker they leave capacity to fillers at the same time.
 func (ca *candidate) affinity(tj *trackedJob, image string) float64 {
 	ow, all := ca.wk.ow, len(ca.wk.services)
 	if all == 0 {
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -12,14 +12,15 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// shortage explains why the tasks of a step fit on no worker: which worker comes nearest
-// and what takes its capacity, and which workers have enough capacity but may not be used.
+// shortage explains why the tasks of a step fit on no worker: which worker lacks the least
+// capacity and what uses its capacity, and which workers have enough capacity but may not be
+// used.
 type shortage struct {
 	st      *job.Step
 	nearest *workerState
 	// shortfall is what the nearest worker lacks, as a share of what the step needs.
 	shortfall float64
-	// barred counts the workers that have enough capacity but may not be used, by reason.
+	// excluded counts the workers that have enough capacity but may not be used, by reason.
 	excluded map[string]int
 }
 
@@ -47,7 +48,7 @@
 
 // Reasons why a worker that accepts new tasks accepts none of a step.
 const (
-	// exclusionEarmarked: its capacity is set aside for a long-running task.
+	// exclusionEarmarked: its capacity is earmarked for a long-running task.
 	exclusionEarmarked = "kept"
 	// exclusionSpread: it already runs as many tasks of the step as one worker may.
 	exclusionSpread = "apart"
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -10,11 +10,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestLogOfMissingCapacityNamesItsCause has a task wait for capacity while one worker is
-// full and the other, which has enough, is quarantined. The log line must name both: when a
-// service had run nowhere for 16 s although there was twice the capacity that it needed,
-// the log said no more than "room", and could tell neither what capacity the owner saw nor
-// what took the rest of it.
+// TestLogOfMissingCapacityNamesItsCause has a task wait for capacity while one worker is full
+// and the other, which has enough, is quarantined. The log line must name both. Without that,
+// the log of a service that did not run for 16 s although twice the capacity that it needed was
+// free showed neither the capacity that the owner saw nor what used the rest of it.
 func TestLogOfMissingCapacityNamesItsCause(t *testing.T) {
 	waitLine := `msg="lasting tasks wait"`
 	synctest.Test(t, func(t *testing.T) {
@@ -58,8 +57,8 @@
 	})
 }
 
-// TestLongRunningDemandIsLogged has 16 of 20 long-running tasks fit: once a second a log line tells
-// how many wait, and what capacity there is in total.
+// TestLongRunningDemandIsLogged has 16 of 20 long-running tasks fit: once a second a log line
+// says how many wait, and how much capacity there is in total.
 func TestLongRunningDemandIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll := newLoggedLab(t, 1)
@@ -89,9 +88,8 @@
 	})
 }
 
-// TestFullLaunchWindowIsNotLoggedAsLackOfCapacity has as many launches under way as the
-// window allows: tasks behind them wait for orders, also if their job found no capacity
-// before.
+// TestFullLaunchWindowIsNotLoggedAsLackOfCapacity has as many launches in flight as the window
+// allows: further tasks wait for orders, also if their job found no capacity before.
 func TestFullLaunchWindowIsNotLoggedAsLackOfCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll := newLoggedLab(t, 1)
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -16,9 +16,9 @@
 	stalledPart  = 0.06
 	// stalledPolls is how many polls in a row must have shown no progress.
 	stalledPolls = 2
-	// stalledDoublings bounds how often the limit doubles, once for each time that the task
-	// was found stalled. Without the doubling a task 300 times as long as estimated was
-	// stopped every 3 s without end, and quarantined a worker each time.
+	// stalledDoublings bounds how often the limit doubles, once for each time that the task was
+	// found stalled. Without the doubling, a task that took 300 times its estimate was stopped
+	// every 3 s forever, and a worker was quarantined each time.
 	stalledDoublings = 6
 	// stalledPercents is the limit in units of the time that the attempt has taken for each
 	// per cent so far. Without it a task that took 3 s per per cent was stopped at its last
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -68,7 +68,7 @@
 }
 
 // TestCapacityIsReservedForStoppedTasks guards against capacity that is counted for another
-// task while a stopped one waits for its placement, as writes of other jobs are under way and
+// task while a stopped one waits for its placement, as writes of other jobs are in flight and
 // the store is slow.
 func TestCapacityIsReservedForStoppedTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -28,8 +28,8 @@
 const (
 	// obstacleBackoff: it failed several times in a row and must not start yet.
 	obstacleBackoff obstacle = "rest"
-	// obstacleIsolation: it is suspected of crashing workers and waits for a worker where
-	// it runs alone, or apart from other such tasks.
+	// obstacleIsolation: it is suspected of crashing workers and waits for a worker where it
+	// runs isolated, or spread from other such tasks.
 	obstacleIsolation obstacle = "trial"
 	// obstacleCapacity, obstaclePlacement, obstacleOrder and obstacleStore are the texts of
 	// the corresponding values of Cause.
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -10,11 +10,11 @@
 
 // When a worker crashes, up to twenty attempts end with it, of which one may have caused the
 // crash. Placed by the usual rules they would all start again on the best worker and crash it
-// together. So suspect tasks, under which workers crashed, are spread: they go to the workers
-// where the fewest other attempts are starting, apart from each other and from other tasks. A
-// task that would be given up at the next crash runs isolated, on a worker where all other
-// attempts are past their startup, and nothing else starts there until it is past its own. A
-// crash in that time can only be caused by that task.
+// together. So suspect tasks, under which workers crashed, are spread: each goes to the worker
+// where the fewest other attempts are starting, away from each other and from other tasks that
+// start. A task that would be given up at the next crash runs isolated, on a worker where all
+// other attempts are past their startup, and nothing else starts there until it is past its
+// own. This is its trial. A crash in that time can only be caused by that task.
 
 // Times of trials.
 const (
@@ -99,7 +99,8 @@
 	return false
 }
 
-// placeSuspect starts a suspect task on the worker where another crash would cost least.
+// placeSuspect starts a suspect task on the worker where the fewest other attempts would be
+// affected by another crash, see [placer.leastOccupied].
 func (pl *placer) placeSuspect(tj *trackedJob, ref job.TaskRef) {
 	if tj.jo.Task(ref).Isolated() {
 		pl.placeIsolated(tj, ref)
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -123,8 +123,9 @@
 // started together: their polls return within a second, and a proof waits for half a second.
 const maxProofWrites = 3
 
-// TestHealthyTasksNotGivenUpOverTakeovers plays random losses of workers together with their
-// owners, each after the tasks ran for some seconds, and checks that no task is given up.
+// TestHealthyTasksNotGivenUpOverTakeovers runs random sequences of losses of workers together
+// with their owners, each after the tasks ran for some seconds, and checks that no task is
+// given up.
 func TestHealthyTasksNotGivenUpOverTakeovers(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: takeoverScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
--- a/internal/sched/timebreakdown.go
+++ b/internal/sched/timebreakdown.go
@@ -22,8 +22,8 @@
 	CausePaced
 	// CauseRoom: a task waits because no worker that it may run on has the capacity.
 	CauseRoom
-	// CausePlace: a filler waits because it would disturb services wherever it fits, or finds
-	// no idle processors there; or a task waits to run isolated.
+	// CausePlace: a filler waits because it would harm services wherever it fits, or finds no
+	// idle processors there; or a task waits to run isolated.
 	CausePlace
 	// CauseStop: an attempt is being stopped, to continue on another worker.
 	CauseStop
--- a/internal/sched/trackedjob.go
+++ b/internal/sched/trackedjob.go
@@ -11,7 +11,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// entry is a job together with the owner's bookkeeping about it.
+// trackedJob is a job together with the state that the owner keeps for it.
 type trackedJob struct {
 	ow *Owner
 	jo *job.Job
@@ -137,7 +137,7 @@
 	return n
 }
 
-// addJob creates the entry of a job.
+// addJob adds a job to the owner's state.
 func (ow *Owner) addJob(jo *job.Job) *trackedJob {
 	ow.seq++
 	tj := &trackedJob{ow: ow, jo: jo, order: ow.seq, targetMS: jo.TargetDurationMS(), sortKey: math.MaxInt, attempts: map[job.TaskRef]*attempt{}, acceptedAt: time.Now()}
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -4,7 +4,7 @@
 
 // Timing of workers without an entry in the list.
 const (
-	// entryReturnWait is how long a worker that answers is left alone after its entry
+	// entryReturnWait is how long a worker that answers is not evacuated after its entry
 	// disappeared. Workers re-register within about 2 s of the end of a store outage, and the
 	// feed and the owner's loop take up to one second more.
 	entryReturnWait = 3 * time.Second
--- a/internal/sched/usage.go
+++ b/internal/sched/usage.go
@@ -22,7 +22,7 @@
 	usesSmoothing = 0.5
 )
 
-// fillerStats tracks the processor time that fillers use on a worker, with what placement
+// fillerStats tracks the processor time that fillers use on a worker, and values that placement
 // derives from it.
 type fillerStats struct {
 	// ended are fillers that ended within the last usage window.
@@ -49,8 +49,8 @@
 
 func (at *attempt) step() *job.Step { return &at.tj.jo.Spec.Steps[at.ref.Step] }
 
-// serves reports whether the attempt is a service with a latency target that has reported
-// its tail.
+// isMeasuredService reports whether the attempt is a service with a latency target that has
+// reported its tail latency.
 func (at *attempt) isMeasuredService() bool {
 	return at.usage > 0 && at.step().HasTarget()
 }
@@ -165,8 +165,9 @@
 	return predictAhead
 }
 
-// excess returns by how much a service's headroom is predicted to fall short of the
-// headroom at the given part of its target, with the fillers at their ordered paces.
+// excess returns by how much a service's headroom, the ratio of its target to its tail latency,
+// is predicted to fall short of the headroom at the given part of its target, with the fillers
+// at their ordered paces. It is negative if the headroom is larger.
 func (wk *workerState) excess(at *attempt, part float64) float64 {
 	left := at.replica.Baseline(time.Now().Add(wk.ow.predictionHorizon())) - wk.ow.model.PredictedDrop(at.step().Image, wk.expectedShares())
 	return 1/part - left
--- a/internal/sched/workerstate.go
+++ b/internal/sched/workerstate.go
@@ -103,10 +103,10 @@
 	finiteReserved worker.Resources
 	// restartReserved is the capacity reserved for interrupted long-running tasks.
 	restartReserved worker.Resources
-	// restartReady is set if some of these tasks may start now.
+	// restartReady is set if some of these tasks may start now; the worker is then earmarked.
 	restartReady bool
-	// earmarkedInRound is the last placement round in which the worker's capacity was reserved
-	// for a long-running task that never ran.
+	// earmarkedInRound is the last placement round in which the worker was earmarked for a
+	// long-running task that never ran.
 	earmarkedInRound int
 	// trial is the suspect task that runs isolated here, or is about to.
 	trial *trial
@@ -123,7 +123,8 @@
 }
 
 // SetWorkers applies entries of the platform's list of workers and removes those with the ids
-// in removed. If whole is set, listed is the complete list.
+// in removed. If complete is set, entries is the whole list, and all other workers are
+// unlisted.
 func (ow *Owner) SetWorkers(entries []WorkerEntry, removed []string, complete bool) {
 	ow.post(func() { ow.setWorkers(entries, removed, complete) })
 }
@@ -352,8 +353,8 @@
 
 // nextLeaseEnd returns the lease end to send to the worker now, by its clock in milliseconds.
 // It returns 0 if the clock is not known, the tenure was not confirmed recently enough, or the
-// row of unresponsive workers (SilentTable), which the next owner may read, says that the
-// worker gets no lease.
+// worker is named in the row of [LeaseExpiryTable], from which the next owner may read that its
+// leases are not extended.
 func (wk *workerState) nextLeaseEnd(now time.Time) int64 {
 	te := &wk.ow.Tenure
 	age := now.Sub(te.LastConfirmed())
--- a/internal/tenure/claim.go
+++ b/internal/tenure/claim.go
@@ -37,7 +37,7 @@
 }
 
 // releaseContext returns a context that bounds the release of the cell. Once the host is
-// told to stop, before the release or during it, the time allowed for the stop applies
+// ordered to stop, before the release or during it, the time allowed for the stop applies
 // instead.
 func (ke *Keeper) releaseContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/tenure/stall.go
+++ b/internal/tenure/stall.go
@@ -76,10 +76,10 @@
 }
 
 // mayExtend reports whether an owner last confirmed at the given time may extend leases of
-// workers, and records that it is about to. Without the check for stalls, an owner that
-// resumes would extend leases before it learns that it was replaced, and the next owner
-// would wait for these leases: 177 long-running tasks of lost workers were free to restart
-// 5.6 s late that way.
+// workers, and records that it is about to. Without the check for stalls, an owner that resumes
+// would extend leases before it learns that it was replaced, and the next owner would wait for
+// these leases: 177 long-running tasks of lost workers could restart only 5.6 s late for that
+// reason.
 func (ke *Keeper) mayExtend(epoch int64, confirmed time.Time) bool {
 	failed := ke.watch.LastFailure()
 	ke.mu.Lock()
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -422,7 +422,7 @@
 		ke.mu.Unlock()
 		return
 	}
-	// A host that was told to stop meanwhile owns the row too and must release it. Its
+	// A host that was ordered to stop meanwhile owns the row too and must release it. Its
 	// tenure ends as soon as it begins.
 	if ke.stopping {
 		end(errStopping)
--- a/internal/wire/dial.go
+++ b/internal/wire/dial.go
@@ -5,9 +5,9 @@
 	"net"
 )
 
-// NotConnected reports whether err means that no connection could be opened, so that
-// nothing of the request was sent. A request sent on an existing connection never fails
-// this way, so a retry cannot send it twice.
+// NotConnected reports whether err means that no connection could be opened, so that nothing of
+// the request was sent. A request sent on an existing connection never fails like this, so a
+// retry cannot send it twice.
 func NotConnected(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
