--- a/internal/door/peer_api.go
+++ b/internal/door/peer_api.go
@@ -53,8 +53,8 @@
 	}))
 	mux.Handle("POST "+pathProcess, wire.Handle(func(_ context.Context, req probeRequest) (probeReply, error) {
 		fe.Keeper.NotifyReplaced(req.Epoch)
-		li := fe.Keeper.HostStatus()
-		return probeReply{Host: li.Host, Process: li.Process, Refused: li.Refused, SinceLeaseMS: li.SinceLease.Milliseconds(), LeasesLeftMS: ceilMS(li.LeasesLeft)}, nil
+		hs := fe.Keeper.HostStatus()
+		return probeReply{Host: hs.Host, Process: hs.Process, Refused: hs.Refused, SinceLeaseMS: hs.SinceLease.Milliseconds(), LeasesLeftMS: ceilMS(hs.LeasesLeft)}, nil
 	}))
 	mux.Handle("POST "+pathConfirm, wire.Handle(func(_ context.Context, req confirmRequest) (confirmReply, error) {
 		return confirmReply{Confirmed: fe.Keeper.Confirm(req.Epoch, req.Process)}, nil
--- a/internal/door/slow_links_test.go
+++ b/internal/door/slow_links_test.go
@@ -177,9 +177,9 @@
 		PaceFunc: func(ctx context.Context, ad worker.Addr, pa worker.Pace) (worker.Ack, error) {
 			return overLink(ctx, ho, sizeRequest, func(ctx context.Context) (worker.Ack, error) { return ag.PaceFunc(ctx, ad, pa) }, ack)
 		},
-		PollFunc: func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-			return overLink(ctx, ho, sizeRequest, func(ctx context.Context) (worker.PollResult, error) { return ag.PollFunc(ctx, ad, lo) },
-				func(si worker.PollResult) int { return sizeRequest + sizeTask*(len(si.Running)+len(si.Ended)) })
+		PollFunc: func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
+			return overLink(ctx, ho, sizeRequest, func(ctx context.Context) (worker.PollResult, error) { return ag.PollFunc(ctx, ad, po) },
+				func(res worker.PollResult) int { return sizeRequest + sizeTask*(len(res.Running)+len(res.Ended)) })
 		},
 	}
 }
--- a/internal/jobhost/cell.go
+++ b/internal/jobhost/cell.go
@@ -32,12 +32,12 @@
 	workers := &watch.Watch{Table: ho.table, TableName: platform.WorkerTable, Prefix: platform.WorkerPrefix, Log: ho.log}
 	ow := sched.New(&sched.Owner{
 		Cell: cellName, Tenure: te, Table: ho.table, Agent: po.Agent(), Without: ho.Without, Metrics: ho.metrics, Log: ho.log,
-		ViaFunc:     func(li sched.WorkerEntry) string { return po.RelayFor(li.Incarnation.String(), li.DataCentre) },
+		ViaFunc:     func(we sched.WorkerEntry) string { return po.RelayFor(we.Incarnation.String(), we.DataCentre) },
 		DroppedFunc: func(in worker.Incarnation) { po.Drop(in.String()) },
 		ListFunc:    workers.Contact,
 		Limits:      sched.Limits{MaxLease: millis(se.MaxLeaseMS), StopTime: millis(se.StopMS), HarmAfter: millis(se.HarmMS), KeepEnded: seconds(se.KeepEndedS)},
 	})
-	workers.OnRows = func(rows []store.FeedRow, whole bool) { ho.onWorkers(ow, po, rows, whole) }
+	workers.OnRows = func(rows []store.FeedRow, complete bool) { ho.onWorkers(ow, po, rows, complete) }
 	po.ChangedFunc = ow.Reroute
 	wctx, end := context.WithCancel(ctx)
 	defer end()
@@ -59,7 +59,7 @@
 // rows that other hosts wrote to the owner, until ctx ends.
 func (ho *Host) watchCell(ctx context.Context, ow *sched.Owner, po *relay.Pool, setHosts membersFunc) {
 	hosts := watch.Watch{Table: ho.table, TableName: registry.Table, Prefix: registry.Prefix, Log: ho.log,
-		OnRows: func(rows []store.FeedRow, whole bool) { ho.onMembers(rows, whole, po.SetMembers, setHosts) }}
+		OnRows: func(rows []store.FeedRow, complete bool) { ho.onMembers(rows, complete, po.SetMembers, setHosts) }}
 	go hosts.Run(ctx)
 	intake := watch.Watch{Table: ho.table, TableName: sched.IntakeTable, Prefix: sched.IntakePrefix(cellName), Log: ho.log,
 		OnRows: func(rows []store.FeedRow, _ bool) { ow.Import(rows) }}
@@ -67,11 +67,11 @@
 }
 
 // membersFunc handles changes of the list of entry hosts: entries that were added or
-// changed, and names that were removed. If whole is set, listed is the complete list.
-type membersFunc func(listed []registry.Member, removed []string, whole bool)
+// changed, and names that were removed. If complete is set, listed is the complete list.
+type membersFunc func(listed []registry.Member, removed []string, complete bool)
 
 // onMembers decodes rows of the list of entry hosts and passes them to the handlers.
-func (ho *Host) onMembers(rows []store.FeedRow, whole bool, handlers ...membersFunc) {
+func (ho *Host) onMembers(rows []store.FeedRow, complete bool, handlers ...membersFunc) {
 	var listed []registry.Member
 	var removed []string
 	for _, row := range rows {
@@ -87,12 +87,12 @@
 		listed = append(listed, me)
 	}
 	for _, handle := range handlers {
-		handle(listed, removed, whole)
+		handle(listed, removed, complete)
 	}
 }
 
 // onWorkers decodes rows of the list of workers and passes them to the owner and its relays.
-func (ho *Host) onWorkers(ow *sched.Owner, po *relay.Pool, rows []store.FeedRow, whole bool) {
+func (ho *Host) onWorkers(ow *sched.Owner, po *relay.Pool, rows []store.FeedRow, complete bool) {
 	var listed []sched.WorkerEntry
 	var names, removed []string
 	for _, row := range rows {
@@ -100,19 +100,19 @@
 			removed = append(removed, platform.WorkerID(row.Key))
 			continue
 		}
-		li, err := platform.DecodeWorker(row.Row)
+		we, err := platform.DecodeWorker(row.Row)
 		if err != nil {
 			// A worker whose row can't be decoded is still listed: it has not left.
 			ho.log.Error("worker's row cannot be read", "err", err)
 			listed = append(listed, sched.WorkerEntry{Addr: worker.Addr{Incarnation: worker.Incarnation{ID: platform.WorkerID(row.Key)}}, Undecodable: true})
 			continue
 		}
-		listed = append(listed, li)
-		names = append(names, li.Incarnation.String())
+		listed = append(listed, we)
+		names = append(names, we.Incarnation.String())
 	}
 	// Removed entries are not passed to the relays. The owner polls workers without an
 	// entry for as long as they run tasks, and drops them itself. An outage of the store
 	// after which all entries have lapsed must not make the owner stop using its relays.
 	po.SetWorkers(names, nil, false)
-	ow.SetWorkers(listed, removed, whole)
+	ow.SetWorkers(listed, removed, complete)
 }
--- a/internal/relay/codes_test.go
+++ b/internal/relay/codes_test.go
@@ -26,9 +26,9 @@
 }
 
 func TestOtherIncarnationKeepsStartTime(t *testing.T) {
-	meant := worker.Incarnation{ID: "i-0", StartedMS: 5}
-	an := answer{}.withError(fmt.Errorf("poll: %w", worker.CheckIncarnation(meant, 9)))
-	var le *worker.IncarnationError
-	qt.Assert(t, errors.As(an.asError("r0", meant), &le), qt.IsTrue)
-	qt.Check(t, *le, qt.Equals, worker.IncarnationError{Expected: meant, Answered: worker.Incarnation{ID: "i-0", StartedMS: 9}})
+	expected := worker.Incarnation{ID: "i-0", StartedMS: 5}
+	an := answer{}.withError(fmt.Errorf("poll: %w", worker.CheckIncarnation(expected, 9)))
+	var ie *worker.IncarnationError
+	qt.Assert(t, errors.As(an.asError("r0", expected), &ie), qt.IsTrue)
+	qt.Check(t, *ie, qt.Equals, worker.IncarnationError{Expected: expected, Answered: worker.Incarnation{ID: "i-0", StartedMS: 9}})
 }
--- a/internal/relay/polldiff.go
+++ b/internal/relay/polldiff.go
@@ -61,7 +61,7 @@
 }
 
 // encode returns the difference between the poll result si and the previous one.
-func (di *diffEncoder) encode(si worker.PollResult, now time.Time) *pollDiff {
+func (di *diffEncoder) encode(res worker.PollResult, now time.Time) *pollDiff {
 	pd := &pollDiff{}
 	if di.rows == nil {
 		di.rows = map[worker.Attempt]attemptRow{}
@@ -70,12 +70,12 @@
 	if due {
 		di.updated = now
 	}
-	seen := make(map[worker.Attempt]bool, len(si.Running))
-	for _, ra := range si.Running {
+	seen := make(map[worker.Attempt]bool, len(res.Running))
+	for _, ra := range res.Running {
 		seen[ra.Attempt] = true
 		di.encodeRunning(pd, ra, due)
 	}
-	for _, ea := range si.Ended {
+	for _, ea := range res.Ended {
 		pd.Ended = append(pd.Ended, di.encodeEnded(ea))
 	}
 	for at, ro := range di.rows {
@@ -137,17 +137,17 @@
 		ra.Checkpoint, ra.Percent, ra.Usage = ro.Checkpoint, ro.Percent, ro.Usage
 		de.rows[ro.ID] = ra
 	}
-	si := worker.PollResult{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(de.rows))}
+	res := worker.PollResult{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(de.rows))}
 	for _, en := range pd.Ended {
-		si.Ended = append(si.Ended, de.decodeEnded(en))
+		res.Ended = append(res.Ended, de.decodeEnded(en))
 	}
 	for _, n := range pd.Removed {
 		delete(de.rows, n)
 	}
 	for _, ra := range de.rows {
-		si.Running = append(si.Running, ra)
+		res.Running = append(res.Running, ra)
 	}
-	return si
+	return res
 }
 
 // decodeEnded returns an ended attempt in the form in which the worker listed it.
--- a/internal/relay/polldiff_test.go
+++ b/internal/relay/polldiff_test.go
@@ -60,8 +60,8 @@
 	if full {
 		dm.now = dm.now.Add(minUpdateInterval)
 	}
-	si := worker.PollResult{ClockMS: 7, Running: slices.Collect(maps.Values(dm.running)), Ended: dm.ended}
-	data, err := json.Marshal(dm.encoder.encode(si, dm.now))
+	res := worker.PollResult{ClockMS: 7, Running: slices.Collect(maps.Values(dm.running)), Ended: dm.ended}
+	data, err := json.Marshal(dm.encoder.encode(res, dm.now))
 	if err != nil {
 		dm.rt.Fatal(err)
 	}
@@ -88,20 +88,20 @@
 	})
 }
 
-func checkPoll(rt *rapid.T, dm *diffModel, si worker.PollResult, full bool) {
-	if len(si.Running) != len(dm.running) {
-		rt.Fatalf("%d attempts run, decoded %d", len(dm.running), len(si.Running))
+func checkPoll(rt *rapid.T, dm *diffModel, res worker.PollResult, full bool) {
+	if len(res.Running) != len(dm.running) {
+		rt.Fatalf("%d attempts run, decoded %d", len(dm.running), len(res.Running))
 	}
-	for _, ra := range si.Running {
+	for _, ra := range res.Running {
 		want, ok := dm.running[ra.Attempt]
 		if !ok || (full && ra != want) {
 			rt.Fatalf("decoded %v, want %v", ra, want)
 		}
 	}
-	if len(si.Ended) != len(dm.ended) {
-		rt.Fatalf("%d attempts ended, decoded %d", len(dm.ended), len(si.Ended))
+	if len(res.Ended) != len(dm.ended) {
+		rt.Fatalf("%d attempts ended, decoded %d", len(dm.ended), len(res.Ended))
 	}
-	for i, ea := range si.Ended {
+	for i, ea := range res.Ended {
 		want := dm.ended[i]
 		if want.Outcome == outcomeDone {
 			want.Checkpoint = ""
@@ -116,8 +116,8 @@
 	var di diffEncoder
 	at := worker.Attempt{Task: "t", Number: 1}
 	poll := func(usage int64, now time.Duration) *pollDiff {
-		si := worker.PollResult{Running: []worker.RunningAttempt{{Attempt: at, Usage: usage}}}
-		return di.encode(si, time.Unix(0, 0).Add(now))
+		res := worker.PollResult{Running: []worker.RunningAttempt{{Attempt: at, Usage: usage}}}
+		return di.encode(res, time.Unix(0, 0).Add(now))
 	}
 	qt.Assert(t, len(poll(1, 0).Updated), qt.Equals, 1)
 	qt.Assert(t, len(poll(2, minUpdateInterval/2).Updated), qt.Equals, 0)
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -99,13 +99,13 @@
 	<-ctx.Done()
 }
 
-// SetMembers applies changes to the list of entry hosts. If whole is set, listed is the
+// SetMembers applies changes to the list of entry hosts. If complete is set, listed is the
 // complete list.
-func (po *Pool) SetMembers(listed []registry.Member, removed []string, whole bool) {
+func (po *Pool) SetMembers(listed []registry.Member, removed []string, complete bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	known := po.assigner.members
-	if whole || known == nil {
+	if complete || known == nil {
 		po.assigner.members = map[string]registry.Member{}
 	}
 	for _, me := range listed {
@@ -137,13 +137,13 @@
 	}
 }
 
-// SetWorkers applies changes to the owner's workers, given by incarnation. If whole is set,
+// SetWorkers applies changes to the owner's workers, given by incarnation. If complete is set,
 // listed is the complete set.
-func (po *Pool) SetWorkers(listed, removed []string, whole bool) {
+func (po *Pool) SetWorkers(listed, removed []string, complete bool) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	before := po.assigner.needsRelays(len(po.workers))
-	if whole || po.workers == nil {
+	if complete || po.workers == nil {
 		po.workers = map[string]bool{}
 	}
 	for _, incarnation := range listed {
@@ -405,11 +405,11 @@
 			}
 			return po.send(ctx, ad, order{Kind: kindPace, Task: pa.Task, AttemptIndex: pa.Number - 1, Fence: pa.Fence, Percent: pa.Percent})
 		},
-		PollFunc: func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+		PollFunc: func(ctx context.Context, ad worker.Addr, pl worker.Poll) (worker.PollResult, error) {
 			if ad.Via == "" {
-				return po.Direct.PollFunc(ctx, ad, lo)
+				return po.Direct.PollFunc(ctx, ad, pl)
 			}
-			re, err := po.call(ctx, ad, order{Kind: kindPoll, Fence: lo.Fence, AckedEnd: lo.AckedEnd, LeaseUntilMS: lo.LeaseUntilMS, WaitMS: lo.Wait.Milliseconds()})
+			re, err := po.call(ctx, ad, order{Kind: kindPoll, Fence: pl.Fence, AckedEnd: pl.AckedEnd, LeaseUntilMS: pl.LeaseUntilMS, WaitMS: pl.Wait.Milliseconds()})
 			return re.si, err
 		},
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -196,8 +196,8 @@
 // withError returns the answer with the code and the text of err.
 func (an answer) withError(err error) answer {
 	an.Code, an.Text = codeOf(err), err.Error()
-	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
-		an.Code, an.Born = codeOtherIncarnation, le.Answered.StartedMS
+	if ie := (*worker.IncarnationError)(nil); errors.As(err, &ie) {
+		an.Code, an.Born = codeOtherIncarnation, ie.Answered.StartedMS
 	}
 	return an
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -245,15 +245,15 @@
 // poll polls a worker and queues the difference from the previous poll. The lock ensures that
 // differences are sent in the order in which they are computed.
 func (se *ownerStream) poll(ctx context.Context, sw *streamWorker, or order) {
-	lo := worker.Poll{Fence: or.Fence, AckedEnd: or.AckedEnd, LeaseUntilMS: or.LeaseUntilMS, Wait: time.Duration(or.WaitMS) * time.Millisecond}
-	si, err := se.sv.Agent.PollFunc(ctx, sw.addr, lo)
+	po := worker.Poll{Fence: or.Fence, AckedEnd: or.AckedEnd, LeaseUntilMS: or.LeaseUntilMS, Wait: time.Duration(or.WaitMS) * time.Millisecond}
+	res, err := se.sv.Agent.PollFunc(ctx, sw.addr, po)
 	if err != nil {
 		se.answer(answer{N: or.N}, err)
 		return
 	}
 	sw.mu.Lock()
 	defer sw.mu.Unlock()
-	se.answer(answer{N: or.N, ClockMS: si.ClockMS, Worker: sw.number, Diff: sw.encoder.encode(si, time.Now())}, nil)
+	se.answer(answer{N: or.N, ClockMS: res.ClockMS, Worker: sw.number, Diff: sw.encoder.encode(res, time.Now())}, nil)
 }
 
 func (se *ownerStream) answer(an answer, err error) {
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -210,9 +210,9 @@
 		qt.Assert(t, nt.fleet.Runs()[4].Payload, qt.Equals, payload)
 	})
 	t.Run("polls list running and ended attempts", func(t *testing.T) {
-		si, err := nt.poll(ad)
+		res, err := nt.poll(ad)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, si.Running, qt.HasLen, 5)
+		qt.Assert(t, res.Running, qt.HasLen, 5)
 		ctx, cancel := testContext()
 		defer cancel()
 		at := worker.Attempt{Task: "a", Number: 1}
@@ -221,12 +221,12 @@
 		ack, err := nt.pool.Agent().HaltFunc(ctx, ad, worker.Halt{Attempt: at, Fence: 7})
 		qt.Assert(t, err, qt.IsNil)
 		qt.Assert(t, ack.ClockMS > 0, qt.IsTrue)
-		si, err = nt.poll(ad)
+		res, err = nt.poll(ad)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, si.Running, qt.HasLen, 4)
-		qt.Assert(t, si.Ended, qt.HasLen, 1)
-		qt.Assert(t, si.Ended[0].Attempt, qt.Equals, at)
-		qt.Assert(t, si.Ended[0].Outcome, qt.Equals, "stopped")
+		qt.Assert(t, res.Running, qt.HasLen, 4)
+		qt.Assert(t, res.Ended, qt.HasLen, 1)
+		qt.Assert(t, res.Ended[0].Attempt, qt.Equals, at)
+		qt.Assert(t, res.Ended[0].Outcome, qt.Equals, "stopped")
 	})
 	t.Run("worker errors keep their identity", func(t *testing.T) {
 		ctx, cancel := testContext()
@@ -261,9 +261,9 @@
 	})
 	t.Run("the other relay is used", func(t *testing.T) {
 		ad.Via = nt.pool.RelayFor("i-0", "a")
-		si, err := nt.poll(ad)
+		res, err := nt.poll(ad)
 		qt.Assert(t, err, qt.IsNil)
-		qt.Assert(t, si.Running, qt.HasLen, 0)
+		qt.Assert(t, res.Running, qt.HasLen, 0)
 	})
 	t.Run("a relay that is about to stop is not used", func(t *testing.T) {
 		nt.relays[1-used].Leave()
--- a/internal/tenure/former_owners.go
+++ b/internal/tenure/former_owners.go
@@ -161,7 +161,7 @@
 // askLastOwner asks the last owner's host until it answers.
 func (fo *formerOwners) askLastOwner(ctx context.Context) {
 	for {
-		actx, cancel := context.WithTimeout(ctx, askEvery)
+		actx, cancel := context.WithTimeout(ctx, askInterval)
 		hs, err := fo.ke.AskFunc(actx, fo.lastRow.Addr, fo.epoch)
 		cancel()
 		switch {
@@ -173,7 +173,7 @@
 			fo.recordCeased("another process runs on its host", 0, 0)
 			return
 		}
-		if !clock.Sleep(ctx, askEvery) {
+		if !clock.Sleep(ctx, askInterval) {
 			return
 		}
 	}
@@ -198,7 +198,7 @@
 		}
 		retired += len(asked) - len(pending)
 		asked = pending
-		if retired < retireNeed(len(row.Witnesses)) && !clock.Sleep(ctx, askEvery) {
+		if retired < retireNeed(len(row.Witnesses)) && !clock.Sleep(ctx, askInterval) {
 			return
 		}
 	}
@@ -220,7 +220,7 @@
 			return row, true
 		}
 		fo.ke.Log.Info("witnesses of former owners not read", "cell", fo.ke.Cell, "epoch", fo.epoch, "err", err)
-		if !clock.Sleep(ctx, askEvery) {
+		if !clock.Sleep(ctx, askInterval) {
 			return witnessRow{}, false
 		}
 	}
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -38,8 +38,8 @@
 	RefusedTimeout = 900 * time.Millisecond
 	// maxJitter spreads the claims of several hosts.
 	maxJitter = 150 * time.Millisecond
-	// checkEvery is the time between checks for a missing heartbeat.
-	checkEvery = 50 * time.Millisecond
+	// checkInterval is the time between checks for a missing heartbeat.
+	checkInterval = 50 * time.Millisecond
 	// callTimeout bounds one call of the store.
 	callTimeout = 1500 * time.Millisecond
 	// ExtendFor is how long after its last confirmation, by the store or by witnesses, an
@@ -57,8 +57,8 @@
 	// then the other hosts have missed its heartbeats. A host that stops uses the time
 	// allowed for its stop instead.
 	releaseWithin = HeartbeatTimeout
-	// askEvery is the time between requests to a former owner's host.
-	askEvery = 500 * time.Millisecond
+	// askInterval is the time between requests to a former owner's host.
+	askInterval = 500 * time.Millisecond
 )
 
 // The table of the owner rows and heartbeats.
@@ -95,9 +95,9 @@
 	// if the last one has not reported it. If it is nil, none has.
 	FormerLeasesEnd func() time.Time
 	// SetHosts applies rows of the list of entry hosts, some of which are chosen as
-	// witnesses. If whole is set, listed has all rows. SetHosts is nil where there are no
+	// witnesses. If complete is set, listed has all rows. SetHosts is nil where there are no
 	// witnesses.
-	SetHosts func(listed []registry.Member, removed []string, whole bool)
+	SetHosts func(listed []registry.Member, removed []string, complete bool)
 	// End ends the tenure when something showed that it is over.
 	End func(reason error)
 	// MayExtend is called before leases are extended, and reports whether they may be. They
@@ -253,7 +253,7 @@
 	ke.watch = watch.Watch{Table: ke.Table, TableName: tableName, Prefix: tableName + "/" + ke.Cell + "/", ExtraPrefix: ke.beatPart(), OnRows: ke.onRows, Log: ke.Log}
 	go ke.watch.Run(ctx)
 	go ke.watchClocks(ctx)
-	for clock.Sleep(ctx, checkEvery) {
+	for clock.Sleep(ctx, checkInterval) {
 		ke.serveUnsettledClaim(ctx)
 		ke.probe(ctx)
 		row, version, due, why := ke.claimDue()
@@ -271,10 +271,10 @@
 }
 
 // onRows applies changes of the owner's row and of the heartbeat.
-func (ke *Keeper) onRows(rows []store.FeedRow, whole bool) {
+func (ke *Keeper) onRows(rows []store.FeedRow, complete bool) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	if whole && !ke.known {
+	if complete && !ke.known {
 		ke.known = true
 		ke.recordContact()
 	}
@@ -468,6 +468,6 @@
 			return
 		}
 		ke.Log.Warn("cell not released", "cell", ke.Cell, "epoch", row.Epoch, "err", err)
-		clock.Sleep(ctx, checkEvery)
+		clock.Sleep(ctx, checkInterval)
 	}
 }
--- a/internal/tenure/witness.go
+++ b/internal/tenure/witness.go
@@ -37,12 +37,12 @@
 	// confirmAfter is how long after the store last confirmed it an owner asks its
 	// witnesses. It is longer than one call of a watch waits for a change.
 	confirmAfter = 2500 * time.Millisecond
-	// confirmEvery is the time between requests for confirmation; confirmTimeout bounds one
+	// confirmInterval is the time between requests for confirmation; confirmTimeout bounds one
 	// of them.
-	confirmEvery   = 500 * time.Millisecond
-	confirmTimeout = 500 * time.Millisecond
-	// reviewEvery is the time between checks whether the witnesses still run.
-	reviewEvery = 10 * time.Second
+	confirmInterval = 500 * time.Millisecond
+	confirmTimeout  = 500 * time.Millisecond
+	// reviewInterval is the time between checks whether the witnesses still run.
+	reviewInterval = 10 * time.Second
 	// maxWitnessed is how long after the store last confirmed an owner witnesses may
 	// confirm it.
 	maxWitnessed = 13 * time.Second
@@ -123,11 +123,11 @@
 	confirming bool
 }
 
-// setHosts applies rows of the list of entry hosts. If whole is set, listed has all rows.
-func (wi *witnesses) setHosts(listed []registry.Member, removed []string, whole bool) {
+// setHosts applies rows of the list of entry hosts. If complete is set, listed has all rows.
+func (wi *witnesses) setHosts(listed []registry.Member, removed []string, complete bool) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	if whole || wi.hosts == nil {
+	if complete || wi.hosts == nil {
 		wi.hosts = map[string]registry.Member{}
 	}
 	for _, me := range listed {
@@ -188,7 +188,7 @@
 
 // run names witnesses and asks them for confirmation, until the tenure ends.
 func (wi *witnesses) run() {
-	for clock.Sleep(wi.ctx, confirmEvery) {
+	for clock.Sleep(wi.ctx, confirmInterval) {
 		if wi.storeUnresponsive() {
 			wi.confirm()
 			continue
@@ -251,7 +251,7 @@
 // review names witnesses, and replaces those that no longer run.
 func (wi *witnesses) review() {
 	wi.mu.Lock()
-	due := wi.hosts != nil && wi.ke.AskFunc != nil && (wi.changed || wi.unsettled || time.Since(wi.reviewed) >= reviewEvery)
+	due := wi.hosts != nil && wi.ke.AskFunc != nil && (wi.changed || wi.unsettled || time.Since(wi.reviewed) >= reviewInterval)
 	hosts := slices.Collect(maps.Values(wi.hosts))
 	current := wi.current()
 	wi.mu.Unlock()
