--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -50,7 +50,7 @@
 func mechanismsTable() string {
 	var rows []string
 	for _, en := range sched.Mechanisms {
-		rows = append(rows, fmt.Sprintf("| `%s` | %s |", en.Name, en.Means))
+		rows = append(rows, fmt.Sprintf("| `%s` | %s |", en.Name, en.Meaning))
 	}
 	return table("| mechanism | what it does |", rows)
 }
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -55,28 +55,28 @@
 
 // Handler returns the handler of the API. A list needs a reachable owner of the cell; other
 // requests are also answered without.
-func Handler(do *door.FrontEnd) http.Handler {
+func Handler(fe *door.FrontEnd) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+pathSubmit, wire.Handle(func(ctx context.Context, su Submission) (sched.Verdict, error) {
-		return submit(ctx, do, su)
+		return submit(ctx, fe, su)
 	}))
 	mux.Handle("POST "+pathState, wire.Handle(func(ctx context.Context, re Reference) (State, error) {
-		state, _, err := do.State(ctx, re.ID)
+		state, _, err := fe.State(ctx, re.ID)
 		return State{State: state}, err
 	}))
 	mux.Handle("POST "+pathCancel, wire.Handle(func(ctx context.Context, re Reference) (sched.Verdict, error) {
-		return do.Cancel(ctx, re.ID), nil
+		return fe.Cancel(ctx, re.ID), nil
 	}))
 	mux.Handle("POST "+pathList, wire.Handle(func(ctx context.Context, _ struct{}) (Listing, error) {
-		jobs, err := do.List(ctx)
+		jobs, err := fe.List(ctx)
 		return Listing{Jobs: jobs}, err
 	}))
 	return mux
 }
 
 // submit validates a job and passes it to the front end. The errors are [wire.Error] values.
-func submit(ctx context.Context, do *door.FrontEnd, su Submission) (sched.Verdict, error) {
-	co := do.Config()
+func submit(ctx context.Context, fe *door.FrontEnd, su Submission) (sched.Verdict, error) {
+	co := fe.Config()
 	if co == nil {
 		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: "not-ready", Message: "no configuration yet", RetryAfter: time.Second}
 	}
@@ -85,15 +85,15 @@
 	}
 	qu, ok := co.Queue(su.Queue)
 	switch {
-	case !ok && !do.RecordNoQueue("", su.Queue):
+	case !ok && !fe.RecordNoQueue("", su.Queue):
 		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: door.CodeConfigNotConfirmed, Message: "no queue " + su.Queue + " in a configuration that was not confirmed recently", RetryAfter: time.Second}
 	case !ok:
 		return sched.Verdict{}, &wire.Error{Status: http.StatusNotFound, Code: "no-queue", Message: "no queue " + su.Queue}
 	}
-	if err := do.Check(su.ID, qu, su.Spec); err != nil {
+	if err := fe.Check(su.ID, qu, su.Spec); err != nil {
 		return sched.Verdict{}, malformed(err)
 	}
-	return do.Submit(ctx, su.ID, qu.Terms(), su.Spec), nil
+	return fe.Submit(ctx, su.ID, qu.Terms(), su.Spec), nil
 }
 
 // malformed returns the answer to an invalid or unsupported job.
--- a/internal/relay/polldiff.go
+++ b/internal/relay/polldiff.go
@@ -60,7 +60,7 @@
 	updated time.Time
 }
 
-// encode returns the difference between the poll result si and the previous one.
+// encode returns the difference between a poll result and the previous one.
 func (di *diffEncoder) encode(res worker.PollResult, now time.Time) *pollDiff {
 	pd := &pollDiff{}
 	if di.rows == nil {
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -410,7 +410,7 @@
 				return po.Direct.PollFunc(ctx, ad, pl)
 			}
 			re, err := po.call(ctx, ad, order{Kind: kindPoll, Fence: pl.Fence, AckedEnd: pl.AckedEnd, LeaseUntilMS: pl.LeaseUntilMS, WaitMS: pl.Wait.Milliseconds()})
-			return re.si, err
+			return re.poll, err
 		},
 	}
 }
@@ -438,7 +438,7 @@
 
 func (po *Pool) send(ctx context.Context, ad worker.Addr, or order) (worker.Ack, error) {
 	re, err := po.call(ctx, ad, or)
-	return worker.Ack{ClockMS: re.an.ClockMS}, err
+	return worker.Ack{ClockMS: re.answer.ClockMS}, err
 }
 
 func (po *Pool) call(ctx context.Context, ad worker.Addr, or order) (result, error) {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -65,8 +65,8 @@
 
 // result is the outcome of an order.
 type result struct {
-	an answer
-	si worker.PollResult
+	answer answer
+	poll   worker.PollResult
 	// err is set if there is no answer.
 	err error
 }
@@ -146,14 +146,14 @@
 func (st *stream) deliver(an answer) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	re := result{an: an}
+	re := result{answer: an}
 	if an.Diff != nil {
 		me := st.decoders[an.Worker]
 		if me == nil {
 			me = &diffDecoder{}
 			st.decoders[an.Worker] = me
 		}
-		re.si = me.decode(an.Diff, an.ClockMS)
+		re.poll = me.decode(an.Diff, an.ClockMS)
 	}
 	if ch := st.pending[an.N]; ch != nil {
 		delete(st.pending, an.N)
@@ -185,7 +185,7 @@
 		if re.err != nil {
 			return re, re.err
 		}
-		return re, re.an.asError(st.via, ad.Incarnation)
+		return re, re.answer.asError(st.via, ad.Incarnation)
 	case <-ctx.Done():
 		st.dropPending(n)
 		return result{}, fmt.Errorf("through relay %s: %w", st.via, ctx.Err())
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -47,10 +47,10 @@
 
 // MechanismEntry documents a mechanism.
 type MechanismEntry struct {
-	// Mechanism is its bit, Name its name in the settings, and Means its description.
+	// Mechanism is its bit, Name its name in the settings, and Meaning its description.
 	Mechanism Mechanism
 	Name      string
-	Means     string
+	Meaning   string
 }
 
 // Mechanisms documents all mechanisms that can be disabled.
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -57,9 +57,9 @@
 	// changes since. It suits few, large rows that change often, of which only the last
 	// state matters: a host whose link is full may never receive all the changes.
 	RelistOnError bool
-	// OnRows receives rows in the order of their changes. If whole is set, they are all
+	// OnRows receives rows in the order of their changes. If complete is set, they are all
 	// the rows that exist, and any other row was deleted.
-	OnRows func(rows []store.FeedRow, whole bool)
+	OnRows func(rows []store.FeedRow, complete bool)
 	// OnContact, if not nil, receives the time at which each answered call was sent.
 	OnContact func(sent time.Time)
 	// Log receives lost and regained contact.
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -38,10 +38,10 @@
 	})
 }
 
-func (mi *mirror) onRows(rows []store.FeedRow, whole bool) {
+func (mi *mirror) onRows(rows []store.FeedRow, complete bool) {
 	mi.mu.Lock()
 	defer mi.mu.Unlock()
-	if whole {
+	if complete {
 		clear(mi.rows)
 	}
 	for _, row := range rows {
@@ -155,9 +155,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		mi := &mirror{t: t, rows: map[string]string{}}
 		reported := 0
-		count := func(rows []store.FeedRow, whole bool) {
+		count := func(rows []store.FeedRow, complete bool) {
 			reported += len(rows)
-			mi.onRows(rows, whole)
+			mi.onRows(rows, complete)
 		}
 		mi.watch = Watch{Table: mi.table.Client(), TableName: "op", Prefix: "op/c0/", RelistOnError: true, OnRows: count, Log: slog.New(slog.DiscardHandler)}
 		ctx, cancel := context.WithCancel(context.Background())
