--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -109,7 +109,7 @@
 	if at.haltSentAt.IsZero() {
 		evac.ow.Metrics.Add(telemetry.Evacuated, 1, "why", cause)
 	}
-	why := "its worker leaves and another has room"
+	why := "its worker leaves and another has capacity"
 	if cause == reasonUnlisted {
 		why = "its worker has no entry and another has room"
 	}
--- a/internal/sched/interference.go
+++ b/internal/sched/interference.go
@@ -44,7 +44,7 @@
 		return
 	}
 	ow.model = interfere.Restore(row.Pairs)
-	ow.Log.Info("loaded what former owners learnt of interference", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
+	ow.Log.Info("loaded the interference learnt by former owners", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
 }
 
 // saveInterference writes the learnt interference, at most every saveInterval.
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(ow.ctx, writeTimeout)
 	defer cancel()
 	if _, err := ow.Table.CommitFunc(ctx, txn); err != nil {
-		ow.Log.Info("cannot write what was learnt of interference", "cell", ow.Cell, "err", err)
+		ow.Log.Info("cannot write the learnt interference", "cell", ow.Cell, "err", err)
 	}
 	ow.post(func() { ow.savingModel = false })
 }
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -111,7 +111,7 @@
 		ow.post(func() {
 			for _, wk := range ow.workers {
 				for at := range wk.attempts {
-					ow.halt(at, "held for the sake of a service, and another worker has room")
+					ow.halt(at, "held because of a service, and another worker can run it")
 				}
 			}
 		})
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -9,7 +9,7 @@
 
 // errAbandoned is returned for a write to a connection that was abandoned before the
 // request received it: nothing of the request was sent.
-var errAbandoned = errors.New("connection was closed as it may be silent")
+var errAbandoned = errors.New("connection was closed as it may be unresponsive")
 
 // connState is whether and how a connection is used.
 type connState string
