--- a/internal/place/control.go
+++ b/internal/place/control.go
@@ -59,7 +59,7 @@
 // throttleOrEvict throttles, or else evicts, a batch task beside a service over its
 // target.
 func (de *decider) throttleOrEvict(ws *workerState, service *Task) {
-	batch := de.batchByDisturbance(ws, service)
+	batch := de.batchByInterference(ws, service)
 	for _, ta := range batch {
 		if ta.Share > minShare {
 			ta.Share = max(minShare, ta.Share*throttleFactor)
@@ -75,9 +75,9 @@
 	de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: ws.ID, Reason: "disturbs " + describe(service)})
 }
 
-// batchByDisturbance returns the batch tasks of a worker, those that disturb the service
+// batchByInterference returns the batch tasks of a worker, those that disturb the service
 // most first.
-func (de *decider) batchByDisturbance(ws *workerState, service *Task) []*Task {
+func (de *decider) batchByInterference(ws *workerState, service *Task) []*Task {
 	var batch []*Task
 	for _, ta := range ws.tasks {
 		if !ta.Service && !ta.Stopping {
@@ -85,13 +85,13 @@
 		}
 	}
 	slices.SortStableFunc(batch, func(a, b *Task) int {
-		return cmp.Compare(de.disturbance(service, b), de.disturbance(service, a))
+		return cmp.Compare(de.interference(service, b), de.interference(service, a))
 	})
 	return batch
 }
 
-func (de *decider) disturbance(service, ta *Task) float64 {
-	return de.model.Disturbance(service.Kind, ta.Kind) * cores(ta) * ta.Share
+func (de *decider) interference(service, ta *Task) float64 {
+	return de.model.Interference(service.Kind, ta.Kind) * cores(ta) * ta.Share
 }
 
 // worthEvicting reports whether the service's excess over its target outweighs the cost of
--- a/internal/place/model.go
+++ b/internal/place/model.go
@@ -13,22 +13,22 @@
 
 // Parameters of learning.
 const (
-	// priorDisturbance is assumed of a pair that has not been seen together: the fraction
+	// priorInterference is assumed of a pair that has not been seen together: the fraction
 	// of the service's target that one core of the batch task adds to the tail.
-	priorDisturbance = 0.02
-	learningRate     = 0.05
+	priorInterference = 0.02
+	learningRate      = 0.05
 	// priorBaseline is the tail assumed of a service without neighbours, as a fraction of
 	// its target.
 	priorBaseline = 0.5
 )
 
-// Disturbance returns what one core of a batch kind adds to the tail latency of a service
+// Interference returns what one core of a batch kind adds to the tail latency of a service
 // kind, as a fraction of the target.
-func (mo *Model) Disturbance(service, batch string) float64 {
+func (mo *Model) Interference(service, batch string) float64 {
 	if d, ok := mo.pairs[pair{service, batch}]; ok {
 		return d
 	}
-	return priorDisturbance
+	return priorInterference
 }
 
 func (mo *Model) baseline(service string) float64 {
@@ -58,7 +58,7 @@
 	}
 	for kind, cores := range byKind {
 		norm += cores * cores
-		predicted += mo.Disturbance(service, kind) * cores
+		predicted += mo.Interference(service, kind) * cores
 	}
 	if mo.pairs == nil {
 		mo.pairs = map[pair]float64{}
@@ -67,7 +67,7 @@
 	residual := tail - predicted
 	mo.baselines[service] = max(0, mo.baseline(service)+learningRate*residual/norm)
 	for kind, cores := range byKind {
-		next := mo.Disturbance(service, kind) + learningRate*residual*cores/norm
+		next := mo.Interference(service, kind) + learningRate*residual*cores/norm
 		mo.pairs[pair{service, kind}] = max(0, next)
 	}
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -362,9 +362,9 @@
 		case ta.Service && other.Job == ta.Job:
 			co += costSameWorker
 		case ta.Service && !other.Service:
-			co += pol.WeightTail * de.model.Disturbance(ta.Kind, other.Kind) * cores(other)
+			co += pol.WeightTail * de.model.Interference(ta.Kind, other.Kind) * cores(other)
 		case !ta.Service && other.Service:
-			co += pol.WeightTail * de.model.Disturbance(other.Kind, ta.Kind) * cores(ta)
+			co += pol.WeightTail * de.model.Interference(other.Kind, ta.Kind) * cores(ta)
 		}
 	}
 	left := float64(ws.free.MilliCores-ta.Each.MilliCores) / float64(max(1, ws.Capacity.MilliCores))
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -8,9 +8,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// disturbedService returns a snapshot of one worker with a service over its target and a
+// serviceOverTarget returns a snapshot of one worker with a service over its target and a
 // batch task that is throttled to minShare.
-func disturbedService(pol Policy, lostMS int64) Snapshot {
+func serviceOverTarget(pol Policy, lostMS int64) Snapshot {
 	each := worker.Resources{MilliCores: 2000, MemMB: 1000}
 	pol.TailTargetMS, pol.Evictions = 100, 1
 	return Snapshot{
@@ -41,7 +41,7 @@
 		t.Run(te.name, func(t *testing.T) {
 			pol := even
 			te.weight(&pol)
-			decs := Decide(disturbedService(pol, lost))
+			decs := Decide(serviceOverTarget(pol, lost))
 			qt.Assert(t, len(decs) == 1 && decs[0].Verb == Evict, qt.Equals, te.evicts, qt.Commentf("%v", decs))
 		})
 	}
--- a/internal/place/trial_test.go
+++ b/internal/place/trial_test.go
@@ -37,9 +37,9 @@
 	trialCheckpointS = 60
 )
 
-// trueDisturbance is what one core of a batch kind adds to the tail latency of a service
+// trueInterference is what one core of a batch kind adds to the tail latency of a service
 // kind, as a fraction of the target. The policies do not know it.
-var trueDisturbance = map[pair]float64{
+var trueInterference = map[pair]float64{
 	{"turns", "quiet"}: 0.005, {"turns", "cache"}: 0.06, {"turns", "disk"}: 0.03,
 	{"portal", "quiet"}: 0.005, {"portal", "cache"}: 0.02, {"portal", "disk"}: 0.07,
 }
@@ -92,7 +92,7 @@
 	if worst == nil || worst.TailMS <= de.sn.Policy.TailTargetMS {
 		return
 	}
-	if batch := de.batchByDisturbance(ws, worst); len(batch) > 0 {
+	if batch := de.batchByInterference(ws, worst); len(batch) > 0 {
 		de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: ws.ID})
 	}
 }
@@ -291,7 +291,7 @@
 	tail := trialBaseMS * ce.load() * (0.95 + 0.1*ce.rnd.Float64())
 	for _, other := range tasks {
 		if !other.Service {
-			tail += trialTargetMS * trueDisturbance[pair{ta.Kind, other.Kind}] * cores(&other.Task) * other.uses * other.Share
+			tail += trialTargetMS * trueInterference[pair{ta.Kind, other.Kind}] * cores(&other.Task) * other.uses * other.Share
 		}
 	}
 	ce.served += cores(&ta.Task)
