--- a/internal/interfere/interfere.go
+++ b/internal/interfere/interfere.go
@@ -1,5 +1,5 @@
-// Package interfere learns how much tasks that use a worker's idle processors, the
-// fillers, disturb the services on the same worker.
+// Package interfere learns how much tasks that use a worker's idle processors, the fillers,
+// interfere with the services on the same worker.
 //
 // The tail latency of a service grows as the reciprocal of the remaining part of the
 // capacity that it shares with its neighbours. Its [Headroom], the target divided by the
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -342,9 +342,9 @@
 	costSameRack = 0.5
 	// costAccel applies to a task without accelerators on a worker with unused ones.
 	costAccel = 0.2
-	// costFragmentation applies to the fraction of the worker's cores that the task leaves free.
-	// Both kinds of work therefore fill up a worker before using the next one: services
-	// then run beside services, which disturb each other least, and free resources are
+	// costFragmentation applies to the fraction of the worker's cores that the task leaves
+	// free. Both kinds of work therefore fill up a worker before using the next one: services
+	// then run beside services, which interfere least with each other, and free resources are
 	// less fragmented.
 	costFragmentation = 0.1
 	// costSameWorker applies to a service task per task of its job on the same worker, as
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -2,8 +2,8 @@
 // them, then waits for changes, and reads all again if the table no longer has the
 // changes since.
 //
-// Every wait is short and has a deadline, so that a silent connection cannot hide
-// changes.
+// Every wait is short and has a deadline, so that a connection that no longer delivers anything
+// cannot hide changes.
 package watch
 
 import (
