--- a/internal/sched/backoff_test.go
+++ b/internal/sched/backoff_test.go
@@ -10,8 +10,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestBackoffOfLongRunningTaskThatFailsAtOnce has a long-running task fail 10 ms after each start
-// for 20 s, and then keep running. Without a backoff it was started as fast as writes
+// TestBackoffOfLongRunningTaskThatFailsAtOnce has a long-running task fail 10 ms after each
+// start for 20 s, and then keep running. Without a backoff it was started as fast as writes
 // allow; with it the starts become rarer, and the task is back soon after it stops failing.
 func TestBackoffOfLongRunningTaskThatFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -27,8 +27,8 @@
 	free, mostFree, finite int64
 }
 
-// logLongRunningDemand logs how many long-running tasks wait for capacity, and what capacity there
-// is.
+// logLongRunningDemand logs how many long-running tasks wait for capacity, and what capacity
+// there is.
 func (ow *Owner) logLongRunningDemand(now time.Time) {
 	if now.Sub(ow.demandLoggedAt) < demandLogInterval {
 		return
--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -12,8 +12,8 @@
 	// leaveMargin is added to the time to stop an attempt. It covers the delivery of the
 	// order, the poll that lists the end, and the write of the end.
 	leaveMargin = 700 * time.Millisecond
-	// maxEvacuationsPerTick bounds the moves of long-running tasks per tick, so that the tasks of
-	// a step are not all interrupted at once.
+	// maxEvacuationsPerTick bounds the moves of long-running tasks per tick, so that the tasks
+	// of a step are not all interrupted at once.
 	maxEvacuationsPerTick = 6
 	// maxReservedWaiting bounds the waiting tasks for which capacity is reserved; each can
 	// take a search of all workers.
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -48,9 +48,9 @@
 	return tooLate
 }
 
-// sortWaitingJobs sorts the waiting jobs by current feasibility and remaining work. When capacity
-// is short, running small jobs first and finishing those that have begun lets more jobs meet
-// their targets, but large jobs must not starve. Therefore two jobs by remaining work
+// sortWaitingJobs sorts the waiting jobs by current feasibility and remaining work. When
+// capacity is short, running small jobs first and finishing those that have begun lets more
+// jobs meet their targets, but large jobs must not starve. Therefore two jobs by remaining work
 // alternate with one by age.
 func (ow *Owner) sortWaitingJobs(now time.Time) {
 	for _, tj := range ow.waitingJobs {
@@ -68,8 +68,8 @@
 	slices.SortFunc(ow.waitingJobs, compareJobs)
 }
 
-// remainingWork is the work that is left of the job. That of long-running tasks is unbounded, so
-// among jobs of equal priority they are ordered by age: a short task that waits behind them
+// remainingWork is the work that is left of the job. That of long-running tasks is unbounded,
+// so among jobs of equal priority they are ordered by age: a short task that waits behind them
 // misses its target, while they lose only the time that they wait.
 func (tj *trackedJob) remainingWork() int64 {
 	if tj.jo.LongRunning() {
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -96,8 +96,8 @@
 	pathCount int64
 	// sortedWorkerCache has the workers in a stable order; nil if out of date.
 	sortedWorkerCache []*workerState
-	// workersByAddr has the workers whose processes are not known to have ended, by listen address.
-	// Only one process listens on an address at a time.
+	// workersByAddr has the workers whose processes are not known to have ended, by listen
+	// address. Only one process listens on an address at a time.
 	workersByAddr map[string][]*workerState
 	// workersByID has the workers by id. Several entries under one id are incarnations of one
 	// worker.
--- a/internal/sched/ownerloss_test.go
+++ b/internal/sched/ownerloss_test.go
@@ -12,7 +12,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/tenure"
 )
 
-// lostRestartDeadline is the longest time after a claim until tasks of lost workers run elsewhere.
+// lostRestartDeadline is the longest time after a claim until tasks of lost workers run
+// elsewhere.
 const lostRestartDeadline = 9 * time.Second
 
 // withSixHosts runs a long-running job of four tasks on three workers of six hosts, of which
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -9,8 +9,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// assumedLongRunningLoad is the share of their declared processor time that long-running tasks are
-// assumed to use, as workers do not report their load.
+// assumedLongRunningLoad is the share of their declared processor time that long-running tasks
+// are assumed to use, as workers do not report their load.
 const assumedLongRunningLoad = 0.5
 
 // place starts the waiting tasks that fit on a worker, jobs of higher priority first.
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestLongRunningJobTakesTurnByAgeOnly has a long-running job that is submitted after the first of
-// several short ones: it gets a turn by age, but none by size.
+// TestLongRunningJobTakesTurnByAgeOnly has a long-running job that is submitted after the first
+// of several short ones: it gets a turn by age, but none by size.
 func TestLongRunningJobTakesTurnByAgeOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -65,9 +65,9 @@
 	// workers as free capacity, and report a job that waits while less than half of the
 	// capacity is used.
 	quarantineShare = 4
-	// lastResortAfter is how long a long-running task waits before it is started on a worker that
-	// is quarantined for failures, if no other has capacity. Users report a long-running task
-	// that has not run for 6 s.
+	// lastResortAfter is how long a long-running task waits before it is started on a worker
+	// that is quarantined for failures, if no other has capacity. Users report a long-running
+	// task that has not run for 6 s.
 	lastResortAfter = time.Second
 	// unfitQuarantine is the duration of the quarantine after a refused order.
 	unfitQuarantine = 700 * time.Millisecond
@@ -87,9 +87,9 @@
 	wk.ow.Log.Warn("worker set aside", "worker", wk.incarnation, "for", d, "failures", wk.failures, "why", why)
 }
 
-// startAsLastResort starts a long-running task on a worker that is quarantined for failures, once
-// the task has waited for another worker, and reports whether it did. Long-running tasks have no
-// limit of failures, and the task may well run there.
+// startAsLastResort starts a long-running task on a worker that is quarantined for failures,
+// once the task has waited for another worker, and reports whether it did. Long-running tasks
+// have no limit of failures, and the task may well run there.
 func (pl *placer) startAsLastResort(tj *trackedJob, ref job.TaskRef) bool {
 	if !tj.jo.Spec.Steps[ref.Step].LongRunning || pl.now.Sub(tj.waitingSince) < lastResortAfter {
 		return false
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -54,8 +54,8 @@
 	exclusionSpread = "apart"
 )
 
-// exclusionReason returns why a worker that accepts new tasks accepts none of the step, or an empty
-// string if it does.
+// exclusionReason returns why a worker that accepts new tasks accepts none of the step, or an
+// empty string if it does.
 func (wk *workerState) exclusionReason(tj *trackedJob, step int) string {
 	st := &tj.jo.Spec.Steps[step]
 	switch {
--- a/internal/sched/workerstate.go
+++ b/internal/sched/workerstate.go
@@ -70,8 +70,8 @@
 	clockMS      int64
 	clockAt      time.Time
 	leaseUntilMS int64
-	// lastAnsweredAt is when the last successful poll was answered. failingSince is when polls began
-	// to fail, or zero.
+	// lastAnsweredAt is when the last successful poll was answered. failingSince is when polls
+	// began to fail, or zero.
 	lastAnsweredAt time.Time
 	failingSince   time.Time
 	// unresponsive is set if polls fail because the first failed one timed out, rather than
