--- a/internal/dev/jobs.go
+++ b/internal/dev/jobs.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/pepperhatch/pepperhatch/internal/clock"
-	"github.com/pepperhatch/pepperhatch/internal/door"
+	"github.com/pepperhatch/pepperhatch/internal/frontend"
 	"github.com/pepperhatch/pepperhatch/internal/job"
 	"github.com/pepperhatch/pepperhatch/internal/jobapi"
 	"github.com/pepperhatch/pepperhatch/internal/queue"
@@ -37,7 +37,7 @@
 type yard struct {
 	wo    *world
 	fleet standin.Fleet
-	door  *door.FrontEnd
+	door  *frontend.FrontEnd
 	keep  *tenure.Keeper
 	owner atomic.Pointer[sched.Owner]
 	addr  string
@@ -56,7 +56,7 @@
 		Cell: jobCell, Self: "e1", Process: "e1-dev", Table: wo.table.Client(), Serve: ya.serveCell, Log: wo.set.Log,
 		AskFunc: func(context.Context, string, int64) (tenure.HostStatus, error) { return tenure.HostStatus{}, nil },
 	}
-	ya.door = &door.FrontEnd{
+	ya.door = &frontend.FrontEnd{
 		Cell: jobCell, Table: wo.table.Client(), Keeper: ya.keep, Peers: http.DefaultClient,
 		Local: ya.owner.Load, ConfigFunc: func() *queue.Config { return co }, Log: wo.set.Log,
 	}
--- a/internal/door/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,4 +1,4 @@
-// Package door implements the front end of jobs: every entry host accepts job
+// Package frontend implements the front end of jobs: every entry host accepts job
 // requests and forwards them to the owner of the cell.
 //
 // Callers can connect to any entry host, whichever host owns the cell. While no
@@ -7,7 +7,7 @@
 // from the rows that the last owner wrote. A request is refused only if nothing
 // that was tried can still take effect; otherwise its outcome is unknown. Lists
 // of jobs and counts of waiting jobs need a reachable owner.
-package door
+package frontend
 
 import (
 	"context"
--- a/internal/door/stall_test.go
+++ b/internal/frontend/stall_test.go
@@ -1,4 +1,4 @@
-package door
+package frontend
 
 import (
 	"context"
--- a/internal/jobapi/jobapi.go
+++ b/internal/jobapi/jobapi.go
@@ -10,7 +10,7 @@
 	"net/http"
 	"time"
 
-	"github.com/pepperhatch/pepperhatch/internal/door"
+	"github.com/pepperhatch/pepperhatch/internal/frontend"
 	"github.com/pepperhatch/pepperhatch/internal/job"
 	"github.com/pepperhatch/pepperhatch/internal/sched"
 	"github.com/pepperhatch/pepperhatch/internal/wire"
@@ -55,7 +55,7 @@
 
 // Handler returns the handler of the API. A list needs a reachable owner of the cell; other
 // requests are also answered without.
-func Handler(fe *door.FrontEnd) http.Handler {
+func Handler(fe *frontend.FrontEnd) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+pathSubmit, wire.Handle(func(ctx context.Context, su Submission) (sched.Verdict, error) {
 		return submit(ctx, fe, su)
@@ -75,7 +75,7 @@
 }
 
 // submit validates a job and passes it to the front end. The errors are [wire.Error] values.
-func submit(ctx context.Context, fe *door.FrontEnd, su Submission) (sched.Verdict, error) {
+func submit(ctx context.Context, fe *frontend.FrontEnd, su Submission) (sched.Verdict, error) {
 	co := fe.Config()
 	if co == nil {
 		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: "not-ready", Message: "no configuration yet", RetryAfter: time.Second}
@@ -86,7 +86,7 @@
 	qu, ok := co.Queue(su.Queue)
 	switch {
 	case !ok && !fe.RecordNoQueue("", su.Queue):
-		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: door.CodeConfigNotConfirmed, Message: "no queue " + su.Queue + " in a configuration that was not confirmed recently", RetryAfter: time.Second}
+		return sched.Verdict{}, &wire.Error{Status: http.StatusServiceUnavailable, Code: frontend.CodeConfigNotConfirmed, Message: "no queue " + su.Queue + " in a configuration that was not confirmed recently", RetryAfter: time.Second}
 	case !ok:
 		return sched.Verdict{}, &wire.Error{Status: http.StatusNotFound, Code: "no-queue", Message: "no queue " + su.Queue}
 	}
--- a/internal/jobhost/host.go
+++ b/internal/jobhost/host.go
@@ -13,7 +13,7 @@
 	"github.com/google/uuid"
 
 	"github.com/pepperhatch/pepperhatch/internal/clock"
-	"github.com/pepperhatch/pepperhatch/internal/door"
+	"github.com/pepperhatch/pepperhatch/internal/frontend"
 	"github.com/pepperhatch/pepperhatch/internal/jobapi"
 	"github.com/pepperhatch/pepperhatch/internal/port"
 	"github.com/pepperhatch/pepperhatch/internal/queue"
@@ -70,7 +70,7 @@
 	table          store.Table
 	workerClient   *http.Client
 	keeper         *tenure.Keeper
-	frontEnd       *door.FrontEnd
+	frontEnd       *frontend.FrontEnd
 
 	relay       *relay.Server
 	relayClient *http.Client
@@ -98,7 +98,7 @@
 		Cell: cellName, Self: se.Name, Process: se.Name + "-" + uuid.NewString()[:8], Addr: se.PeerAddr(), Cores: se.EffectiveCores(),
 		Table: ho.table, Serve: ho.serveCell, BootFunc: clock.Boot, Log: log,
 	}
-	ho.frontEnd = &door.FrontEnd{
+	ho.frontEnd = &frontend.FrontEnd{
 		Cell: cellName, Table: ho.table, Keeper: ho.keeper, Peers: transport.NewClient(peerConns, log),
 		Local: ho.owner.Load, ConfigFunc: ho.config.Load, ContactFunc: ho.configWatch.Contact, Metrics: me, Log: log,
 	}
