--- a/internal/job/criticalpath.go
+++ b/internal/job/criticalpath.go
@@ -30,11 +30,11 @@
 }
 
 // RemainingWork returns the estimated processor time of the tasks that are not done, in
-// thousandths of a core times milliseconds. Endless tasks are left out.
+// thousandths of a core times milliseconds. Long-running tasks are left out.
 func (jo *Job) RemainingWork() int64 {
 	var sum int64
 	for i := range jo.Spec.Steps {
-		if st := &jo.Spec.Steps[i]; !st.Endless {
+		if st := &jo.Spec.Steps[i]; !st.LongRunning {
 			sum += int64(jo.remaining[i]) * st.EstimateMS * st.Each.MilliCores
 		}
 	}
--- a/internal/job/giveup.go
+++ b/internal/job/giveup.go
@@ -59,7 +59,7 @@
 // is better started on a worker with few other tasks.
 func (ta *Task) Suspect() bool { return ta.Crashes+ta.Losses > 0 }
 
-// Isolated reports whether nothing else may be started beside the task, as one more crash
+// Isolated reports whether nothing else may be started on the task's worker, as one more crash
 // may cause it to be given up.
 func (ta *Task) Isolated() bool {
 	return ta.Crashes >= maxCrashes-1 || ta.Crashes+ta.Losses >= maxEndsWithCrashes-1
@@ -85,9 +85,9 @@
 	return true
 }
 
-// Exhausted reports whether the task has failed as often as its queue allows. Endless
+// Exhausted reports whether the task has failed as often as its queue allows. Long-running
 // tasks have no such limit.
 func (jo *Job) Exhausted(ref TaskRef) bool {
 	ta := jo.Task(ref)
-	return ta.Failures > 0 && ta.Failures >= jo.Terms.MaxFailures && !jo.Spec.Steps[ref.Step].Endless
+	return ta.Failures > 0 && ta.Failures >= jo.Terms.MaxFailures && !jo.Spec.Steps[ref.Step].LongRunning
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -70,9 +70,9 @@
 	qt.Assert(t, reread(t, jo).State(), qt.Equals, Failed)
 }
 
-func TestEndlessTasksAreRestarted(t *testing.T) {
+func TestLongRunningTasksAreRestarted(t *testing.T) {
 	sp := chain(1, 1)
-	sp.Steps[0].Endless = true
+	sp.Steps[0].LongRunning = true
 	jo := New(testID, Terms{MaxFailures: 1}, sp)
 	ref := TaskRef{0, 0}
 	for attempt, end := range []End{EndFailed, EndDone, EndLapsed, EndStopped, EndNeverRan, EndCrashed, EndLost} {
--- a/internal/place/control.go
+++ b/internal/place/control.go
@@ -20,11 +20,10 @@
 )
 
 // controlTails acts on workers with a service whose tail latency is over the target. The
-// cheapest remedy comes first: it throttles the batch task that disturbs the service most;
-// once all are at minShare, it evicts the batch task that disturbs most, if that is worth
-// its cost and within the budget. It acts on a worker again only after a measurement that
-// is newer than its last action there, as older ones do not show the effect of that
-// action.
+// cheapest remedy comes first: it throttles the batch task that interferes most with the
+// service; once all are at minShare, it evicts the batch task that interferes most, if that is
+// worth its cost and within the budget. It acts on a worker again only after a measurement that
+// is newer than its last action there, as older ones do not show the effect of that action.
 func (de *decider) controlTails() {
 	for _, ws := range de.ordered {
 		worst := de.highestTail(ws)
@@ -59,7 +58,7 @@
 // throttleOrEvict throttles, or else evicts, a batch task beside a service over its
 // target.
 func (de *decider) throttleOrEvict(ws *workerState, service *Task) {
-	batch := de.batchByDisturbance(ws, service)
+	batch := de.batchByInterference(ws, service)
 	for _, ta := range batch {
 		if ta.Share > minShare {
 			ta.Share = max(minShare, ta.Share*throttleFactor)
@@ -75,9 +74,9 @@
 	de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: ws.ID, Reason: "disturbs " + describe(service)})
 }
 
-// batchByDisturbance returns the batch tasks of a worker, those that disturb the service
-// most first.
-func (de *decider) batchByDisturbance(ws *workerState, service *Task) []*Task {
+// batchByInterference returns the batch tasks of a worker, those that interfere most with the
+// service first.
+func (de *decider) batchByInterference(ws *workerState, service *Task) []*Task {
 	var batch []*Task
 	for _, ta := range ws.tasks {
 		if !ta.Service && !ta.Stopping {
@@ -85,13 +84,13 @@
 		}
 	}
 	slices.SortStableFunc(batch, func(a, b *Task) int {
-		return cmp.Compare(de.disturbance(service, b), de.disturbance(service, a))
+		return cmp.Compare(de.interference(service, b), de.interference(service, a))
 	})
 	return batch
 }
 
-func (de *decider) disturbance(service, ta *Task) float64 {
-	return de.model.Disturbance(service.Kind, ta.Kind) * cores(ta) * ta.Share
+func (de *decider) interference(service, ta *Task) float64 {
+	return de.model.Interference(service.Kind, ta.Kind) * cores(ta) * ta.Share
 }
 
 // worthEvicting reports whether the service's excess over its target outweighs the cost of
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -263,7 +263,7 @@
 	}
 }
 
-// cmpTrue orders true before false.
+// compareTrueFirst orders true before false.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -342,9 +342,9 @@
 	costSameRack = 0.5
 	// costAccel applies to a task without accelerators on a worker with unused ones.
 	costAccel = 0.2
-	// costFragmentation applies to the fraction of the worker's cores that the task leaves free.
-	// Both kinds of work therefore fill up a worker before using the next one: services
-	// then run beside services, which disturb each other least, and free resources are
+	// costFragmentation applies to the fraction of the worker's cores that the task leaves
+	// free. Both kinds of work therefore fill up a worker before using the next one: services
+	// then run beside services, which interfere least with each other, and free resources are
 	// less fragmented.
 	costFragmentation = 0.1
 	// costSameWorker applies to a service task per task of its job on the same worker, as
@@ -362,9 +362,9 @@
 		case ta.Service && other.Job == ta.Job:
 			co += costSameWorker
 		case ta.Service && !other.Service:
-			co += pol.WeightTail * de.model.Disturbance(ta.Kind, other.Kind) * cores(other)
+			co += pol.WeightTail * de.model.Interference(ta.Kind, other.Kind) * cores(other)
 		case !ta.Service && other.Service:
-			co += pol.WeightTail * de.model.Disturbance(other.Kind, ta.Kind) * cores(ta)
+			co += pol.WeightTail * de.model.Interference(other.Kind, ta.Kind) * cores(ta)
 		}
 	}
 	left := float64(ws.free.MilliCores-ta.Each.MilliCores) / float64(max(1, ws.Capacity.MilliCores))
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -11,7 +11,7 @@
 //
 // A stream is one HTTP request whose request and response bodies stay open; each body is a
 // sequence of JSON values, one per frame. Both sides send a frame at least every
-// [heartbeatInterval], so that a connection that went silent is detected.
+// [heartbeatInterval], so that a connection on which nothing more arrives is detected.
 package relay
 
 import (
@@ -196,8 +196,8 @@
 // withError returns the answer with the code and the text of err.
 func (an answer) withError(err error) answer {
 	an.Code, an.Text = codeOf(err), err.Error()
-	if le := (*worker.IncarnationError)(nil); errors.As(err, &le) {
-		an.Code, an.Born = codeOtherIncarnation, le.Answered.StartedMS
+	if ie := (*worker.IncarnationError)(nil); errors.As(err, &ie) {
+		an.Code, an.Born = codeOtherIncarnation, ie.Answered.StartedMS
 	}
 	return an
 }
--- a/internal/sched/backlog_test.go
+++ b/internal/sched/backlog_test.go
@@ -9,14 +9,14 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// fillWithBacklog fills a cell with long-running tasks of many sizes, kills three tenths of
-// its workers, and submits more short jobs than there is capacity for.
+// fillWithBacklog fills a cell with long-running tasks of many sizes, kills 30% of its workers,
+// and submits more short jobs than there is capacity for.
 func fillWithBacklog(la *lab, ow *Owner, workers int) {
 	n := 0
 	for i := range 3 * workers / 10 {
 		n++
 		each := worker.Resources{MilliCores: 8000 + int64(i*137%7000), MemMB: 6000 + int64(i*311%9000)}
-		la.submit(ow, n, job.Spec{Payload: "serve", Steps: []job.Step{{Tasks: 8, Each: each, Endless: true, TargetMS: 24, Image: fmt.Sprint("s", i%5)}}})
+		la.submit(ow, n, job.Spec{Payload: "serve", Steps: []job.Step{{Tasks: 8, Each: each, LongRunning: true, TargetMS: 24, Image: fmt.Sprint("s", i%5)}}})
 	}
 	time.Sleep(time.Second)
 	for _, fw := range la.fleetWorkers[:3*workers/10] {
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// demandLogInterval is the time between log lines on endless tasks that wait for capacity.
-// The lines of single jobs tell neither how many such tasks there are nor the total free
+// demandLogInterval is the time between log lines on long-running tasks that wait for capacity.
+// The lines of single jobs contain neither the number of such tasks nor the total free
 // capacity.
 const demandLogInterval = time.Second
 
-// endlessDemand sums up the endless tasks that wait and the capacity that there is for
+// longRunningDemand sums up the long-running tasks that wait and the capacity that there is for
 // them.
-type endlessDemand struct {
+type longRunningDemand struct {
 	// jobs and tasks count what waits for capacity; interrupted counts the tasks among them
 	// that ran before.
 	jobs, tasks, interrupted int
@@ -17,69 +17,69 @@
 	// longestWait the longest time that a job has waited.
 	needMilliCores int64
 	longestWait    time.Duration
-	// workers counts those that accept new tasks, earmarked those of them whose free
-	// capacity is set aside for an endless task. The rest is in thousandths of a core: free
-	// is the sum of what is free, mostFree the largest free part of one worker, finite what
-	// is taken by tasks that end by themselves, and reserved what is reserved for
-	// interrupted tasks.
+	// workers counts those that accept new tasks, earmarked those of them that are earmarked
+	// for a long-running task. The other fields are in thousandths of a core: free is the total
+	// free capacity, mostFree the largest free capacity of one worker, finite the capacity used
+	// by tasks that end by themselves, and reserved the capacity reserved for interrupted
+	// tasks.
 	workers, earmarked     int
 	reserved               int64
 	free, mostFree, finite int64
 }
 
-// logEndlessDemand logs how many endless tasks wait for capacity, and what capacity there
-// is.
-func (ow *Owner) logEndlessDemand(now time.Time) {
-	if now.Sub(ow.scarcityLoggedAt) < demandLogInterval {
+// logLongRunningDemand logs how many long-running tasks wait for capacity, and what capacity
+// there is.
+func (ow *Owner) logLongRunningDemand(now time.Time) {
+	if now.Sub(ow.demandLoggedAt) < demandLogInterval {
 		return
 	}
-	ed := ow.endlessDemand(now)
-	if ed.tasks == 0 {
+	lrd := ow.longRunningDemand(now)
+	if lrd.tasks == 0 {
 		return
 	}
-	ow.scarcityLoggedAt = now
-	ow.Log.Info("room for lasting tasks", "jobs", ed.jobs, "tasks", ed.tasks, "again", ed.interrupted, "need_millicores", ed.needMilliCores, "longest", ed.longestWait,
-		"workers", ed.workers, "kept", ed.earmarked, "free_millicores", ed.free, "most_millicores", ed.mostFree, "passing_millicores", ed.finite,
-		"promised_millicores", ed.reserved, "promises_lacking", ow.reservations.unmet)
+	ow.demandLoggedAt = now
+	ow.Log.Info("room for lasting tasks", "jobs", lrd.jobs, "tasks", lrd.tasks, "again", lrd.interrupted, "need_millicores", lrd.needMilliCores, "longest", lrd.longestWait,
+		"workers", lrd.workers, "kept", lrd.earmarked, "free_millicores", lrd.free, "most_millicores", lrd.mostFree, "passing_millicores", lrd.finite,
+		"promised_millicores", lrd.reserved, "promises_lacking", ow.reservations.unmet)
 }
 
-// endlessDemand sums up the endless jobs that have waited for capacity for at least
-// firstWait, and the capacity of all workers.
-func (ow *Owner) endlessDemand(now time.Time) endlessDemand {
-	var ed endlessDemand
-	for _, en := range ow.active {
-		if en.jo.Endless() && en.waitCause == CauseRoom && now.Sub(en.waitingSince) >= firstWaitLog {
-			ed.add(en, now)
+// longRunningDemand sums up the long-running jobs that have waited for capacity for at least
+// firstWaitLog, and the capacity of all workers.
+func (ow *Owner) longRunningDemand(now time.Time) longRunningDemand {
+	var lrd longRunningDemand
+	for _, tj := range ow.waitingJobs {
+		if tj.jo.LongRunning() && tj.waitCause == CauseRoom && now.Sub(tj.waitingSince) >= firstWaitLog {
+			lrd.add(tj, now)
 		}
 	}
-	if ed.tasks == 0 {
-		return ed
+	if lrd.tasks == 0 {
+		return lrd
 	}
-	for _, ho := range ow.hosts {
-		if ho.unavailableReason(now) != "" {
+	for _, wk := range ow.workers {
+		if wk.unavailableReason(now) != "" {
 			continue
 		}
-		free := max(ho.Capacity.MilliCores-ho.reserved.MilliCores, 0)
-		ed.workers++
-		ed.free += free
-		ed.mostFree = max(ed.mostFree, free)
-		ed.finite += ho.finiteReserved.MilliCores
-		ed.reserved += ho.restartReserved.MilliCores
-		if ho.isEarmarked() {
-			ed.earmarked++
+		free := max(wk.Capacity.MilliCores-wk.reserved.MilliCores, 0)
+		lrd.workers++
+		lrd.free += free
+		lrd.mostFree = max(lrd.mostFree, free)
+		lrd.finite += wk.finiteReserved.MilliCores
+		lrd.reserved += wk.restartReserved.MilliCores
+		if wk.isEarmarked() {
+			lrd.earmarked++
 		}
 	}
-	return ed
+	return lrd
 }
 
 // add adds the waiting tasks of a job.
-func (ed *endlessDemand) add(en *entry, now time.Time) {
-	ed.jobs++
-	ed.longestWait = max(ed.longestWait, now.Sub(en.waitingSince))
-	for step := range en.jo.Spec.Steps {
-		n := en.waitingIn(step)
-		ed.tasks += n
-		ed.needMilliCores += int64(n) * en.jo.Spec.Steps[step].Reserved().MilliCores
-		ed.interrupted += en.waitingInterrupted(step)
+func (lrd *longRunningDemand) add(tj *trackedJob, now time.Time) {
+	lrd.jobs++
+	lrd.longestWait = max(lrd.longestWait, now.Sub(tj.waitingSince))
+	for step := range tj.jo.Spec.Steps {
+		n := tj.waitingIn(step)
+		lrd.tasks += n
+		lrd.needMilliCores += int64(n) * tj.jo.Spec.Steps[step].Reserved().MilliCores
+		lrd.interrupted += tj.waitingInterrupted(step)
 	}
 }
--- a/internal/sched/formerprocess_test.go
+++ b/internal/sched/formerprocess_test.go
@@ -17,14 +17,14 @@
 // replaceProcess ends a worker's process and starts another with a new id at its address. It
 // returns the entries of both.
 func (la *lab) replaceProcess(i int) (former, next WorkerEntry) {
-	former = la.listed()[i]
+	former = la.workerEntries()[i]
 	fw := la.fleetWorkers[i]
 	la.fleet.Kill(fw)
 	fresh := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fw.Addr.Incarnation.ID + "b"}}, Capacity: fw.Capacity}
 	la.fleet.Add(fresh)
 	la.fleetWorkers[i] = fresh
 	la.formerEntries = append(la.formerEntries, former)
-	return former, la.listed()[i]
+	return former, la.workerEntries()[i]
 }
 
 // TestFormerProcessIsListedAgain guards against tasks that run twice because a worker that
@@ -41,7 +41,7 @@
 // its address runs tasks.
 func formerEntryReappears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 3, 12)
+		la, ow := newLongRunningLab(t, 3, 12)
 		former, next := la.replaceProcess(0)
 		ow.SetWorkers([]WorkerEntry{next}, nil, false)
 		time.Sleep(time.Second)
@@ -80,7 +80,7 @@
 			ow, loaded, end := la.startLoading()
 			defer end()
 			qt.Assert(t, <-loaded, qt.IsNil)
-			list := append(la.listed(), la.formerEntries...)
+			list := append(la.workerEntries(), la.formerEntries...)
 			if !formerListedLast {
 				slices.Reverse(list)
 			}
@@ -102,16 +102,16 @@
 		var hung atomic.Bool
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			poll := ag.PollFunc
-			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
 				if hung.Load() && ad.Incarnation.ID == "i-0" {
 					<-ctx.Done()
 					return worker.PollResult{}, ctx.Err()
 				}
-				return poll(ctx, ad, lo)
+				return poll(ctx, ad, po)
 			}
 			return ag
 		}
-		ow := la.withLasting(12)
+		ow := la.startLongRunning(12)
 		hung.Store(true)
 		_, next := la.replaceProcess(0)
 		time.Sleep(time.Second)
--- a/internal/sched/interference.go
+++ b/internal/sched/interference.go
@@ -9,8 +9,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// The owner stores what it learnt about interference between pairs of images. Without that,
-// the next owner would disturb services for seconds while it learns it again.
+// The owner stores the interference that it learnt for pairs of images. Otherwise the next
+// owner would place fillers where they harm services for some seconds, until it has learnt the
+// interference again.
 const (
 	// InterferenceTable is the table of the row.
 	InterferenceTable = "learnt"
@@ -21,17 +22,17 @@
 	maxPairs = 500
 )
 
-// interferenceRow has what was learnt in a cell.
+// interferenceRow is the stored row of the interference learnt in a cell.
 type interferenceRow struct {
 	Pairs []interfere.PairEstimate `json:"pairs"`
 }
 
 func (ow *Owner) interferenceKey() string { return InterferenceTable + "/" + ow.Cell + "/pairs" }
 
-// loadInterference reads what former owners learnt. If it can't be read, this owner learns it
-// again.
+// loadInterference reads the interference that former owners learnt. If the row cannot be read,
+// this owner learns it again.
 func (ow *Owner) loadInterference(ctx context.Context) {
-	if !ow.uses(MechPersistPairs) {
+	if !ow.enabled(MechPersistPairs) {
 		return
 	}
 	lctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -43,12 +44,12 @@
 		return
 	}
 	ow.model = interfere.Restore(row.Pairs)
-	ow.Log.Info("loaded what former owners learnt of interference", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
+	ow.Log.Info("loaded the interference learnt by former owners", "cell", ow.Cell, "pairs", len(row.Pairs), "version", version)
 }
 
-// saveInterference writes what was learnt, at most every saveInterval.
+// saveInterference writes the learnt interference, at most every saveInterval.
 func (ow *Owner) saveInterference(now time.Time) {
-	if !ow.uses(MechPersistPairs) || ow.savingModel || now.Sub(ow.modelSavedAt) < saveInterval || ow.storeDown() {
+	if !ow.enabled(MechPersistPairs) || ow.savingModel || now.Sub(ow.modelSavedAt) < saveInterval || ow.storeDown() {
 		return
 	}
 	pairs := ow.model.Estimates(maxPairs)
@@ -69,7 +70,7 @@
 	ctx, cancel := context.WithTimeout(ow.ctx, writeTimeout)
 	defer cancel()
 	if _, err := ow.Table.CommitFunc(ctx, txn); err != nil {
-		ow.Log.Info("cannot write what was learnt of interference", "cell", ow.Cell, "err", err)
+		ow.Log.Info("cannot write the learnt interference", "cell", ow.Cell, "err", err)
 	}
 	ow.post(func() { ow.savingModel = false })
 }
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -32,7 +32,7 @@
 	// formerEntries are the list entries of processes that ended, in their order.
 	formerEntries []WorkerEntry
 	epoch         int64
-	// specs are the specs of submitted jobs, by id.
+	// mu guards specs: the specs of submitted jobs, by id.
 	mu    sync.Mutex
 	specs map[string]job.Spec
 	log   *slog.Logger
@@ -49,17 +49,17 @@
 	via atomic.Pointer[string]
 	// viaByWorker has the relays of workers with one of their own, by id.
 	viaByWorker map[string]string
-	// listFunc, confirmedFunc and writtenFunc replace, if set, what owners are told of the
-	// age of the list of workers, of when the store confirmed their tenure and of when it
-	// accepted a heartbeat.
+	// listFunc, confirmedFunc and writtenFunc replace, if set, the functions from which owners
+	// learn the age of the list of workers, when the store last confirmed their tenure, and
+	// when it last accepted a heartbeat.
 	listFunc                   func() (last, since time.Time)
 	confirmedFunc, writtenFunc func() time.Time
-	// formerKnown makes owners know that the former one has ceased to act.
-	formerKnown bool
+	// formerOwnerCeased makes owners know that the former one has ceased to act.
+	formerOwnerCeased bool
 }
 
 func (la *lab) formerEnded(now time.Time) func() time.Time {
-	known := la.formerKnown || la.handover != nil
+	known := la.formerOwnerCeased || la.handover != nil
 	return func() time.Time {
 		if known {
 			return now
@@ -88,8 +88,8 @@
 	return la.fleet.Agent()
 }
 
-func (la *lab) currentVia(li WorkerEntry) string {
-	if via, ok := la.viaByWorker[li.Incarnation.ID]; ok {
+func (la *lab) currentVia(we WorkerEntry) string {
+	if via, ok := la.viaByWorker[we.Incarnation.ID]; ok {
 		return via
 	}
 	if via := la.via.Load(); via != nil {
@@ -114,7 +114,7 @@
 	la.fleetWorkers = append(la.fleetWorkers, fw)
 }
 
-func (la *lab) listed() []WorkerEntry {
+func (la *lab) workerEntries() []WorkerEntry {
 	var list []WorkerEntry
 	for _, fw := range la.fleetWorkers {
 		list = append(list, WorkerEntry{Addr: fw.Addr, Service: testService, Rack: "r1", Labels: []string{"a", "r1"}, Capacity: fw.Capacity})
@@ -167,7 +167,7 @@
 func (la *lab) startOwner() (*Owner, context.CancelFunc) {
 	ow, loaded, cancel := la.startLoading()
 	qt.Assert(la.t, <-loaded, qt.IsNil)
-	ow.SetWorkers(la.listed(), nil, true)
+	ow.SetWorkers(la.workerEntries(), nil, true)
 	return ow, cancel
 }
 
--- a/internal/sched/leasebound_test.go
+++ b/internal/sched/leasebound_test.go
@@ -17,28 +17,28 @@
 // with its owner's host, if that host is without power for 9 s: 10 s after its power is back.
 const restartDeadline = 19 * time.Second
 
-// TestLastingTasksRestartAfterWorkerLostWithUnreachableOwner guards against long-running
+// TestLongRunningTasksRestartAfterWorkerLostWithUnreachableOwner guards against long-running
 // tasks that do not run for 20 s. The owner's host loses power for 9 s, and workers are lost
 // at the same moment. The next owner can ask no one, and the lease expiry row does not name
 // the workers. If a lease extended late had its full length, the next owner would have to
 // wait for the 8 s that an owner may go on without the store, and then for a whole lease of
 // 10 s. Therefore no lease may run beyond the time for which its owner is confirmed.
-func TestLastingTasksRestartAfterWorkerLostWithUnreachableOwner(t *testing.T) {
+func TestLongRunningTasksRestartAfterWorkerLostWithUnreachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cr := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
-		defer cr.stop()
-		cr.fleet.RunFunc = runUntilStopped
-		first := cr.join("a", 0.8)
+		cl := &cluster{lab: newLab(t, 2), maxLease: 10 * time.Second}
+		defer cl.stop()
+		cl.fleet.RunFunc = runUntilStopped
+		first := cl.startHost("a", 0.8)
 		time.Sleep(time.Second)
-		cr.join("b", 0.8)
+		cl.startHost("b", 0.8)
 		time.Sleep(time.Second)
-		qt.Assert(t, cr.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
+		qt.Assert(t, cl.submit(first.ow.Load(), 1, longRunning(4)).Outcome, qt.Equals, Accepted)
 		time.Sleep(10 * time.Second)
-		cr.assertRunning(4)
-		first.set(func(co *clusterHost) { co.partitioned = true })
-		cr.killWorkerAndOwner(first)
+		cl.assertRunning(4)
+		first.set(func(ch *clusterHost) { ch.partitioned = true })
+		cl.killWorkerAndOwner(first)
 		time.Sleep(restartDeadline)
-		cr.assertRunning(4)
+		cl.assertRunning(4)
 	})
 }
 
@@ -56,22 +56,22 @@
 		read := granted - time.Duration(rapid.Int64Range(0, int64(maxClockReadingAge)).Draw(rt, "reading's age"))
 		claimed := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(rt, "claimed"))
 
-		by := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
+		measured := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
 		began := time.Now()
-		ho := &workerState{clockMS: 1_000_000, clockAt: began}
-		earliest := ho.earliestClock(began.Add(by(owner, granted-read)))
-		left := time.Duration(earliest-ho.clockMS)*time.Millisecond + leaseDuration(by(owner, granted), maxLease)
+		wk := &workerState{clockMS: 1_000_000, clockAt: began}
+		earliest := wk.earliestClock(began.Add(measured(owner, granted-read)))
+		left := time.Duration(earliest-wk.clockMS)*time.Millisecond + leaseDuration(measured(owner, granted), maxLease)
 		ended := read + time.Duration(float64(left)/wo)
 
 		ow := &Owner{Limits: Limits{MaxLease: maxLease}, startedAt: began}
 		ow.Tenure.Former.Bounded = true
 		ow.Tenure.FormerEnded = func() time.Time { return time.Time{} }
-		acts := claimed + time.Duration(float64(ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
-		if bound := claimed + time.Duration(float64(maxDriftDuration(tenure.LeaseLimit)+lapseMargin)/next); acts > bound {
-			rt.Errorf("the next owner acts at %v, later than %v", acts, bound)
+		nextActs := claimed + time.Duration(float64(ow.formerLeasesUntil(worker.Incarnation{ID: "w"}).Sub(began))/next)
+		if bound := claimed + time.Duration(float64(maxDriftDuration(tenure.LeaseLimit)+lapseMargin)/next); nextActs > bound {
+			rt.Errorf("the next owner acts at %v, later than %v", nextActs, bound)
 		}
-		if ended > acts {
-			rt.Errorf("a lease ends at %v, the next owner acts at %v", ended, acts)
+		if ended > nextActs {
+			rt.Errorf("a lease ends at %v, the next owner acts at %v", ended, nextActs)
 		}
 	})
 }
--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -41,16 +41,16 @@
 	MechMove
 	// MechStall retries attempts without progress on another worker.
 	MechStall
-	// MechReserveCapacity sets capacity aside for endless tasks that fit on no worker.
+	// MechReserveCapacity reserves capacity for long-running tasks that fit on no worker.
 	MechReserveCapacity
 )
 
 // MechanismEntry documents a mechanism.
 type MechanismEntry struct {
-	// Mechanism is its bit, Name the word in the settings, Means a description.
+	// Mechanism is its bit, Name its name in the settings, and Meaning its description.
 	Mechanism Mechanism
 	Name      string
-	Means     string
+	Meaning   string
 }
 
 // Mechanisms documents all mechanisms that can be disabled.
@@ -69,7 +69,7 @@
 	{MechHold, "hold", "stops fillers beside services that are over their target for long"},
 	{MechMove, "move", "moves held fillers to better workers"},
 	{MechStall, "stall", "retries attempts without progress on another worker"},
-	{MechReserveCapacity, "keep-room", "sets capacity aside for endless tasks that fit on no worker"},
+	{MechReserveCapacity, "keep-room", "reserves capacity for long-running tasks that fit on no worker"},
 }
 
 // ErrMechanism is returned for a name that is not in Mechanisms.
@@ -93,13 +93,13 @@
 }
 
 func parseMechanism(name string) (Mechanism, error) {
-	for _, en := range Mechanisms {
-		if en.Name == name {
-			return en.Mechanism, nil
+	for _, entry := range Mechanisms {
+		if entry.Name == name {
+			return entry.Mechanism, nil
 		}
 	}
 	return 0, fmt.Errorf("%w: %q", ErrMechanism, name)
 }
 
-// uses reports whether a mechanism is enabled.
-func (ow *Owner) uses(me Mechanism) bool { return ow.Without&me == 0 }
+// enabled reports whether a mechanism is enabled.
+func (ow *Owner) enabled(me Mechanism) bool { return ow.Without&me == 0 }
--- a/internal/sched/mechanism_test.go
+++ b/internal/sched/mechanism_test.go
@@ -13,13 +13,13 @@
 	t.Run("every name, alone and together", func(t *testing.T) {
 		var all Mechanism
 		names := ""
-		for _, en := range Mechanisms {
-			one, err := ParseMechanisms(en.Name)
+		for _, entry := range Mechanisms {
+			one, err := ParseMechanisms(entry.Name)
 			qt.Assert(t, err, qt.IsNil)
-			qt.Assert(t, one, qt.Equals, en.Mechanism)
-			qt.Assert(t, all&one, qt.Equals, Mechanism(0), qt.Commentf("%s shares a bit", en.Name))
+			qt.Assert(t, one, qt.Equals, entry.Mechanism)
+			qt.Assert(t, all&one, qt.Equals, Mechanism(0), qt.Commentf("%s shares a bit", entry.Name))
 			all |= one
-			names += "," + en.Name
+			names += "," + entry.Name
 		}
 		got, err := ParseMechanisms(names)
 		qt.Assert(t, err, qt.IsNil)
@@ -40,10 +40,10 @@
 // enabled and disabled.
 func TestDisabledMechanism(t *testing.T) {
 	ow := ownerWithoutLoop(t)
-	en := addJob(ow, 1, job.Step{Tasks: 1, EstimateMS: 1000})
-	en.targetMS = 500
-	qt.Assert(t, en.evaluateFeasibility(time.Now()), qt.Equals, late)
+	tj := addJob(ow, 1, job.Step{Tasks: 1, EstimateMS: 1000})
+	tj.targetMS = 500
+	qt.Assert(t, tj.evaluateFeasibility(time.Now()), qt.Equals, late)
 	ow.Without = MechFeasibleFirst
-	qt.Assert(t, en.evaluateFeasibility(time.Now()), qt.Equals, inTime)
-	qt.Assert(t, ow.uses(MechMove), qt.IsTrue)
+	qt.Assert(t, tj.evaluateFeasibility(time.Now()), qt.Equals, inTime)
+	qt.Assert(t, ow.enabled(MechMove), qt.IsTrue)
 }
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// compareEntries compares by priority, then by feasibility, then by sort key.
-func compareEntries(a, b *entry) int {
+// compareJobs compares by priority, then by feasibility, then by sort key.
+func compareJobs(a, b *trackedJob) int {
 	return cmp.Or(compareGroups(a, b), cmp.Compare(a.sortKey, b.sortKey), cmp.Compare(a.order, b.order))
 }
 
 // compareGroups compares by priority, then by feasibility.
-func compareGroups(a, b *entry) int {
+func compareGroups(a, b *trackedJob) int {
 	return cmp.Or(cmp.Compare(a.jo.Terms.Priority, b.jo.Terms.Priority), cmp.Compare(a.feasibility, b.feasibility))
 }
 
@@ -33,69 +33,69 @@
 const maxLateFactor = 3
 
 // evaluateFeasibility returns the job's feasibility at the given time.
-func (en *entry) evaluateFeasibility(now time.Time) feasibility {
-	// An endless task has no time by which it is worthless.
-	if en.targetMS <= 0 || en.jo.Endless() || !en.ow.uses(MechFeasibleFirst) {
+func (tj *trackedJob) evaluateFeasibility(now time.Time) feasibility {
+	// A long-running task has no time by which it is worthless.
+	if tj.targetMS <= 0 || tj.jo.LongRunning() || !tj.ow.enabled(MechFeasibleFirst) {
 		return inTime
 	}
-	done := now.Sub(en.acceptedAt).Milliseconds() + en.jo.RemainingMS()
+	done := now.Sub(tj.acceptedAt).Milliseconds() + tj.jo.RemainingMS()
 	switch {
-	case done <= en.targetMS:
+	case done <= tj.targetMS:
 		return inTime
-	case done <= maxLateFactor*en.targetMS:
+	case done <= maxLateFactor*tj.targetMS:
 		return late
 	}
 	return tooLate
 }
 
-// sortActive sorts the waiting jobs by current feasibility and remaining work. When capacity
-// is short, running small jobs first and finishing those that have begun lets more jobs meet
-// their targets, but large jobs must not starve. Therefore two jobs by remaining work
+// sortWaitingJobs sorts the waiting jobs by current feasibility and remaining work. When
+// capacity is short, running small jobs first and finishing those that have begun lets more
+// jobs meet their targets, but large jobs must not starve. Therefore two jobs by remaining work
 // alternate with one by age.
-func (ow *Owner) sortActive(now time.Time) {
-	for _, en := range ow.active {
-		en.feasibility, en.workLeft = en.evaluateFeasibility(now), en.remainingWork()
+func (ow *Owner) sortWaitingJobs(now time.Time) {
+	for _, tj := range ow.waitingJobs {
+		tj.feasibility, tj.workLeft = tj.evaluateFeasibility(now), tj.remainingWork()
 	}
-	for _, en := range ow.active {
-		en.sortKey = math.MaxInt
+	for _, tj := range ow.waitingJobs {
+		tj.sortKey = math.MaxInt
 	}
-	if ow.uses(MechLeastWork) {
-		ow.assignSortKeys(1, func(a, b *entry) int { return cmp.Compare(a.workLeft, b.workLeft) })
+	if ow.enabled(MechLeastWork) {
+		ow.assignSortKeys(1, func(a, b *trackedJob) int { return cmp.Compare(a.workLeft, b.workLeft) })
 	}
-	if ow.uses(MechTurnsByAge) {
-		ow.assignSortKeys(bySizePerAge, func(a, b *entry) int { return cmp.Compare(a.order, b.order) })
+	if ow.enabled(MechTurnsByAge) {
+		ow.assignSortKeys(bySizePerAge, func(a, b *trackedJob) int { return cmp.Compare(a.order, b.order) })
 	}
-	slices.SortFunc(ow.active, compareEntries)
+	slices.SortFunc(ow.waitingJobs, compareJobs)
 }
 
-// remainingWork is the work that is left of the job. That of endless tasks is unbounded, so
-// among jobs of equal priority they are ordered by age: a short task that waits behind them
+// remainingWork is the work that is left of the job. That of long-running tasks is unbounded,
+// so among jobs of equal priority they are ordered by age: a short task that waits behind them
 // misses its target, while they lose only the time that they wait.
-func (en *entry) remainingWork() int64 {
-	if en.jo.Endless() {
+func (tj *trackedJob) remainingWork() int64 {
+	if tj.jo.LongRunning() {
 		return math.MaxInt64
 	}
-	return en.jo.RemainingWork()
+	return tj.jo.RemainingWork()
 }
 
 // assignSortKeys ranks the jobs by compare and lowers each job's sort key to every times its
 // rank, if that is lower.
-func (ow *Owner) assignSortKeys(every int, compare func(a, b *entry) int) {
-	ow.rankActive(compare)
-	for _, en := range ow.active {
-		en.sortKey = min(en.sortKey, every*en.rank)
+func (ow *Owner) assignSortKeys(every int, compare func(a, b *trackedJob) int) {
+	ow.rankWaitingJobs(compare)
+	for _, tj := range ow.waitingJobs {
+		tj.sortKey = min(tj.sortKey, every*tj.rank)
 	}
 }
 
-// rankActive ranks each job among those of its priority and feasibility.
-func (ow *Owner) rankActive(compare func(a, b *entry) int) {
-	slices.SortFunc(ow.active, func(a, b *entry) int {
+// rankWaitingJobs ranks each job among those of its priority and feasibility.
+func (ow *Owner) rankWaitingJobs(compare func(a, b *trackedJob) int) {
+	slices.SortFunc(ow.waitingJobs, func(a, b *trackedJob) int {
 		return cmp.Or(compareGroups(a, b), compare(a, b), cmp.Compare(a.order, b.order))
 	})
-	for i, en := range ow.active {
-		en.rank = 0
-		if i > 0 && compareGroups(ow.active[i-1], en) == 0 {
-			en.rank = ow.active[i-1].rank + 1
+	for i, tj := range ow.waitingJobs {
+		tj.rank = 0
+		if i > 0 && compareGroups(ow.waitingJobs[i-1], tj) == 0 {
+			tj.rank = ow.waitingJobs[i-1].rank + 1
 		}
 	}
 }
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -38,7 +38,7 @@
 				qt.Assert(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 				for i := range workers {
 					la.restart(i, pause, la.fleetWorkers[i].Addr.HostPort)
-					ow.SetWorkers(la.listed(), nil, true)
+					ow.SetWorkers(la.workerEntries(), nil, true)
 				}
 				time.Sleep(time.Second)
 				la.submit(ow, 2, batch(1, tasks))
@@ -57,14 +57,14 @@
 	for _, where := range []string{"10.0.0.0:80", "10.9.0.0:80"} {
 		t.Run(where, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				la, ow := newLastingLab(t, 3, 12)
+				la, ow := newLongRunningLab(t, 3, 12)
 				time.Sleep(20 * time.Second)
 				la.restart(0, 50*time.Millisecond, where)
-				ow.SetWorkers(la.listed(), nil, true)
+				ow.SetWorkers(la.workerEntries(), nil, true)
 				time.Sleep(time.Second)
 				la.assertRunning(12)
 				la.restart(0, 0, where)
-				ow.SetWorkers(la.listed(), nil, true)
+				ow.SetWorkers(la.workerEntries(), nil, true)
 				time.Sleep(time.Second)
 				la.assertRunning(12)
 				la.fleet.Kill(la.fleetWorkers[0])
@@ -82,18 +82,18 @@
 // process.
 func TestRestartIsNoticedBeforeItIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, ow := newLastingLab(t, 3, 12)
-		was := la.listed()
+		la, ow := newLongRunningLab(t, 3, 12)
+		was := la.workerEntries()
 		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
 		la.assertRunning(12)
 		qt.Check(t, la.runningAt("i-0"), qt.Equals, 0)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(100 * time.Millisecond)
 		for range 3 {
 			ow.SetWorkers(was[:1], nil, false)
 			time.Sleep(100 * time.Millisecond)
-			ow.SetWorkers(la.listed()[:1], nil, false)
+			ow.SetWorkers(la.workerEntries()[:1], nil, false)
 			time.Sleep(time.Second)
 		}
 		la.submit(ow, 2, longRunning(30))
@@ -103,32 +103,32 @@
 	})
 }
 
-// TestEntryOfAFormerIncarnationDoesNotFenceTheNext guards against attempts that lapse after
-// the entry of a former process is seen again and is replaced before that process is polled:
-// its fencing token must not shut out this owner's orders for the running process.
+// TestEntryOfAFormerIncarnationDoesNotFenceTheNext guards against attempts that lapse after the
+// entry of a former process is seen again and is replaced before that process is polled: its
+// fencing token must not make the running process reject this owner's orders.
 func TestEntryOfAFormerIncarnationDoesNotFenceTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			poll := ag.PollFunc
-			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-				si, err := poll(ctx, ad, lo)
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
+				res, err := poll(ctx, ad, po)
 				clock.Sleep(ctx, 50*time.Millisecond)
-				return si, err
+				return res, err
 			}
 			return ag
 		}
-		ow := la.withLasting(12)
-		was := la.listed()[:1]
+		ow := la.startLongRunning(12)
+		was := la.workerEntries()[:1]
 		la.restart(0, 50*time.Millisecond, la.fleetWorkers[0].Addr.HostPort)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(time.Second)
 		la.submit(ow, 2, longRunning(18))
 		time.Sleep(time.Second)
 		la.assertRunning(30)
 		ow.SetWorkers(was, nil, false)
 		time.Sleep(10 * time.Millisecond)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(30 * time.Second)
 		la.assertRunning(30)
 		qt.Check(t, la.ends()["lapsed"], qt.Equals, 0)
@@ -145,7 +145,7 @@
 		ow, end := la.startOwner()
 		defer end()
 		listWithoutStart := func() {
-			list := la.listed()
+			list := la.workerEntries()
 			for i := range list {
 				list[i].Incarnation.StartedMS = 0
 			}
@@ -161,8 +161,8 @@
 		time.Sleep(time.Second)
 		la.assertRunning(42)
 		ow.post(func() {
-			ho := ow.soleIncarnation("i-0")
-			ho.handleOtherIncarnation(ho.incarnation)
+			wk := ow.soleIncarnation("i-0")
+			wk.handleOtherIncarnation(wk.incarnation)
 		})
 		time.Sleep(10 * time.Second)
 		la.assertRunning(42)
@@ -175,11 +175,11 @@
 	began := time.Now().UnixMilli()
 	return func(ag worker.Agent) worker.Agent {
 		poll := ag.PollFunc
-		ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
+		ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
 			if ad.Incarnation.StartedMS > began && !clock.Sleep(ctx, d) {
 				return worker.PollResult{}, ctx.Err()
 			}
-			return poll(ctx, ad, lo)
+			return poll(ctx, ad, po)
 		}
 		return ag
 	}
@@ -208,7 +208,7 @@
 				}
 				la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
 				time.Sleep(2 * time.Second)
-				ow.SetWorkers(la.listed(), nil, true)
+				ow.SetWorkers(la.workerEntries(), nil, true)
 				time.Sleep(20 * time.Second)
 				qt.Check(t, la.state(ow, 1), qt.Equals, job.Succeeded)
 				la.assertRunsConsistent()
@@ -267,7 +267,7 @@
 		time.Sleep(10 * time.Millisecond)
 		la.restart(0, 0, la.fleetWorkers[0].Addr.HostPort)
 		time.Sleep(time.Second)
-		ow.SetWorkers(la.listed(), nil, true)
+		ow.SetWorkers(la.workerEntries(), nil, true)
 		time.Sleep(5 * time.Second)
 		qt.Check(t, la.state(ow, 2), qt.Equals, job.Succeeded)
 		qt.Check(t, la.fleet.Runs(), qt.HasLen, tasks+12)
@@ -283,12 +283,12 @@
 		var busy atomic.Pointer[Owner]
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			poll := ag.PollFunc
-			ag.PollFunc = func(ctx context.Context, ad worker.Addr, lo worker.Poll) (worker.PollResult, error) {
-				si, err := poll(ctx, ad, lo)
+			ag.PollFunc = func(ctx context.Context, ad worker.Addr, po worker.Poll) (worker.PollResult, error) {
+				res, err := poll(ctx, ad, po)
 				if ow := busy.Load(); ow != nil {
 					ow.post(func() { time.Sleep(ackWithin + 200*time.Millisecond) })
 				}
-				return si, err
+				return res, err
 			}
 			return ag
 		}
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -12,34 +12,35 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// shortage explains why the tasks of a step fit on no worker: which worker comes nearest
-// and what takes its capacity, and which workers have enough capacity but may not be used.
+// shortage explains why the tasks of a step fit on no worker: which worker lacks the least
+// capacity and what uses its capacity, and which workers have enough capacity but may not be
+// used.
 type shortage struct {
 	st      *job.Step
 	nearest *workerState
 	// shortfall is what the nearest worker lacks, as a share of what the step needs.
 	shortfall float64
-	// barred counts the workers that have enough capacity but may not be used, by reason.
-	barred map[string]int
+	// excluded counts the workers that have enough capacity but may not be used, by reason.
+	excluded map[string]int
 }
 
 // findShortage compares the step's needs with all workers that it may run on.
-func (ow *Owner) findShortage(en *entry, step int, now time.Time) shortage {
-	st := &en.jo.Spec.Steps[step]
-	sh := shortage{st: st, barred: map[string]int{}}
-	for _, ho := range ow.sortedWorkers() {
-		ca := newCandidate(ho, now)
-		if !ca.suitable(en, st) {
+func (ow *Owner) findShortage(tj *trackedJob, step int, now time.Time) shortage {
+	st := &tj.jo.Spec.Steps[step]
+	sh := shortage{st: st, excluded: map[string]int{}}
+	for _, wk := range ow.sortedWorkers() {
+		ca := newCandidate(wk, now)
+		if !ca.suitable(tj, st) {
 			continue
 		}
-		if why := cmp.Or(ho.unavailableReason(now), ho.stepBar(en, step)); why != "" {
+		if why := cmp.Or(wk.unavailableReason(now), wk.exclusionReason(tj, step)); why != "" {
 			if st.Reserved().Fits(ca.free) {
-				sh.barred[why]++
+				sh.excluded[why]++
 			}
 			continue
 		}
 		if missing := shortfall(st.Reserved(), ca.free); sh.nearest == nil || missing < sh.shortfall {
-			sh.nearest, sh.shortfall = ho, missing
+			sh.nearest, sh.shortfall = wk, missing
 		}
 	}
 	return sh
@@ -47,21 +48,21 @@
 
 // Reasons why a worker that accepts new tasks accepts none of a step.
 const (
-	// barEarmarked: its capacity is set aside for an endless task.
-	barEarmarked = "kept"
-	// barSpread: it already runs as many tasks of the step as one worker may.
-	barSpread = "apart"
+	// exclusionEarmarked: its capacity is earmarked for a long-running task.
+	exclusionEarmarked = "kept"
+	// exclusionSpread: it already runs as many tasks of the step as one worker may.
+	exclusionSpread = "apart"
 )
 
-// stepBar returns why a worker that accepts new tasks accepts none of the step, or an empty
-// string if it does.
-func (ho *workerState) stepBar(en *entry, step int) string {
-	st := &en.jo.Spec.Steps[step]
+// exclusionReason returns why a worker that accepts new tasks accepts none of the step, or an
+// empty string if it does.
+func (wk *workerState) exclusionReason(tj *trackedJob, step int) string {
+	st := &tj.jo.Spec.Steps[step]
 	switch {
-	case ho.isEarmarked() && !st.Filler && en.waitingInterrupted(step) == 0:
-		return barEarmarked
-	case st.MaxPerWorker > 0 && en.countAt(step, ho) >= st.MaxPerWorker:
-		return barSpread
+	case wk.isEarmarked() && !st.Filler && tj.waitingInterrupted(step) == 0:
+		return exclusionEarmarked
+	case st.MaxPerWorker > 0 && tj.countAt(step, wk) >= st.MaxPerWorker:
+		return exclusionSpread
 	}
 	return ""
 }
@@ -81,7 +82,7 @@
 	need := sh.st.Reserved()
 	list := []slog.Attr{
 		slog.Int64("need_millicores", need.MilliCores), slog.Int64("need_mem_mb", need.MemMB),
-		slog.String("barred", formatCounts(sh.barred)),
+		slog.String("barred", formatCounts(sh.excluded)),
 	}
 	if sh.nearest == nil {
 		return append(list, slog.String("best", "none"))
@@ -106,9 +107,9 @@
 }
 
 // stopping returns the resources held by attempts that are being stopped.
-func (ho *workerState) stopping() worker.Resources {
+func (wk *workerState) stopping() worker.Resources {
 	var sum worker.Resources
-	for at := range ho.attempts {
+	for at := range wk.attempts {
 		if !at.haltSentAt.IsZero() {
 			sum = sum.Add(at.step().Reserved())
 		}
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -29,7 +29,7 @@
 			}
 			return ag
 		}
-		ow := la.withLasting(31)
+		ow := la.startLongRunning(31)
 		leaving, n := la.busiest()
 		qt.Assert(t, n, qt.Equals, 16)
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
@@ -57,7 +57,7 @@
 			}
 			return ag
 		}
-		ow := la.withLasting(8)
+		ow := la.startLongRunning(8)
 		leaving, n := la.busiest()
 		ow.SetWorkers(nil, []string{leaving.Addr.Incarnation.ID}, false)
 		time.Sleep(10 * time.Second)
@@ -68,12 +68,12 @@
 }
 
 // TestCapacityIsReservedForStoppedTasks guards against capacity that is counted for another
-// task while a stopped one waits for its placement, as writes of other jobs are under way and
+// task while a stopped one waits for its placement, as writes of other jobs are in flight and
 // the store is slow.
 func TestCapacityIsReservedForStoppedTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
-		ow := la.withLasting(31)
+		ow := la.startLongRunning(31)
 		leaving, _ := la.busiest()
 		la.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 		unplaceable := batch(1, 1)
@@ -107,11 +107,11 @@
 			}
 			return ag
 		}
-		ow := la.withLasting(1)
+		ow := la.startLongRunning(1)
 		ow.post(func() {
-			for _, ho := range ow.hosts {
-				for at := range ho.attempts {
-					ow.halt(at, "held for the sake of a service, and another worker has room")
+			for _, wk := range ow.workers {
+				for at := range wk.attempts {
+					ow.halt(at, "held because of a service, and another worker can run it")
 				}
 			}
 		})
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -15,10 +15,10 @@
 )
 
 // workersPerCrash is how many workers crash with each owner of
-// [TestLastingTasksNotGivenUpAfterOwnerLosses].
+// [TestLongRunningTasksNotGivenUpAfterOwnerLosses].
 const workersPerCrash = 3
 
-// TestLastingTasksNotGivenUpAfterOwnerLosses guards against healthy long-running jobs that
+// TestLongRunningTasksNotGivenUpAfterOwnerLosses guards against healthy long-running jobs that
 // end as failed. Their tasks run for 20 s; then their owner's host freezes, and 0.2 s later
 // workers crash. The next owner finds another process at the workers' addresses, or no entry
 // of them. Unless the job's row says how long an attempt had run, that owner classifies each
@@ -27,7 +27,7 @@
 //
 // [TestTaskThatCrashesItsWorkers] checks the opposite case: a task that does crash its
 // workers is given up also if its owners are lost with them.
-func TestLastingTasksNotGivenUpAfterOwnerLosses(t *testing.T) {
+func TestLongRunningTasksNotGivenUpAfterOwnerLosses(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		// forGood is set if the workers do not come back.
@@ -62,21 +62,21 @@
 		cr.crash(fw)
 	}
 	time.Sleep(2 * time.Second)
-	return cr.own()
+	return cr.replaceOwner()
 }
 
 // TestLostWorkersAreLogged checks that the ends of a lost worker's attempts are logged in one
 // line, also by an owner that never saw the worker.
 func TestLostWorkersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		la, li := loggedLab(t, 2)
+		la, ll := newLoggedLab(t, 2)
 		cr, ow := startCrashLab(t, la)
 		cr.noRestart = true
 		cr.submit(ow, 1, longRunning(12))
 		time.Sleep(20 * time.Second)
 		cr.loseOwnerAndCrash(1)
 		time.Sleep(20 * time.Second)
-		lines := li.matching(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
+		lines := ll.matching(`msg="attempts of a lost worker ended"`, "attempts=12", "lasting=12", "ends=lapsed:12")
 		qt.Assert(t, lines, qt.HasLen, 1)
 	})
 }
@@ -123,8 +123,9 @@
 // started together: their polls return within a second, and a proof waits for half a second.
 const maxProofWrites = 3
 
-// TestHealthyTasksNotGivenUpOverTakeovers plays random losses of workers together with their
-// owners, each after the tasks ran for some seconds, and checks that no task is given up.
+// TestHealthyTasksNotGivenUpOverTakeovers runs random sequences of losses of workers together
+// with their owners, each after the tasks ran for some seconds, and checks that no task is
+// given up.
 func TestHealthyTasksNotGivenUpOverTakeovers(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: takeoverScripts}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
@@ -132,7 +133,7 @@
 			cr.setCrashingJobs()
 			cr.newAddress = rapid.Bool().Draw(rt, "elsewhere")
 			cr.entryTTL = rapid.SampledFrom([]time.Duration{0, crashedEntryTTL, 5 * time.Second}).Draw(rt, "entry stays")
-			ow := cr.own()
+			ow := cr.replaceOwner()
 			defer func() { cr.end() }()
 			time.Sleep(time.Second)
 			cr.submit(ow, 1, longRunning(8))
@@ -145,7 +146,7 @@
 					time.Sleep(time.Duration(rapid.IntRange(0, 300).Draw(rt, "between ms")) * time.Millisecond)
 				}
 				time.Sleep(time.Duration(rapid.IntRange(0, 4000).Draw(rt, "owner after ms")) * time.Millisecond)
-				ow = cr.own()
+				ow = cr.replaceOwner()
 			}
 			time.Sleep(22 * time.Second)
 			if state := cr.state(ow, 1); state != job.Running {
