--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -149,7 +149,7 @@
 	direct := hdrhistogram.New(1, 60_000_000, 3)
 	client := runner.NewClient(runner.Limits{})
 	entry := cl.caller(cl.entries[0])
-	set := load.Settings{Rate: 200, For: 10 * time.Second, Service: "routedesk", Method: "leg-recalc", BodyBytes: 64}
+	set := load.Settings{Rate: 200, Duration: 10 * time.Second, Service: "routedesk", Method: "leg-recalc", BodyBytes: 64}
 	for i := range 2000 {
 		begun := time.Now()
 		_, err := client.RunFunc(context.Background(), cl.runners[0].Args[3], runner.Request{
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -2,7 +2,7 @@
 // that owned their cell.
 //
 // The owner writes a line "job time" when a job is over, and "job waits" from
-// time to time before; both carry the time by cause. A [Book] keeps the last
+// time to time before; both carry the time by cause. A [Aggregator] keeps the last
 // line of each job, so it takes the logs of several hosts in any order. A host
 // that takes over counts a job's time from then on, so a job's earlier time is
 // that of the former owner's last line.
@@ -49,19 +49,19 @@
 	over    bool
 }
 
-// Book has the time of jobs. The zero Book is empty.
-type Book struct {
+// Aggregator has the time of jobs. The zero Aggregator is empty.
+type Aggregator struct {
 	jobs map[string]entry
-	// Lines counts those that counted, Unread those that could not be read.
-	Lines, Unread int
+	// Lines counts those that counted, Malformed those that could not be read.
+	Lines, Malformed int
 }
 
 // Read takes in a log.
-func (bo *Book) Read(re io.Reader) error {
+func (ag *Aggregator) Read(re io.Reader) error {
 	sc := bufio.NewScanner(re)
 	sc.Buffer(nil, lineMost)
 	for sc.Scan() {
-		bo.line(sc.Text())
+		ag.line(sc.Text())
 	}
 	if err := sc.Err(); err != nil {
 		return fmt.Errorf("read log: %w", err)
@@ -71,7 +71,7 @@
 
 // line takes in one line. What a collector put before the line's first key does
 // not matter.
-func (bo *Book) line(text string) {
+func (ag *Aggregator) line(text string) {
 	at := strings.Index(text, "level=")
 	if at < 0 || !tellsTime(text) {
 		return
@@ -85,16 +85,16 @@
 	}
 	en, err := decode(fields)
 	if de.Err() != nil || err != nil {
-		bo.Unread++
+		ag.Malformed++
 		return
 	}
-	bo.Lines++
-	if bo.jobs == nil {
-		bo.jobs = map[string]entry{}
+	ag.Lines++
+	if ag.jobs == nil {
+		ag.jobs = map[string]entry{}
 	}
-	old, found := bo.jobs[fields["job"]]
+	old, found := ag.jobs[fields["job"]]
 	if !found || en.over || (!old.over && en.ageMS >= old.ageMS) {
-		bo.jobs[fields["job"]] = en
+		ag.jobs[fields["job"]] = en
 	}
 }
 
@@ -160,14 +160,14 @@
 }
 
 // Rows returns the book by queue and verdict. Cancelled jobs do not count.
-func (bo *Book) Rows() []Row {
+func (ag *Aggregator) Rows() []Row {
 	type group struct {
 		queue string
 		ve    verdict
 	}
 	sums := map[group]*Row{}
 	times := map[group][]int64{}
-	for _, en := range bo.jobs {
+	for _, en := range ag.jobs {
 		if en.state == "cancelled" {
 			continue
 		}
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -18,11 +18,11 @@
 	other     = `time=2026-01-01T00:00:09Z level=INFO msg="job accepted" job=05 queue=tiles` + "\n"
 )
 
-func read(t *testing.T, log string) *Book {
+func read(t *testing.T, log string) *Aggregator {
 	t.Helper()
-	var bo Book
-	qt.Assert(t, bo.Read(strings.NewReader(log)), qt.IsNil)
-	return &bo
+	var ag Aggregator
+	qt.Assert(t, ag.Read(strings.NewReader(log)), qt.IsNil)
+	return &ag
 }
 
 func TestRows(t *testing.T) {
@@ -50,14 +50,14 @@
 		qt.Assert(t, rows[0].Failed, qt.Equals, int64(1))
 	})
 	t.Run("cancelled jobs and other lines do not count", func(t *testing.T) {
-		bo := read(t, ofThree+other)
-		qt.Assert(t, bo.Rows(), qt.HasLen, 0)
-		qt.Assert(t, bo.Lines, qt.Equals, 1)
+		ag := read(t, ofThree+other)
+		qt.Assert(t, ag.Rows(), qt.HasLen, 0)
+		qt.Assert(t, ag.Lines, qt.Equals, 1)
 	})
 	t.Run("a torn line is counted as unread", func(t *testing.T) {
-		bo := read(t, torn+timeOfOne)
-		qt.Assert(t, bo.Unread, qt.Equals, 1)
-		qt.Assert(t, bo.Lines, qt.Equals, 1)
+		ag := read(t, torn+timeOfOne)
+		qt.Assert(t, ag.Malformed, qt.Equals, 1)
+		qt.Assert(t, ag.Lines, qt.Equals, 1)
 	})
 }
 
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -23,8 +23,8 @@
 
 // Deadlines of requests.
 const (
-	// DeadlineMost is the longest that an entry host takes.
-	DeadlineMost = 10 * time.Minute
+	// MaxDeadline is the longest that an entry host takes.
+	MaxDeadline = 10 * time.Minute
 	// answerGrace is how much later the answer may come: an entry host that lives
 	// says at the deadline that it has passed.
 	answerGrace = 5 * time.Second
@@ -55,7 +55,7 @@
 func (cl *Client) CallVia(ctx context.Context, n int, req *pb.CallRequest) (*pb.CallResponse, error) {
 	deadline := time.Duration(req.GetDeadlineMs()) * time.Millisecond
 	if deadline == 0 {
-		deadline = DeadlineMost
+		deadline = MaxDeadline
 	}
 	ctx, cancel := context.WithTimeout(ctx, deadline+answerGrace)
 	defer cancel()
--- a/internal/caller/watch.go
+++ b/internal/caller/watch.go
@@ -49,8 +49,8 @@
 
 func (err *stopError) Error() string { return "stopped: " + err.err.Error() }
 
-// ErrGap is returned if an event is missing.
-var ErrGap = errors.New("session left out an event")
+// ErrMissingEvent is returned if an event is missing.
+var ErrMissingEvent = errors.New("session left out an event")
 
 // turn chooses the next entry host: another one than the last, if there is any.
 func (wa *watch) turn() {
@@ -126,7 +126,7 @@
 		return nil
 	}
 	if wa.seq != 0 && ev.GetSeq() != wa.seq+1 {
-		return &stopError{err: fmt.Errorf("%w: %d after %d", ErrGap, ev.GetSeq(), wa.seq)}
+		return &stopError{err: fmt.Errorf("%w: %d after %d", ErrMissingEvent, ev.GetSeq(), wa.seq)}
 	}
 	wa.seq = ev.GetSeq()
 	if err := wa.fn(ev); err != nil {
--- a/internal/cli/account.go
+++ b/internal/cli/account.go
@@ -25,40 +25,40 @@
 
 // Execute implements flags.Commander.
 func (ac *accountCommand) Execute([]string) error {
-	var bo account.Book
+	var ag account.Aggregator
 	if len(ac.Args.Files) == 0 {
-		if err := bo.Read(os.Stdin); err != nil {
+		if err := ag.Read(os.Stdin); err != nil {
 			return err
 		}
 	}
 	for _, name := range ac.Args.Files {
-		if err := readLog(&bo, name); err != nil {
+		if err := readLog(&ag, name); err != nil {
 			return err
 		}
 	}
-	if bo.Lines == 0 {
+	if ag.Lines == 0 {
 		return errNoLines
 	}
-	return ac.print(&bo)
+	return ac.print(&ag)
 }
 
-func (ac *accountCommand) print(bo *account.Book) error {
-	if err := account.Print(ac.st.out, bo.Rows()); err != nil {
+func (ac *accountCommand) print(ag *account.Aggregator) error {
+	if err := account.Print(ac.st.out, ag.Rows()); err != nil {
 		return fmt.Errorf("print account: %w", err)
 	}
-	if bo.Unread > 0 {
-		_, _ = fmt.Fprintf(ac.st.err, "%d lines could not be read\n", bo.Unread)
+	if ag.Malformed > 0 {
+		_, _ = fmt.Fprintf(ac.st.err, "%d lines could not be read\n", ag.Malformed)
 	}
 	return nil
 }
 
-func readLog(bo *account.Book, name string) error {
+func readLog(ag *account.Aggregator, name string) error {
 	fi, err := os.Open(name)
 	if err != nil {
 		return &exitError{code: ExitUsage, err: err}
 	}
 	defer closeLog(fi)
-	return bo.Read(fi)
+	return ag.Read(fi)
 }
 
 // closeLog closes a file that was only read, whose error says nothing.
--- a/internal/cli/caller.go
+++ b/internal/cli/caller.go
@@ -119,7 +119,7 @@
 	ctx, stop := untilSignal()
 	defer stop()
 	set := load.Settings{
-		Rate: lc.Rate, For: lc.For, Service: lc.Service, Method: lc.Method, Batch: lc.Batch, Once: lc.Once,
+		Rate: lc.Rate, Duration: lc.For, Service: lc.Service, Method: lc.Method, BatchFraction: lc.Batch, RunOnceFraction: lc.Once,
 		Home: lc.Home, Deadline: lc.Deadline, BodyBytes: lc.Body, Check: lc.Check, Progress: lc.st.err,
 	}
 	re := load.Run(ctx, lc.client(), set)
@@ -131,7 +131,7 @@
 		return err
 	}
 	if re.Wrong > 0 {
-		return &exitError{code: ExitBroken, err: fmt.Errorf("%d answers were not the request's own", re.Wrong)}
+		return &exitError{code: ExitViolation, err: fmt.Errorf("%d answers were not the request's own", re.Wrong)}
 	}
 	return nil
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -20,8 +20,8 @@
 	ExitUnknown = 4
 	// ExitConflict: a plan was not carried out since its basis has changed.
 	ExitConflict = 5
-	// ExitBroken: `dev` or `load` saw a promise broken.
-	ExitBroken = 6
+	// ExitViolation: `dev` or `load` saw a promise broken.
+	ExitViolation = 6
 )
 
 // exitError is an error with an exit code of its own.
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -73,12 +73,12 @@
 	slog.SetDefault(log)
 	ctx, stop := untilSignal()
 	defer stop()
-	broken, err := dev.Run(ctx, dev.Settings{For: dc.For, Rate: dc.Rate, Out: dc.st.out, Log: log})
+	broken, err := dev.Run(ctx, dev.Settings{Duration: dc.For, Rate: dc.Rate, Out: dc.st.out, Log: log})
 	if err != nil {
 		return err
 	}
 	if broken {
-		return &exitError{code: ExitBroken, err: dev.ErrBroken}
+		return &exitError{code: ExitViolation, err: dev.ErrViolation}
 	}
 	return nil
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -32,7 +32,7 @@
 // Settings describe a run.
 type Settings struct {
 	// For ends the run by itself; zero runs until ctx ends.
-	For time.Duration
+	Duration time.Duration
 	// Rate is requests a second.
 	Rate float64
 	// Out gets what people read.
@@ -41,8 +41,8 @@
 	Log *slog.Logger
 }
 
-// ErrBroken says that a promise was seen broken.
-var ErrBroken = errors.New("a promise was seen broken; see above")
+// ErrViolation says that a promise was seen broken.
+var ErrViolation = errors.New("a promise was seen broken; see above")
 
 const service = "routedesk"
 
@@ -259,7 +259,7 @@
 
 // drive sends the load, watches sessions and adds jobs until the time is up.
 func (wo *world) drive(ctx context.Context) (load.Report, *seen) {
-	span := wo.set.For
+	span := wo.set.Duration
 	if span == 0 {
 		span = 24 * time.Hour
 	}
@@ -273,7 +273,7 @@
 	wg.Go(func() { wo.operate(lctx) })
 	wg.Go(func() { wo.show(lctx) })
 	re := load.Run(ctx, wo.client(), load.Settings{
-		Rate: wo.set.Rate, For: span, Service: service, Method: "leg-recalc", Batch: batchPart, Once: oncePart,
+		Rate: wo.set.Rate, Duration: span, Service: service, Method: "leg-recalc", BatchFraction: batchPart, RunOnceFraction: oncePart,
 		BodyBytes: 64, Check: true, Home: dcs[0],
 	})
 	cancel()
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -16,7 +16,7 @@
 func TestRun(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
-	broken, err := Run(context.Background(), Settings{For: 3 * time.Second, Rate: 100, Out: &out, Log: slog.New(slog.DiscardHandler)})
+	broken, err := Run(context.Background(), Settings{Duration: 3 * time.Second, Rate: 100, Out: &out, Log: slog.New(slog.DiscardHandler)})
 	c.Assert(err, qt.IsNil)
 	c.Assert(broken, qt.IsFalse, qt.Commentf("%s", out.String()))
 	c.Assert(out.String(), qt.Contains, "no promise was seen broken")
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -106,7 +106,7 @@
 	case !ok:
 		return route.NotRunResult(reason.NotReady, notReadyRetryAfter)
 	case len(id) > maxID, msg.GetService() == "", len(msg.GetService()) > maxName, len(msg.GetMethod()) > maxName,
-		time.Duration(msg.GetDeadlineMs())*time.Millisecond > caller.DeadlineMost:
+		time.Duration(msg.GetDeadlineMs())*time.Millisecond > caller.MaxDeadline:
 		return route.NotRunResult(reason.Malformed, 0)
 	}
 	left := time.Duration(msg.GetDeadlineMs()) * time.Millisecond
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,15 +27,15 @@
 // Settings describe a load.
 type Settings struct {
 	// Rate is requests a second, For how long they are sent.
-	Rate float64
-	For  time.Duration
+	Rate     float64
+	Duration time.Duration
 	// Service and Method are what is asked for.
 	Service string
 	Method  string
 	// Batch and Once are the parts of requests that are batch, and marked
 	// run-once.
-	Batch float64
-	Once  float64
+	BatchFraction   float64
+	RunOnceFraction float64
 	// Deadline is each request's; zero leaves it to the system.
 	Deadline time.Duration
 	// BodyBytes is the size of each request.
@@ -106,7 +106,7 @@
 	}
 	begun := time.Now()
 	var wg sync.WaitGroup
-	for due := begun; due.Sub(begun) < set.For; {
+	for due := begun; due.Sub(begun) < set.Duration; {
 		if d := time.Until(due); d > 0 && !clock.Sleep(ctx, d) {
 			break
 		}
@@ -128,10 +128,10 @@
 	for i := range req.GetBody() {
 		req.Body[i] = byte('a' + rand.IntN(26))
 	}
-	if rand.Float64() < set.Batch {
+	if rand.Float64() < set.BatchFraction {
 		req.Class = pb.Class_CLASS_BATCH
 	}
-	if rand.Float64() < set.Once {
+	if rand.Float64() < set.RunOnceFraction {
 		req.RunOnce = true
 		req.Id = claim.NewID(set.Home)
 	}
