--- a/internal/cli/account.go
+++ b/internal/cli/account.go
@@ -9,19 +9,19 @@
 	"github.com/pepperhatch/pepperhatch/internal/account"
 )
 
-// filesArg are log files on the command line.
-type filesArg struct {
+// logFilesArg holds the log files named on the command line.
+type logFilesArg struct {
 	Files []string `positional-arg-name:"FILE" description:"logs of entry hosts; standard input if none is given"`
 }
 
-// accountCommand says what the time of jobs went to.
+// accountCommand summarises how the time of jobs was spent, by cause.
 type accountCommand struct {
-	Args filesArg `positional-args:"yes"`
+	Args logFilesArg `positional-args:"yes"`
 
 	st *streams
 }
 
-var errNoLines = errors.New("no line of the logs tells of a job's time")
+var errNoJobTimes = errors.New("the logs contain no \"job time\" or \"job waits\" lines")
 
 // Execute implements flags.Commander.
 func (ac *accountCommand) Execute([]string) error {
@@ -37,7 +37,7 @@
 		}
 	}
 	if ag.Lines == 0 {
-		return errNoLines
+		return errNoJobTimes
 	}
 	return ac.print(&ag)
 }
@@ -57,9 +57,9 @@
 	if err != nil {
 		return &exitError{code: ExitUsage, err: err}
 	}
-	defer closeLog(fi)
+	defer closeQuietly(fi)
 	return ag.Read(fi)
 }
 
-// closeLog closes a file that was only read, whose error says nothing.
-func closeLog(cl io.Closer) { _ = cl.Close() }
+// closeQuietly closes a file that was only read: a close error loses no data.
+func closeQuietly(cl io.Closer) { _ = cl.Close() }
--- a/internal/cli/batch.go
+++ b/internal/cli/batch.go
@@ -18,10 +18,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/sched"
 )
 
-// entryFlags say which entry host to ask about jobs.
+// entryFlags select the entry host that serves the job commands.
 type entryFlags struct {
-	Addr    string        `long:"addr" env:"PEPPERHATCH_ENTRY" default:"127.0.0.1:7401" description:"IP number and port of any entry host, where hosts meet"`
-	Timeout time.Duration `long:"timeout" default:"3s" description:"time for the answer"`
+	Addr    string        `long:"addr" env:"PEPPERHATCH_ENTRY" default:"127.0.0.1:7401" description:"IP address and port of any entry host's peer listener"`
+	Timeout time.Duration `long:"timeout" default:"3s" description:"timeout of the request"`
 }
 
 func (ef entryFlags) client() jobapi.Client {
@@ -32,12 +32,12 @@
 	return context.WithTimeout(context.Background(), ef.Timeout)
 }
 
-// fileArg is a job file on the command line.
+// fileArg is the path of a job file.
 type fileArg struct {
 	File string `positional-arg-name:"FILE" description:"job as JSON: payload and steps"`
 }
 
-// idArg is a job's id on the command line.
+// idArg is a job ID.
 type idArg struct {
 	ID string `positional-arg-name:"ID" description:"16 hex digits"`
 }
@@ -45,8 +45,8 @@
 type batchSubmitCommand struct {
 	entryFlags
 
-	Queue string  `long:"queue" required:"true" description:"queue of the configuration"`
-	ID    string  `long:"id" description:"16 hex digits; drawn if not given"`
+	Queue string  `long:"queue" required:"true" description:"name of a queue in the configuration"`
+	ID    string  `long:"id" description:"16 hex digits; default is a random ID"`
 	Args  fileArg `positional-args:"yes" required:"yes"`
 
 	st *streams
@@ -68,10 +68,10 @@
 	if err != nil {
 		return err
 	}
-	return sayVerdict(bc.st, bc.ID, ve)
+	return printVerdict(bc.st, bc.ID, ve)
 }
 
-// readJob reads and checks a job file.
+// readJob reads and validates a job file.
 func readJob(path string) (job.Spec, error) {
 	var sp job.Spec
 	data, err := os.ReadFile(path)
@@ -89,8 +89,9 @@
 
 var errNotAccepted = errors.New("not accepted")
 
-// sayVerdict prints a verdict and returns the error with its exit code.
-func sayVerdict(st *streams, id string, ve sched.Verdict) error {
+// printVerdict prints the job ID if the request was accepted. Otherwise it returns an
+// error with the exit code of the outcome.
+func printVerdict(st *streams, id string, ve sched.Verdict) error {
 	if ve.Outcome == sched.Accepted {
 		_, err := fmt.Fprintln(st.out, id)
 		return err
@@ -99,26 +100,26 @@
 	if ve.Outcome == sched.Unknown {
 		code = ExitUnknown
 	}
-	return &exitError{code: code, err: fmt.Errorf("job %s: %w: %s %s, come back in %v", id, errNotAccepted, ve.Outcome, ve.Reason, ve.RetryAfter)}
+	return &exitError{code: code, err: fmt.Errorf("job %s: %w: %s %s, retry after %v", id, errNotAccepted, ve.Outcome, ve.Reason, ve.RetryAfter)}
 }
 
 type batchStateCommand struct {
 	entryFlags
 
-	Watch bool  `long:"watch" description:"go on until the job is over"`
+	Watch bool  `long:"watch" description:"print each change of state until the job ends"`
 	Args  idArg `positional-args:"yes" required:"yes"`
 
 	st *streams
 }
 
-// watchEvery is the time between questions of a watch.
-const watchEvery = 500 * time.Millisecond
+// pollInterval is the time between two state requests of --watch.
+const pollInterval = 500 * time.Millisecond
 
 // Execute implements flags.Commander.
 func (bc *batchStateCommand) Execute([]string) error {
 	var last job.State
 	for {
-		state, err := bc.ask()
+		state, err := bc.queryState()
 		if err != nil {
 			return err
 		}
@@ -133,11 +134,11 @@
 		if last = state; !bc.Watch || state.Final() {
 			return nil
 		}
-		clock.Sleep(context.Background(), watchEvery)
+		clock.Sleep(context.Background(), pollInterval)
 	}
 }
 
-func (bc *batchStateCommand) ask() (job.State, error) {
+func (bc *batchStateCommand) queryState() (job.State, error) {
 	ctx, cancel := bc.context()
 	defer cancel()
 	return bc.client().State(ctx, bc.Args.ID)
@@ -159,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	return sayVerdict(bc.st, bc.Args.ID, ve)
+	return printVerdict(bc.st, bc.Args.ID, ve)
 }
 
 type batchListCommand struct {
--- a/internal/cli/caller.go
+++ b/internal/cli/caller.go
@@ -14,40 +14,40 @@
 	"github.com/pepperhatch/pepperhatch/internal/load"
 )
 
-// outputOption chooses between text and JSON.
+// outputOption selects the output format.
 type outputOption struct {
-	Output string `long:"output" short:"o" choice:"text" choice:"json" default:"text" description:"form of what is printed"`
+	Output string `long:"output" short:"o" choice:"text" choice:"json" default:"text" description:"output format"`
 }
 
 func (oo outputOption) json() bool { return oo.Output == "json" }
 
-// entryOptions name the entry hosts that a caller's commands talk to.
+// entryOptions select the entry hosts that the caller commands use.
 type entryOptions struct {
-	Entry []string `long:"entry" env:"PEPPERHATCH_ENTRY" env-delim:"," default:"127.0.0.1:7400" description:"address of an entry host for callers; several are used in turn"`
+	Entry []string `long:"entry" env:"PEPPERHATCH_ENTRY" env-delim:"," default:"127.0.0.1:7400" description:"caller address of an entry host; several are used in turn"`
 }
 
 func (eo entryOptions) client() *caller.Client {
-	return caller.New(webClient(), eo.Entry...)
+	return caller.New(newHTTPClient(), eo.Entry...)
 }
 
-// conns is how many idle connections the commands keep to one host.
-const conns = 512
+// maxIdleConnsPerHost bounds the idle connections kept open to one entry host.
+const maxIdleConnsPerHost = 512
 
-func webClient() *http.Client {
-	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: conns}}
+func newHTTPClient() *http.Client {
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerHost}}
 }
 
 type callCommand struct {
 	entryOptions
 	outputOption
 
-	Service  string        `long:"service" required:"true" description:"service to ask"`
-	Method   string        `long:"method" default:"call" description:"kind of request"`
-	ID       string        `long:"id" description:"id of the request; default is a new one"`
-	Batch    bool          `long:"batch" description:"batch work: goes after latency-critical requests"`
-	Once     bool          `long:"run-once" description:"at most once: never sent again once it may have run"`
-	Home     string        `long:"home" description:"data centre that vouches for a new run-once id"`
-	Deadline time.Duration `long:"deadline" description:"time to the deadline"`
+	Service  string        `long:"service" required:"true" description:"service to call"`
+	Method   string        `long:"method" default:"call" description:"method to call"`
+	ID       string        `long:"id" description:"request ID; default is a new one"`
+	Batch    bool          `long:"batch" description:"send as batch class, served after latency-critical requests"`
+	RunOnce  bool          `long:"run-once" description:"run at most once: not retried once it may have run"`
+	Home     string        `long:"home" description:"data centre that tracks a new run-once ID"`
+	Deadline time.Duration `long:"deadline" description:"deadline, from now"`
 	Args     struct {
 		Body string `positional-arg-name:"BODY"`
 	} `positional-args:"yes"`
@@ -61,7 +61,7 @@
 	defer stop()
 	req := &pb.CallRequest{
 		Id: cc.ID, Service: cc.Service, Method: cc.Method, Body: []byte(cc.Args.Body),
-		RunOnce: cc.Once, DeadlineMs: uint32(cc.Deadline.Milliseconds()),
+		RunOnce: cc.RunOnce, DeadlineMs: uint32(cc.Deadline.Milliseconds()),
 	}
 	if cc.Batch {
 		req.Class = pb.Class_CLASS_BATCH
@@ -82,7 +82,7 @@
 	return err
 }
 
-// callError gives the outcome an exit code.
+// callError returns a failed call's error with the exit code of its outcome.
 func callError(id string, err error) error {
 	fa := caller.FailureOf(err)
 	code, outcome := ExitUnknown, "unknown"
@@ -91,7 +91,7 @@
 	}
 	text := fmt.Sprintf("%s: %s: %s", id, outcome, fa.GetReason())
 	if fa.GetRetryAfterMs() > 0 {
-		text += fmt.Sprintf("; come back in %d ms", fa.GetRetryAfterMs())
+		text += fmt.Sprintf("; retry after %d ms", fa.GetRetryAfterMs())
 	}
 	return &exitError{code: code, err: errors.New(text)}
 }
@@ -100,16 +100,16 @@
 	entryOptions
 	outputOption
 
-	Service  string        `long:"service" required:"true" description:"service to ask"`
-	Method   string        `long:"method" default:"load" description:"kind of request"`
-	Rate     float64       `long:"rate" default:"100" description:"requests a second"`
-	For      time.Duration `long:"for" default:"10s" description:"how long to send"`
-	Batch    float64       `long:"batch" default:"0" description:"part that is batch, 0 to 1"`
-	Once     float64       `long:"run-once" default:"0" description:"part marked run-once, 0 to 1"`
-	Home     string        `long:"home" description:"data centre that vouches for run-once ids"`
-	Deadline time.Duration `long:"deadline" description:"time to the deadline"`
-	Body     int           `long:"body" default:"64" description:"size of a request in bytes"`
-	Check    bool          `long:"check" description:"compare answers with those of stand-in runners; exit code 6 if any is wrong"`
+	Service         string        `long:"service" required:"true" description:"service to call"`
+	Method          string        `long:"method" default:"load" description:"method to call"`
+	Rate            float64       `long:"rate" default:"100" description:"requests per second"`
+	Duration        time.Duration `long:"for" default:"10s" description:"how long to send"`
+	BatchFraction   float64       `long:"batch" default:"0" description:"fraction of batch requests, 0 to 1"`
+	RunOnceFraction float64       `long:"run-once" default:"0" description:"fraction of run-once requests, 0 to 1"`
+	Home            string        `long:"home" description:"data centre that tracks run-once IDs"`
+	Deadline        time.Duration `long:"deadline" description:"deadline of each request, from when it is sent"`
+	BodyBytes       int           `long:"body" default:"64" description:"size of a request body in bytes"`
+	Check           bool          `long:"check" description:"compare answers with the expected ones of stand-in runners; exit code 6 on a mismatch"`
 
 	st *streams
 }
@@ -119,8 +119,8 @@
 	ctx, stop := untilSignal()
 	defer stop()
 	set := load.Settings{
-		Rate: lc.Rate, Duration: lc.For, Service: lc.Service, Method: lc.Method, BatchFraction: lc.Batch, RunOnceFraction: lc.Once,
-		Home: lc.Home, Deadline: lc.Deadline, BodyBytes: lc.Body, Check: lc.Check, Progress: lc.st.err,
+		Rate: lc.Rate, Duration: lc.Duration, Service: lc.Service, Method: lc.Method, BatchFraction: lc.BatchFraction, RunOnceFraction: lc.RunOnceFraction,
+		Home: lc.Home, Deadline: lc.Deadline, BodyBytes: lc.BodyBytes, Check: lc.Check, Progress: lc.st.err,
 	}
 	re := load.Run(ctx, lc.client(), set)
 	write := re.WriteText
@@ -131,7 +131,7 @@
 		return err
 	}
 	if re.Wrong > 0 {
-		return &exitError{code: ExitViolation, err: fmt.Errorf("%d answers were not the request's own", re.Wrong)}
+		return &exitError{code: ExitViolation, err: fmt.Errorf("%d answers did not match their request", re.Wrong)}
 	}
 	return nil
 }
@@ -140,16 +140,16 @@
 	entryOptions
 	outputOption
 
-	Service string `long:"service" description:"service whose session it is"`
-	Topic   string `long:"topic" default:"all" description:"what to watch"`
-	Token   string `long:"resume" description:"token of the last event, to resume a session"`
-	Events  uint64 `long:"events" description:"end after so many events"`
+	Service   string `long:"service" description:"service that provides the session"`
+	Topic     string `long:"topic" default:"all" description:"topic to watch"`
+	Token     string `long:"resume" description:"resume token of the last event received"`
+	MaxEvents uint64 `long:"events" description:"exit after this many events; default is no limit"`
 
 	st *streams
 }
 
-// errEnough ends a session that has had its events.
-var errEnough = errors.New("enough events")
+// errEventLimit ends the session once --events have been printed.
+var errEventLimit = errors.New("event limit reached")
 
 // Execute implements flags.Commander.
 func (wc *watchCommand) Execute([]string) error {
@@ -162,12 +162,12 @@
 			return err
 		}
 		n++
-		if wc.Events > 0 && n >= wc.Events {
-			return errEnough
+		if wc.MaxEvents > 0 && n >= wc.MaxEvents {
+			return errEventLimit
 		}
 		return nil
 	})
-	if errors.Is(err, errEnough) || errors.Is(err, context.Canceled) {
+	if errors.Is(err, errEventLimit) || errors.Is(err, context.Canceled) {
 		return nil
 	}
 	return err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli is the command line. Each command is a struct whose fields are
-// its flags; what a command does is in the package of that duty.
+// Package cli implements the pepperhatch command line. Each command is a struct
+// whose fields are its flags; the work itself is done by other packages, so this
+// one only parses arguments, prints results and maps errors to exit codes.
 package cli
 
 import (
@@ -11,20 +12,23 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes, on which scripts can rely.
+// Exit codes, which are stable for scripts. ExitNotRun says that a request certainly
+// did not run, ExitUnknown that it may have run.
 const (
 	ExitOK      = 0
 	ExitFailed  = 1
 	ExitUsage   = 2
 	ExitNotRun  = 3
 	ExitUnknown = 4
-	// ExitConflict: a plan was not carried out since its basis has changed.
+	// ExitConflict says that a plan was not applied, because the state it was made
+	// for has changed.
 	ExitConflict = 5
-	// ExitViolation: `dev` or `load` saw a promise broken.
+	// ExitViolation says that dev or load detected a violated guarantee, such as a
+	// wrong answer or a run-once request that ran twice.
 	ExitViolation = 6
 )
 
-// exitError is an error with an exit code of its own.
+// exitError is an error with a specific exit code.
 type exitError struct {
 	code int
 	err  error
@@ -33,66 +37,66 @@
 func (err *exitError) Error() string { return err.err.Error() }
 func (err *exitError) Unwrap() error { return err.err }
 
-// streams are where commands write.
+// streams holds the standard output and standard error of the commands.
 type streams struct {
 	out io.Writer
 	err io.Writer
 }
 
-// commandEntry is one command of the command line.
+// commandEntry describes a command. One without a command only groups its sub-commands.
 type commandEntry struct {
 	name, short, long string
 	command           flags.Commander
 	sub               []commandEntry
 }
 
-// commands lists all commands.
+// commands returns all commands.
 func commands(st *streams) []commandEntry {
 	return []commandEntry{
 		{name: "serve", short: "run an entry host", command: &serveCommand{st: st},
-			long: "Runs an entry host until SIGINT or SIGTERM, and then makes a planned stop: no request in flight is cut off.\nExample: pepperhatch serve --name e1 --data-centre burnaby-hall --data-centres burnaby-hall --table http://10.0.0.1:7000 ..."},
+			long: "Runs an entry host until SIGINT or SIGTERM, and then shuts down gracefully: requests in flight are finished.\nExample: pepperhatch serve --name e1 --data-centre burnaby-hall --data-centres burnaby-hall --table http://10.0.0.1:7000 ..."},
 		{name: "run", short: "run an entry host on the users' platform", command: &runCommand{st: st},
-			long: "Runs an entry host that schedules jobs on the users' platform, until SIGINT or SIGTERM, and then makes a planned stop.\nExample: PEPPERHATCH_BOOT=/etc/pepperhatch/boot.yaml pepperhatch run"},
+			long: "Runs an entry host that schedules jobs on the users' platform, until SIGINT or SIGTERM, and then shuts down gracefully.\nExample: PEPPERHATCH_BOOT=/etc/pepperhatch/boot.yaml pepperhatch run"},
 		{name: "check", short: "check the settings of an entry host", command: &checkCommand{st: st},
-			long: "Takes the flags and variables of serve, names every mistake, and ends.\nExample: pepperhatch check --name e1 --data-centre burnaby-hall"},
-		{name: "dev", short: "run all of it in one process, with a little load", command: &devCommand{st: st},
-			long: "Runs three entry hosts and stand-ins for everything else over loopback, drives a mixed load and shows what happens.\nExample: pepperhatch dev --for 10s"},
+			long: "Validates the flags and environment variables of serve, reports every error, and exits.\nExample: pepperhatch check --name e1 --data-centre burnaby-hall"},
+		{name: "dev", short: "run a complete small system in one process, under load", command: &devCommand{st: st},
+			long: "Runs three entry hosts and stand-ins for all other systems over loopback, sends a mixed load, and prints and checks the results.\nExample: pepperhatch dev --for 10s"},
 		{name: "call", short: "send one request", command: &callCommand{st: st},
-			long: "Sends one request and prints the answer. Exit code 3 says that it did not run, 4 that it may have.\nExample: pepperhatch call --service routedesk --method leg-recalc 'from the bridge'"},
+			long: "Sends one request and prints the answer. Exit code 3 means that the request did not run, 4 that it may have run.\nExample: pepperhatch call --service routedesk --method leg-recalc 'from the bridge'"},
 		{name: "load", short: "send requests at a steady rate", command: &loadCommand{st: st},
-			long: "Sends requests at open-loop arrivals and reports percentiles, outcomes and reasons.\nExample: pepperhatch load --service routedesk --rate 500 --for 30s --batch 0.3"},
+			long: "Sends requests with open-loop arrivals and reports latency percentiles, outcomes and failure reasons.\nExample: pepperhatch load --service routedesk --rate 500 --for 30s --batch 0.3"},
 		{name: "session", short: "sessions", sub: []commandEntry{
 			{name: "watch", short: "open a session and print its events", command: &watchCommand{st: st},
-				long: "Prints events until interrupted, or --events have come; resumes at other entry hosts.\nExample: pepperhatch session watch --service routedesk --topic bridge"},
+				long: "Prints events until interrupted or until --events have been printed; resumes at another entry host if one fails.\nExample: pepperhatch session watch --service routedesk --topic bridge"},
 		}},
 		{name: "status", short: "show entry hosts, runners and cells", command: &statusCommand{st: st},
-			long: "Shows the state as the entry host asked sees it.\nExample: pepperhatch status --output json"},
-		{name: "plan", short: "plan any intent, given as JSON", command: &planCommand{st: st},
+			long: "Shows the state as seen by the entry host at --admin.\nExample: pepperhatch status --output json"},
+		{name: "plan", short: "plan an intent given as JSON", command: &planCommand{st: st},
 			long: "Plans an intent in the JSON form of pepperhatch.v1.Intent.\nExample: pepperhatch plan '{\"drain\":{\"rack\":\"r1\"},\"cell\":\"burnaby-hall\"}'"},
-		{name: "confirm", short: "carry out a plan", command: &confirmCommand{st: st},
-			long: "Carries out a plan if what it rests on still holds; exit code 5 says that it does not. Confirming twice does it once.\nExample: pepperhatch confirm 0190e8a1-..."},
-		{name: "drain", short: "plan to empty a host, a rack or a data centre", command: &drainCommand{st: st},
+		{name: "confirm", short: "apply a plan", command: &confirmCommand{st: st},
+			long: "Applies a plan if the state it was made for is unchanged; otherwise the exit code is 5. Confirming a plan twice applies it once.\nExample: pepperhatch confirm 0190e8a1-..."},
+		{name: "drain", short: "plan to drain a host, a rack or a data centre", command: &drainCommand{st: st},
 			long: "Example: pepperhatch drain --cell burnaby-hall --rack r1"},
-		{name: "declare-dead", short: "plan to take over from an entry host that is gone", command: &deadCommand{st: st},
-			long: "For an entry host whose process is certainly gone and that nobody is left to take over from; ask one of the same data centre. A wrong word can make two owners.\nExample: pepperhatch declare-dead e1-7b2d1303"},
-		{name: "job", short: "batch jobs", sub: jobEntries(st, false)},
-		{name: "batch", short: "jobs with steps, on the users' platform", sub: []commandEntry{
-			{name: "submit", short: "hand a job in", command: &batchSubmitCommand{st: st},
-				long: "Prints the job's id. Exit code 3 says that it was not taken, 4 that it may have been: hand it in again with --id.\nExample: pepperhatch batch submit --queue depot-plan job.json"},
+		{name: "declare-dead", short: "plan to take over from a lost entry host", command: &declareDeadCommand{st: st},
+			long: "For an entry host whose process has certainly ended and that no other host can take over from by itself; send it to an entry host of the same data centre. If the process still runs, a cell can have two owners.\nExample: pepperhatch declare-dead e1-7b2d1303"},
+		{name: "job", short: "batch jobs", sub: jobCommands(st, false)},
+		{name: "batch", short: "multi-step jobs on the users' platform", sub: []commandEntry{
+			{name: "submit", short: "submit a job", command: &batchSubmitCommand{st: st},
+				long: "Prints the job ID. Exit code 3 means that the job was not accepted, 4 that it may have been: submit it again with the same --id.\nExample: pepperhatch batch submit --queue depot-plan job.json"},
 			{name: "state", short: "show a job's state", command: &batchStateCommand{st: st},
 				long: "Example: pepperhatch batch state --watch 5c0e7a21d94b36f8"},
-			{name: "cancel", short: "end a job", command: &batchCancelCommand{st: st},
+			{name: "cancel", short: "cancel a job", command: &batchCancelCommand{st: st},
 				long: "Example: pepperhatch batch cancel 5c0e7a21d94b36f8"},
 			{name: "list", short: "list jobs", command: &batchListCommand{st: st},
 				long: "Example: pepperhatch batch list"},
 		}},
-		{name: "account", short: "say what the time of jobs went to, from logs", command: &accountCommand{st: st},
-			long: "Reads logs of entry hosts and prints, by queue and by how jobs did, the share of their time by cause.\nExample: pepperhatch account e1.log e2.log"},
-		{name: "service", short: "services", sub: jobEntries(st, true)},
+		{name: "account", short: "summarise from logs how job time was spent", command: &accountCommand{st: st},
+			long: "Reads logs of entry hosts and prints, by queue and by whether jobs met their target duration, the share of job time by cause.\nExample: pepperhatch account e1.log e2.log"},
+		{name: "service", short: "services", sub: jobCommands(st, true)},
 		{name: "config", short: "configuration", sub: []commandEntry{
 			{name: "get", short: "show the configuration in force", command: &configGetCommand{st: st},
 				long: "Example: pepperhatch config get"},
-			{name: "set", short: "plan a change", command: &configSetCommand{st: st},
+			{name: "set", short: "plan a configuration change", command: &configSetCommand{st: st},
 				long: "Example: pepperhatch config set route.batch-every=4 place.tail-target=80ms"},
 			{name: "keys", short: "list all keys", command: &configKeysCommand{st: st},
 				long: "Example: pepperhatch config keys"},
@@ -102,9 +106,9 @@
 	}
 }
 
-// jobEntries are the commands of jobs and of services, which differ in what
-// can be added.
-func jobEntries(st *streams, service bool) []commandEntry {
+// jobCommands returns the commands for jobs or for services; they differ only in the
+// add command and in their texts.
+func jobCommands(st *streams, service bool) []commandEntry {
 	word := "job"
 	var add flags.Commander = &jobAddCommand{st: st}
 	example := "Example: pepperhatch job add --name depot-plan --tasks 10 --cores 2 --mem 4000 --run 5m"
@@ -128,8 +132,8 @@
 	st := &streams{out: out, err: errw}
 	pa := flags.NewNamedParser("pepperhatch", flags.HelpFlag|flags.PassDoubleDash)
 	pa.LongDescription = "A scheduler for latency-critical services and batch work on the same hosts.\n" +
-		"Shell completion: GO_FLAGS_COMPLETION=1 pepperhatch ARGS... prints what can follow."
-	if err := add(pa.Command, commands(st)); err != nil {
+		"Shell completion: GO_FLAGS_COMPLETION=1 pepperhatch ARGS... prints the possible completions."
+	if err := addCommands(pa.Command, commands(st)); err != nil {
 		_, _ = fmt.Fprintln(errw, "pepperhatch:", err)
 		return ExitFailed
 	}
@@ -137,7 +141,8 @@
 	return exitCode(err, st)
 }
 
-func add(parent *flags.Command, entries []commandEntry) error {
+// addCommands adds the commands and their sub-commands to the parent.
+func addCommands(parent *flags.Command, entries []commandEntry) error {
 	for _, en := range entries {
 		data := any(en.command)
 		if en.command == nil {
@@ -147,14 +152,15 @@
 		if err != nil {
 			return fmt.Errorf("command %s: %w", en.name, err)
 		}
-		if err := add(co, en.sub); err != nil {
+		if err := addCommands(co, en.sub); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// exitCode prints an error where it belongs and returns the code for it.
+// exitCode prints help to standard output and other errors to standard error, and
+// returns the exit code.
 func exitCode(err error, st *streams) int {
 	var usage *flags.Error
 	var coded *exitError
@@ -175,7 +181,7 @@
 	return ExitFailed
 }
 
-// newLog returns the log: one line of key=value pairs for each event.
-func newLog(w io.Writer, level slog.Level) *slog.Logger {
+// newLogger returns a logger that writes a line of key=value pairs for each event.
+func newLogger(w io.Writer, level slog.Level) *slog.Logger {
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
 }
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -16,32 +16,32 @@
 	"github.com/pepperhatch/pepperhatch/internal/config"
 )
 
-// adminOptions name the entry host that an operator's commands talk to.
+// adminOptions select the entry host that the operator commands use.
 type adminOptions struct {
 	outputOption
 
-	Admin   string        `long:"admin" env:"PEPPERHATCH_ADMIN" default:"127.0.0.1:7402" description:"address of an entry host for operators"`
-	Timeout time.Duration `long:"timeout" default:"15s" description:"most time to wait"`
+	Admin   string        `long:"admin" env:"PEPPERHATCH_ADMIN" default:"127.0.0.1:7402" description:"operator address of an entry host"`
+	Timeout time.Duration `long:"timeout" default:"15s" description:"timeout of the command"`
 }
 
 func (ao adminOptions) client() pepperhatchv1connect.OperatorServiceClient {
-	return pepperhatchv1connect.NewOperatorServiceClient(webClient(), "http://"+ao.Admin)
+	return pepperhatchv1connect.NewOperatorServiceClient(newHTTPClient(), "http://"+ao.Admin)
 }
 
 func (ao adminOptions) context() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), ao.Timeout)
 }
 
-// planOptions are those of commands that make a plan.
+// planOptions are the options of the commands that make a plan.
 type planOptions struct {
 	adminOptions
 
-	Cell string `long:"cell" description:"data centre concerned; for new jobs the one with most room is the default"`
-	Yes  bool   `long:"yes" short:"y" description:"confirm the plan at once"`
+	Cell string `long:"cell" description:"data centre to change; default for new jobs is the one with most free resources"`
+	Yes  bool   `long:"yes" short:"y" description:"apply the plan at once"`
 }
 
-// plan states an intent and prints the plan, or carries it out with --yes.
-func (po planOptions) plan(st *streams, in *pb.Intent) error {
+// submitPlan requests a plan for the intent and prints it; with --yes it also applies it.
+func (po planOptions) submitPlan(st *streams, in *pb.Intent) error {
 	ctx, cancel := po.context()
 	defer cancel()
 	in.Cell = po.Cell
@@ -55,6 +55,7 @@
 	return po.confirm(ctx, st, resp.Msg.GetId())
 }
 
+// printPlan prints a plan, with the command that applies it unless --yes is given.
 func (po planOptions) printPlan(st *streams, msg *pb.PlanResponse) error {
 	if po.json() {
 		return printJSON(st, msg)
@@ -73,6 +74,7 @@
 	return err
 }
 
+// confirm applies a plan and prints the result.
 func (ao adminOptions) confirm(ctx context.Context, st *streams, id string) error {
 	resp, err := ao.client().Confirm(ctx, connect.NewRequest(&pb.ConfirmRequest{Id: id}))
 	if err != nil {
@@ -84,7 +86,7 @@
 		}
 	}
 	if !resp.Msg.GetApplied() {
-		text := "not carried out, since this changed:\n  " + strings.Join(resp.Msg.GetConflict(), "\n  ")
+		text := "not applied, because the state has changed:\n  " + strings.Join(resp.Msg.GetConflict(), "\n  ")
 		return &exitError{code: ExitConflict, err: errors.New(text)}
 	}
 	if !ao.json() {
@@ -93,7 +95,7 @@
 	return err
 }
 
-// operatorError gives a refusal an exit code.
+// operatorError returns the error of a request with the exit code for its status code.
 func operatorError(step string, err error) error {
 	code := ExitFailed
 	switch connect.CodeOf(err) {
@@ -112,7 +114,7 @@
 func printJSON(st *streams, msg proto.Message) error {
 	data, err := protojson.MarshalOptions{Multiline: true, EmitUnpopulated: true}.Marshal(msg)
 	if err != nil {
-		return fmt.Errorf("print: %w", err)
+		return fmt.Errorf("encode response: %w", err)
 	}
 	_, err = fmt.Fprintf(st.out, "%s\n", data)
 	return err
@@ -137,7 +139,7 @@
 	if pc.Cell == "" {
 		pc.Cell = in.GetCell()
 	}
-	return pc.plan(pc.st, in)
+	return pc.submitPlan(pc.st, in)
 }
 
 type confirmCommand struct {
@@ -170,21 +172,21 @@
 
 // Execute implements flags.Commander.
 func (dc *drainCommand) Execute([]string) error {
-	named := 0
-	for _, is := range []bool{dc.Host != "", dc.Rack != "", dc.All} {
-		if is {
-			named++
+	targets := 0
+	for _, set := range []bool{dc.Host != "", dc.Rack != "", dc.All} {
+		if set {
+			targets++
 		}
 	}
-	if named != 1 || dc.Cell == "" {
-		return &exitError{code: ExitUsage, err: errors.New("want --cell and one of --host, --rack and --all")}
+	if targets != 1 || dc.Cell == "" {
+		return &exitError{code: ExitUsage, err: errors.New("--cell and exactly one of --host, --rack and --all are required")}
 	}
-	return dc.plan(dc.st, &pb.Intent{What: &pb.Intent_Drain{Drain: &pb.Drain{
+	return dc.submitPlan(dc.st, &pb.Intent{What: &pb.Intent_Drain{Drain: &pb.Drain{
 		Host: dc.Host, Rack: dc.Rack, DataCentre: dc.All, Undo: dc.Undo,
 	}}})
 }
 
-type deadCommand struct {
+type declareDeadCommand struct {
 	planOptions
 
 	Args struct {
@@ -195,25 +197,25 @@
 }
 
 // Execute implements flags.Commander.
-func (dc *deadCommand) Execute([]string) error {
-	return dc.plan(dc.st, &pb.Intent{What: &pb.Intent_DeclareDead{DeclareDead: &pb.DeclareDead{Member: dc.Args.Member}}})
+func (dc *declareDeadCommand) Execute([]string) error {
+	return dc.submitPlan(dc.st, &pb.Intent{What: &pb.Intent_DeclareDead{DeclareDead: &pb.DeclareDead{Member: dc.Args.Member}}})
 }
 
-// specOptions are what jobs and services have in common.
+// specOptions are the options that jobs and services have in common.
 type specOptions struct {
 	planOptions
 
 	Name   string  `long:"name" required:"true" description:"name, unique in its cell"`
 	Team   string  `long:"team" description:"team whose quota it counts against"`
-	Kind   string  `long:"kind" description:"kind of work, by which its behaviour is learnt; default is the name"`
-	Tasks  uint32  `long:"tasks" default:"1" description:"number of like tasks"`
+	Kind   string  `long:"kind" description:"kind of work; estimates are shared by tasks of one kind; default is the name"`
+	Tasks  uint32  `long:"tasks" default:"1" description:"number of identical tasks"`
 	Cores  float64 `long:"cores" default:"1" description:"cores of each task"`
 	Mem    int64   `long:"mem" default:"1000" description:"memory of each task in MiB"`
 	Accels int64   `long:"accels" description:"accelerators of each task"`
-	Urgent bool    `long:"urgent" description:"goes first, and may have batch evicted"`
+	Urgent bool    `long:"urgent" description:"place before other work, evicting batch tasks if necessary"`
 }
 
-func (so specOptions) spec(class pb.Class) *pb.JobSpec {
+func (so specOptions) jobSpec(class pb.Class) *pb.JobSpec {
 	kind := so.Kind
 	if kind == "" {
 		kind = so.Name
@@ -234,9 +236,9 @@
 
 // Execute implements flags.Commander.
 func (jc *jobAddCommand) Execute([]string) error {
-	sp := jc.spec(pb.Class_CLASS_BATCH)
+	sp := jc.jobSpec(pb.Class_CLASS_BATCH)
 	sp.RunMs = uint64(jc.Run.Milliseconds())
-	return jc.plan(jc.st, &pb.Intent{What: &pb.Intent_AddJob{AddJob: &pb.AddJob{Spec: sp}}})
+	return jc.submitPlan(jc.st, &pb.Intent{What: &pb.Intent_AddJob{AddJob: &pb.AddJob{Spec: sp}}})
 }
 
 type serviceAddCommand struct {
@@ -247,8 +249,8 @@
 
 // Execute implements flags.Commander.
 func (sc *serviceAddCommand) Execute([]string) error {
-	sp := sc.spec(pb.Class_CLASS_LATENCY_CRITICAL)
-	return sc.plan(sc.st, &pb.Intent{What: &pb.Intent_AddJob{AddJob: &pb.AddJob{Spec: sp}}})
+	sp := sc.jobSpec(pb.Class_CLASS_LATENCY_CRITICAL)
+	return sc.submitPlan(sc.st, &pb.Intent{What: &pb.Intent_AddJob{AddJob: &pb.AddJob{Spec: sp}}})
 }
 
 type jobCancelCommand struct {
@@ -263,7 +265,7 @@
 
 // Execute implements flags.Commander.
 func (jc *jobCancelCommand) Execute([]string) error {
-	return jc.plan(jc.st, &pb.Intent{What: &pb.Intent_CancelJob{CancelJob: &pb.CancelJob{Name: jc.Args.Name}}})
+	return jc.submitPlan(jc.st, &pb.Intent{What: &pb.Intent_CancelJob{CancelJob: &pb.CancelJob{Name: jc.Args.Name}}})
 }
 
 type jobResizeCommand struct {
@@ -279,7 +281,7 @@
 
 // Execute implements flags.Commander.
 func (jc *jobResizeCommand) Execute([]string) error {
-	return jc.plan(jc.st, &pb.Intent{What: &pb.Intent_ResizeJob{ResizeJob: &pb.ResizeJob{Name: jc.Args.Name, Tasks: jc.Args.Tasks}}})
+	return jc.submitPlan(jc.st, &pb.Intent{What: &pb.Intent_ResizeJob{ResizeJob: &pb.ResizeJob{Name: jc.Args.Name, Tasks: jc.Args.Tasks}}})
 }
 
 type jobTasksCommand struct {
@@ -348,11 +350,11 @@
 	for _, pair := range cc.Args.Values {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return &exitError{code: ExitUsage, err: fmt.Errorf("%q: want KEY=VALUE", pair)}
+			return &exitError{code: ExitUsage, err: fmt.Errorf("argument %q is not of the form KEY=VALUE", pair)}
 		}
 		values[name] = value
 	}
-	return cc.plan(cc.st, &pb.Intent{What: &pb.Intent_SetConfig{SetConfig: &pb.SetConfig{Values: values}}})
+	return cc.submitPlan(cc.st, &pb.Intent{What: &pb.Intent_SetConfig{SetConfig: &pb.SetConfig{Values: values}}})
 }
 
 type configKeysCommand struct{ st *streams }
@@ -381,5 +383,5 @@
 // Execute implements flags.Commander.
 func (qc *quotaCommand) Execute([]string) error {
 	values := map[string]string{config.QuotaPrefix + qc.Args.Team: qc.Args.Quota}
-	return qc.plan(qc.st, &pb.Intent{What: &pb.Intent_SetConfig{SetConfig: &pb.SetConfig{Values: values}}})
+	return qc.submitPlan(qc.st, &pb.Intent{What: &pb.Intent_SetConfig{SetConfig: &pb.SetConfig{Values: values}}})
 }
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -14,9 +14,9 @@
 
 // runCommand runs an entry host on the users' platform.
 type runCommand struct {
-	Settings string `long:"settings" env:"PEPPERHATCH_BOOT" required:"true" description:"settings file that the platform fills in"`
-	LogLevel string `long:"log-level" env:"PEPPERHATCH_LOG_LEVEL" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"least level of lines logged"`
-	Without  string `long:"without" env:"PEPPERHATCH_WITHOUT" description:"mechanisms of the owner to switch off, separated by commas, for trials of what they are worth"`
+	Settings string `long:"settings" env:"PEPPERHATCH_BOOT" required:"true" description:"settings file written by the platform"`
+	LogLevel string `long:"log-level" env:"PEPPERHATCH_LOG_LEVEL" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"lowest level that is logged"`
+	Without  string `long:"without" env:"PEPPERHATCH_WITHOUT" description:"comma-separated scheduling mechanisms to disable, to measure their effect"`
 
 	st *streams
 }
@@ -44,7 +44,7 @@
 	}
 	ho.Without = without
 	if without != 0 {
-		log.Warn("mechanisms switched off", "without", rc.Without)
+		log.Warn("scheduling mechanisms disabled", "without", rc.Without)
 	}
 	ctx, stop := untilSignal()
 	defer stop()
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -13,7 +13,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/settings"
 )
 
-// untilSignal returns a context that ends at SIGINT or SIGTERM.
+// untilSignal returns a context that is cancelled on SIGINT or SIGTERM.
 func untilSignal() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
@@ -29,7 +29,7 @@
 	if err := sc.Check(); err != nil {
 		return &exitError{code: ExitUsage, err: err}
 	}
-	log := newLog(sc.st.err, sc.Level())
+	log := newLogger(sc.st.err, sc.Level())
 	slog.SetDefault(log)
 	ho, err := entry.New(sc.Serve, log)
 	if err != nil {
@@ -56,9 +56,9 @@
 }
 
 type devCommand struct {
-	For  time.Duration `long:"for" description:"end by itself after this time; without it, at Ctrl-C"`
-	Rate float64       `long:"rate" default:"150" description:"requests a second"`
-	Log  bool          `long:"log" description:"print the entry hosts' logs"`
+	Duration time.Duration `long:"for" description:"how long to run; default is until Ctrl-C"`
+	Rate     float64       `long:"rate" default:"150" description:"requests per second"`
+	Log      bool          `long:"log" description:"print the logs of the entry hosts"`
 
 	st *streams
 }
@@ -69,15 +69,15 @@
 	if dc.Log {
 		level = slog.LevelInfo
 	}
-	log := newLog(dc.st.err, level)
+	log := newLogger(dc.st.err, level)
 	slog.SetDefault(log)
 	ctx, stop := untilSignal()
 	defer stop()
-	broken, err := dev.Run(ctx, dev.Settings{Duration: dc.For, Rate: dc.Rate, Out: dc.st.out, Log: log})
+	violated, err := dev.Run(ctx, dev.Settings{Duration: dc.Duration, Rate: dc.Rate, Out: dc.st.out, Log: log})
 	if err != nil {
 		return err
 	}
-	if broken {
+	if violated {
 		return &exitError{code: ExitViolation, err: dev.ErrViolation}
 	}
 	return nil
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -32,6 +32,7 @@
 	return nil
 }
 
+// printStatus prints tables of the entry hosts, runners and cells.
 func printStatus(st *streams, msg *pb.StatusResponse) {
 	table := "reachable"
 	if !msg.GetPlatformOk() {
@@ -56,8 +57,8 @@
 	line("%-14s %-24s %6s %8s %-22s %-36s %s", "CELL", "OWNER", "EPOCH", "JOURNAL", "CORES GIVEN", "TASKS", "WORKERS")
 	for _, ce := range msg.GetCells() {
 		cores := fmt.Sprintf("%.1f of %.1f", float64(ce.GetReserved().GetMilliCores())/1000, float64(ce.GetCapacity().GetMilliCores())/1000)
-		line("%-14s %-24s %6d %8d %-22s %-36s %s", ce.GetName(), orNone(ce.GetOwner()), ce.GetEpoch(), ce.GetJournal(), cores,
-			countsText(ce.GetTasks()), countsText(ce.GetWorkers()))
+		line("%-14s %-24s %6d %8d %-22s %-36s %s", ce.GetName(), valueOrNone(ce.GetOwner()), ce.GetEpoch(), ce.GetJournal(), cores,
+			formatCounts(ce.GetTasks()), formatCounts(ce.GetWorkers()))
 	}
 }
 
@@ -71,21 +72,23 @@
 	return "ready"
 }
 
-func orNone(text string) string {
+func valueOrNone(text string) string {
 	if text == "" {
 		return "(none)"
 	}
 	return text
 }
 
-func countsText(counts map[string]uint32) string {
+// formatCounts formats counts such as "2 live, 1 lost", sorted by name.
+func formatCounts(counts map[string]uint32) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
 		parts = append(parts, fmt.Sprintf("%d %s", counts[name], name))
 	}
-	return orNone(strings.Join(parts, ", "))
+	return valueOrNone(strings.Join(parts, ", "))
 }
 
+// printSorted prints the values in the order of their names.
 func printSorted(st *streams, values map[string]string) {
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		_, _ = fmt.Fprintf(st.out, "%-30s %s\n", name, values[name])
