--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,11 +1,12 @@
-// Package account says what the time of jobs went to, from the log of the hosts
-// that owned their cell.
+// Package account summarises how the time of jobs was spent, from the logs of the
+// hosts that owned their cell.
 //
-// The owner writes a line "job time" when a job is over, and "job waits" from
-// time to time before; both carry the time by cause. A [Aggregator] keeps the last
-// line of each job, so it takes the logs of several hosts in any order. A host
-// that takes over counts a job's time from then on, so a job's earlier time is
-// that of the former owner's last line.
+// The owner logs "job time" when a job ends, and "job waits" from time to time
+// before; both lines carry the time by cause. An [Aggregator] retains one line of
+// each job, the final one or else that with the highest age, so the logs of several
+// hosts can be read in any order. A host that takes over a cell counts the time of
+// its jobs from then on, so the time before a takeover is only in the former owner's
+// lines.
 package account
 
 import (
@@ -24,44 +25,44 @@
 	"github.com/pepperhatch/pepperhatch/internal/sched"
 )
 
-// Messages of the lines that count.
+// Messages of the log lines that are read.
 const (
-	msgTime = "job time"
-	msgWait = "job waits"
+	msgJobTime  = "job time"
+	msgJobWaits = "job waits"
 )
 
-// lateMost is how many times its aim a job may take and still be worth something
-// to its caller, as the users state it.
-const lateMost = 3
+// maxLateFactor is how many times its target duration a job may take and still be of
+// some value to its caller, by the users' statement.
+const maxLateFactor = 3
 
-// lineMost is the longest line that is read, in bytes.
-const lineMost = 1 << 20
+// maxLineBytes bounds the length of a log line; a longer one fails the read.
+const maxLineBytes = 1 << 20
 
-// entry is what is known of a job.
+// entry holds the values of a job's log line. Times are in milliseconds.
 type entry struct {
-	queue   string
-	state   string
-	ageMS   int64
-	aimMS   int64
-	byCause []int64
-	failed  int64
-	moved   int64
-	over    bool
+	queue     string
+	state     string
+	ageMS     int64
+	targetMS  int64
+	msByCause []int64
+	failed    int64
+	moved     int64
+	ended     bool
 }
 
-// Aggregator has the time of jobs. The zero Aggregator is empty.
+// Aggregator collects the time of jobs. The zero value is ready to use.
 type Aggregator struct {
 	jobs map[string]entry
-	// Lines counts those that counted, Malformed those that could not be read.
+	// Lines counts the lines used, Malformed those that could not be decoded.
 	Lines, Malformed int
 }
 
-// Read takes in a log.
+// Read adds the lines of a log.
 func (ag *Aggregator) Read(re io.Reader) error {
 	sc := bufio.NewScanner(re)
-	sc.Buffer(nil, lineMost)
+	sc.Buffer(nil, maxLineBytes)
 	for sc.Scan() {
-		ag.line(sc.Text())
+		ag.addLine(sc.Text())
 	}
 	if err := sc.Err(); err != nil {
 		return fmt.Errorf("read log: %w", err)
@@ -69,11 +70,11 @@
 	return nil
 }
 
-// line takes in one line. What a collector put before the line's first key does
-// not matter.
-func (ag *Aggregator) line(text string) {
+// addLine adds one line. Text before its "level" field, such as a log collector's
+// prefix, is skipped.
+func (ag *Aggregator) addLine(text string) {
 	at := strings.Index(text, "level=")
-	if at < 0 || !tellsTime(text) {
+	if at < 0 || !isTimeLine(text) {
 		return
 	}
 	fields := map[string]string{}
@@ -93,19 +94,19 @@
 		ag.jobs = map[string]entry{}
 	}
 	old, found := ag.jobs[fields["job"]]
-	if !found || en.over || (!old.over && en.ageMS >= old.ageMS) {
+	if !found || en.ended || (!old.ended && en.ageMS >= old.ageMS) {
 		ag.jobs[fields["job"]] = en
 	}
 }
 
-// tellsTime reports whether a line may tell of a job's time.
-func tellsTime(text string) bool {
-	return strings.Contains(text, `msg="`+msgTime+`"`) || strings.Contains(text, `msg="`+msgWait+`"`)
+// isTimeLine reports whether a line may hold a job's time.
+func isTimeLine(text string) bool {
+	return strings.Contains(text, `msg="`+msgJobTime+`"`) || strings.Contains(text, `msg="`+msgJobWaits+`"`)
 }
 
-// decode reads the fields of a line.
+// decode converts the fields of a line, and returns the first error.
 func decode(fields map[string]string) (entry, error) {
-	en := entry{queue: fields["queue"], state: fields["state"], over: fields["msg"] == msgTime}
+	en := entry{queue: fields["queue"], state: fields["state"], ended: fields["msg"] == msgJobTime}
 	var first error
 	number := func(key string) int64 {
 		n, err := strconv.ParseInt(fields[key], 10, 64)
@@ -114,56 +115,58 @@
 		}
 		return n
 	}
-	en.ageMS, en.aimMS = number("age_ms"), number("aim_ms")
+	en.ageMS, en.targetMS = number("age_ms"), number("aim_ms")
 	en.failed, en.moved = number("failed"), number("moved")
 	for _, name := range sched.CauseNames() {
-		en.byCause = append(en.byCause, number(name+"_ms"))
+		en.msByCause = append(en.msByCause, number(name+"_ms"))
 	}
 	return en, first
 }
 
-// verdict is how a job did by its aim.
-type verdict int
+// timeliness classifies a job's age by its target duration.
+type timeliness int
 
 const (
-	inTime verdict = iota
+	inTime timeliness = iota
 	late
 	tooLate
-	verdicts
+	timelinessCount
 )
 
-var verdictNames = [verdicts]string{"in time", "late", "too late"}
+var timelinessNames = [timelinessCount]string{"in time", "late", "too late"}
 
-// judge returns how a job did; one that is not over counts by its age so far.
-func (en *entry) judge() verdict {
+// classify returns the timeliness of a job. One that has not ended is classified by its
+// age so far, and is late at best.
+func (en *entry) classify() timeliness {
 	switch {
-	case en.ageMS <= en.aimMS && en.over:
+	case en.ageMS <= en.targetMS && en.ended:
 		return inTime
-	case en.ageMS <= lateMost*en.aimMS:
+	case en.ageMS <= maxLateFactor*en.targetMS:
 		return late
 	}
 	return tooLate
 }
 
-// Row is the time of the jobs of one queue that did alike.
+// Row summarises the jobs of one queue and timeliness.
 type Row struct {
-	// Queue and Verdict say which.
-	Queue   string
-	Verdict string
-	// Jobs counts them, Open those of them that are not over.
+	// Queue and Timeliness identify the group.
+	Queue      string
+	Timeliness string
+	// Jobs counts all jobs, Open those that have not ended.
 	Jobs, Open int
-	// Failed and Moved count attempts.
+	// Failed and Moved count their attempts that failed or were moved.
 	Failed, Moved int64
-	// MeanMS is their mean age, Shares the share of each cause in their time.
+	// MeanMS is their mean age in milliseconds, Shares the fraction of their time by
+	// cause, in the order of [sched.CauseNames].
 	MeanMS int64
 	Shares []float64
 }
 
-// Rows returns the book by queue and verdict. Cancelled jobs do not count.
+// Rows returns a summary for each queue and timeliness. Cancelled jobs are left out.
 func (ag *Aggregator) Rows() []Row {
 	type group struct {
 		queue string
-		ve    verdict
+		ti    timeliness
 	}
 	sums := map[group]*Row{}
 	times := map[group][]int64{}
@@ -171,40 +174,40 @@
 		if en.state == "cancelled" {
 			continue
 		}
-		gr := group{en.queue, en.judge()}
+		gr := group{en.queue, en.classify()}
 		ro := sums[gr]
 		if ro == nil {
-			ro = &Row{Queue: gr.queue, Verdict: verdictNames[gr.ve]}
-			sums[gr], times[gr] = ro, make([]int64, len(en.byCause))
+			ro = &Row{Queue: gr.queue, Timeliness: timelinessNames[gr.ti]}
+			sums[gr], times[gr] = ro, make([]int64, len(en.msByCause))
 		}
 		ro.add(en, times[gr])
 	}
 	keys := slices.SortedFunc(maps.Keys(sums), func(a, b group) int {
-		return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.ve, b.ve))
+		return cmp.Or(cmp.Compare(a.queue, b.queue), cmp.Compare(a.ti, b.ti))
 	})
 	rows := make([]Row, 0, len(keys))
 	for _, gr := range keys {
-		rows = append(rows, sums[gr].finish(times[gr]))
+		rows = append(rows, sums[gr].averaged(times[gr]))
 	}
 	return rows
 }
 
-// add adds a job to the sums.
+// add adds a job to the row and to the times by cause.
 func (ro *Row) add(en entry, times []int64) {
 	ro.Jobs++
-	if !en.over {
+	if !en.ended {
 		ro.Open++
 	}
 	ro.Failed += en.failed
 	ro.Moved += en.moved
 	ro.MeanMS += en.ageMS
-	for i, ms := range en.byCause {
+	for i, ms := range en.msByCause {
 		times[i] += ms
 	}
 }
 
-// finish turns the sums into means and shares.
-func (ro *Row) finish(times []int64) Row {
+// averaged returns the row with the sums turned into means and shares.
+func (ro *Row) averaged(times []int64) Row {
 	var all int64
 	for _, ms := range times {
 		all += ms
@@ -221,7 +224,7 @@
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintf(tw, "QUEUE\tDONE\tJOBS\tOPEN\tMEAN MS\tFAILED\tMOVED\t%s\t\n", strings.ToUpper(strings.Join(sched.CauseNames(), "\t")))
 	for _, ro := range rows {
-		_, _ = fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t", ro.Queue, ro.Verdict, ro.Jobs, ro.Open, ro.MeanMS, ro.Failed, ro.Moved)
+		_, _ = fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t", ro.Queue, ro.Timeliness, ro.Jobs, ro.Open, ro.MeanMS, ro.Failed, ro.Moved)
 		for _, sh := range ro.Shares {
 			_, _ = fmt.Fprintf(tw, "%.3f\t", sh)
 		}
--- a/internal/caller/caller.go
+++ b/internal/caller/caller.go
@@ -1,6 +1,7 @@
-// Package caller is a client of entry hosts, for the commands and for tests.
-// It knows several addresses, as a balancer would, and resumes sessions by
-// itself. It does not repeat requests: that decision is the caller's.
+// Package caller is a client of entry hosts for the command line and tests. It
+// spreads requests over several addresses, as a load balancer would, and resumes
+// sessions by itself. It doesn't retry requests: whether a retry is safe only its
+// user can tell.
 package caller
 
 import (
@@ -23,24 +24,24 @@
 
 // Deadlines of requests.
 const (
-	// MaxDeadline is the longest that an entry host takes.
+	// MaxDeadline is the longest deadline that an entry host accepts.
 	MaxDeadline = 10 * time.Minute
-	// answerGrace is how much later the answer may come: an entry host that lives
-	// says at the deadline that it has passed.
+	// answerGrace is how long after the deadline the client waits: a healthy entry
+	// host reports at the deadline that it has passed.
 	answerGrace = 5 * time.Second
 )
 
-// Client calls entry hosts in turn.
+// Client calls entry hosts in turn. It is safe for concurrent use.
 type Client struct {
 	hosts []pepperhatchv1connect.CallerServiceClient
 	next  atomic.Uint64
 }
 
 // New returns a client of the entry hosts at the addresses.
-func New(web *http.Client, addrs ...string) *Client {
+func New(hc *http.Client, addrs ...string) *Client {
 	cl := &Client{}
 	for _, addr := range addrs {
-		cl.hosts = append(cl.hosts, pepperhatchv1connect.NewCallerServiceClient(web, "http://"+addr))
+		cl.hosts = append(cl.hosts, pepperhatchv1connect.NewCallerServiceClient(hc, "http://"+addr))
 	}
 	return cl
 }
@@ -50,8 +51,8 @@
 	return cl.CallVia(ctx, int(cl.next.Add(1)), req)
 }
 
-// CallVia sends one request to the n-th entry host, counted round. It ends soon after
-// the request's deadline at the latest, or after the longest one if it states none.
+// CallVia sends one request to entry host n modulo their number. It returns by the
+// request's deadline plus a short grace; without a deadline [MaxDeadline] applies.
 func (cl *Client) CallVia(ctx context.Context, n int, req *pb.CallRequest) (*pb.CallResponse, error) {
 	deadline := time.Duration(req.GetDeadlineMs()) * time.Millisecond
 	if deadline == 0 {
@@ -66,8 +67,9 @@
 	return resp.Msg, nil
 }
 
-// FailureOf returns what an error of Call says of the request. Without a word
-// of the entry host's, the request is unknown, unless there was no connection.
+// FailureOf returns the outcome and reason that an error of Call carries. If the
+// entry host sent none, the request did not run if no connection was made, and its
+// outcome is unknown otherwise.
 func FailureOf(err error) *pb.Failure {
 	var cerr *connect.Error
 	if errors.As(err, &cerr) {
@@ -85,21 +87,21 @@
 	return &pb.Failure{Outcome: pb.Outcome_OUTCOME_UNKNOWN, Reason: "entry-host-lost"}
 }
 
-// The pauses between attempts to resume a session.
+// Backoff between attempts to resume a session.
 const (
-	resumeFirst = 20 * time.Millisecond
-	resumeMost  = time.Second
+	initialResumeBackoff = 20 * time.Millisecond
+	maxResumeBackoff     = time.Second
 )
 
-// Watch opens a session and passes its events on in order, each once. It
-// resumes the session at other entry hosts whenever its stream ends or its host
-// falls silent, until ctx ends or fn returns an error.
+// Watch opens a session and passes each event to fn once, in order. It resumes the
+// session at another entry host whenever the stream ends or its host stops sending,
+// until ctx ends or fn returns an error.
 func (cl *Client) Watch(ctx context.Context, req *pb.WatchRequest, fn func(*pb.WatchResponse) error) error {
-	wa := &watch{cl: cl, at: nowhere, token: req.GetResumeToken(), fn: fn}
+	wa := &watch{cl: cl, host: noHost, token: req.GetResumeToken(), fn: fn}
 	bo := backoff.NewExponentialBackOff()
-	bo.InitialInterval, bo.MaxInterval = resumeFirst, resumeMost
+	bo.InitialInterval, bo.MaxInterval = initialResumeBackoff, maxResumeBackoff
 	for {
-		before := wa.seq
+		lastSeq := wa.seq
 		err := wa.stream(ctx, req)
 		var stopped *stopError
 		if errors.As(err, &stopped) {
@@ -111,7 +113,7 @@
 		if connect.CodeOf(err) == connect.CodeInvalidArgument {
 			return fmt.Errorf("watch: %w", err)
 		}
-		if wa.seq != before || wa.moved {
+		if wa.seq != lastSeq || wa.moved {
 			bo.Reset()
 		}
 		if !wa.moved {
--- a/internal/caller/watch.go
+++ b/internal/caller/watch.go
@@ -13,64 +13,66 @@
 	pb "github.com/pepperhatch/pepperhatch/gen/pepperhatch/v1"
 )
 
-// BeatHeader is the header of an answer in which an entry host that sends beats says
-// after how many milliseconds at the latest the next message follows.
+// BeatHeader is the response header in which an entry host that sends heartbeats
+// ("beats") states the longest time between two messages, in milliseconds.
 const BeatHeader = "Pepperhatch-Beat-Ms"
 
-// Bounds on the silence of an entry host.
+// Bounds on the time without a message from an entry host.
 const (
-	// missedMost is how many beats in a row a watch may miss: a host that is short of
-	// processor, or whose link is full, sends one late, and the way takes some 0.1 s.
-	missedMost = 3
-	// openWithin bounds opening a watch: every entry host answers at once that it is
-	// being opened, also one that knows no beats.
-	openWithin = 4 * time.Second
+	// maxMissedBeats is how many consecutive beats may be missing: a host short of
+	// processor time or with a full link sends late, and transfer takes some 0.1 s.
+	maxMissedBeats = 3
+	// openTimeout bounds opening a stream: every entry host sends the response header at
+	// once, even one that sends no beats.
+	openTimeout = 4 * time.Second
 )
 
-// errSilent is why a watch goes on at another entry host.
-var errSilent = errors.New("entry host is silent")
+// errUnresponsive cancels a stream whose entry host has stopped sending.
+var errUnresponsive = errors.New("entry host is unresponsive")
 
-// nowhere is the place of a watch that was not opened yet.
-const nowhere = -1
+// noHost is the host index of a watch that has not been opened yet.
+const noHost = -1
 
-// watch is one session being watched.
+// watch is the state of a session across streams.
 type watch struct {
 	cl *Client
-	// at is which entry host serves it, or did last.
-	at    int
+	// host is the index of the entry host of the current or last stream.
+	host  int
 	token string
 	seq   uint64
+	// moved is set when the entry host has asked to resume the session elsewhere.
 	moved bool
 	fn    func(*pb.WatchResponse) error
 }
 
-// stopError carries the error by which fn ended the session.
+// stopError ends the session: it wraps an error of fn, or [ErrMissingEvent].
 type stopError struct{ err error }
 
-func (err *stopError) Error() string { return "stopped: " + err.err.Error() }
+func (err *stopError) Error() string { return "session ended: " + err.err.Error() }
 
-// ErrMissingEvent is returned if an event is missing.
-var ErrMissingEvent = errors.New("session left out an event")
+// ErrMissingEvent is returned if the sequence numbers of a session have a gap.
+var ErrMissingEvent = errors.New("session skipped an event")
 
-// turn chooses the next entry host: another one than the last, if there is any.
-func (wa *watch) turn() {
-	all := len(wa.cl.hosts)
-	next := int(wa.cl.next.Add(1)) % all
-	if next == wa.at {
-		next = (next + 1) % all
+// selectHost chooses the next entry host, different from the last one if there are
+// several.
+func (wa *watch) selectHost() {
+	hosts := len(wa.cl.hosts)
+	next := int(wa.cl.next.Add(1)) % hosts
+	if next == wa.host {
+		next = (next + 1) % hosts
 	}
-	wa.at = next
+	wa.host = next
 }
 
-// stream watches at one entry host until that ends, says that the session moves, or
-// falls silent.
+// stream receives events from one entry host until the host ends the stream, moves the
+// session, or stops sending.
 func (wa *watch) stream(ctx context.Context, req *pb.WatchRequest) error {
-	wa.turn()
+	wa.selectHost()
 	wa.moved = false
 	ctx, end := context.WithCancelCause(ctx)
-	quiet := time.AfterFunc(openWithin, func() { end(errSilent) })
-	defer quiet.Stop()
-	st, err := wa.cl.hosts[wa.at].Watch(ctx, connect.NewRequest(&pb.WatchRequest{
+	silence := time.AfterFunc(openTimeout, func() { end(errUnresponsive) })
+	defer silence.Stop()
+	st, err := wa.cl.hosts[wa.host].Watch(ctx, connect.NewRequest(&pb.WatchRequest{
 		Service: req.GetService(), Topic: req.GetTopic(), ResumeToken: wa.token, Beats: true,
 	}))
 	if err != nil {
@@ -78,16 +80,16 @@
 		return fmt.Errorf("open: %w", err)
 	}
 	defer func() { _ = st.Close() }()
-	// Before the stream is closed, which may wait for a host that stands still.
+	// Runs before st.Close, which may otherwise wait for a frozen host.
 	defer end(nil)
-	most := silenceMost(st.ResponseHeader())
-	for receive(st, quiet, most) {
-		if err := wa.take(st.Msg()); err != nil || wa.moved {
+	limit := maxSilence(st.ResponseHeader())
+	for receive(st, silence, limit) {
+		if err := wa.handleEvent(st.Msg()); err != nil || wa.moved {
 			return err
 		}
 	}
-	if errors.Is(context.Cause(ctx), errSilent) {
-		return fmt.Errorf("stream: %w", errSilent)
+	if errors.Is(context.Cause(ctx), errUnresponsive) {
+		return fmt.Errorf("stream: %w", errUnresponsive)
 	}
 	if err := st.Err(); err != nil {
 		return fmt.Errorf("stream: %w", err)
@@ -95,28 +97,29 @@
 	return nil
 }
 
-// silenceMost returns how long the stream with the header may be silent; 0 is for ever,
-// as of an entry host that sends no beats.
-func silenceMost(header http.Header) time.Duration {
+// maxSilence returns how long a stream with the response header may go without a
+// message. 0 means no limit, for entry hosts that send no beats.
+func maxSilence(header http.Header) time.Duration {
 	ms, err := strconv.ParseUint(header.Get(BeatHeader), 10, 32)
 	if err != nil {
 		return 0
 	}
-	return missedMost * time.Duration(ms) * time.Millisecond
+	return maxMissedBeats * time.Duration(ms) * time.Millisecond
 }
 
-// receive waits for the next message. What is done with it does not count as silence.
-func receive(st *connect.ServerStreamForClient[pb.WatchResponse], quiet *time.Timer, most time.Duration) bool {
-	quiet.Stop()
-	if most > 0 {
-		quiet.Reset(most)
+// receive waits for the next message. The timer runs only here, so that the time taken
+// to handle an event doesn't count.
+func receive(st *connect.ServerStreamForClient[pb.WatchResponse], silence *time.Timer, limit time.Duration) bool {
+	silence.Stop()
+	if limit > 0 {
+		silence.Reset(limit)
 	}
-	defer quiet.Stop()
+	defer silence.Stop()
 	return st.Receive()
 }
 
-// take passes an event on. A beat is none, and carries no token.
-func (wa *watch) take(ev *pb.WatchResponse) error {
+// handleEvent passes an event to fn. Beats are skipped: they carry no resume token.
+func (wa *watch) handleEvent(ev *pb.WatchResponse) error {
 	if ev.GetBeat() {
 		return nil
 	}
--- a/internal/caller/watch_test.go
+++ b/internal/caller/watch_test.go
@@ -16,19 +16,19 @@
 	"github.com/pepperhatch/pepperhatch/gen/pepperhatch/v1/pepperhatchv1connect"
 )
 
-// errEnough ends a watch that has had its events.
-var errEnough = errors.New("enough")
+// errEventLimit ends a watch after its last expected event.
+var errEventLimit = errors.New("event limit reached")
 
-// plain is an entry host that knows no beats: it sends two events, with a pause.
-type plain struct {
+// beatlessHost is an entry host that sends no beats, and two events with a pause between.
+type beatlessHost struct {
 	pepperhatchv1connect.UnimplementedCallerServiceHandler
 
 	pause time.Duration
-	// opened counts watches.
+	// opened counts streams.
 	opened atomic.Int64
 }
 
-func (pl *plain) Watch(ctx context.Context, _ *connect.Request[pb.WatchRequest], out *connect.ServerStream[pb.WatchResponse]) error {
+func (pl *beatlessHost) Watch(ctx context.Context, _ *connect.Request[pb.WatchRequest], out *connect.ServerStream[pb.WatchResponse]) error {
 	pl.opened.Add(1)
 	if err := out.Send(nil); err != nil {
 		return err
@@ -44,10 +44,11 @@
 	return out.Send(&pb.WatchResponse{Seq: 2, ResumeToken: "2"})
 }
 
-// TestEntryHostThatKnowsNoBeats is idle for longer than any bound on silence.
-func TestEntryHostThatKnowsNoBeats(t *testing.T) {
+// TestWatchOfEntryHostWithoutBeats guards against giving up a stream that may be idle:
+// a host without beats pauses for longer than any limit.
+func TestWatchOfEntryHostWithoutBeats(t *testing.T) {
 	t.Parallel()
-	pl := &plain{pause: openWithin + 500*time.Millisecond}
+	pl := &beatlessHost{pause: openTimeout + 500*time.Millisecond}
 	_, ha := pepperhatchv1connect.NewCallerServiceHandler(pl)
 	hs := httptest.NewServer(ha)
 	t.Cleanup(hs.Close)
@@ -58,23 +59,24 @@
 	err := cl.Watch(ctx, &pb.WatchRequest{Service: "s"}, func(ev *pb.WatchResponse) error {
 		seqs = append(seqs, ev.GetSeq())
 		if ev.GetSeq() == 2 {
-			return errEnough
+			return errEventLimit
 		}
 		return nil
 	})
-	qt.Assert(t, err, qt.ErrorIs, errEnough)
+	qt.Assert(t, err, qt.ErrorIs, errEventLimit)
 	qt.Assert(t, seqs, qt.DeepEquals, []uint64{1, 2})
 	qt.Assert(t, pl.opened.Load(), qt.Equals, int64(1))
 }
 
-// beating is an entry host whose events all come at once, and promise more soon.
-type beating struct {
+// beatingHost is an entry host that sends three events at once and announces beats, but
+// sends none.
+type beatingHost struct {
 	pepperhatchv1connect.UnimplementedCallerServiceHandler
 
 	opened atomic.Int64
 }
 
-func (be *beating) Watch(ctx context.Context, _ *connect.Request[pb.WatchRequest], out *connect.ServerStream[pb.WatchResponse]) error {
+func (be *beatingHost) Watch(ctx context.Context, _ *connect.Request[pb.WatchRequest], out *connect.ServerStream[pb.WatchResponse]) error {
 	be.opened.Add(1)
 	out.ResponseHeader().Set(BeatHeader, "100")
 	for seq := range uint64(3) {
@@ -86,11 +88,11 @@
 	return ctx.Err()
 }
 
-// TestCallerThatTakesItsTime is busy with each event for longer than the entry host may
-// be silent.
-func TestCallerThatTakesItsTime(t *testing.T) {
+// TestWatchWithSlowHandler guards against taking a slow event handler for an
+// unresponsive host: each event takes longer to handle than the limit between messages.
+func TestWatchWithSlowHandler(t *testing.T) {
 	t.Parallel()
-	be := &beating{}
+	be := &beatingHost{}
 	_, ha := pepperhatchv1connect.NewCallerServiceHandler(be)
 	hs := httptest.NewServer(ha)
 	t.Cleanup(hs.Close)
@@ -98,31 +100,32 @@
 	err := cl.Watch(context.Background(), &pb.WatchRequest{Service: "s"}, func(ev *pb.WatchResponse) error {
 		time.Sleep(500 * time.Millisecond)
 		if ev.GetSeq() == 3 {
-			return errEnough
+			return errEventLimit
 		}
 		return nil
 	})
-	qt.Assert(t, err, qt.ErrorIs, errEnough)
+	qt.Assert(t, err, qt.ErrorIs, errEventLimit)
 	qt.Assert(t, be.opened.Load(), qt.Equals, int64(1))
 }
 
-func TestSilenceMost(t *testing.T) {
+func TestMaxSilence(t *testing.T) {
 	for _, tc := range []struct {
 		value string
 		want  time.Duration
 	}{{"", 0}, {"0", 0}, {"-5", 0}, {"soon", 0}, {"99999999999", 0}, {"1000", 3 * time.Second}} {
-		qt.Check(t, silenceMost(http.Header{BeatHeader: []string{tc.value}}), qt.Equals, tc.want, qt.Commentf("%q", tc.value))
+		qt.Check(t, maxSilence(http.Header{BeatHeader: []string{tc.value}}), qt.Equals, tc.want, qt.Commentf("%q", tc.value))
 	}
 }
 
-// TestTurn has other calls of the same client in between.
-func TestTurn(t *testing.T) {
+// TestSelectHostAvoidsTheLastOne makes other calls with the same client in between,
+// which advance the shared round-robin counter.
+func TestSelectHostAvoidsTheLastOne(t *testing.T) {
 	cl := New(http.DefaultClient, "10.0.0.1:80", "10.0.0.2:80")
-	wa := &watch{cl: cl, at: nowhere}
+	wa := &watch{cl: cl, host: noHost}
 	for range 4 {
-		last := wa.at
-		wa.turn()
-		qt.Check(t, wa.at, qt.Not(qt.Equals), last)
+		last := wa.host
+		wa.selectHost()
+		qt.Check(t, wa.host, qt.Not(qt.Equals), last)
 		cl.next.Add(1)
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,8 @@
-// Package load sends requests at a steady rate and says how they fared. The
-// arrivals are open: a request is sent when its time has come, however many
-// are still under way, and its time counts from when it was due, so that a
-// slow system cannot hide by slowing the load.
+// Package load is an open-loop load generator: requests arrive as a Poisson process
+// with a steady rate, however many are still in flight, and latency counts from the
+// scheduled time of a request. So a slow system does not reduce the load or hide its
+// delays (coordinated omission). The process must have capacity for all requests in
+// flight.
 package load
 
 import (
@@ -24,48 +25,48 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin"
 )
 
-// Settings describe a load.
+// Settings describes a load.
 type Settings struct {
-	// Rate is requests a second, For how long they are sent.
+	// Rate is in requests per second, Duration how long they are sent.
 	Rate     float64
 	Duration time.Duration
-	// Service and Method are what is asked for.
+	// Service and Method are those of all requests.
 	Service string
 	Method  string
-	// Batch and Once are the parts of requests that are batch, and marked
-	// run-once.
+	// BatchFraction and RunOnceFraction are the fractions, 0 to 1, of requests of class
+	// batch and of run-once requests.
 	BatchFraction   float64
 	RunOnceFraction float64
-	// Deadline is each request's; zero leaves it to the system.
+	// Deadline is that of each request; with zero the entry hosts choose.
 	Deadline time.Duration
-	// BodyBytes is the size of each request.
+	// BodyBytes is the body size of each request.
 	BodyBytes int
-	// Home is the data centre that vouches for run-once ids; may be empty.
+	// Home is the data centre that tracks run-once IDs; may be empty.
 	Home string
-	// Check compares answers with those of the stand-in runners.
+	// Check compares answers with the expected ones of stand-in runners.
 	Check bool
-	// Progress gets a line a second; nil gets none.
+	// Progress receives a line per second if it is not nil.
 	Progress io.Writer
 }
 
-// Report says how a load fared.
+// Report is the result of a load.
 type Report struct {
-	// Sent counts requests, Seconds is how long they were sent.
+	// Sent counts requests, Seconds is for how long they were sent.
 	Sent    int64   `json:"sent"`
 	Seconds float64 `json:"seconds"`
-	// Outcomes and Reasons count requests.
+	// Outcomes counts requests by outcome, Reasons those that failed by reason.
 	Outcomes map[string]int64 `json:"outcomes"`
 	Reasons  map[string]int64 `json:"reasons"`
-	// Wrong counts answers that were not the request's own.
+	// Wrong counts answers that did not match their request.
 	Wrong int64 `json:"wrong"`
-	// Attempts is the mean number of runners sent an answered request.
+	// Attempts is the mean number of runners to which an answered request was sent.
 	Attempts float64 `json:"attempts"`
-	// Classes has the times of answered requests by class.
-	Classes map[string]Times `json:"classes"`
+	// Classes holds the latencies of answered requests by class.
+	Classes map[string]Latencies `json:"classes"`
 }
 
-// Times are percentiles in milliseconds.
-type Times struct {
+// Latencies holds latency percentiles in milliseconds.
+type Latencies struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
@@ -73,52 +74,54 @@
 	Max   float64 `json:"max"`
 }
 
-// Names of outcomes in a report.
+// Keys of [Report.Outcomes].
 const (
 	Answered = "answered"
 	NotRun   = "not-run"
 	Unknown  = "unknown"
 )
 
+// Range and precision, in significant digits, of the latency histograms.
 const (
-	histMax    = int64(10 * time.Minute / time.Microsecond)
-	histDigits = 3
+	maxLatencyUS    = int64(10 * time.Minute / time.Microsecond)
+	histogramDigits = 3
 )
 
-// gather adds up results.
-type gather struct {
+// collector accumulates results.
+type collector struct {
 	mu       sync.Mutex
 	report   Report
 	attempts int64
 	hists    map[string]*hdrhistogram.Histogram
 }
 
-// Run sends the load and waits for the last answer.
+// Run sends the load and waits for all answers.
 func Run(ctx context.Context, cl *caller.Client, set Settings) Report {
-	ga := &gather{
-		report: Report{Outcomes: map[string]int64{}, Reasons: map[string]int64{}, Classes: map[string]Times{}},
+	co := &collector{
+		report: Report{Outcomes: map[string]int64{}, Reasons: map[string]int64{}, Classes: map[string]Latencies{}},
 		hists:  map[string]*hdrhistogram.Histogram{},
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if set.Progress != nil {
-		go ga.progress(ctx, set.Progress)
+		go co.progress(ctx, set.Progress)
 	}
-	begun := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
-	for due := begun; due.Sub(begun) < set.Duration; {
+	for due := start; due.Sub(start) < set.Duration; {
 		if d := time.Until(due); d > 0 && !clock.Sleep(ctx, d) {
 			break
 		}
 		req, when := newRequest(set), due
-		wg.Go(func() { ga.one(ctx, cl, set, req, when) })
+		wg.Go(func() { co.sendOne(ctx, cl, set, req, when) })
 		due = due.Add(time.Duration(rand.ExpFloat64() / set.Rate * float64(time.Second)))
 	}
-	sending := time.Since(begun)
+	sendTime := time.Since(start)
 	wg.Wait()
-	return ga.final(sending)
+	return co.finalReport(sendTime)
 }
 
+// newRequest returns a request with a random body and class.
 func newRequest(set Settings) *pb.CallRequest {
 	req := &pb.CallRequest{
 		Id: claim.NewID(""), Service: set.Service, Method: set.Method,
@@ -138,57 +141,60 @@
 	return req
 }
 
-func (ga *gather) one(ctx context.Context, cl *caller.Client, set Settings, req *pb.CallRequest, due time.Time) {
+// sendOne sends a request and records its result.
+func (co *collector) sendOne(ctx context.Context, cl *caller.Client, set Settings, req *pb.CallRequest, due time.Time) {
 	resp, err := cl.Call(ctx, req)
-	took := time.Since(due)
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	ga.report.Sent++
+	latency := time.Since(due)
+	co.mu.Lock()
+	defer co.mu.Unlock()
+	co.report.Sent++
 	if err != nil {
 		fa := caller.FailureOf(err)
-		ga.report.Reasons[fa.GetReason()]++
+		co.report.Reasons[fa.GetReason()]++
 		if fa.GetOutcome() == pb.Outcome_OUTCOME_NOT_RUN {
-			ga.report.Outcomes[NotRun]++
+			co.report.Outcomes[NotRun]++
 		} else {
-			ga.report.Outcomes[Unknown]++
+			co.report.Outcomes[Unknown]++
 		}
 		return
 	}
-	ga.report.Outcomes[Answered]++
-	ga.attempts += int64(resp.GetAttempts())
+	co.report.Outcomes[Answered]++
+	co.attempts += int64(resp.GetAttempts())
 	if set.Check && string(resp.GetBody()) != string(standin.Answer(req.GetId(), req.GetBody())) {
-		ga.report.Wrong++
+		co.report.Wrong++
 	}
 	name := "latency-critical"
 	if req.GetClass() == pb.Class_CLASS_BATCH {
 		name = "batch"
 	}
-	if ga.hists[name] == nil {
-		ga.hists[name] = hdrhistogram.New(1, histMax, histDigits)
+	if co.hists[name] == nil {
+		co.hists[name] = hdrhistogram.New(1, maxLatencyUS, histogramDigits)
 	}
-	_ = ga.hists[name].RecordValue(min(histMax, took.Microseconds()))
+	_ = co.hists[name].RecordValue(min(maxLatencyUS, latency.Microseconds()))
 }
 
-func (ga *gather) progress(ctx context.Context, w io.Writer) {
-	for begun := time.Now(); clock.Sleep(ctx, time.Second); {
-		ga.mu.Lock()
-		_, _ = fmt.Fprintf(w, "%4.0fs sent %d answered %d not run %d unknown %d\n", time.Since(begun).Seconds(),
-			ga.report.Sent, ga.report.Outcomes[Answered], ga.report.Outcomes[NotRun], ga.report.Outcomes[Unknown])
-		ga.mu.Unlock()
+// progress writes the counts every second until ctx ends.
+func (co *collector) progress(ctx context.Context, w io.Writer) {
+	for start := time.Now(); clock.Sleep(ctx, time.Second); {
+		co.mu.Lock()
+		_, _ = fmt.Fprintf(w, "%4.0fs sent %d answered %d not run %d unknown %d\n", time.Since(start).Seconds(),
+			co.report.Sent, co.report.Outcomes[Answered], co.report.Outcomes[NotRun], co.report.Outcomes[Unknown])
+		co.mu.Unlock()
 	}
 }
 
-func (ga *gather) final(sending time.Duration) Report {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	re := ga.report
-	re.Seconds = sending.Seconds()
+// finalReport returns the report with mean attempts and percentiles.
+func (co *collector) finalReport(sendTime time.Duration) Report {
+	co.mu.Lock()
+	defer co.mu.Unlock()
+	re := co.report
+	re.Seconds = sendTime.Seconds()
 	if n := re.Outcomes[Answered]; n > 0 {
-		re.Attempts = float64(ga.attempts) / float64(n)
+		re.Attempts = float64(co.attempts) / float64(n)
 	}
-	for name, hist := range ga.hists {
-		at := func(q float64) float64 { return float64(hist.ValueAtQuantile(q)) / 1000 }
-		re.Classes[name] = Times{Count: hist.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: at(100)}
+	for name, hist := range co.hists {
+		ms := func(q float64) float64 { return float64(hist.ValueAtQuantile(q)) / 1000 }
+		re.Classes[name] = Latencies{Count: hist.TotalCount(), P50: ms(50), P99: ms(99), P999: ms(99.9), Max: ms(100)}
 	}
 	return re
 }
@@ -200,7 +206,7 @@
 	return enc.Encode(re)
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text.
 func (re Report) WriteText(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "sent %d in %.1f s; attempts per answer %.3f; wrong answers %d\n", re.Sent, re.Seconds, re.Attempts, re.Wrong)
 	for _, name := range []string{Answered, NotRun, Unknown} {
@@ -210,9 +216,9 @@
 		_, _ = fmt.Fprintf(w, "  because of %-22s %8d\n", name, re.Reasons[name])
 	}
 	for _, name := range slices.Sorted(maps.Keys(re.Classes)) {
-		ti := re.Classes[name]
+		la := re.Classes[name]
 		_, _ = fmt.Fprintf(w, "  %-17s %8d  p50 %.1f ms  p99 %.1f ms  p99.9 %.1f ms  max %.1f ms\n",
-			name, ti.Count, ti.P50, ti.P99, ti.P999, ti.Max)
+			name, la.Count, la.P50, la.P99, la.P999, la.Max)
 	}
 	return err
 }
