--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,84 +14,86 @@
 )
 
 var (
-	experiment = flag.Bool("lab", false, "play the experiment and print its table")
-	seeds      = flag.Int("lab.seeds", 4, "days of each variant")
-	mixFile    = flag.String("lab.mix", "", "JSON file of the mix; the usual mix if empty")
-	without    = flag.String("lab.without", "", "mechanisms to switch off one by one, separated by commas, or all")
+	experiment = flag.Bool("lab", false, "run the experiment and print its table")
+	seeds      = flag.Int("lab.seeds", 4, "simulated days of each variant")
+	mixFile    = flag.String("lab.mix", "", "JSON file of the mix; default is the built-in mix")
+	without    = flag.String("lab.without", "", "comma-separated mechanisms to disable one at a time, or all")
 )
 
-// playIn plays a day in virtual time.
-func playIn(t *testing.T, mi Mix, seed uint64, va Variant) Result {
+// simulate simulates a day in virtual time.
+func simulate(t *testing.T, mi Mix, seed uint64, va Variant) Result {
 	t.Helper()
 	var re Result
 	synctest.Test(t, func(t *testing.T) {
 		var err error
-		re, err = Play(t.Context(), mi, seed, va)
+		re, err = Simulate(t.Context(), mi, seed, va)
 		qt.Assert(t, err, qt.IsNil)
-		// What still runs ends with the context; its timers must have fired.
+		// Goroutines that still run end with the context, once their timers have fired.
 		synctest.Wait()
 	})
 	return re
 }
 
-// small is a mix that is played fast.
-func small() Mix {
-	mi := Usual()
+// smallMix returns a mix that is fast to simulate.
+func smallMix() Mix {
+	mi := DefaultMix()
 	mi.Seconds, mi.Workers, mi.Services.Jobs = 8, 10, 8
-	mi.Fillers.PerSecond, mi.Short.PerSecond = 1.5, 1
+	mi.Fillers.Rate, mi.Short.Rate = 1.5, 1
 	return mi
 }
 
-func TestPlay(t *testing.T) {
-	mi := small()
-	usual := playIn(t, mi, 1, Variant{Name: "real"})
-	t.Run("all is accounted for", func(t *testing.T) {
-		for _, cl := range []Class{usual.Fillers, usual.Short} {
+func TestSimulate(t *testing.T) {
+	mi := smallMix()
+	baseline := simulate(t, mi, 1, Variant{Name: "real"})
+	t.Run("all jobs are accounted for", func(t *testing.T) {
+		for _, cl := range []Class{baseline.Fillers, baseline.Short} {
 			qt.Assert(t, cl.Jobs > 0, qt.IsTrue)
 			qt.Assert(t, cl.InTime+cl.Late+cl.Lost, qt.Equals, cl.Jobs)
-			qt.Assert(t, int(cl.Taken.TotalCount()) >= cl.InTime+cl.Late, qt.IsTrue)
+			qt.Assert(t, int(cl.Durations.TotalCount()) >= cl.InTime+cl.Late, qt.IsTrue)
 		}
-		qt.Assert(t, usual.Worth() > 0.3 && usual.Worth() <= 1, qt.IsTrue, qt.Commentf("worth %.3f", usual.Worth()))
+		qt.Assert(t, baseline.Value() > 0.3 && baseline.Value() <= 1, qt.IsTrue, qt.Commentf("worth %.3f", baseline.Value()))
 	})
-	t.Run("where nothing disturbs nothing is over its target by fillers", func(t *testing.T) {
-		free := playIn(t, mi, 1, Variant{Undisturbed: true})
-		qt.Assert(t, free.OverByFillers, qt.Equals, 0*free.Served)
-		qt.Assert(t, free.Served > 0, qt.IsTrue)
+	t.Run("without disturbance no service exceeds its target because of fillers", func(t *testing.T) {
+		undisturbed := simulate(t, mi, 1, Variant{Undisturbed: true})
+		qt.Assert(t, undisturbed.OverTargetByFillers, qt.Equals, 0*undisturbed.Served)
+		qt.Assert(t, undisturbed.Served > 0, qt.IsTrue)
 	})
-	t.Run("fillers that nobody slows disturb", func(t *testing.T) {
-		rough := playIn(t, mi, 1, Variant{Without: sched.MechPace | sched.MechHold | sched.MechFillerWait | sched.MechMove})
-		qt.Assert(t, rough.OverByFillers > usual.OverByFillers, qt.IsTrue, qt.Commentf("%v, usual %v", rough.OverByFillers, usual.OverByFillers))
+	t.Run("fillers that are not throttled disturb", func(t *testing.T) {
+		unthrottled := simulate(t, mi, 1, Variant{Without: sched.MechPace | sched.MechHold | sched.MechFillerWait | sched.MechMove})
+		qt.Assert(t, unthrottled.OverTargetByFillers > baseline.OverTargetByFillers, qt.IsTrue, qt.Commentf("%v, baseline %v", unthrottled.OverTargetByFillers, baseline.OverTargetByFillers))
 	})
 }
 
-// TestDayWithRestarts has a third of the workers restart again and again: nothing runs twice, and services run all the same.
-func TestDayWithRestarts(t *testing.T) {
-	mi := small()
-	mi.Restarts = Restarts{EveryS: 5, Share: 0.3, AwayMS: 1000}
+// TestRestartsRunNothingTwice guards against tasks that run twice, and services that stop
+// running, while a third of the workers restarts again and again.
+func TestRestartsRunNothingTwice(t *testing.T) {
+	mi := smallMix()
+	mi.Restarts = Restarts{IntervalS: 5, Fraction: 0.3, MaxDowntimeMS: 1000}
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
-			pl := newPlay(mi, seed+1, Variant{Name: "real"})
-			re, err := pl.run(t.Context())
+			sm := newSimulation(mi, seed+1, Variant{Name: "real"})
+			re, err := sm.run(t.Context())
 			qt.Assert(t, err, qt.IsNil)
-			qt.Check(t, standin.RunProblems(pl.fleet.Runs()), qt.HasLen, 0)
-			qt.Check(t, re.Worth() > 0.3, qt.IsTrue, qt.Commentf("worth %.3f", re.Worth()))
+			qt.Check(t, standin.RunProblems(sm.fleet.Runs()), qt.HasLen, 0)
+			qt.Check(t, re.Value() > 0.3, qt.IsTrue, qt.Commentf("worth %.3f", re.Value()))
 			synctest.Wait()
 		})
 	}
 }
 
-func TestDrawDay(t *testing.T) {
-	a, b, other := drawDay(Usual(), 7), drawDay(Usual(), 7), drawDay(Usual(), 8)
+func TestSampleDayIsDeterministic(t *testing.T) {
+	a, b, otherSeed := sampleDay(DefaultMix(), 7), sampleDay(DefaultMix(), 7), sampleDay(DefaultMix(), 8)
 	qt.Assert(t, a.drops, qt.DeepEquals, b.drops)
 	qt.Assert(t, len(a.jobs), qt.Equals, len(b.jobs))
 	qt.Assert(t, a.jobs[9].spec, qt.DeepEquals, b.jobs[9].spec)
-	qt.Assert(t, a.drops, qt.Not(qt.DeepEquals), other.drops)
+	qt.Assert(t, a.drops, qt.Not(qt.DeepEquals), otherSeed.drops)
 	for _, dr := range a.jobs {
 		qt.Assert(t, dr.spec.Check(), qt.IsNil)
 	}
 }
 
-// variants are the bounds, and the real policy without what the flag names.
+// variants returns the bounds, and the real policy without each mechanism that the
+// flag names.
 func variants(t *testing.T) []Variant {
 	t.Helper()
 	list := append([]Variant(nil), Bounds...)
@@ -103,12 +105,13 @@
 	return list
 }
 
-// TestExperiment prints a table; it needs the flag, as it takes minutes.
+// TestExperiment prints a table of all variants. It takes minutes, so it only runs with
+// the flag -lab.
 func TestExperiment(t *testing.T) {
 	if !*experiment {
 		return
 	}
-	mi := Usual()
+	mi := DefaultMix()
 	if *mixFile != "" {
 		var err error
 		mi, err = ReadMix(*mixFile)
@@ -123,7 +126,7 @@
 			for seed := range *seeds {
 				t.Run(rows[i].Variant.Name, func(t *testing.T) {
 					t.Parallel()
-					rows[i].Results[seed] = playIn(t, mi, uint64(seed)+1, rows[i].Variant)
+					rows[i].Results[seed] = simulate(t, mi, uint64(seed)+1, rows[i].Variant)
 				})
 			}
 		}
--- a/internal/lab/mix.go
+++ b/internal/lab/mix.go
@@ -1,12 +1,12 @@
-// Package lab plays days of an invented deployment with the real owner of a cell
-// against stand-ins, in virtual time, to measure what a policy or a piece of
-// knowledge is worth.
+// Package lab simulates days of a synthetic deployment in virtual time, with the real
+// owner of a cell and stand-ins for everything else, to measure the gain of a policy
+// or of better knowledge.
 //
-// It differs from the users' days: one owner that never fails, a store that always
-// answers, workers that fail in one way only, by restarting. What it tells is how decisions compare, not what
-// users are served. Besides the real policy it plays bounds: an owner that knows
-// how images disturb each other, one that is told true run times, and a world
-// without disturbance. It is run by its tests, as only those have virtual time:
+// It is simpler than production: the only owner never fails, the store always answers,
+// and workers fail only by restarting. So it compares policies, but doesn't predict
+// what users get. Besides the real policy it simulates bounds: an owner that knows how
+// images disturb each other, one that knows the true run times, and workers without
+// disturbance. Only tests have virtual time, so it is run by its tests:
 //
 //	go test ./internal/lab -run TestExperiment -v -lab -lab.seeds 8
 package lab
@@ -19,113 +19,117 @@
 	"os"
 )
 
-// Spread is a number that is drawn: Mean times e to a normal number of deviation
-// Off, at most Most if that is not 0.
-type Spread struct {
-	Mean float64 `json:"mean"`
-	Off  float64 `json:"off"`
-	Most float64 `json:"most"`
+// LogNormal is a log-normal distribution with the given mean and the standard deviation
+// Sigma of the logarithm. Samples are cut off at Max if that is not 0.
+type LogNormal struct {
+	Mean  float64 `json:"mean"`
+	Sigma float64 `json:"off"`
+	Max   float64 `json:"most"`
 }
 
-// draw draws a number.
-func (sp Spread) draw(rn *rand.Rand) float64 {
-	x := sp.Mean * math.Exp(sp.Off*rn.NormFloat64()-sp.Off*sp.Off/2)
-	if sp.Most > 0 {
-		x = min(x, sp.Most)
+// sample returns a random number.
+func (ln LogNormal) sample(rn *rand.Rand) float64 {
+	x := ln.Mean * math.Exp(ln.Sigma*rn.NormFloat64()-ln.Sigma*ln.Sigma/2)
+	if ln.Max > 0 {
+		x = min(x, ln.Max)
 	}
 	return x
 }
 
-// count draws a number of things, 1 at least.
-func (sp Spread) count(rn *rand.Rand) int { return max(int(math.Round(sp.draw(rn))), 1) }
+// sampleCount returns a random whole number, at least 1.
+func (ln LogNormal) sampleCount(rn *rand.Rand) int { return max(int(math.Round(ln.sample(rn))), 1) }
 
-// Batch says what jobs of one kind are like.
-type Batch struct {
-	// PerSecond is the rate at which they come, Worth what one of mean work is
-	// worth if it is in time.
-	PerSecond float64 `json:"per_second"`
-	Worth     float64 `json:"worth"`
-	// Steps and Tasks are numbers a job and a step.
-	Steps Spread `json:"steps"`
-	Tasks Spread `json:"tasks"`
-	// RunMS is the true run time of a step's tasks in milliseconds, Declared by
-	// what deviation, of the logarithm, declared ones are off.
-	RunMS    Spread  `json:"run_ms"`
-	Declared float64 `json:"declared"`
-	// MilliCores is what a task takes, MemMB its memory.
-	MilliCores Spread  `json:"milli_cores"`
-	MemMB      float64 `json:"mem_mb"`
-	// Stretch and AllowanceMS make the aim.
+// BatchJobs describes the batch jobs of one class.
+type BatchJobs struct {
+	// Rate is the mean number of arrivals per second, Value that of a job of mean work
+	// that is in time.
+	Rate  float64 `json:"per_second"`
+	Value float64 `json:"worth"`
+	// Steps is the number of steps per job, Tasks that of tasks per step.
+	Steps LogNormal `json:"steps"`
+	Tasks LogNormal `json:"tasks"`
+	// RunMS is the true run time of a step's tasks in milliseconds, EstimateSigma the
+	// standard deviation of the logarithm of estimate over true run time.
+	RunMS         LogNormal `json:"run_ms"`
+	EstimateSigma float64   `json:"declared"`
+	// MilliCores and MemMB are the resources of a task.
+	MilliCores LogNormal `json:"milli_cores"`
+	MemMB      float64   `json:"mem_mb"`
+	// Stretch and AllowanceMS are those of the queue, which determine target durations.
 	Stretch     float64 `json:"stretch"`
 	AllowanceMS int64   `json:"allowance_ms"`
-	// Priority is the queue's, Filler says whether its tasks fill, and Images how
-	// many images they are of.
+	// Priority is that of the queue, Filler says whether the tasks are fillers, and
+	// Images is the number of different images of fillers.
 	Priority int  `json:"priority"`
 	Filler   bool `json:"filler"`
 	Images   int  `json:"images"`
 }
 
-// Services says what the services are like, which are there from the start.
+// Services describes the services, which are submitted at the start.
 type Services struct {
-	// Jobs and Tasks are numbers in all and a job, Worth what a job is worth each
-	// second that it serves within its target.
-	Jobs  int     `json:"jobs"`
-	Tasks Spread  `json:"tasks"`
-	Worth float64 `json:"worth"`
-	// MilliCores and MemMB are what a task takes.
-	MilliCores Spread  `json:"milli_cores"`
-	MemMB      float64 `json:"mem_mb"`
-	// Images is how many images they are of, TargetMS their target, and Headroom
-	// that target over the tail at no load.
+	// Jobs is the number of services, Tasks that of tasks per service, and Value that of
+	// a service per second in which all its tasks run within the latency target.
+	Jobs  int       `json:"jobs"`
+	Tasks LogNormal `json:"tasks"`
+	Value float64   `json:"worth"`
+	// MilliCores and MemMB are the resources of a task.
+	MilliCores LogNormal `json:"milli_cores"`
+	MemMB      float64   `json:"mem_mb"`
+	// Images is the number of different images, TargetMS the latency target, and
+	// Headroom the ratio of the target to the tail latency at no load.
 	Images   int     `json:"images"`
 	TargetMS int64   `json:"target_ms"`
 	Headroom float64 `json:"headroom"`
-	// Load is the mean share of their processors in use, which swings by the part
-	// Swing of itself within SwingS seconds.
+	// Load is the mean fraction of their processor allocation in use. It varies as a
+	// sine with relative amplitude Swing and a period of SwingS seconds.
 	Load   float64 `json:"load"`
 	Swing  float64 `json:"swing"`
 	SwingS float64 `json:"swing_s"`
-	// Apart is the share of jobs one of whose tasks a worker holds at most.
-	Apart float64 `json:"apart"`
+	// SpreadFraction is the fraction of services with at most one task per worker.
+	SpreadFraction float64 `json:"apart"`
 }
 
 // Mix is a deployment and its load.
 type Mix struct {
 	Name string `json:"name"`
-	// Seconds is how long jobs come.
+	// Seconds is for how long batch jobs arrive.
 	Seconds int `json:"seconds"`
-	// Workers is their number, MilliCores what most of them have, and a third of
-	// them half more; MemMB is the memory.
+	// Workers is the number of workers. MilliCores and MemMB are their resources; a
+	// third of them have half as much again.
 	Workers    int   `json:"workers"`
 	MilliCores int64 `json:"milli_cores"`
 	MemMB      int64 `json:"mem_mb"`
-	// Heavy is the share of pairs of images that disturb badly. They lower
-	// headroom by about HeavyDrop a whole worker, the others by about LightDrop.
-	Heavy     float64 `json:"heavy"`
-	HeavyDrop float64 `json:"heavy_drop"`
-	LightDrop float64 `json:"light_drop"`
-	// Rough is the part by which workers' figures are off.
-	Rough float64 `json:"rough"`
+	// HeavyFraction is the fraction of pairs of a service's and a filler's image with
+	// heavy disturbance. If the filler takes a whole worker, headroom drops by about
+	// HeavyDrop, for other pairs by about LightDrop.
+	HeavyFraction float64 `json:"heavy"`
+	HeavyDrop     float64 `json:"heavy_drop"`
+	LightDrop     float64 `json:"light_drop"`
+	// MeasurementNoise is the standard deviation of the logarithm of reported over true
+	// figures of the workers.
+	MeasurementNoise float64 `json:"rough"`
 
-	// Restarts says how workers restart.
+	// Restarts describes worker restarts.
 	Restarts Restarts `json:"restarts"`
 
-	Services Services `json:"services"`
-	Fillers  Batch    `json:"fillers"`
-	Short    Batch    `json:"short"`
+	Services Services  `json:"services"`
+	Fillers  BatchJobs `json:"fillers"`
+	Short    BatchJobs `json:"short"`
 }
 
-// Restarts says how workers restart under their ids: each EveryS seconds a Share of them,
-// which are away for up to AwayMS milliseconds. With EveryS 0 none do.
+// Restarts describes how workers restart under their IDs: every IntervalS seconds each
+// with probability Fraction, with a downtime of up to MaxDowntimeMS milliseconds. With
+// IntervalS 0 no worker restarts.
 type Restarts struct {
-	EveryS float64 `json:"every_s"`
-	Share  float64 `json:"share"`
-	AwayMS int64   `json:"away_ms"`
+	IntervalS     float64 `json:"every_s"`
+	Fraction      float64 `json:"share"`
+	MaxDowntimeMS int64   `json:"away_ms"`
 }
 
-// ReadMix reads a mix from a JSON file. What the file leaves out is as in [Usual].
+// ReadMix reads a mix from a JSON file. Fields that the file leaves out are those of
+// [DefaultMix].
 func ReadMix(path string) (Mix, error) {
-	mi := Usual()
+	mi := DefaultMix()
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return mi, fmt.Errorf("read mix: %w", err)
@@ -136,23 +140,24 @@
 	return mi, nil
 }
 
-// Usual is a mix whose fillers want about what services leave.
-func Usual() Mix {
+// DefaultMix returns a mix whose fillers ask for about the resources that the services
+// leave.
+func DefaultMix() Mix {
 	return Mix{
 		Name: "usual", Seconds: 30, Workers: 40, MilliCores: 40_000, MemMB: 160_000,
-		Heavy: 0.5, HeavyDrop: 11, LightDrop: 0.8, Rough: 0.15,
+		HeavyFraction: 0.5, HeavyDrop: 11, LightDrop: 0.8, MeasurementNoise: 0.15,
 		Services: Services{
-			Jobs: 32, Tasks: Spread{Mean: 6, Off: 0.3, Most: 12}, Worth: 0.2, MilliCores: Spread{Mean: 7500, Off: 0.25, Most: 12_000}, MemMB: 16_000,
-			Images: 6, TargetMS: 40, Headroom: 5.5, Load: 0.45, Swing: 0.5, SwingS: 12, Apart: 0.5,
+			Jobs: 32, Tasks: LogNormal{Mean: 6, Sigma: 0.3, Max: 12}, Value: 0.2, MilliCores: LogNormal{Mean: 7500, Sigma: 0.25, Max: 12_000}, MemMB: 16_000,
+			Images: 6, TargetMS: 40, Headroom: 5.5, Load: 0.45, Swing: 0.5, SwingS: 12, SpreadFraction: 0.5,
 		},
-		Fillers: Batch{
-			PerSecond: 6, Worth: 1.2, Steps: Spread{Mean: 2, Off: 0.3, Most: 4}, Tasks: Spread{Mean: 8, Off: 0.5, Most: 30},
-			RunMS: Spread{Mean: 1800, Off: 0.5, Most: 4500}, Declared: 0.8, MilliCores: Spread{Mean: 4000, Off: 0.3, Most: 8000}, MemMB: 8000,
+		Fillers: BatchJobs{
+			Rate: 6, Value: 1.2, Steps: LogNormal{Mean: 2, Sigma: 0.3, Max: 4}, Tasks: LogNormal{Mean: 8, Sigma: 0.5, Max: 30},
+			RunMS: LogNormal{Mean: 1800, Sigma: 0.5, Max: 4500}, EstimateSigma: 0.8, MilliCores: LogNormal{Mean: 4000, Sigma: 0.3, Max: 8000}, MemMB: 8000,
 			Stretch: 2, AllowanceMS: 1000, Priority: 2, Filler: true, Images: 9,
 		},
-		Short: Batch{
-			PerSecond: 4, Worth: 0.4, Steps: Spread{Mean: 1.5, Off: 0.3, Most: 3}, Tasks: Spread{Mean: 5, Off: 0.6, Most: 20},
-			RunMS: Spread{Mean: 700, Off: 0.4, Most: 2000}, Declared: 0.5, MilliCores: Spread{Mean: 2500, Off: 0.4, Most: 8000}, MemMB: 5000,
+		Short: BatchJobs{
+			Rate: 4, Value: 0.4, Steps: LogNormal{Mean: 1.5, Sigma: 0.3, Max: 3}, Tasks: LogNormal{Mean: 5, Sigma: 0.6, Max: 20},
+			RunMS: LogNormal{Mean: 700, Sigma: 0.4, Max: 2000}, EstimateSigma: 0.5, MilliCores: LogNormal{Mean: 2500, Sigma: 0.4, Max: 8000}, MemMB: 5000,
 			Stretch: 1.5, AllowanceMS: 250,
 		},
 	}
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -12,66 +12,70 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// Weights of what users are served.
+// Weights of the value that a schedule has for users.
 const (
-	// lateWorth is the part of its worth that a job has that takes up to lateMost
-	// times its aim.
-	lateWorth = 0.15
-	lateMost  = 3
-	// workPart is the part of a job's worth that goes by its work.
-	workPart = 0.7
-	// overWeight is how much more a second over the target by fillers counts than
-	// one away.
-	overWeight = 4
+	// lateValue is the fraction of its value that a late job keeps; late is up to
+	// maxLateFactor times the target duration.
+	lateValue     = 0.15
+	maxLateFactor = 3
+	// workFraction is the fraction of a job's value that is proportional to its work.
+	workFraction = 0.7
+	// overTargetWeight is how much more a second over the target because of fillers
+	// costs than a second not served.
+	overTargetWeight = 4
 )
 
-// Class is what became of one kind of jobs.
+// Class is the result of one class of batch jobs.
 type Class struct {
-	// Owed and Earned are worth.
-	Owed, Earned float64
-	// Jobs, InTime, Late and Lost are numbers.
+	// MaxValue is the value if all jobs were in time, Value that achieved.
+	MaxValue, Value float64
+	// Jobs counts all jobs; each is one of InTime, Late or Lost, that is too late or
+	// never done.
 	Jobs, InTime, Late, Lost int
-	// Taken has the times from handing in to the end, in milliseconds.
-	Taken *hdrhistogram.Histogram
+	// Durations holds the times from submission to the end of finished jobs, in
+	// milliseconds.
+	Durations *hdrhistogram.Histogram
 }
 
-// Result is what a day came to.
+// Result is the result of a simulated day.
 type Result struct {
 	Fillers, Short Class
-	// Served is how long services served, in all; OverByFillers and OverAlone how
-	// long they were over their target.
-	Served, OverByFillers, OverAlone time.Duration
-	// ServiceOwed and ServiceEarned are worth.
-	ServiceOwed, ServiceEarned float64
-	// Starts is the number of runs, Stopped those that were stopped.
+	// Served is the total time for which service tasks ran. OverTargetByFillers and
+	// OverTargetAlone are the parts of it over the latency target, because of fillers
+	// and for other reasons.
+	Served, OverTargetByFillers, OverTargetAlone time.Duration
+	// ServiceMaxValue is the value if all services always met their target, ServiceValue
+	// that achieved.
+	ServiceMaxValue, ServiceValue float64
+	// Starts counts all task runs, Stopped those that were stopped.
 	Starts, Stopped int
 }
 
-// Worth is the share of what was owed that was earned.
-func (re *Result) Worth() float64 {
-	owed := re.Fillers.Owed + re.Short.Owed + re.ServiceOwed
-	return (re.Fillers.Earned + re.Short.Earned + re.ServiceEarned) / max(owed, math.SmallestNonzeroFloat64)
+// Value returns the achieved fraction of the maximum value.
+func (re *Result) Value() float64 {
+	maxValue := re.Fillers.MaxValue + re.Short.MaxValue + re.ServiceMaxValue
+	return (re.Fillers.Value + re.Short.Value + re.ServiceValue) / max(maxValue, math.SmallestNonzeroFloat64)
 }
 
-// histogramMostMS bounds the times that a histogram tells apart.
-const histogramMostMS = 120_000
+// histogramMaxMS is the upper end of the histograms' range.
+const histogramMaxMS = 120_000
 
-func newClass() Class { return Class{Taken: hdrhistogram.New(1, histogramMostMS, 2)} }
+func newClass() Class { return Class{Durations: hdrhistogram.New(1, histogramMaxMS, 2)} }
 
-// result sums the day up.
-func (pl *play) result() Result {
+// result computes the result of the day from the workers' logs.
+func (sm *simulation) result() Result {
 	re := Result{Fillers: newClass(), Short: newClass()}
 	done := map[string]int{}
 	until := map[string]time.Time{}
-	for _, ru := range pl.fleet.Runs() {
+	for _, ru := range sm.fleet.Runs() {
 		id, _, _ := job.ParseTaskID(ru.Task)
 		re.Starts++
 		if ru.How == "stopped" {
 			re.Stopped++
 		}
 		re.Served += ru.Served
-		re.OverByFillers += ru.OverByFillers
-		re.OverAlone += ru.OverAlone
+		re.OverTargetByFillers += ru.OverByFillers
+		re.OverTargetAlone += ru.OverAlone
 		if ru.How == "done" {
 			done[id]++
 			if ru.Until.After(until[id]) {
@@ -79,36 +83,37 @@
 			}
 		}
 	}
-	pl.sumJobs(&re, done, until)
-	pl.sumServices(&re)
+	sm.sumBatchJobs(&re, done, until)
+	sm.sumServices(&re)
 	return re
 }
 
-// sumJobs sums up the jobs that end.
-func (pl *play) sumJobs(re *Result, done map[string]int, until map[string]time.Time) {
-	means := map[*Batch]float64{}
-	counts := map[*Batch]float64{}
-	for _, dr := range pl.day.jobs {
+// sumBatchJobs adds the batch jobs to the result.
+func (sm *simulation) sumBatchJobs(re *Result, done map[string]int, until map[string]time.Time) {
+	means := map[*BatchJobs]float64{}
+	counts := map[*BatchJobs]float64{}
+	for _, dr := range sm.day.jobs {
 		if dr.batch != nil {
 			means[dr.batch] += dr.work()
 			counts[dr.batch]++
 		}
 	}
-	for _, dr := range pl.day.jobs {
+	for _, dr := range sm.day.jobs {
 		if dr.batch == nil {
 			continue
 		}
-		worth := dr.batch.Worth * (1 - workPart + workPart*dr.work()*counts[dr.batch]/means[dr.batch])
+		value := dr.batch.Value * (1 - workFraction + workFraction*dr.work()*counts[dr.batch]/means[dr.batch])
 		cl := &re.Short
 		if dr.batch.Filler {
 			cl = &re.Fillers
 		}
-		finished := done[dr.id] == tasks(dr)
-		cl.add(worth, dr.aim(), until[dr.id].Sub(pl.began.Add(dr.at)), finished)
+		finished := done[dr.id] == taskCount(dr)
+		cl.add(value, dr.target(), until[dr.id].Sub(sm.began.Add(dr.at)), finished)
 	}
 }
 
-func tasks(dr *drawn) int {
+// taskCount returns the number of tasks of a job.
+func taskCount(dr *sampledJob) int {
 	n := 0
 	for _, st := range dr.spec.Steps {
 		n += st.Tasks
@@ -116,48 +121,49 @@
 	return n
 }
 
-// add adds a job.
-func (cl *Class) add(worth float64, aim, took time.Duration, finished bool) {
+// add adds a job that took the given time, if it finished.
+func (cl *Class) add(value float64, target, took time.Duration, finished bool) {
 	cl.Jobs++
-	cl.Owed += worth
+	cl.MaxValue += value
 	if finished {
-		// Longer times than the histogram tells apart count as its longest.
-		_ = cl.Taken.RecordValue(min(max(took.Milliseconds(), 1), histogramMostMS))
+		// Times above the histogram's range are recorded as its maximum.
+		_ = cl.Durations.RecordValue(min(max(took.Milliseconds(), 1), histogramMaxMS))
 	}
 	switch {
-	case finished && took <= aim:
+	case finished && took <= target:
 		cl.InTime++
-		cl.Earned += worth
-	case finished && took <= lateMost*aim:
+		cl.Value += value
+	case finished && took <= maxLateFactor*target:
 		cl.Late++
-		cl.Earned += lateWorth * worth
+		cl.Value += lateValue * value
 	default:
 		cl.Lost++
 	}
 }
 
-// sumServices sums up the services: all should serve from the warm-up on.
-func (pl *play) sumServices(re *Result) {
+// sumServices adds the services to the result. All their tasks should run from the
+// start of the warm-up to the end.
+func (sm *simulation) sumServices(re *Result) {
 	all := 0
-	for _, dr := range pl.day.jobs {
+	for _, dr := range sm.day.jobs {
 		if dr.batch == nil {
-			all += tasks(dr)
+			all += taskCount(dr)
 		}
 	}
-	perTask := pl.day.mix.Services.Worth * float64(pl.day.mix.Services.Jobs) / float64(max(all, 1))
-	span := warmUp + time.Duration(pl.day.mix.Seconds)*time.Second + coolDown
-	re.ServiceOwed = perTask * float64(all) * span.Seconds()
-	earned := re.Served - re.OverAlone - overWeight*re.OverByFillers
-	re.ServiceEarned = min(perTask*earned.Seconds(), re.ServiceOwed)
+	perTask := sm.day.mix.Services.Value * float64(sm.day.mix.Services.Jobs) / float64(max(all, 1))
+	span := warmUpTime + time.Duration(sm.day.mix.Seconds)*time.Second + drainTime
+	re.ServiceMaxValue = perTask * float64(all) * span.Seconds()
+	servedInTarget := re.Served - re.OverTargetAlone - overTargetWeight*re.OverTargetByFillers
+	re.ServiceValue = min(perTask*servedInTarget.Seconds(), re.ServiceMaxValue)
 }
 
-// Row is a variant with the results of its days.
+// Row holds a variant and the results of its simulated days.
 type Row struct {
 	Variant Variant
 	Results []Result
 }
 
-// mean returns the mean of a number over the days, and its standard error.
+// mean returns the mean of a figure over the days and its standard error.
 func (ro Row) mean(of func(*Result) float64) (mean, stderr float64) {
 	n := float64(len(ro.Results))
 	var sum, squares float64
@@ -173,23 +179,23 @@
 	return mean, math.Sqrt(max(squares/n-mean*mean, 0) / (n - 1))
 }
 
-// Print writes a table of variants.
+// Print writes a table with a line for each variant.
 func Print(out io.Writer, mi Mix, rows []Row) error {
 	tw := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintf(tw, "%s\tDAYS\tWORTH\tSE\tFILLERS\tP50 MS\tP95 MS\tSHORT\tP95 MS\tSERVICES\tOVER BY FILLERS\tSTOPPED\t\n", mi.Name)
 	for _, ro := range rows {
-		worth, se := ro.mean((*Result).Worth)
-		fillers, _ := ro.mean(func(re *Result) float64 { return re.Fillers.Earned / re.Fillers.Owed })
-		short, _ := ro.mean(func(re *Result) float64 { return re.Short.Earned / re.Short.Owed })
-		services, _ := ro.mean(func(re *Result) float64 { return re.ServiceEarned / re.ServiceOwed })
-		over, _ := ro.mean(func(re *Result) float64 { return float64(re.OverByFillers) / float64(max(re.Served, 1)) })
+		value, se := ro.mean((*Result).Value)
+		fillers, _ := ro.mean(func(re *Result) float64 { return re.Fillers.Value / re.Fillers.MaxValue })
+		short, _ := ro.mean(func(re *Result) float64 { return re.Short.Value / re.Short.MaxValue })
+		services, _ := ro.mean(func(re *Result) float64 { return re.ServiceValue / re.ServiceMaxValue })
+		over, _ := ro.mean(func(re *Result) float64 { return float64(re.OverTargetByFillers) / float64(max(re.Served, 1)) })
 		stopped, _ := ro.mean(func(re *Result) float64 { return float64(re.Stopped) })
-		fi, sh := hdrhistogram.New(1, histogramMostMS, 2), hdrhistogram.New(1, histogramMostMS, 2)
+		fi, sh := hdrhistogram.New(1, histogramMaxMS, 2), hdrhistogram.New(1, histogramMaxMS, 2)
 		for i := range ro.Results {
-			fi.Merge(ro.Results[i].Fillers.Taken)
-			sh.Merge(ro.Results[i].Short.Taken)
+			fi.Merge(ro.Results[i].Fillers.Durations)
+			sh.Merge(ro.Results[i].Short.Durations)
 		}
-		_, _ = fmt.Fprintf(tw, "%s\t%d\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.3f\t%d\t%.3f\t%.3f\t%.0f\t\n", ro.Variant.Name, len(ro.Results), worth, se,
+		_, _ = fmt.Fprintf(tw, "%s\t%d\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.3f\t%d\t%.3f\t%.3f\t%.0f\t\n", ro.Variant.Name, len(ro.Results), value, se,
 			fillers, fi.ValueAtQuantile(50), fi.ValueAtQuantile(95), short, sh.ValueAtQuantile(95), services, over, stopped)
 	}
 	return tw.Flush()
