--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -54,7 +54,7 @@
 func commands(st *streams) []commandEntry {
 	return []commandEntry{
 		{name: "serve", short: "run an entry host", command: &serveCommand{st: st},
-			long: "Runs an entry host until SIGINT or SIGTERM, and then shuts down gracefully: requests in flight are finished.\nExample: pepperhatch serve --name e1 --data-centre burnaby-hall --data-centres burnaby-hall --table http://10.0.0.1:7000 ..."},
+			long: "Runs an entry host until SIGINT or SIGTERM, and then shuts down gracefully, without cutting off requests in flight.\nExample: pepperhatch serve --name e1 --data-centre burnaby-hall --data-centres burnaby-hall --table http://10.0.0.1:7000 ..."},
 		{name: "run", short: "run an entry host on the users' platform", command: &runCommand{st: st},
 			long: "Runs an entry host that schedules jobs on the users' platform, until SIGINT or SIGTERM, and then shuts down gracefully.\nExample: PEPPERHATCH_BOOT=/etc/pepperhatch/boot.yaml pepperhatch run"},
 		{name: "check", short: "check the settings of an entry host", command: &checkCommand{st: st},
