--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -112,7 +112,7 @@
 func (cl *cluster) memberIDs(via int) []string {
 	cmd := exec.Command(filepath.Join(binaries, "pepperhatch"), "declare-dead", "nobody", "--admin", cl.entries[via].addrs[2])
 	out, _ := cmd.CombinedOutput()
-	_, list, _ := strings.Cut(string(out), "there are [")
+	_, list, _ := strings.Cut(string(out), "members are [")
 	list, _, _ = strings.Cut(list, "]")
 	return strings.Fields(list)
 }
