--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -24,7 +24,7 @@
 
 var measureOverhead = flag.Bool("compare", false, "measure the latency that an entry host adds to a request")
 
-// spans returns the logs of all workers by task.
+// taskSpans returns the task logs of all workers, by task.
 func (cl *cluster) taskSpans() map[string][]standin.TaskSpan {
 	spans := map[string][]standin.TaskSpan{}
 	for _, pr := range cl.workers {
@@ -95,8 +95,8 @@
 	time.Sleep(2 * time.Second)
 	cl.killProcess(cl.entries[0])
 	cl.killProcess(cl.entries[1])
-	fresh := cl.startEntry("e4", dataCentres[0])
-	cl.entries = append(cl.entries, fresh)
+	newHost := cl.startEntry("e4", dataCentres[0])
+	cl.entries = append(cl.entries, newHost)
 	cl.await("e4 is a member", func() bool { return len(cl.memberIDs(3)) == 3 })
 	c.Assert(cl.ownerOf(3, dataCentres[0]), qt.IsNil)
 	for _, id := range cl.memberIDs(3) {
@@ -104,7 +104,7 @@
 			c.Assert(cl.runCLI(3, "declare-dead", id, "--yes"), qt.Contains, "carried out")
 		}
 	}
-	cl.await("e4 owns the cell", func() bool { return cl.ownerOf(3, dataCentres[0]) == fresh })
+	cl.await("e4 owns the cell", func() bool { return cl.ownerOf(3, dataCentres[0]) == newHost })
 }
 
 // memberIDs returns the members that an entry host lists in its error about an unknown
@@ -126,16 +126,16 @@
 	for _, addr := range cl.platform {
 		cl.setFault(addr, "down")
 	}
-	fresh := cl.startEntry("e4", dataCentres[1])
+	newHost := cl.startEntry("e4", dataCentres[1])
 	cl.await("ready", func() bool {
-		resp, err := cl.web.Get("http://" + fresh.addrs[0] + "/readyz")
+		resp, err := cl.web.Get("http://" + newHost.addrs[0] + "/readyz")
 		if err != nil {
 			return false
 		}
 		_ = resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	})
-	cl.entries = append(cl.entries, fresh)
+	cl.entries = append(cl.entries, newHost)
 	c.Assert(cl.runCLI(3, "config", "get"), qt.Contains, "version 1")
 }
 
@@ -152,24 +152,24 @@
 	entry := cl.caller(cl.entries[0])
 	set := load.Settings{Rate: 200, Duration: 10 * time.Second, Service: "routedesk", Method: "leg-recalc", BodyBytes: 64}
 	for i := range 2000 {
-		begun := time.Now()
+		start := time.Now()
 		_, err := client.RunFunc(context.Background(), cl.runners[0].Args[3], runner.Request{
 			ID: fmt.Sprint(i), Service: "routedesk", Body: make([]byte, 64), Deadline: time.Now().Add(time.Second),
 		})
 		c.Assert(err, qt.IsNil)
-		_ = direct.RecordValue(time.Since(begun).Microseconds())
+		_ = direct.RecordValue(time.Since(start).Microseconds())
 	}
 	re := load.Run(context.Background(), entry, set)
 	c.Logf("direct, one at a time: p50 %.2f ms p99 %.2f ms", float64(direct.ValueAtQuantile(50))/1000, float64(direct.ValueAtQuantile(99))/1000)
 	c.Logf("through an entry host, 200 a second: %+v", re.Classes)
 	var took []time.Duration
 	for i := range 10 {
-		begun := time.Now()
+		start := time.Now()
 		cl.runCLI(0, "config", "set", fmt.Sprintf("route.batch-every=%d", i+2), "--yes")
 		cl.await("in force", func() bool {
 			return strings.Contains(cl.runCLI(2, "status"), fmt.Sprintf("configuration %d in force at 3 of 3", i+1))
 		})
-		took = append(took, time.Since(begun))
+		took = append(took, time.Since(start))
 	}
 	slices.Sort(took)
 	c.Logf("configuration in force at 3 of 3, from the command to seeing it: %v", took)
--- a/e2e/freeze_test.go
+++ b/e2e/freeze_test.go
@@ -230,10 +230,10 @@
 func TestWorkersOrderedAfterOwnerFreezes(t *testing.T) {
 	c := qt.New(t)
 	cl := startJobCluster(c)
-	begun := time.Now()
+	start := time.Now()
 	for range 2 {
 		frozen, before := cl.owner(), cl.fleet.Fences()
-		cl.freeze(frozen, freezeTime, begun)
+		cl.freeze(frozen, freezeTime, start)
 		cl.await("another host owns the cell", func() bool { return cl.owner() != frozen })
 		cl.await("the new owner orders all workers", func() bool { return cl.workersFencedAbove(before) == fleetWorkers })
 	}
@@ -252,15 +252,15 @@
 	seed := proptest.Seed(t)
 	c.Logf("seed %d", seed)
 	rn := rand.New(rand.NewPCG(seed, 0))
-	for begun := time.Now(); time.Since(begun) < randomFreezePeriod; {
-		cl.freezeOneOrTwo(rn, begun)
+	for start := time.Now(); time.Since(start) < randomFreezePeriod; {
+		cl.freezeOneOrTwo(rn, start)
 	}
 	cl.assertRecovered()
 }
 
 // freezeOneOrTwo freezes one or two hosts for random times. What it samples depends on rn
 // alone.
-func (cl *jobCluster) freezeOneOrTwo(rn *rand.Rand, begun time.Time) {
+func (cl *jobCluster) freezeOneOrTwo(rn *rand.Rand, start time.Time) {
 	first, second := cl.hosts[rn.IntN(jobHosts)], cl.hosts[rn.IntN(jobHosts)]
 	if rn.IntN(2) == 0 {
 		first = cl.owner()
@@ -269,10 +269,10 @@
 	after, pause := randomTime(rn, 0, 2*time.Second), randomTime(rn, 0, time.Second)
 	firstTime, secondTime := randomTime(rn, 500*time.Millisecond, freezeTime), randomTime(rn, 500*time.Millisecond, freezeTime)
 	var wg sync.WaitGroup
-	wg.Go(func() { cl.freeze(first, firstTime, begun) })
+	wg.Go(func() { cl.freeze(first, firstTime, start) })
 	if !single && second != first {
 		time.Sleep(after)
-		wg.Go(func() { cl.freeze(second, secondTime, begun) })
+		wg.Go(func() { cl.freeze(second, secondTime, start) })
 	}
 	wg.Wait()
 	time.Sleep(pause)
@@ -284,9 +284,9 @@
 }
 
 // freeze stops a host's process for the given time.
-func (cl *jobCluster) freeze(pr *process, lasts time.Duration, begun time.Time) {
-	cl.c.Logf("%v: %s freezes for %v", time.Since(begun), pr.name, lasts)
+func (cl *jobCluster) freeze(pr *process, duration time.Duration, start time.Time) {
+	cl.c.Logf("%v: %s freezes for %v", time.Since(start), pr.name, duration)
 	cl.c.Check(pr.Process.Signal(syscall.SIGSTOP), qt.IsNil)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	cl.c.Check(pr.Process.Signal(syscall.SIGCONT), qt.IsNil)
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -108,7 +108,7 @@
 			cl = &re.Fillers
 		}
 		finished := done[dr.id] == taskCount(dr)
-		cl.add(value, dr.target(), until[dr.id].Sub(sm.began.Add(dr.at)), finished)
+		cl.add(value, dr.target(), until[dr.id].Sub(sm.startTime.Add(dr.at)), finished)
 	}
 }
 
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -58,7 +58,7 @@
 	log   *slog.Logger
 	table standin.Table
 	fleet standin.Fleet
-	began time.Time
+	startTime time.Time
 	racks []string
 
 	mu sync.Mutex
@@ -74,7 +74,7 @@
 
 // newSimulation samples a day and prepares its workers' behaviour.
 func newSimulation(mi Mix, seed uint64, va Variant) *simulation {
-	sm := &simulation{day: sampleDay(mi, seed), seed: seed, va: va, log: slog.New(slog.DiscardHandler), began: time.Now()}
+	sm := &simulation{day: sampleDay(mi, seed), seed: seed, va: va, log: slog.New(slog.DiscardHandler), startTime: time.Now()}
 	if va.KnowsRunTimes {
 		sm.day.declareTrueRunTimes()
 	}
@@ -120,7 +120,7 @@
 		},
 		LoadFunc: func(at worker.Attempt, now time.Time) float64 {
 			id, _, _ := job.ParseTaskID(at.Task)
-			return sm.day.load(sm.day.byID[id], now.Sub(sm.began))
+			return sm.day.load(sm.day.byID[id], now.Sub(sm.startTime))
 		},
 		Most: sm.day.mix.Services.Headroom, Rough: sm.day.mix.MeasurementNoise, Rng: rand.New(rand.NewPCG(seed, 2)),
 	}
@@ -284,8 +284,8 @@
 	start := time.Now()
 	for _, dr := range sm.day.jobs {
 		if dr.batch != nil {
-			dr.at += start.Sub(sm.began)
-			time.AfterFunc(time.Until(sm.began.Add(dr.at)), func() { sm.submit(ctx, ow, dr) })
+			dr.at += start.Sub(sm.startTime)
+			time.AfterFunc(time.Until(sm.startTime.Add(dr.at)), func() { sm.submit(ctx, ow, dr) })
 		}
 	}
 	time.Sleep(time.Duration(sm.day.mix.Seconds) * time.Second)
