--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -52,14 +52,14 @@
 
 // simulation is the state of one simulated day.
 type simulation struct {
-	day   *day
-	seed  uint64
-	va    Variant
-	log   *slog.Logger
-	table standin.Table
-	fleet standin.Fleet
+	day       *day
+	seed      uint64
+	va        Variant
+	log       *slog.Logger
+	table     standin.Table
+	fleet     standin.Fleet
 	startTime time.Time
-	racks []string
+	racks     []string
 
 	mu sync.Mutex
 	// workers holds the current incarnation of each worker.
