--- a/internal/cli/account.go
+++ b/internal/cli/account.go
@@ -9,57 +9,57 @@
 	"github.com/pepperhatch/pepperhatch/internal/account"
 )
 
-// filesArg are log files on the command line.
-type filesArg struct {
+// logFilesArg holds the log files named on the command line.
+type logFilesArg struct {
 	Files []string `positional-arg-name:"FILE" description:"logs of entry hosts; standard input if none is given"`
 }
 
-// accountCommand says what the time of jobs went to.
+// accountCommand summarises how the time of jobs was spent, by cause.
 type accountCommand struct {
-	Args filesArg `positional-args:"yes"`
+	Args logFilesArg `positional-args:"yes"`
 
 	st *streams
 }
 
-var errNoLines = errors.New("no line of the logs tells of a job's time")
+var errNoJobTimes = errors.New("the logs contain no \"job time\" or \"job waits\" lines")
 
 // Execute implements flags.Commander.
 func (ac *accountCommand) Execute([]string) error {
-	var bo account.Book
+	var ag account.Aggregator
 	if len(ac.Args.Files) == 0 {
-		if err := bo.Read(os.Stdin); err != nil {
+		if err := ag.Read(os.Stdin); err != nil {
 			return err
 		}
 	}
 	for _, name := range ac.Args.Files {
-		if err := readLog(&bo, name); err != nil {
+		if err := readLog(&ag, name); err != nil {
 			return err
 		}
 	}
-	if bo.Lines == 0 {
-		return errNoLines
+	if ag.Lines == 0 {
+		return errNoJobTimes
 	}
-	return ac.print(&bo)
+	return ac.print(&ag)
 }
 
-func (ac *accountCommand) print(bo *account.Book) error {
-	if err := account.Print(ac.st.out, bo.Rows()); err != nil {
+func (ac *accountCommand) print(ag *account.Aggregator) error {
+	if err := account.Print(ac.st.out, ag.Rows()); err != nil {
 		return fmt.Errorf("print account: %w", err)
 	}
-	if bo.Unread > 0 {
-		_, _ = fmt.Fprintf(ac.st.err, "%d lines could not be read\n", bo.Unread)
+	if ag.Malformed > 0 {
+		_, _ = fmt.Fprintf(ac.st.err, "%d lines could not be read\n", ag.Malformed)
 	}
 	return nil
 }
 
-func readLog(bo *account.Book, name string) error {
+func readLog(ag *account.Aggregator, name string) error {
 	fi, err := os.Open(name)
 	if err != nil {
 		return &exitError{code: ExitUsage, err: err}
 	}
-	defer closeLog(fi)
-	return bo.Read(fi)
+	defer closeQuietly(fi)
+	return ag.Read(fi)
 }
 
-// closeLog closes a file that was only read, whose error says nothing.
-func closeLog(cl io.Closer) { _ = cl.Close() }
+// closeQuietly closes a file that was only read: a close error loses no data.
+func closeQuietly(cl io.Closer) { _ = cl.Close() }
