--- a/internal/sched/contact_test.go
+++ b/internal/sched/contact_test.go
@@ -21,14 +21,14 @@
 // unresponsiveRelay is a relay that neither passes on orders nor answers while it is
 // enabled.
 type unresponsiveRelay struct {
-	name    string
-	enabled atomic.Bool
+	name     string
+	blocking atomic.Bool
 }
 
 // block waits until the order times out if it goes through the relay, and then returns that
 // it was not sent; other orders it lets pass with a nil error.
 func (ur *unresponsiveRelay) block(ctx context.Context, ad worker.Addr) error {
-	if ad.Via != ur.name || !ur.enabled.Load() {
+	if ad.Via != ur.name || !ur.blocking.Load() {
 		return nil
 	}
 	<-ctx.Done()
@@ -70,7 +70,7 @@
 func TestWorkersWithoutOrdersAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll, ur := newRelayedLab(t)
-		ur.enabled.Store(true)
+		ur.blocking.Store(true)
 		_, end := la.startOwner()
 		defer end()
 		time.Sleep(10 * time.Second)
@@ -91,14 +91,14 @@
 		la.submit(ow, 1, longRunning(6*16))
 		time.Sleep(time.Second)
 		la.assertRunning(6 * 16)
-		ur.enabled.Store(true)
+		ur.blocking.Store(true)
 		time.Sleep(4 * time.Second)
 		outageLines := ll.matching("workers without orders", "workers=4 of=6 silent=4 unsettled=0 attempts=64 ", "via=e1")
 		qt.Assert(t, outageLines, qt.Not(qt.HasLen), 0)
 		// A poll that was in flight at that time was still answered.
 		longest := longestOf(t, outageLines[len(outageLines)-1])
 		qt.Assert(t, longest > 4*time.Second-pollWait-outageLogInterval && longest <= 4*time.Second, qt.IsTrue, qt.Commentf("%v", longest))
-		ur.enabled.Store(false)
+		ur.blocking.Store(false)
 		time.Sleep(4 * time.Second)
 		logged := len(ll.matching("workers without orders"))
 		qt.Assert(t, ll.matching("level=INFO", `msg="all workers get orders again"`, "workers=6"), qt.HasLen, 1)
@@ -203,14 +203,14 @@
 		la.metrics = me
 		ResetGauges(me)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"0", "0", "0"})
-		ur.enabled.Store(true)
+		ur.blocking.Store(true)
 		_, end := la.startOwner()
 		time.Sleep(time.Second)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"2", "0", "4"})
-		ur.enabled.Store(false)
+		ur.blocking.Store(false)
 		time.Sleep(3 * time.Second)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"6", "0", "0"})
-		ur.enabled.Store(true)
+		ur.blocking.Store(true)
 		time.Sleep(5 * time.Second)
 		qt.Assert(t, workersGauge(t, page), qt.DeepEquals, []string{"2", "4", "0"})
 		end()
