--- a/internal/sched/api.go
+++ b/internal/sched/api.go
@@ -43,7 +43,7 @@
 	Outcome Outcome `json:"outcome"`
 	// Reason says why the request was not accepted.
 	Reason Reason `json:"reason,omitempty"`
-	// RetryAfter is when to retry after a refusal.
+	// RetryAfter is how long to wait before a retry after a refusal, in nanoseconds in JSON.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
 }
 
@@ -56,15 +56,17 @@
 	ErrOutcomeUnknown = errors.New("tenure as owner ended before the request completed")
 )
 
-// Limits on accepted jobs.
+// Limit on jobs, and the retry delay of refusals.
 const (
-	// maxJobs bounds the jobs in memory, at about 4 kB a job.
+	// maxJobs bounds the jobs in memory, which take about 4 kB each.
 	maxJobs = 20_000
 	// retryAfter is the delay before a retry that a refusal asks for.
 	retryAfter = time.Second
 )
 
-// call runs fn in the loop. fn calls its argument once with the answer.
+// call runs fn in the loop and returns the answer, with which fn calls its argument once. The
+// error is ErrTenureOver if fn does not run, and ctx.Err() or ErrOutcomeUnknown if ctx or the
+// tenure ends before the answer.
 func call[T any](ctx context.Context, ow *Owner, fn func(func(T))) (T, error) {
 	var zero T
 	out := make(chan T, 1)
@@ -81,7 +83,9 @@
 	}
 }
 
-// Submit accepts a job. If ctx ends first, the outcome is unknown.
+// Submit accepts a job. It returns once the job is durable or refused, or with the outcome
+// Unknown once writes have failed for reportUnknownAfter. If ctx ends first, the outcome is
+// unknown too. Submitting the same id again has no further effect.
 func (ow *Owner) Submit(ctx context.Context, id string, te job.Terms, sp job.Spec) (Verdict, error) {
 	return call(ctx, ow, func(answer func(Verdict)) { ow.submit(id, te, sp, answer) })
 }
@@ -132,7 +136,9 @@
 	tj.waiters = nil
 }
 
-// Cancel cancels a job.
+// Cancel cancels a job. It returns once that is durable, or with the outcome Unknown if the
+// store takes no writes. The outcome is Accepted also for a job that has ended, and NoJob for
+// one that is not known or not written yet. If ctx ends first, the outcome is unknown.
 func (ow *Owner) Cancel(ctx context.Context, id string) (Verdict, error) {
 	return call(ctx, ow, func(answer func(Verdict)) { ow.cancel(id, answer) })
 }
@@ -165,7 +171,8 @@
 	}
 }
 
-// State returns a job's state; ok is false if the owner has no such job.
+// State returns the last written state of a job; ok is false if the owner has no such job, or
+// has not written it yet.
 func (ow *Owner) State(ctx context.Context, id string) (state job.State, ok bool, err error) {
 	state, err = call(ctx, ow, func(answer func(job.State)) {
 		if tj := ow.jobs[id]; tj != nil {
@@ -177,7 +184,7 @@
 	return state, state != "", err
 }
 
-// Pending counts the jobs of a queue that have not started any task.
+// Pending counts the jobs of a queue whose last written state is that no task has started.
 func (ow *Owner) Pending(ctx context.Context, queue string) (int, error) {
 	return call(ctx, ow, func(answer func(int)) {
 		n := 0
--- a/internal/sched/attempt.go
+++ b/internal/sched/attempt.go
@@ -16,7 +16,7 @@
 	tj *trackedJob
 	// inFlight is set from its placement until its start order is answered.
 	inFlight bool
-	// orderSent is set once its start order was sent.
+	// orderSent is set just before its start order is sent.
 	orderSent bool
 	// launchedAt is when the worker acknowledged the order, or zero.
 	launchedAt time.Time
@@ -52,7 +52,7 @@
 	overTargetSince time.Time
 	// lastOverTarget is when a service was last over its target.
 	lastOverTarget time.Time
-	// pace is the share of full speed last ordered, in percent, or unknownPace.
+	// pace is the share of full speed that was last ordered, in percent, or unknownPace.
 	pace int
 	// paceInFlight is set while an order to set the pace is in flight.
 	paceInFlight bool
--- a/internal/sched/backoff.go
+++ b/internal/sched/backoff.go
@@ -7,8 +7,8 @@
 )
 
 // Backoff of long-running tasks that fail. Such tasks are restarted however they end, without a
-// limit on failures, so only the time between two starts limits them: without it a task
-// that failed at once was started 50 times a second.
+// limit on failures, so only the time between two starts limits them: without a backoff, a
+// task that fails at once is started 50 times a second.
 const (
 	// backoffInitial is the backoff after the second failure in a row; it doubles with each
 	// further one.
@@ -22,6 +22,7 @@
 // backoffs holds the backoffs of a job's long-running tasks. The zero value has none.
 type backoffs struct{ tasks map[job.TaskRef]taskBackoff }
 
+// taskBackoff is the backoff of one task.
 type taskBackoff struct {
 	// failures counts the failures in a row.
 	failures int
--- a/internal/sched/backoff_test.go
+++ b/internal/sched/backoff_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestBackoffOfLongRunningTaskThatFailsAtOnce has a long-running task fail 10 ms after each
-// start for 20 s, and then keep running. Without a backoff it was started as fast as writes
-// allow; with it the starts become rarer, and the task is back soon after it stops failing.
+// start for 20 s, and then keep running. Without a backoff it is started as fast as writes
+// allow; with one the starts become rarer, and the task runs again soon after it stops
+// failing.
 func TestBackoffOfLongRunningTaskThatFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -92,16 +92,16 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 			time.Sleep(time.Second)
-			gaps := la.startIntervals(n)
+			gaps := la.stepGaps(n)
 			b.ReportMetric(percentile(gaps, 0.5), "p50-ms")
 			b.ReportMetric(percentile(gaps, 0.99), "p99-ms")
 		})
 	}
 }
 
-// startIntervals returns, for each job, the time from the end of its first step to the start of
-// its second, sorted.
-func (la *lab) startIntervals(jobs int) []time.Duration {
+// stepGaps returns the times between the end of the first step and the start of the
+// second of all jobs that have started it, sorted.
+func (la *lab) stepGaps(jobs int) []time.Duration {
 	last, first := make([]time.Time, jobs+1), make([]time.Time, jobs+1)
 	for _, ru := range la.fleet.Runs() {
 		id, ref, _ := job.ParseTaskID(ru.Task)
@@ -126,6 +126,7 @@
 	return gaps
 }
 
+// percentile returns a percentile, given as a fraction, in milliseconds.
 func percentile(sorted []time.Duration, part float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/sched/capacity_test.go
+++ b/internal/sched/capacity_test.go
@@ -14,7 +14,7 @@
 )
 
 // reportDelay is how long after a worker reported less capacity a start may still be based on
-// its earlier report: users allow 4 s and a heartbeat.
+// its earlier report. It is shorter than what users allow: 4 s and a heartbeat.
 const reportDelay = time.Second
 
 // capacityLab is a lab whose workers report changing capacities, and accept whatever they are
@@ -29,8 +29,8 @@
 }
 
 type capacityReport struct {
-	at    time.Time
-	holds worker.Resources
+	at       time.Time
+	capacity worker.Resources
 }
 
 func newCapacityLab(t *testing.T, workers int) *capacityLab {
@@ -55,22 +55,24 @@
 	ca.sendReports()
 }
 
-func (ca *capacityLab) record(fw *standin.FleetWorker, holds worker.Resources) {
+// record records that a worker reports a capacity from now on.
+func (ca *capacityLab) record(fw *standin.FleetWorker, capacity worker.Resources) {
 	id := fw.Addr.Incarnation
-	ca.reported[id] = append(ca.reported[id], capacityReport{at: time.Now(), holds: holds})
+	ca.reported[id] = append(ca.reported[id], capacityReport{at: time.Now(), capacity: capacity})
 }
 
-// report has a worker report a capacity.
+// report has a worker report a capacity of the given number of cores.
 func (ca *capacityLab) report(fw *standin.FleetWorker, cores int64) {
 	ca.record(fw, worker.Resources{MilliCores: cores * 1000, MemMB: 128_000})
 	ca.sendReports()
 }
 
+// sendReports passes the last report of each worker to the owner.
 func (ca *capacityLab) sendReports() {
 	list := ca.workerEntries()
 	for i := range list {
 		reports := ca.reported[list[i].Incarnation]
-		list[i].Capacity = reports[len(reports)-1].holds
+		list[i].Capacity = reports[len(reports)-1].capacity
 	}
 	ca.ow.SetWorkers(list, nil, true)
 }
@@ -81,9 +83,9 @@
 	var highest int64
 	reports := ca.reported[id]
 	for i, rep := range reports {
-		over := i+1 < len(reports) && reports[i+1].at.Before(at.Add(-reportDelay))
-		if !rep.at.After(at) && !over {
-			highest = max(highest, rep.holds.MilliCores)
+		outdated := i+1 < len(reports) && reports[i+1].at.Before(at.Add(-reportDelay))
+		if !rep.at.After(at) && !outdated {
+			highest = max(highest, rep.capacity.MilliCores)
 		}
 	}
 	return highest
@@ -96,8 +98,8 @@
 	for _, ru := range runs {
 		var sum int64
 		for _, other := range runs {
-			beside := other.Worker == ru.Worker && !other.From.After(ru.From) && (other.Until.IsZero() || other.Until.After(ru.From))
-			if beside {
+			running := other.Worker == ru.Worker && !other.From.After(ru.From) && (other.Until.IsZero() || other.Until.After(ru.From))
+			if running {
 				sum += ca.fleet.ResourcesFunc(other.Attempt).MilliCores
 			}
 		}
@@ -146,12 +148,12 @@
 			defer func() { ca.end() }()
 			time.Sleep(time.Second)
 			jobs := 0
-			for range rapid.IntRange(5, 40).Draw(rt, "acts") {
-				switch rapid.SampledFrom([]string{"job", "job", "job", "say", "say", "owner"}).Draw(rt, "act") {
+			for range rapid.IntRange(5, 40).Draw(rt, "actions") {
+				switch rapid.SampledFrom([]string{"job", "job", "job", "report", "report", "owner"}).Draw(rt, "action") {
 				case "job":
 					jobs++
 					ca.submit(ca.ow, jobs, batch(1, rapid.IntRange(1, 30).Draw(rt, "tasks")))
-				case "say":
+				case "report":
 					fw := ca.fleetWorkers[rapid.IntRange(0, len(ca.fleetWorkers)-1).Draw(rt, "worker")]
 					ca.report(fw, int64(rapid.IntRange(0, 40).Draw(rt, "cores")))
 				case "owner":
@@ -170,5 +172,5 @@
 	})
 }
 
-// capacityScripts is the number of random scripts; PEPPERHATCH_SEED selects others.
+// capacityScripts is the number of random sequences; PEPPERHATCH_SEED selects others.
 const capacityScripts = 60
--- a/internal/sched/cluster_test.go
+++ b/internal/sched/cluster_test.go
@@ -40,20 +40,20 @@
 	cl     *cluster
 	keeper *tenure.Keeper
 	end    context.CancelFunc
-	// gate injects faults into its connection to the store.
+	// gate injects faults into its requests to the store.
 	gate standin.FaultInjector
 	// ow is the owner that it runs while it owns the cell, else nil.
 	ow atomic.Pointer[Owner]
 
 	mu sync.Mutex
-	// partitioned hosts neither ask other hosts nor answer them; restarted ones have another
-	// process on their host.
+	// partitioned is set while it neither asks other hosts nor answers them, restarted once
+	// its host counts as running another process.
 	partitioned, restarted bool
-	// readsBlocked hosts cannot read the cell.
+	// readsBlocked is set while its reads of the store hang.
 	readsBlocked bool
 	// unreachable has the workers that it cannot reach, by incarnation.
 	unreachable map[worker.Incarnation]bool
-	// reachableOnce has those of them that it reaches for one more request.
+	// reachableOnce has those of them that one more request reaches.
 	reachableOnce map[worker.Incarnation]bool
 }
 
@@ -256,7 +256,8 @@
 	}
 }
 
-// awaitOwner waits until a host owns the cell after its former owner was lost or released it.
+// awaitOwner waits until a host owns the cell after its former owner was lost or released it,
+// and fails the test if that takes too long.
 func (cl *cluster) awaitOwner(ch *clusterHost) {
 	const (
 		timeout = 4 * time.Second
--- a/internal/sched/commit.go
+++ b/internal/sched/commit.go
@@ -34,7 +34,7 @@
 	// reportUnknownAfter is how long a caller waits for a failing write before it is answered
 	// that the outcome is unknown.
 	reportUnknownAfter = 600 * time.Millisecond
-	// initialRewriteDelay and maxRewriteDelay bound the backoff between attempts at one
+	// initialRewriteDelay and maxRewriteDelay bound the backoff between two tries of the same
 	// write.
 	initialRewriteDelay = 30 * time.Millisecond
 	maxRewriteDelay     = 400 * time.Millisecond
@@ -144,7 +144,7 @@
 	return data
 }
 
-// commit sends a write until its outcome is known.
+// commit sends a write until its outcome is known or the tenure ends.
 func (ow *Owner) commit(wr *write) {
 	bo := backoff.NewExponentialBackOff()
 	bo.InitialInterval, bo.MaxInterval = initialRewriteDelay, maxRewriteDelay
@@ -171,7 +171,8 @@
 	}
 }
 
-// handleCommitted records that a write took effect and runs its callbacks.
+// handleCommitted records that a write took effect and runs its callbacks. version returns the
+// version that a job's progress row has since.
 func (ow *Owner) handleCommitted(wr *write, version func(jobWrite) int64) {
 	ow.writesInFlight--
 	if !ow.writesFailingSince.IsZero() {
@@ -197,7 +198,8 @@
 }
 
 // handleConflict determines why a condition did not hold: an earlier try of the same write
-// took effect, or another host owns the cell. It ends the tenure in all cases but the first.
+// took effect, another host owns the cell, or the rows are not as this owner wrote them. It
+// ends the tenure in the last two cases.
 func (ow *Owner) handleConflict(wr *write, conflict *store.ConflictError) {
 	if ow.replacedAsOwner(conflict) {
 		return
@@ -229,8 +231,9 @@
 	return bytes.Equal(bytes.TrimSpace(a), bytes.TrimSpace(b))
 }
 
-// handleWriteError records that the outcome of a write is not known yet. Callers that have
-// waited for longer than reportUnknownAfter are answered that it is unknown.
+// handleWriteError records that the outcome of the n-th try of a write is not known. Once the
+// write has been failing for reportUnknownAfter, the callers that submitted its jobs are
+// answered that the outcome is unknown.
 func (ow *Owner) handleWriteError(wr *write, n int, err error) {
 	if ow.writesFailingSince.IsZero() {
 		ow.writesFailingSince = wr.sent
--- a/internal/sched/contact.go
+++ b/internal/sched/contact.go
@@ -18,7 +18,7 @@
 	contactUnsettled contactState = "unsettled"
 )
 
-// Limits on the reports of workers that get no orders.
+// Times for the detection and logging of workers that get no orders.
 const (
 	// outageLogAfter is how long a worker must be unresponsive or unsettled to be logged: a
 	// poll after a lost answer takes pollRetry and a few milliseconds, and most workers
@@ -32,10 +32,11 @@
 	pollOverdueAfter = idlePollWait + pollGrace + maxDurableWait + time.Second
 )
 
-// outage tracks an outage of workers that get no orders. The zero value means none.
+// outage is a period in which workers get no orders, as far as it was logged. The zero value
+// means none.
 type outage struct {
-	// beganAt is when the first of them stopped getting orders, loggedAt when the outage was
-	// last logged; both are zero if it was not logged.
+	// beganAt is when the first of the workers stopped getting orders, loggedAt when the
+	// outage was last logged; both are zero if it was not logged.
 	beganAt, loggedAt time.Time
 }
 
--- a/internal/sched/contact_test.go
+++ b/internal/sched/contact_test.go
@@ -18,8 +18,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// unresponsiveRelay is a relay that neither passes on orders nor answers while it is
-// enabled.
+// unresponsiveRelay is a relay that neither passes on orders nor answers while blocking is
+// set.
 type unresponsiveRelay struct {
 	name     string
 	blocking atomic.Bool
@@ -116,7 +116,8 @@
 	return longest
 }
 
-// TestSingleLostPollIsNotLogged has each worker miss one poll.
+// TestSingleLostPollIsNotLogged has each worker miss one poll, which must not be logged as an
+// outage.
 func TestSingleLostPollIsNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll := newLoggedLab(t, 4)
@@ -162,7 +163,7 @@
 }
 
 // TestUnlistedWorkersAreNotLogged has the list drop a worker that does not answer and may
-// still run something.
+// still run something. It must not be logged as an outage.
 func TestUnlistedWorkersAreNotLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll := newLoggedLab(t, 2)
@@ -195,6 +196,8 @@
 	return list
 }
 
+// TestWorkersGauge checks the gauge without an owner, while a relay is unresponsive from the
+// start or later, and after the owner has ended.
 func TestWorkersGauge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, _, ur := newRelayedLab(t)
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -33,9 +33,10 @@
 // TestTaskThatCrashesItsWorkers guards against a task that crashes each worker which starts it
 // and is started again without limit, 35 times in 110 s. The worker ends 10 ms after the
 // start, its entry is removed 2.1 s later, and another process is listed at its address 3.2 s
-// after the crash. All attempts of the worker then ended as lapsed, so the crash counted
-// against none of its tasks, neither in the owner's memory nor in a row that the next owner
-// reads.
+// after the crash. If all attempts of the worker then end as lapsed, the crash counts against
+// none of its tasks, neither in the owner's memory nor in a row that the next owner reads, and
+// all of them start again 15 ms later on other workers. Eight such tasks crashed 281 workers,
+// with 1,715 attempts of other tasks.
 func TestTaskThatCrashesItsWorkers(t *testing.T) {
 	for _, owners := range []string{"one owner", "an owner for each crash"} {
 		t.Run(owners, func(t *testing.T) {
@@ -49,8 +50,7 @@
 					if owners != "one owner" {
 						ow = cr.replaceOwner()
 					}
-					// As long as it takes to give up the attempts on a worker that was never
-					// seen.
+					// Long enough for attempts on a worker that was never seen to be given up.
 					time.Sleep(16 * time.Second)
 				}
 				qt.Check(t, cr.starts(firstTask()) <= maxStarts, qt.IsTrue, qt.Commentf("%d starts", cr.starts(firstTask())))
@@ -101,12 +101,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		cr := newCrashLab(t, newLab(t, 2))
 		cr.setCrashingJobs(1)
-		short := cr.fleet.RunFunc
+		runOthers := cr.fleet.RunFunc
 		cr.fleet.RunFunc = func(at worker.Attempt) (time.Duration, string) {
 			if at.Task == firstTask() {
 				return 400 * time.Millisecond, standin.OutcomeCrash
 			}
-			return short(at)
+			return runOthers(at)
 		}
 		// The next process settles late, so the task is tried where other attempts run.
 		cr.wrapAgentFunc = slowToSettle
@@ -137,7 +137,7 @@
 	})
 }
 
-// slowToSettle makes restarted workers answer no poll for 400 ms.
+// slowToSettle makes restarted workers answer no poll until 400 ms after the first one.
 func slowToSettle(ag worker.Agent) worker.Agent {
 	poll := ag.PollFunc
 	var mu sync.Mutex
@@ -149,7 +149,7 @@
 		}
 		wait := 400*time.Millisecond - time.Since(first[ad.Incarnation])
 		mu.Unlock()
-		if strings.HasPrefix(ad.Incarnation.ID, "life-") && !clock.Sleep(ctx, max(wait, 0)) {
+		if strings.HasPrefix(ad.Incarnation.ID, "restarted-") && !clock.Sleep(ctx, max(wait, 0)) {
 			return worker.PollResult{}, ctx.Err()
 		}
 		return poll(ctx, ad, po)
@@ -205,7 +205,7 @@
 				if drains {
 					time.Sleep(300 * time.Millisecond)
 				} else {
-					// A poll is answered in this time.
+					// Long enough for a poll to be answered.
 					time.Sleep(1100 * time.Millisecond)
 				}
 				_, next := la.replaceProcess(i)
--- a/internal/sched/crashcost_test.go
+++ b/internal/sched/crashcost_test.go
@@ -16,17 +16,17 @@
 type crashCost struct {
 	// workers is the number of workers that they crashed.
 	workers int
-	// lost is the number of attempts of other tasks that ended with these workers, until ten
-	// seconds after the last job.
+	// lost is the number of attempts of tasks of other jobs that ended with these workers,
+	// until ten seconds after the last job.
 	lost int
-	// failedAfter is the time from the first of their jobs until all of them had failed, or
-	// zero if they did not within a minute.
+	// failedAfter is the time from the submission of the first of their jobs until all of
+	// these had failed, or zero if they did not within a minute.
 	failedAfter time.Duration
 }
 
 // measureCrashCost runs twelve workers for a minute with 24 long-running tasks and a short job
-// every 300 ms. It adds the given number of jobs, of which that many tasks each crash their
-// workers.
+// every 300 ms. It also submits jobs whose tasks crash their workers: the given number of jobs,
+// each with the given number of such tasks.
 func measureCrashCost(t *testing.T, jobs, tasks int) crashCost {
 	t.Helper()
 	cr := newCrashLab(t, newLab(t, 12))
@@ -76,14 +76,14 @@
 }
 
 // TestCostOfCrashingTasks bounds the workers that tasks crash before they are given up: three
-// for one task, and for a job with several such tasks not many more than the job has. Its
-// other tasks wait while the worker of an isolated one does not answer.
+// for one task, and for a job with several such tasks not many more than their number, because
+// the other ones wait while the worker of an isolated one does not answer.
 func TestCostOfCrashingTasks(t *testing.T) {
-	for _, tc := range []struct{ jobs, tasks, workersMost int }{{1, 1, 3}, {4, 1, 12}, {1, 8, 12}} {
+	for _, tc := range []struct{ jobs, tasks, maxWorkers int }{{1, 1, 3}, {4, 1, 12}, {1, 8, 12}} {
 		synctest.Test(t, func(t *testing.T) {
 			cc := measureCrashCost(t, tc.jobs, tc.tasks)
 			t.Logf("%d jobs, %d tasks each that crash: %d workers, %d attempts of others lost, all failed after %v", tc.jobs, tc.tasks, cc.workers, cc.lost, cc.failedAfter)
-			qt.Check(t, cc.workers <= tc.workersMost, qt.IsTrue, qt.Commentf("%d workers", cc.workers))
+			qt.Check(t, cc.workers <= tc.maxWorkers, qt.IsTrue, qt.Commentf("%d workers", cc.workers))
 			qt.Check(t, cc.failedAfter > 0, qt.IsTrue)
 		})
 	}
@@ -103,14 +103,14 @@
 					crashing = append(crashing, n)
 				}
 			}
-			cr.entryTTL = rapid.SampledFrom([]time.Duration{0, crashedEntryTTL, 5 * time.Second}).Draw(rt, "entry stays")
+			cr.entryTTL = rapid.SampledFrom([]time.Duration{0, crashedEntryTTL, 5 * time.Second}).Draw(rt, "entry TTL")
 			cr.setCrashingJobs(crashing...)
 			ow := cr.replaceOwner()
 			defer func() { cr.end() }()
 			time.Sleep(time.Second)
 			owners, jobs := 1, 0
-			for range rapid.IntRange(5, 40).Draw(rt, "acts") {
-				switch rapid.SampledFrom([]string{"job", "job", "job", "crash", "owner", "pause"}).Draw(rt, "act") {
+			for range rapid.IntRange(5, 40).Draw(rt, "actions") {
+				switch rapid.SampledFrom([]string{"job", "job", "job", "crash", "owner", "pause"}).Draw(rt, "action") {
 				case "job":
 					if jobs < 20 {
 						jobs++
@@ -132,5 +132,5 @@
 	})
 }
 
-// crashScripts is the number of scripts. PEPPERHATCH_SEED selects others.
+// crashScripts is the number of random scripts; PEPPERHATCH_SEED selects others.
 const crashScripts = 60
--- a/internal/sched/crashlab_test.go
+++ b/internal/sched/crashlab_test.go
@@ -34,7 +34,8 @@
 	newAddress bool
 	// noRestart makes workers not restart.
 	noRestart bool
-	// entryTTL and restartAfter replace crashedEntryTTL and crashRestartAfter, if set.
+	// entryTTL and restartAfter are crashedEntryTTL and crashRestartAfter unless a test
+	// changes them.
 	entryTTL, restartAfter time.Duration
 
 	mu sync.Mutex
@@ -42,7 +43,8 @@
 	// end stops the owner.
 	end      context.CancelFunc
 	restarts int
-	// entries is the list of workers, with those of dead ones that are not removed yet.
+	// entries is the list of workers, with the entries of crashed ones that are not removed
+	// yet.
 	entries map[worker.Incarnation]WorkerEntry
 	// crashed counts the workers that tasks crashed.
 	crashed int
@@ -66,7 +68,7 @@
 }
 
 // startCrashLab returns a lab whose workers are crashed by the first tasks of some jobs, and
-// its owner after a second.
+// its owner, which has run for a second.
 func startCrashLab(t *testing.T, la *lab, jobs ...int) (*crashLab, *Owner) {
 	t.Helper()
 	cr := newCrashLab(t, la)
@@ -111,7 +113,7 @@
 	cr.ow.SetWorkers([]WorkerEntry{we}, nil, false)
 }
 
-// crash ends a worker without a task that caused it.
+// crash ends a worker by a crash that no task caused.
 func (cr *crashLab) crash(fw *standin.FleetWorker) {
 	cr.fleet.Kill(fw)
 	cr.scheduleRestart(fw)
@@ -134,7 +136,7 @@
 func (cr *crashLab) restartProcess(fw *standin.FleetWorker, was WorkerEntry) {
 	cr.mu.Lock()
 	cr.restarts++
-	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", cr.restarts)}}, Capacity: fw.Capacity}
+	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("restarted-", cr.restarts)}}, Capacity: fw.Capacity}
 	if cr.newAddress {
 		next.Addr.HostPort = fmt.Sprintf("10.1.0.%d:80", cr.restarts)
 	}
@@ -205,7 +207,8 @@
 	}
 }
 
-// checkRandomCrashes checks the starts and states of the jobs once all workers are back.
+// checkRandomCrashes checks the starts and states of the jobs after all workers have
+// restarted.
 func (cr *crashLab) checkRandomCrashes(rt *rapid.T, ow *Owner, jobs, owners int, crashing []int) {
 	ends := map[string]int{}
 	crashed := map[int]int{}
--- a/internal/sched/death.go
+++ b/internal/sched/death.go
@@ -160,7 +160,7 @@
 	return job.EndCrashed
 }
 
-// minRunTime returns how long an attempt ran at least, by its row.
+// minRunTime returns how long an attempt ran at least, by the phase in its row.
 func minRunTime(ph job.Phase) time.Duration {
 	switch ph {
 	case job.PhaseStarted:
--- a/internal/sched/death_test.go
+++ b/internal/sched/death_test.go
@@ -44,9 +44,9 @@
 
 // TestUndeliveredOrderIsNoCrash guards against a job that fails although none of its tasks did
 // anything wrong. An order is sent to a worker that has just crashed, where nothing listens,
-// and the owner changes before the crash is known. The next owner found the order in its rows
-// and counted a crash under the task; a refused connection must count as an order that was
-// never received.
+// and the owner changes before the crash is known. If the next owner finds the order in its
+// rows, it counts a crash under the task; two such orders and one other crash fail the job. So
+// a refused connection must count as an order that was never received.
 func TestUndeliveredOrderIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll := newLoggedLab(t, 2)
@@ -55,13 +55,13 @@
 		var once sync.Once
 		la.wrapAgentFunc = func(ag worker.Agent) worker.Agent {
 			launch := ag.LaunchFunc
-			ag.LaunchFunc = func(ctx context.Context, ad worker.Addr, la worker.Launch) (worker.Ack, error) {
+			ag.LaunchFunc = func(ctx context.Context, ad worker.Addr, lau worker.Launch) (worker.Ack, error) {
 				once.Do(func() {
 					for _, fw := range cr.workers() {
 						cr.crash(fw)
 					}
 				})
-				return launch(ctx, ad, la)
+				return launch(ctx, ad, lau)
 			}
 			return ag
 		}
--- a/internal/sched/demand.go
+++ b/internal/sched/demand.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// demandLogInterval is the time between log lines on long-running tasks that wait for capacity.
-// The lines of single jobs contain neither the number of such tasks nor the total free
-// capacity.
+// demandLogInterval is the minimum time between log lines on long-running tasks that wait for
+// capacity. The lines of single jobs contain neither the number of such tasks nor the total
+// free capacity.
 const demandLogInterval = time.Second
 
-// longRunningDemand sums up the long-running tasks that wait and the capacity that there is for
-// them.
+// longRunningDemand sums up the long-running tasks that wait for capacity, and the capacity of
+// the workers that may take them.
 type longRunningDemand struct {
 	// jobs and tasks count what waits for capacity; interrupted counts the tasks among them
 	// that ran before.
 	jobs, tasks, interrupted int
-	// needMilliCores is the processor time that the tasks need, in thousandths of a core,
-	// longestWait the longest time that a job has waited.
+	// needMilliCores is the CPU that the tasks reserve, in thousandths of a core, longestWait
+	// the longest time that one of the jobs has waited.
 	needMilliCores int64
 	longestWait    time.Duration
 	// workers counts those that accept new tasks, earmarked those of them that are earmarked
@@ -44,7 +44,7 @@
 }
 
 // longRunningDemand sums up the long-running jobs that have waited for capacity for at least
-// firstWaitLog, and the capacity of all workers.
+// firstWaitLog, and the capacity of all workers that accept new tasks.
 func (ow *Owner) longRunningDemand(now time.Time) longRunningDemand {
 	var lrd longRunningDemand
 	for _, tj := range ow.waitingJobs {
@@ -72,7 +72,7 @@
 	return lrd
 }
 
-// add adds the waiting tasks of a job.
+// add adds the waiting tasks of a long-running job.
 func (lrd *longRunningDemand) add(tj *trackedJob, now time.Time) {
 	lrd.jobs++
 	lrd.longestWait = max(lrd.longestWait, now.Sub(tj.waitingSince))
--- a/internal/sched/earmark.go
+++ b/internal/sched/earmark.go
@@ -3,7 +3,7 @@
 import "github.com/pepperhatch/pepperhatch/internal/job"
 
 // earmarkShare limits how many workers are earmarked at once for tasks that never ran: one
-// in this many, but at least one.
+// in this many, and one more.
 const earmarkShare = 16
 
 // isEarmarked reports whether the worker's free capacity is earmarked for a long-running task:
--- a/internal/sched/evacuate.go
+++ b/internal/sched/evacuate.go
@@ -7,7 +7,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/telemetry"
 )
 
-// Limits on evacuations.
+// Times and limits of evacuations.
 const (
 	// leaveMargin is added to the time to stop an attempt. It covers the delivery of the
 	// order, the poll that lists the end, and the write of the end.
@@ -66,7 +66,8 @@
 	// leaving are the workers to be evacuated.
 	leaving      []*workerState
 	cachedPlacer *placer
-	moves        int
+	// moves counts the long-running tasks stopped so far, to be started elsewhere.
+	moves int
 	// noCapacity has the steps whose tasks fit on no worker.
 	noCapacity map[*job.Step]bool
 }
--- a/internal/sched/formerprocess_test.go
+++ b/internal/sched/formerprocess_test.go
@@ -27,18 +27,18 @@
 	return former, la.workerEntries()[i]
 }
 
-// TestFormerProcessIsListedAgain guards against tasks that run twice because a worker that
-// runs counts as dead. After a crash another process is listed at the worker's address and
-// gets tasks. The entry of the crashed one stays for three heartbeats, may be written once
-// more, and is then seen again. It was taken for that of a newer process, as it was listed
-// later.
+// TestFormerProcessIsListedAgain guards against tasks that run twice, 19 to 298 at once,
+// because a running worker counts as dead. After a crash another process is listed at the
+// worker's address and gets tasks. The entry of the crashed one stays for three heartbeats,
+// may be written once more, and is then seen again. As it is listed later, it must not be
+// taken for that of a newer process.
 func TestFormerProcessIsListedAgain(t *testing.T) {
 	t.Run("again", formerEntryReappears)
 	t.Run("to the next owner", bothProcessesListed)
 }
 
-// formerEntryReappears removes and adds the entry of a dead worker while the next process at
-// its address runs tasks.
+// formerEntryReappears repeatedly removes and adds the entry of a dead worker while the next
+// process at its address runs tasks.
 func formerEntryReappears(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLongRunningLab(t, 3, 12)
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -94,7 +94,9 @@
 }
 
 // addSuccessor adds an incarnation that answered before its entry was seen. Its capacity is in
-// that entry, so until then it gets no new attempts.
+// that entry, so until then it counts as unlisted and gets no new attempts. If the worker's
+// present entry does not tell which process it belongs to, it applies to the new incarnation
+// too.
 func (wk *workerState) addSuccessor(answered worker.Incarnation) *workerState {
 	we := wk.WorkerEntry
 	we.Incarnation = answered
--- a/internal/sched/intake.go
+++ b/internal/sched/intake.go
@@ -67,9 +67,9 @@
 	ow.markDirty(tj)
 }
 
-// clearIntake removes an intake row after its content was written to the cell's own rows. If
-// the removal fails, the next read of the intake returns the row again, together with the
-// job.
+// clearIntake removes an intake row after its content was written to the cell's own rows. It
+// retries until the tenure ends; a next owner that still reads the row finds the job in the
+// cell's own rows.
 func (ow *Owner) clearIntake(key string) {
 	txn := store.NewTxn()
 	txn.Puts = []store.Put{{Key: key, Delete: true}}
@@ -89,7 +89,7 @@
 	}
 }
 
-// importCancel cancels a job. Entry hosts store a cancellation only after they have seen the
+// importCancel handles a stored cancellation. Entry hosts store a cancellation only after they have seen the
 // job's own row.
 func (ow *Owner) importCancel(id string) {
 	tj := ow.jobs[id]
--- a/internal/sched/interferencescore.go
+++ b/internal/sched/interferencescore.go
@@ -7,9 +7,10 @@
 	"github.com/pepperhatch/pepperhatch/internal/job"
 )
 
-// interferencePenalty returns the sum by which a filler would lower the headroom of the
-// services on a worker, and the largest amount by which the headroom of a service would fall
-// short of that at placeBelowPart with the filler there; zero if none would.
+// interferencePenalty predicts what a filler would do to the services on a worker: sum is the
+// total drop of their headroom, over the largest excess at placeBelowPart among them (see
+// [workerState.excess]), or 0 if there is none. Services whose headroom would drop by
+// minPlacementDrop or less do not count for over.
 func (ca *candidate) interferencePenalty(st *job.Step) (sum, over float64) {
 	part := share(st.Each.MilliCores, ca.wk.Capacity.MilliCores)
 	for _, ims := range ca.serviceSummaries() {
@@ -23,15 +24,15 @@
 }
 
 // imageServices summarizes the services of one image on a worker for placement: their number,
-// and the largest excess among them (see [workerState.excess]).
+// and the largest excess at placeBelowPart among them.
 type imageServices struct {
 	image  string
 	count  int
 	excess float64
 }
 
-// summaryMaxAge is how long summaries of services stay valid while nothing but time changes
-// on their worker: their load changes by a hundredth of itself within it.
+// summaryMaxAge is how long summaries of services stay valid while the attempts and paces on
+// their worker do not change: the load of a service changes by 1% in that time.
 const summaryMaxAge = 100 * time.Millisecond
 
 // serviceSummaries returns the summaries of the services on the worker, computed again if
--- a/internal/sched/interrupted_test.go
+++ b/internal/sched/interrupted_test.go
@@ -12,7 +12,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// longRunningOf returns a job of long-running tasks with the given number of cores each.
+// longRunningOf returns a job of one step of long-running tasks with the given number of cores
+// each.
 func longRunningOf(tasks int, cores int64) job.Spec {
 	sp := longRunning(tasks)
 	sp.Steps[0].Each = worker.Resources{MilliCores: cores * 1000, MemMB: 1000}
@@ -45,7 +46,7 @@
 		cr.submit(ow, 1, longRunningOf(4, 32))
 		time.Sleep(20 * time.Second)
 		qt.Assert(t, []int{cr.runningOfJob(5), cr.runningOfJob(7), cr.runningOfJob(1)}, qt.DeepEquals, []int{4, 2, 0})
-		// The busiest worker has two tasks of the first job.
+		// The busiest worker has two tasks of job 5.
 		ow = cr.loseOwnerAndCrash(1)
 		time.Sleep(20 * time.Second)
 		_, err := ow.Cancel(context.Background(), jobID(7))
--- a/internal/sched/lab_test.go
+++ b/internal/sched/lab_test.go
@@ -29,7 +29,8 @@
 	table        standin.Table
 	fleet        standin.Fleet
 	fleetWorkers []*standin.FleetWorker
-	// formerEntries are the list entries of processes that ended, in their order.
+	// formerEntries are the list entries of processes that were replaced, in the order of the
+	// replacements.
 	formerEntries []WorkerEntry
 	epoch         int64
 	// mu guards specs: the specs of submitted jobs, by id.
@@ -58,6 +59,8 @@
 	formerOwnerCeased bool
 }
 
+// formerEnded returns the function from which an owner learns since when the former one is
+// known to have ceased to act; the zero time means that it is not known.
 func (la *lab) formerEnded(now time.Time) func() time.Time {
 	known := la.formerOwnerCeased || la.handover != nil
 	return func() time.Time {
@@ -237,7 +240,7 @@
 	}
 }
 
-// runProblems lists the violations of these rules.
+// runProblems lists the violations for which assertRunsConsistent fails a test.
 func (la *lab) runProblems() []string {
 	runs := la.fleet.Runs()
 	list := standin.RunViolations(runs)
--- a/internal/sched/lateend_test.go
+++ b/internal/sched/lateend_test.go
@@ -19,8 +19,8 @@
 
 func runLong(worker.Attempt) (time.Duration, string) { return longRunTime, "done" }
 
-// freezeUntilLapsed freezes the only worker while it runs a task, until the owner takes its
-// leases for expired. The task ends successfully before that.
+// freezeUntilLapsed freezes the only worker while it runs a task, until the owner considers its
+// leases expired. The task ends successfully before that.
 func freezeUntilLapsed(la *lab, ow *Owner) {
 	time.Sleep(time.Second)
 	qt.Assert(la.t, la.submit(ow, 1, batch(1, 1)).Outcome, qt.Equals, Accepted)
--- a/internal/sched/launch.go
+++ b/internal/sched/launch.go
@@ -22,7 +22,8 @@
 	resolveRetry = 200 * time.Millisecond
 )
 
-// launch sends the order of an attempt whose start is durable.
+// launch sends the start order of an attempt whose start is durable, unless its job has ended or
+// its worker has become unavailable.
 func (ow *Owner) launch(at *attempt) {
 	if at.tj.attempts[at.ref] != at || at.tj.jo.State().Final() {
 		ow.abandonLaunch(at, "job ended before the order was sent")
@@ -117,7 +118,7 @@
 	case errors.Is(err, worker.ErrUnhealthy), errors.Is(err, worker.ErrMalformed):
 		wk.quarantine(unfitQuarantine, "refuses orders")
 	case errors.Is(err, worker.ErrLeaseExpired):
-		wk.quarantine(capacityQuarantine, "refused a lease that was late by its clock")
+		wk.quarantine(capacityQuarantine, "refused a lease that had expired by its clock")
 	case errors.Is(err, worker.ErrFenced):
 		wk.quarantine(unfitQuarantine, "obeys a higher fencing token")
 	case errors.Is(err, worker.ErrNoListener):
@@ -131,8 +132,8 @@
 	return true
 }
 
-// capacityQuarantine is the quarantine of a worker that had less capacity than known: the next
-// poll reports the current state.
+// capacityQuarantine is the duration of the quarantine of a worker that had less capacity than
+// known or refused an expired lease: the next poll reports its current state and clock.
 const capacityQuarantine = 150 * time.Millisecond
 
 func launchOutcome(err error) string {
--- a/internal/sched/leasebound_test.go
+++ b/internal/sched/leasebound_test.go
@@ -45,17 +45,19 @@
 // TestLeasesEndBeforeTheNextOwnerActs draws when an owner was last confirmed, when another
 // claimed the cell, how old its lease and its reading of the worker's clock are, and how far
 // all three clocks drift. The lease must have ended when the next owner restarts elsewhere
-// what ran there, and the next owner must not wait longer than the bound.
+// what ran there, and the next owner must not wait longer than tenure.LeaseLimit, its drift
+// and lapseMargin.
 func TestLeasesEndBeforeTheNextOwnerActs(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 5000}, func(rt *rapid.T) {
 		drift := rapid.Float64Range(1-clockDrift, 1+clockDrift)
 		owner, wo, next := drift.Draw(rt, "owner's clock"), drift.Draw(rt, "worker's clock"), drift.Draw(rt, "next owner's clock")
 		maxLease := time.Duration(rapid.IntRange(1000, 20_000).Draw(rt, "max lease ms")) * time.Millisecond
-		// In true time since the store last confirmed the owner.
+		// Times are true ones since the store last confirmed the owner.
 		granted := time.Duration(rapid.Int64Range(0, int64(float64(minDriftDuration(tenure.ExtendFor))/owner)).Draw(rt, "granted"))
 		read := granted - time.Duration(rapid.Int64Range(0, int64(maxClockReadingAge)).Draw(rt, "reading's age"))
 		claimed := time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(rt, "claimed"))
 
+		// measured is what a clock measures of a duration.
 		measured := func(clock float64, d time.Duration) time.Duration { return time.Duration(float64(d) * clock) }
 		began := time.Now()
 		wk := &workerState{clockMS: 1_000_000, clockAt: began}
--- a/internal/sched/leaseexpiry.go
+++ b/internal/sched/leaseexpiry.go
@@ -42,14 +42,14 @@
 	RemainingMS map[string]int64 `json:"silent_ms,omitempty"`
 }
 
-// leaseRecord is the owner's view of the row.
+// leaseRecord is what the owner knows of the lease expiry row.
 type leaseRecord struct {
 	// version is the version of the row.
 	version int64
 	// recorded has the workers that the row names or may come to name: those of the last
 	// accepted write and of all writes sent since.
 	recorded map[string]bool
-	// outcomeUnknown is set after a write until it is known to have been accepted.
+	// outcomeUnknown is set from a write until one is known to have been accepted.
 	outcomeUnknown bool
 	// writing is set while a write is in flight; sent is when the last one was sent.
 	writing bool
@@ -58,8 +58,8 @@
 
 func (ow *Owner) leaseExpiryKey() string { return LeaseExpiryTable + "/" + ow.Cell + "/workers" }
 
-// loadLeaseRecord reads the lease expiries that the former owner stored. It uses them unless
-// that owner released the cell, because a release hands over a complete list.
+// loadLeaseRecord reads the stored lease expiries. It uses them if the former owner stored them
+// and did not release the cell, because a release hands over a complete list.
 func (ow *Owner) loadLeaseRecord(ctx context.Context) {
 	ow.leaseRecord.recorded = map[string]bool{}
 	lctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -94,7 +94,8 @@
 	return !wk.dead && wk.settled && len(wk.attempts) > 0 && !wk.failingSince.IsZero() && now.Sub(wk.failingSince) >= recordLeaseAfter
 }
 
-// recordLeases writes the row if the set of unresponsive workers has changed.
+// recordLeases writes the row if the set of unresponsive workers has changed, or if it is not
+// known whether the last write was accepted.
 func (ow *Owner) recordLeases(now time.Time) {
 	lr := &ow.leaseRecord
 	if lr.writing || ow.storeDown() {
--- a/internal/sched/leasewait_test.go
+++ b/internal/sched/leasewait_test.go
@@ -99,8 +99,9 @@
 	return time.Time{}
 }
 
-// TestPollFollowsANewPath guards against a worker whose relay is lost and that is polled only
-// after the pause of a failed poll, though it has another path and its leases run meanwhile.
+// TestPollFollowsANewPath guards against leases that run down although there is a path to the
+// worker: its relay is lost, and it is polled on another path only after the pause of a failed
+// poll.
 func TestPollFollowsANewPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
@@ -110,7 +111,7 @@
 		la.via.Store(&via)
 		ow, end := la.startOwner()
 		defer end()
-		// In the middle of a pause.
+		// In the middle of the pause between two failed polls.
 		time.Sleep(3*time.Second + pollRetry/2)
 		other := "r1"
 		la.via.Store(&other)
--- a/internal/sched/list.go
+++ b/internal/sched/list.go
@@ -25,7 +25,7 @@
 	order int64
 }
 
-// maxSummaries bounds a list; the newest jobs are retained.
+// maxSummaries bounds a list.
 const maxSummaries = 1000
 
 // List returns the jobs in the owner's memory in order of arrival, the newest maxSummaries of
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -13,8 +13,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// load reads all jobs of the cell. It has no overall timeout: if reading took longer than a
-// timeout, the owner would start over forever while it keeps the cell.
+// load reads all jobs of the cell. It has no overall timeout: with one, an owner whose
+// cell takes longer to read would start over forever while it keeps the cell.
 func (ow *Owner) load(ctx context.Context) error {
 	read := func() (struct{}, error) {
 		err := ow.loadOnce(ctx)
@@ -101,7 +101,7 @@
 	}
 }
 
-// adoptOn assigns a job's attempts to the worker and returns those of other workers.
+// adoptOn assigns a job's unowned attempts on the worker to it and returns those on others.
 func (tj *trackedJob) adoptOn(wk *workerState) []job.TaskRef {
 	remaining := tj.unowned[:0]
 	for _, ref := range tj.unowned {
--- a/internal/sched/lossreport.go
+++ b/internal/sched/lossreport.go
@@ -7,8 +7,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// lostEnds counts the ends of the attempts on a lost worker for one log line. The lines of the
-// single attempts are rate-limited when many attempts end at once.
+// lostEnds counts the ends of the attempts on a lost worker for one log line, because
+// the lines of single attempts may be dropped when many end at once.
 type lostEnds struct {
 	attempts, longRunning int
 	ends                  map[job.End]int
