--- a/internal/tenure/claim.go
+++ b/internal/tenure/claim.go
@@ -7,16 +7,18 @@
 
 // sentClaim is a claim that was sent to the store.
 type sentClaim struct {
-	// row was written over the last owner's row, which had this version.
-	row     OwnerRow
-	former  *formerOwners
+	// row is the row that the claim writes, former the state of the owners that it
+	// replaces.
+	row    OwnerRow
+	former *formerOwners
+	// version is that of the last owner's row, on which the claim is conditional.
 	version int64
 	sent    time.Time
 }
 
-// serveUnsettledClaim serves the cell if the row shows that a claim that seemed to have
-// failed took effect. Otherwise the other hosts would have to wait for the heartbeat
-// timeout of an owner that does not serve.
+// serveUnsettledClaim serves the cell if the owner's row shows that a claim took effect
+// although its outcome was not known. Otherwise the other hosts would have to wait for the
+// heartbeat timeout of an owner that does not serve.
 func (ke *Keeper) serveUnsettledClaim(ctx context.Context) {
 	cl := ke.unsettledClaim
 	if cl == nil {
--- a/internal/tenure/former_owners.go
+++ b/internal/tenure/former_owners.go
@@ -12,7 +12,7 @@
 // clockDriftDivisor bounds the clock drift between two hosts to 1/20 of the elapsed time.
 const clockDriftDivisor = 20
 
-// formerOwners tracks until when the owners before this tenure may still act.
+// formerOwners tracks until when the owners before a tenure may still act.
 type formerOwners struct {
 	ke *Keeper
 	// lastRow is the row of the last owner, epoch the epoch of the new one.
@@ -21,7 +21,7 @@
 	// claimedAt is when the new owner knew that its claim had taken effect.
 	claimedAt time.Time
 	// earlierCeased is the latest time at which all owners before the last one cease to
-	// act. It is zero if they had ceased before the last one did.
+	// act. It is zero if the last one had reported that they had ceased.
 	earlierCeased time.Time
 
 	mu sync.Mutex
@@ -36,8 +36,10 @@
 	retiredAt       time.Time
 }
 
-// newFormerOwners returns the state of the owners replaced by a claim of the given epoch.
-// Owners before the last one may act until earlier.
+// newFormerOwners returns the state of the owners that a claim of the given epoch replaces;
+// earlier is the latest time at which owners before the last one may act. Witnesses may
+// confirm a former owner unless there was none, or the last one released the cell after all
+// before it had ceased to act.
 func (ke *Keeper) newFormerOwners(last OwnerRow, epoch int64, earlier time.Time) *formerOwners {
 	witnessed := last.Owner != "" || !last.FormerCeased && last.Epoch > 0
 	return &formerOwners{ke: ke, lastRow: last, epoch: epoch, earlierCeased: earlier, witnessesActive: witnessed}
@@ -51,7 +53,8 @@
 	if fo.lastCeased.IsZero() || fo.lastCeased.After(fo.earlierCeased) {
 		return fo.lastCeased
 	}
-	// The last owner may have ended before one that it replaced.
+	// The last owner may have ceased before one that it replaced. Once no witness confirms
+	// that one, it can extend leases for at most ExtendFor.
 	if latest := fo.retiredAt.Add(ExtendFor); !fo.retiredAt.IsZero() && latest.Before(fo.earlierCeased) {
 		return latest
 	}
@@ -122,8 +125,9 @@
 	return !fo.unconfirmedSince().IsZero() || fo.allCeased()
 }
 
-// recordCeased records that the last owner has ceased to act, and what is known of the
-// leases that it extended.
+// recordCeased records that the last owner has ceased to act, for the reason why. It last
+// extended a lease sinceLease ago, and its leases and those of owners before it end within
+// leasesLeft; 0 if that is not known.
 func (fo *formerOwners) recordCeased(why string, sinceLease, leasesLeft time.Duration) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -137,7 +141,7 @@
 }
 
 // start evaluates the last owner's row, or asks its host if the row doesn't show whether
-// the owner has ceased to act.
+// the owner has ceased to act. It also notifies witnesses that may confirm a former owner.
 func (fo *formerOwners) start(ctx context.Context) {
 	switch fo.lastRow.Owner {
 	case "":
@@ -152,6 +156,7 @@
 	}
 }
 
+// recordRetired records since when no witness confirms a former owner.
 func (fo *formerOwners) recordRetired(at time.Time) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -208,8 +213,8 @@
 		"witnesses", len(row.Witnesses), "retired", retired, "after", now.Sub(fo.claimedAt))
 }
 
-// readWitnesses reads the witness row as it was at the claim. No former owner can write it
-// after that.
+// readWitnesses reads the witness row, until the store answers. It reports false if ctx
+// ended first. No former owner can write the row after the claim.
 func (fo *formerOwners) readWitnesses(ctx context.Context) (witnessRow, bool) {
 	for {
 		var row witnessRow
--- a/internal/tenure/former_owners_test.go
+++ b/internal/tenure/former_owners_test.go
@@ -77,12 +77,12 @@
 // TestFormerOwnersCeaseBeforeAssumed runs random sequences in which owners are
 // partitioned, killed, restarted, stopped, and yield. No owner may assume that former
 // owners have ceased to act before the last time at which any of them could extend leases.
-// Otherwise it would take leases for lapsed that still run.
+// Otherwise it would assume that leases have lapsed which still run.
 func TestFormerOwnersCeaseBeforeAssumed(t *testing.T) {
-	proptest.Check(t, proptest.Size{Checks: randomOwners}, func(rt *rapid.T) {
+	proptest.Check(t, proptest.Size{Checks: ownerSequences}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
 			er := &extensionRecord{lastExtended: map[int64]time.Time{}, assumedCeased: map[int64]time.Time{}}
-			er.interval = rapid.SampledFrom([]time.Duration{0, 0, 2 * time.Second, 7 * time.Second}).Draw(rt, "every")
+			er.interval = rapid.SampledFrom([]time.Duration{0, 0, 2 * time.Second, 7 * time.Second}).Draw(rt, "extension interval")
 			cl := &cluster{t: t, serveFunc: er.serve}
 			// Small hosts yield the cell to larger ones, and claim it again if none does.
 			for i, cores := range []float64{0.8, 0.2, 0.2} {
@@ -101,8 +101,8 @@
 	})
 }
 
-// randomOwners is the number of sequences; PEPPERHATCH_SEED selects others.
-const randomOwners = 150
+// ownerSequences is the number of random sequences; PEPPERHATCH_SEED selects others.
+const ownerSequences = 150
 
 // randomFault applies one random fault to a host, mostly to the owner's.
 func (cl *cluster) randomFault(rt *rapid.T) {
--- a/internal/tenure/heartbeat.go
+++ b/internal/tenure/heartbeat.go
@@ -21,8 +21,9 @@
 	formerCeasedFunc func() bool
 }
 
-// lastConfirmed returns a time after which the store still showed this tenure. The watch
-// of the owner's row provides it, and ends the tenure when the row names another owner.
+// lastConfirmed returns when the last read of the owner's row that the store answered was
+// sent; the row still named this owner after that. The watch ends the tenure when the row
+// names another owner. Before the first such answer, the claim counts.
 func (he *heartbeater) lastConfirmed() time.Time {
 	contact, _ := he.ke.watch.Contact()
 	// The reply that ends the tenure also counts as contact, but only after it has ended
--- a/internal/tenure/probe.go
+++ b/internal/tenure/probe.go
@@ -11,7 +11,7 @@
 	// host: two heartbeat intervals plus the time until a heartbeat is received.
 	probeAfter = 1200 * time.Millisecond
 	// probeTimeout bounds a probe: 3 ms on the network, and the time a host that is short
-	// of processor takes to answer.
+	// of processor time takes to answer.
 	probeTimeout = 500 * time.Millisecond
 	// UnreachableTimeout replaces HeartbeatTimeout when the owner's host neither writes
 	// heartbeats nor answers probes.
@@ -26,8 +26,8 @@
 	// Host is the name of the host, Process that of its process.
 	Host    string
 	Process string
-	// Refused is set if the store refused the last heartbeats that the host wrote as an
-	// owner.
+	// Refused is set if this process, as an owner, failed to write the last maxMissedBeats
+	// heartbeats or more.
 	Refused bool
 	// SinceLease is how long ago this process or an owner before it last extended a lease.
 	// It is zero if one did just now or if that is not known. A host that was stalled
@@ -93,7 +93,7 @@
 func (ke *Keeper) StoreAnswers() bool { return ke.watch.Answering() }
 
 // probe asks the host of an unresponsive owner whether the owner's process still runs. It
-// asks once until the next contact.
+// asks at most once between two signs that the owner runs.
 func (ke *Keeper) probe(ctx context.Context) {
 	ke.mu.Lock()
 	row, asked := ke.row, ke.probed
--- a/internal/tenure/row_test.go
+++ b/internal/tenure/row_test.go
@@ -15,11 +15,11 @@
 		want bool
 	}{
 		{"no owner ever", OwnerRow{}, true},
-		{"an owner that keeps to it", OwnerRow{Owner: "a", Epoch: 3, Bounded: true}, true},
+		{"an owner with bounded leases", OwnerRow{Owner: "a", Epoch: 3, Bounded: true}, true},
 		{"an owner of an earlier version", OwnerRow{Owner: "a", Epoch: 3}, false},
 		{"released by one of an earlier version", OwnerRow{Epoch: 3}, false},
 		{"the same, when all before had ceased", OwnerRow{Epoch: 3, FormerCeased: true}, true},
-		{"released by one that keeps to it", OwnerRow{Epoch: 3, Bounded: true}, true},
+		{"released by one with bounded leases", OwnerRow{Epoch: 3, Bounded: true}, true},
 	} {
 		qt.Check(t, tc.row.boundsSuccessors(), qt.Equals, tc.want, qt.Commentf("%s", tc.name))
 	}
--- a/internal/tenure/stall.go
+++ b/internal/tenure/stall.go
@@ -44,15 +44,16 @@
 	if sd.bootFunc != nil {
 		boot = sd.bootFunc()
 	}
-	first, monotonic, all := sd.checkedAt.IsZero(), now.Sub(sd.checkedAt), boot-sd.boot
-	// At most this much monotonic time passed between the two readings of the boot clock.
-	suspended := all-time.Since(sd.checkedAt) >= minSuspension
+	first, monotonic, bootElapsed := sd.checkedAt.IsZero(), now.Sub(sd.checkedAt), boot-sd.boot
+	// checkedAt was read before the boot clock and time.Since is read after it, so at most
+	// this much monotonic time passed between the two readings of the boot clock.
+	suspended := bootElapsed-time.Since(sd.checkedAt) >= minSuspension
 	sd.checkedAt, sd.boot = now, boot
 	if first || monotonic < stallAfter && !suspended {
 		return 0
 	}
 	sd.resumedAt, sd.suspended = time.Now(), suspended
-	return max(monotonic, all)
+	return max(monotonic, bootElapsed)
 }
 
 // confirmationValid reports whether a confirmation at the given time still counts. After a
@@ -65,8 +66,9 @@
 }
 
 // watchClocks records stalls until ctx ends. It also runs while another host owns the
-// cell, since a new owner can't wait for one more answer of the store before it extends
-// leases.
+// cell. Otherwise the first check of a tenure would take the time since the last one for a
+// stall, and the new owner would have to wait for one more answer of the store before it
+// extends leases.
 func (ke *Keeper) watchClocks(ctx context.Context) {
 	for clock.Sleep(ctx, clockCheckInterval) {
 		ke.mu.Lock()
@@ -76,17 +78,17 @@
 }
 
 // mayExtend reports whether an owner last confirmed at the given time may extend leases of
-// workers, and records that it is about to. Without the check for stalls, an owner that resumes
-// would extend leases before it learns that it was replaced, and the next owner would wait for
-// these leases: 177 long-running tasks of lost workers could restart only 5.6 s late for that
-// reason.
+// workers, and if so records that it is about to. Without the check for stalls, an owner
+// that resumes would extend leases before it learns that it was replaced, and the next
+// owner would wait for these leases: 177 long-running tasks of lost workers were restarted
+// 5.6 s late for that reason.
 func (ke *Keeper) mayExtend(epoch int64, confirmed time.Time) bool {
 	failed := ke.watch.LastFailure()
 	ke.mu.Lock()
 	ke.checkClocks()
-	trusts := ke.stalls.confirmationValid(confirmed, failed)
+	valid := ke.stalls.confirmationValid(confirmed, failed)
 	ke.mu.Unlock()
-	return trusts && ke.recordExtension(epoch, confirmed)
+	return valid && ke.recordExtension(epoch, confirmed)
 }
 
 func (ke *Keeper) checkClocks() {
--- a/internal/tenure/stall_test.go
+++ b/internal/tenure/stall_test.go
@@ -14,15 +14,15 @@
 )
 
 // TestStalledOwnerExtendsNoLeaseUntilConfirmed guards against tasks of lost workers that
-// are free to restart 5.6 s late, so that long-running tasks run nowhere for 17 s.
+// may restart only 5.6 s late, so that long-running tasks run nowhere for 17 s.
 //
 // The owner's host stalls for 5.6 s as workers are lost, and another host takes the cell
 // over. When the former owner resumes, its last confirmation is 6 s old, below the 8 s for
 // which an owner may extend leases. So it sends polls that extend leases before it learns
 // of its replacement, and then reports that it extended leases just now. The next owner
 // waits for a whole lease from then on: attempts of workers lost at 11.9 s ended at
-// 27.9 s, with why="its leases have lapsed" and quiet=14.39s, instead of at 22.2 s. This was
-// seen in two of six runs; in the others the report came before the polls.
+// 27.9 s, with why="its leases have lapsed" and quiet=14.39s, instead of at 22.2 s. It
+// happened in two of six runs; in the others the report came before the polls.
 func TestStalledOwnerExtendsNoLeaseUntilConfirmed(t *testing.T) {
 	const stall = 5600 * time.Millisecond
 	withStalledOwner := func(t *testing.T, test func(ke *Keeper, confirmed time.Time)) {
@@ -66,8 +66,8 @@
 }
 
 // TestReelectedOwnerExtendsLeasesAtOnce has a host own the cell again after another host
-// did for a while. It was not stalled in between, and the time that a takeover leaves of
-// leases is too short to wait for one more answer of the store.
+// did for a while. It was not stalled in between and must extend leases at once: what is
+// left of them after a takeover is too short to wait for one more answer of the store.
 func TestReelectedOwnerExtendsLeasesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
--- a/internal/tenure/stop_test.go
+++ b/internal/tenure/stop_test.go
@@ -27,10 +27,10 @@
 // TestStopDuringClaimReleasesCell guards against a rolling stop that leaves the cell
 // without an owner for 2.8 s instead of 0.1 s.
 //
-// A host sends a claim and the store carries it out, but the host is ordered to stop before it
-// has the answer. It neither served nor released the cell, and the other hosts waited for its
-// heartbeat timeout. If both the answer and the read of the row are lost, the claim went
-// unnoticed even without a stop.
+// A host sends a claim and the store carries it out, but the host is ordered to stop before
+// it has the answer. It neither served nor released the cell, and the other hosts waited
+// for its heartbeat timeout. If both the answer and the read of the row were lost, the host
+// did not notice that its claim took effect, even without a stop.
 //
 // One second after the claim another host must own the cell.
 func TestStopDuringClaimReleasesCell(t *testing.T) {
@@ -122,9 +122,9 @@
 // TestReleaseEndsAtStopDeadline guards against a planned stop that ends with the host
 // killed while callers are connected.
 //
-// The store hangs, the host has 1 s to stop, and it tried for 2.8 s to release its cell,
-// whether the release began with the stop or earlier with the end of its tenure. The host
-// must have stopped within 1 s.
+// The store does not answer and the host has 1 s to stop. It tried for 2.8 s to release its
+// cell, whether the release began with the stop or earlier with the end of its tenure. The
+// host must have stopped within 1 s.
 func TestReleaseEndsAtStopDeadline(t *testing.T) {
 	for name, before := range map[string]bool{"release begins with the stop": false, "release in progress": true} {
 		t.Run(name, func(t *testing.T) {
@@ -147,9 +147,10 @@
 // TestReleaseRetriesUntilStopDeadline guards against a cell without an owner for another
 // 2.8 s after an outage of the store during a rolling stop.
 //
-// The store is unavailable for 5 s as the owner is ordered to stop, with 10 s for it. The owner
-// gave up releasing the cell after 2.8 s, and when the store was back the other hosts waited
-// for the heartbeat timeout. One second after the store is back another host must own the cell.
+// The store is unavailable for 5 s as the owner is ordered to stop within 10 s. The owner
+// gave up releasing the cell after 2.8 s, and when the store was back the other hosts
+// waited for the heartbeat timeout. One second after the store is back another host must
+// own the cell.
 func TestReleaseRetriesUntilStopDeadline(t *testing.T) {
 	for name, before := range map[string]bool{"release begins with the stop": false, "release in progress": true} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -1,11 +1,12 @@
 // Package tenure decides which entry host owns a cell.
 //
-// The owner's row in the store's table is the only authority. Each owner writes it once,
-// on condition that it is unchanged since it was read, with an epoch one higher. Every
-// write of an owner is conditional on the version of that row, so that a replaced owner
-// can write nothing, and the epoch is the fencing token that workers check. Time only
-// decides when a host tries to replace an unresponsive owner: an owner writes a heartbeat
-// to another row, which all hosts watch, and a host that sees no heartbeat for a while,
+// The owner's row in the store's table is the only authority. A host that claims the cell
+// writes it with an epoch one higher, on condition that it is unchanged since it was read;
+// an owner that releases the cell writes it again, without an owner. Every write of an
+// owner to the cell is conditional on the version of that row, so that a replaced owner can
+// write nothing, and the epoch is the fencing token that workers check. Time only decides
+// when a host tries to replace an unresponsive owner: an owner writes a heartbeat to
+// another row, which all hosts watch, and a host that sees no heartbeat for a while,
 // although the store answers, claims the cell. A host doesn't claim a cell while the store
 // doesn't answer it.
 package tenure
@@ -144,16 +145,22 @@
 	// Log receives events.
 	Log *slog.Logger
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// row is the owner's row as last read or written, version its version. known is set
+	// once all rows were read.
 	row     OwnerRow
 	version int64
 	known   bool
 	// formerCeased is the latest time at which all owners before that of the row cease to
-	// act, by this host's clock. It is zero if they had ceased when that owner reported so.
+	// act, by this host's clock. It is zero once that owner has reported that they had
+	// ceased.
 	formerCeased time.Time
-	lastBeat     beatRow
-	lastContact  time.Time
-	portRefused  bool
+	// lastBeat is the last heartbeat of the owner of the row, lastContact when this host
+	// last had a sign that this owner runs. portRefused is set once its port has refused a
+	// connection.
+	lastBeat    beatRow
+	lastContact time.Time
+	portRefused bool
 	// probed is set once the owner's host was probed since the last contact. unreachable is
 	// set if it did not answer, or if another process did. storeRefuses is set if it
 	// reported that the store refuses its heartbeats.
@@ -166,7 +173,7 @@
 	// lastWritten is when the last heartbeat that the store accepted, or the claim, was
 	// sent.
 	lastWritten time.Time
-	// notifiedEpoch is the highest epoch of which this host was notified by its owner.
+	// notifiedEpoch is the highest epoch of an owner that notified this host.
 	// confirmedEpoch is the epoch of the owner that this host confirmed when it was last
 	// asked, or 0.
 	notifiedEpoch  int64
@@ -176,14 +183,16 @@
 	// leasesEnd is the latest end of the leases that this process extended.
 	leasesEnd time.Time
 	// former has the owners before this host's last tenure.
-	former   *formerOwners
+	former *formerOwners
+	// stopping is set once the host was ordered to stop.
 	stopping bool
 	// releaseBy is when a host that stops gives up releasing its cell.
 	releaseBy time.Time
 	// releaseTimer ends a release in progress, or is nil.
 	releaseTimer *time.Timer
-	endTenure    context.CancelCauseFunc
-	watch        watch.Watch
+	// endTenure ends this host's tenure; nil if it has none.
+	endTenure context.CancelCauseFunc
+	watch     watch.Watch
 	// stalls detects when this process was stalled.
 	stalls stallDetector
 	// yieldCount counts the tenures yielded to larger hosts.
@@ -376,7 +385,7 @@
 	ke.Log.Info("claiming the cell", "cell", ke.Cell, "epoch", row.Epoch, "former", last.Owner, "version", version, "why", why)
 	fo := ke.newFormerOwners(last, row.Epoch, earlier)
 	cl := sentClaim{row: row, former: fo, version: version, sent: time.Now()}
-	won, err := ke.write(ctx, row, version)
+	newVersion, err := ke.write(ctx, row, version)
 	if err != nil {
 		ke.Log.Info("claim failed", "cell", ke.Cell, "epoch", row.Epoch, "err", err)
 		ke.unsettledClaim = &cl
@@ -384,7 +393,7 @@
 	}
 	ke.unsettledClaim = nil
 	fo.claimedAt = time.Now()
-	ke.serve(ctx, row, won, fo, cl.sent)
+	ke.serve(ctx, row, newVersion, fo, cl.sent)
 }
 
 // write writes the owner's row and returns its new version.
@@ -395,25 +404,26 @@
 	}
 	cctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	won, err := ke.Table.Commit(cctx, txn)
+	newVersion, err := ke.Table.Commit(cctx, txn)
 	if err == nil {
-		return won, nil
+		return newVersion, nil
 	}
-	// The answer may be lost; the row then names this process.
+	// The write may have taken effect although its answer was lost; the row shows that.
 	rctx, cancelRead := context.WithTimeout(ctx, callTimeout)
 	defer cancelRead()
-	var now OwnerRow
-	have, rerr := ke.Table.Get(rctx, ke.ownerKey(), &now)
+	var current OwnerRow
+	currentVersion, rerr := ke.Table.Get(rctx, ke.ownerKey(), &current)
 	if rerr != nil {
 		return 0, fmt.Errorf("write owner's row: %w; read it back: %w", err, rerr)
 	}
-	if now.Epoch == row.Epoch && now.Process == row.Process {
-		return have, nil
+	if current.Epoch == row.Epoch && current.Process == row.Process {
+		return currentVersion, nil
 	}
 	return 0, fmt.Errorf("write owner's row: %w", err)
 }
 
-// serve runs the cell and writes heartbeats until the tenure ends.
+// serve runs the cell and writes heartbeats until the tenure ends, and then releases the
+// cell unless another host owns it.
 func (ke *Keeper) serve(ctx context.Context, row OwnerRow, version int64, fo *formerOwners, sent time.Time) {
 	sctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
@@ -422,8 +432,8 @@
 		ke.mu.Unlock()
 		return
 	}
-	// A host that was ordered to stop meanwhile owns the row too and must release it. Its
-	// tenure ends as soon as it begins.
+	// A host that was ordered to stop during its claim owns the cell too and must release
+	// it. Its tenure ends as soon as it begins.
 	if ke.stopping {
 		end(errStopping)
 	}
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -130,15 +130,16 @@
 	return exchange(ho, addr, func(ke *Keeper) bool { return ke.Confirm(epoch, process) })
 }
 
-// exchange sends a request to the last process of a host and returns its reply.
-func exchange[Answer any](ho *clusterHost, addr string, question func(ke *Keeper) Answer) (Answer, error) {
+// exchange sends a request to the last process of a host, which handles it, and returns
+// the reply.
+func exchange[Answer any](ho *clusterHost, addr string, handle func(ke *Keeper) Answer) (Answer, error) {
 	var none Answer
 	ho.cluster.delay()
 	other := ho.cluster.reachable(ho, addr)
 	if other == nil {
 		return none, errUnreachable
 	}
-	answer := question(other.keeper)
+	answer := handle(other.keeper)
 	ho.cluster.delay()
 	if ho.cluster.reachable(ho, addr) != other {
 		return none, errUnreachable
@@ -281,8 +282,8 @@
 		cl.mu.Lock()
 		first.unreachable = true
 		cl.mu.Unlock()
-		// This is before the heartbeat timeout alone could have led to a claim, even if the
-		// last heartbeat was as old as it can be.
+		// At this time the heartbeat timeout alone cannot have led to a claim, however old
+		// the last heartbeat was when the fault began.
 		time.Sleep(HeartbeatTimeout - HeartbeatInterval - 200*time.Millisecond)
 		qt.Assert(t, len(cl.tenures()), qt.Equals, 2)
 	})
@@ -439,7 +440,7 @@
 	})
 }
 
-func TestYieldStay(t *testing.T) {
+func TestYieldDelay(t *testing.T) {
 	for _, tc := range []struct {
 		yields int
 		want   time.Duration
@@ -448,16 +449,17 @@
 	}
 }
 
-func (cl *cluster) setUnreachable(ho *clusterHost, dark bool) {
+// setUnreachable sets whether other hosts reach a host.
+func (cl *cluster) setUnreachable(ho *clusterHost, unreachable bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	ho.unreachable = dark
+	ho.unreachable = unreachable
 }
 
 // TestConfirmedEndsWithTheTenure guards against tasks that run twice. An owner that was
 // partitioned learns of its replacement from the same reply of the store that counts as
-// contact with it. Until its tenure has ended, the owner would count as confirmed just
-// now, and extend leases that others take for lapsed.
+// contact with it. Between the two, the owner would count as confirmed just now, and extend
+// leases of which others assume that they have lapsed.
 func TestConfirmedEndsWithTheTenure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var first Tenure
--- a/internal/tenure/witness.go
+++ b/internal/tenure/witness.go
@@ -15,14 +15,15 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-// Witnesses confirm an owner while the store is unavailable, so that leases may run on
-// without each next owner having to wait for an outage of that length.
+// Witnesses confirm an owner while the store is unavailable, so that it can go on to extend
+// leases. Without them, leases would end in an outage of the store, or each new owner would
+// have to wait for as long as a former one might extend leases in an outage.
 //
 // An owner names some processes of other hosts in a row. It counts as confirmed since it
 // last sent a request to which half of them, rounded up, answered yes. A process that was
 // notified of a later owner never confirms an earlier one, and one that has ended confirms
-// nothing more. So once more than half of them were notified or have ended, no later
-// confirmation is of a former owner. Witnesses store nothing else, and the store alone
+// nothing more. So once more than half of them were notified or have ended, the former
+// owner can't be confirmed any more. Witnesses store nothing else, and the store alone
 // decides who owns the cell.
 //
 // The row is written on condition that the owner's row is unchanged, and read after a
@@ -63,8 +64,8 @@
 // witnessKey is in the same part as the owner's row, on which its writes are conditional.
 func (ke *Keeper) witnessKey() string { return witnessTable + "/" + ke.Cell + "/row" }
 
-// confirmNeed returns how many of n witnesses confirm an owner. retireNeed returns how
-// many must no longer be able to confirm it for no set of confirmNeed to be left.
+// confirmNeed returns how many of n witnesses have to confirm an owner. retireNeed returns
+// how many must no longer be able to, so that fewer than confirmNeed are left.
 func confirmNeed(n int) int { return n - n/2 }
 func retireNeed(n int) int  { return n/2 + 1 }
 
@@ -123,7 +124,8 @@
 	confirming bool
 }
 
-// setHosts applies rows of the list of entry hosts. If complete is set, listed has all rows.
+// setHosts applies rows of the list of entry hosts. If complete is set, listed has all
+// rows.
 func (wi *witnesses) setHosts(listed []registry.Member, removed []string, complete bool) {
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
@@ -147,28 +149,29 @@
 	}
 	wi.mu.Lock()
 	defer wi.mu.Unlock()
-	by := wi.witnessesConfirmed()
-	if latest := byStore.Add(maxWitnessed); by.After(latest) {
-		by = latest
+	byWitnesses := wi.witnessesConfirmed()
+	if latest := byStore.Add(maxWitnessed); byWitnesses.After(latest) {
+		byWitnesses = latest
 	}
-	if by.After(byStore) {
-		return by
+	if byWitnesses.After(byStore) {
+		return byWitnesses
 	}
 	return byStore
 }
 
-// witnessesConfirmed returns when the witnesses last confirmed the tenure, or zero.
+// witnessesConfirmed returns when the witnesses last confirmed the tenure, or zero. The row
+// may name any of the sets, so all of them must have confirmed it.
 func (wi *witnesses) witnessesConfirmed() time.Time {
 	if !wi.written {
 		return time.Time{}
 	}
-	by := time.Now()
+	earliest := time.Now()
 	for _, set := range wi.sets {
-		if at := wi.setConfirmed(set); at.Before(by) {
-			by = at
+		if at := wi.setConfirmed(set); at.Before(earliest) {
+			earliest = at
 		}
 	}
-	return by
+	return earliest
 }
 
 // setConfirmed returns when the last request was sent to which enough of a set answered
@@ -197,7 +200,8 @@
 	}
 }
 
-// storeUnresponsive reports whether witnesses are to confirm the tenure.
+// storeUnresponsive reports whether the store has not confirmed the tenure for
+// confirmAfter, so that witnesses have to.
 func (wi *witnesses) storeUnresponsive() bool { return time.Since(wi.confirmedFunc()) >= confirmAfter }
 
 // confirm asks all witnesses whether they confirm the tenure.
--- a/internal/tenure/witness_test.go
+++ b/internal/tenure/witness_test.go
@@ -37,17 +37,17 @@
 	return list
 }
 
-// leaseRecord records until when leases of owners run, and when the next owners act on
-// what the leases protected.
+// leaseRecord records until when leases of owners run, and when later owners assume that
+// these leases have ended.
 type leaseRecord struct {
 	cluster *cluster
 
 	mu sync.Mutex
-	// until is the latest end of a lease, acted when an owner first assumed that the leases
-	// of all former owners had ended, both by epoch. early counts the owners that did so
-	// before WitnessedLeaseLimit.
-	until, acted map[int64]time.Time
-	early        int
+	// until is the latest end of a lease, actedAt when an owner first assumed that the
+	// leases of all former owners had ended, both by epoch. early counts the owners that did
+	// so less than WitnessedLeaseLimit after their tenure began.
+	until, actedAt map[int64]time.Time
+	early          int
 }
 
 // serve simulates an owner that extends leases whenever it may.
@@ -73,12 +73,12 @@
 	if confirmed := te.LastConfirmed(); now.Sub(confirmed) <= ExtendFor && te.MayExtend() {
 		lr.until[te.Epoch] = laterTime(lr.until[te.Epoch], confirmed.Add(LeaseLimit))
 	}
-	if _, ok := lr.acted[te.Epoch]; ok {
+	if _, ok := lr.actedAt[te.Epoch]; ok {
 		return
 	}
 	unconfirmed, reported := te.FormerUnconfirmedSince(), te.FormerLeasesEnd()
 	if !unconfirmed.IsZero() && now.After(unconfirmed.Add(LeaseLimit)) || !reported.IsZero() && now.After(reported) || now.After(opened.Add(WitnessedLeaseLimit)) {
-		lr.acted[te.Epoch] = now
+		lr.actedAt[te.Epoch] = now
 		if now.Before(opened.Add(WitnessedLeaseLimit)) {
 			lr.early++
 		}
@@ -92,12 +92,12 @@
 	return b
 }
 
-// problems lists the leases that still ran when a later owner acted.
+// problems lists the leases that still ran when a later owner assumed that they had ended.
 func (lr *leaseRecord) problems() []string {
 	lr.mu.Lock()
 	defer lr.mu.Unlock()
 	var list []string
-	for epoch, acted := range lr.acted {
+	for epoch, acted := range lr.actedAt {
 		for other, until := range lr.until {
 			if other < epoch && until.After(acted) {
 				list = append(list, fmt.Sprintf("owner %d acted %v before a lease of owner %d ended", epoch, until.Sub(acted), other))
@@ -112,10 +112,10 @@
 // former one runs.
 func TestSuccessorWaitsForFormerLeases(t *testing.T) {
 	early, all := 0, 0
-	proptest.Check(t, proptest.Size{Checks: randomWitnesses}, func(rt *rapid.T) {
+	proptest.Check(t, proptest.Size{Checks: witnessSequences}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
-			lr := &leaseRecord{until: map[int64]time.Time{}, acted: map[int64]time.Time{}}
-			rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "ways"), 1))
+			lr := &leaseRecord{until: map[int64]time.Time{}, actedAt: map[int64]time.Time{}}
+			rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "delay seed"), 1))
 			var mu sync.Mutex
 			cl := &cluster{t: t, serveFunc: lr.serve, partitions: map[[2]string]bool{}, delayFunc: func() time.Duration {
 				mu.Lock()
@@ -133,13 +133,13 @@
 			}
 			time.Sleep(WitnessedLeaseLimit)
 			cl.stop()
-			early, all = early+lr.early, all+len(lr.acted)
+			early, all = early+lr.early, all+len(lr.actedAt)
 			for _, problem := range lr.problems() {
 				rt.Error(problem)
 			}
 		})
 	})
-	t.Logf("%d takeovers, %d of them before WitnessedLeaseLimit", all, early)
+	t.Logf("%d takeovers, in %d of them the owner acted before WitnessedLeaseLimit", all, early)
 	qt.Assert(t, early > all/4, qt.IsTrue)
 	qt.Assert(t, early < all, qt.IsTrue)
 }
@@ -149,7 +149,7 @@
 // third takes over.
 func TestWitnessesOfFirstOwnerConfirmDuringThirdTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		lr := &leaseRecord{until: map[int64]time.Time{}, acted: map[int64]time.Time{}}
+		lr := &leaseRecord{until: map[int64]time.Time{}, actedAt: map[int64]time.Time{}}
 		cl := &cluster{t: t, serveFunc: lr.serve, partitions: map[[2]string]bool{}}
 		lr.cluster = cl
 		defer cl.stop()
@@ -173,9 +173,10 @@
 	})
 }
 
-// randomWitnesses is the number of sequences; PEPPERHATCH_SEED selects others.
-const randomWitnesses = 100
+// witnessSequences is the number of random sequences; PEPPERHATCH_SEED selects others.
+const witnessSequences = 100
 
+// witnessHosts is the number of hosts.
 const witnessHosts = 6
 
 // randomWitnessFault applies one random fault, mostly to the owner's host.
@@ -216,8 +217,9 @@
 	}
 }
 
-// splitStore has the store refuse one host and a set of others, and partitions some of
-// these from the rest.
+// splitStore has the store refuse the isolated host and the hosts of the set refused, and
+// partitions the isolated host and the hosts of both sets from all that are not refused.
+// Sets have one bit per host.
 func (cl *cluster) splitStore(isolated *clusterHost, fault standin.Fault, refused, partitioned int) {
 	in := func(set int, name string) bool {
 		return name == isolated.keeper.Self || set&(1<<(name[1]-'0')) != 0
@@ -253,8 +255,8 @@
 	cl.partitions[hostPair(a, b)] = true
 }
 
-// TestWitnessQuorumsOverlap: any set that confirms an owner shares a witness with any set
-// that no longer does.
+// TestWitnessQuorumsOverlap: any set of witnesses that suffices to confirm an owner has a
+// member in common with any set that suffices to retire the witnesses.
 func TestWitnessQuorumsOverlap(t *testing.T) {
 	for n := range 10 {
 		qt.Check(t, confirmNeed(n)+retireNeed(n) > n, qt.IsTrue, qt.Commentf("%d", n))
@@ -317,7 +319,7 @@
 func TestUnsettledWitnessSetsMustAllConfirm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := registry.Member{Name: "a", Process: "a-1"}, registry.Member{Name: "b", Process: "b-1"}
-		long := time.Now().Add(-time.Minute)
+		old := time.Now().Add(-time.Minute)
 		ke := &Keeper{Cell: "c0", Log: slog.New(slog.DiscardHandler)}
 		ke.Table.CommitFunc = func(context.Context, store.Txn) (store.CommitReply, error) {
 			return store.CommitReply{}, errUnreachable
@@ -327,11 +329,11 @@
 		qt.Assert(t, wi.witnessesConfirmed().IsZero(), qt.IsTrue)
 		wi.recordWrite([]registry.Member{a}, 7, nil)
 		qt.Assert(t, wi.witnessesConfirmed(), qt.Equals, time.Now())
-		wi.confirmedAt["b-1"] = long
+		wi.confirmedAt["b-1"] = old
 		wi.writeSet([]registry.Member{b})
-		qt.Assert(t, wi.witnessesConfirmed(), qt.Equals, long)
-		wi.confirmedAt["a-1"], wi.confirmedAt["b-1"] = long, time.Now()
-		qt.Assert(t, wi.witnessesConfirmed(), qt.Equals, long)
+		qt.Assert(t, wi.witnessesConfirmed(), qt.Equals, old)
+		wi.confirmedAt["a-1"], wi.confirmedAt["b-1"] = old, time.Now()
+		qt.Assert(t, wi.witnessesConfirmed(), qt.Equals, old)
 	})
 }
 
--- a/internal/tenure/yield.go
+++ b/internal/tenure/yield.go
@@ -13,13 +13,13 @@
 	// It is longer than the jitter plus the spread in which hosts receive changes of the
 	// owner's row.
 	maxClaimDelay = 500 * time.Millisecond
-	// defaultCores is the number of cores that the first owner is assumed to need. 350
-	// workers were seen to need 0.35 on average.
+	// defaultCores is the number of cores that the first owner is assumed to need. The
+	// owner of a cell of 350 workers uses 0.35 on average.
 	defaultCores = 0.8
 	// yieldShare is the share of the largest former owner's cores below which an owner
-	// leaves the cell to a larger host. It stays yieldAfter first, and twice as long each
-	// time that no larger host claimed the cell, up to maxYieldAfter: each change costs
-	// some 0.5 s without an owner.
+	// leaves the cell to a larger host. It does so after yieldAfter, and then after twice
+	// as long each time that no larger host claimed the cell, up to maxYieldAfter: each
+	// change costs some 0.5 s without an owner.
 	yieldShare    = 0.5
 	yieldAfter    = 2 * time.Second
 	maxYieldAfter = 32 * time.Second
