--- a/internal/lease/keeper.go
+++ b/internal/lease/keeper.go
@@ -40,20 +40,29 @@
 	// own the resource.
 	BeforeTransfer func(ctx context.Context, tr Transfer)
 
-	mu                sync.Mutex
-	joined            bool
-	lost              bool
-	row               Member
-	rowVersion        int64
-	end               time.Time
-	pending           *renewal
+	mu sync.Mutex
+	// joined is set once the host is a member, lost once another member has taken over from
+	// it or it leaves.
+	joined bool
+	lost   bool
+	// row is the host's row as last written, end is when its tenure ends. pending is a
+	// renewal whose outcome is not known, or nil.
+	row        Member
+	rowVersion int64
+	end        time.Time
+	pending    *renewal
+	// assignment is as last read or written. released has the resources that the host no
+	// longer acts on although it still owns them by that assignment, since has when it
+	// began to own a resource.
 	assignment        Assignment
 	assignmentVersion int64
 	released          map[string]bool
 	since             map[string]OwnershipStart
-	addrs             map[string]string
-	observed          map[string]observation
-	given             promises
+	// addrs and observed have the members as last read, by id. given has the answers that
+	// this process gave to them.
+	addrs    map[string]string
+	observed map[string]observation
+	given    promises
 }
 
 // OwnershipStart is when a host began to own a resource.
@@ -92,7 +101,7 @@
 	sentAt time.Time
 }
 
-// observation has another member's row, and since when it has been unchanged.
+// observation is a member's row as last read, and since when it has been unchanged.
 type observation struct {
 	row     Member
 	version int64
@@ -157,18 +166,18 @@
 	return ke.assignment
 }
 
-// Join adds the host to the members. It retries after a lost answer, and so may take as
-// long as the table is unavailable.
+// Join adds the host to the members. It retries after a conflict, and may take as long as
+// the table is unavailable.
 func (ke *Keeper) Join(ctx context.Context) error {
 	for {
 		if err := ke.read(ctx); err != nil {
 			return fmt.Errorf("join: %w", err)
 		}
 		ke.mu.Lock()
-		if si, found := ke.observed[ke.ID]; found {
+		if obs, found := ke.observed[ke.ID]; found {
 			// An earlier attempt wrote the row, but its answer was lost and its time is not
 			// known. The next renewal begins the tenure.
-			ke.joined, ke.row, ke.rowVersion = true, si.row, si.version
+			ke.joined, ke.row, ke.rowVersion = true, obs.row, obs.version
 			ke.mu.Unlock()
 			return nil
 		}
@@ -215,7 +224,7 @@
 	if err != nil {
 		return err
 	}
-	// Taken after the reply: a row in it was renewed before this time.
+	// The time is read after the reply, as each row in it was written before that.
 	at := ke.now()
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -253,8 +262,8 @@
 	since := map[string]OwnershipStart{}
 	for _, re := range asg.OwnedBy(ke.ID) {
 		since[re] = OwnershipStart{At: time.Now(), Epoch: asg.Owners[re].Epoch}
-		if be, ok := ke.since[re]; ok && be.Epoch == asg.Owners[re].Epoch {
-			since[re] = be
+		if old, ok := ke.since[re]; ok && old.Epoch == asg.Owners[re].Epoch {
+			since[re] = old
 		}
 	}
 	if version > ke.assignmentVersion {
@@ -401,14 +410,14 @@
 		return nil, fmt.Errorf("watch: %w", err)
 	}
 	var takenOver []string
-	for _, si := range ke.unresponsive() {
-		if !ke.obtainDenial(ctx, si) {
+	for _, obs := range ke.unresponsive() {
+		if !ke.obtainDenial(ctx, obs) {
 			continue
 		}
-		if err := ke.takeOver(ctx, si); err != nil {
+		if err := ke.takeOver(ctx, obs); err != nil {
 			return takenOver, err
 		}
-		takenOver = append(takenOver, si.row.ID)
+		takenOver = append(takenOver, obs.row.ID)
 	}
 	return takenOver, nil
 }
@@ -422,9 +431,9 @@
 	if !ke.joined || ke.lost {
 		return nil
 	}
-	for id, si := range ke.observed {
-		if id != ke.ID && ke.now().Sub(si.at) > ke.Timing.TTL+ke.Timing.Margin {
-			stale = append(stale, si)
+	for id, obs := range ke.observed {
+		if id != ke.ID && ke.now().Sub(obs.at) > ke.Timing.TTL+ke.Timing.Margin {
+			stale = append(stale, obs)
 		}
 	}
 	slices.SortFunc(stale, func(a, b observation) int { return strings.Compare(a.row.ID, b.row.ID) })
@@ -433,18 +442,18 @@
 
 // obtainDenial obtains one denial from the known set of an unresponsive member. An empty
 // known set needs none, since such a member cannot extend its tenure.
-func (ke *Keeper) obtainDenial(ctx context.Context, si observation) bool {
-	req := DenialRequest{Holder: si.row.ID, Beat: si.row.Beat}
-	if len(si.row.Known) == 0 {
+func (ke *Keeper) obtainDenial(ctx context.Context, obs observation) bool {
+	req := DenialRequest{Holder: obs.row.ID, Beat: obs.row.Beat}
+	if len(obs.row.Known) == 0 {
 		return true
 	}
-	if slices.Contains(si.row.Known, ke.ID) {
+	if slices.Contains(obs.row.Known, ke.ID) {
 		return ke.AnswerDenial(req).OK
 	}
 	ke.mu.Lock()
 	addrs := ke.addrs
 	ke.mu.Unlock()
-	for _, id := range si.row.Known {
+	for _, id := range obs.row.Known {
 		ans, err := ke.Peers.DenialFunc(ctx, id, addrs[id], req)
 		if err == nil && ans.OK {
 			return true
@@ -455,22 +464,22 @@
 
 // takeOver removes a member, on condition that its row and the assignment are unchanged
 // since they were read. A conflict is not an error.
-func (ke *Keeper) takeOver(ctx context.Context, si observation) error {
+func (ke *Keeper) takeOver(ctx context.Context, obs observation) error {
 	ke.mu.Lock()
-	asg, asgVer := ke.assignment.WithoutMember(si.row.ID), ke.assignmentVersion
+	asg, asgVer := ke.assignment.WithoutMember(obs.row.ID), ke.assignmentVersion
 	ke.mu.Unlock()
-	version, err := ke.removeMember(ctx, si.row.ID, si.version, asg, asgVer)
+	version, err := ke.removeMember(ctx, obs.row.ID, obs.version, asg, asgVer)
 	if errors.Is(err, store.ErrConflict) {
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("take over from %s: %w", si.row.ID, err)
+		return fmt.Errorf("take over from %s: %w", obs.row.ID, err)
 	}
 	ke.mu.Lock()
 	ke.adopt(asg, version)
-	delete(ke.observed, si.row.ID)
+	delete(ke.observed, obs.row.ID)
 	ke.mu.Unlock()
-	ke.emit("took-over", si.row.ID)
+	ke.emit("took-over", obs.row.ID)
 	return nil
 }
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -5,14 +5,14 @@
 // row, the assignment, maps resources to owners. An owner acts only within its tenure. A
 // takeover from an unresponsive owner is one conditional write.
 //
-// The table may be unavailable for long, and a data centre that is partitioned as a whole must
-// keep working. So a tenure can be extended by a second method. An owner that cannot renew asks
-// every host of its known set, the members that it recorded at its last renewal, for a promise
-// not to support a takeover from it for a certain time. If all of them promise, its tenure is
-// extended by that time. A takeover needs a denial from one host of the known set: a statement
-// that its promise has expired and that it gives no more until the row changes. Promises of all
-// hosts and a denial of any host exclude each other, so nothing needs to be replicated or voted
-// on.
+// The table may be unavailable for long, and a data centre that is partitioned from it as a
+// whole must keep working. So a tenure can also be extended without the table. An owner
+// that cannot renew asks every host of its known set, the members that it recorded at its
+// last renewal, for a promise not to support a takeover from it for a certain time. If all
+// of them promise, its tenure is extended by that time. A takeover needs a denial from one
+// host of the known set: a statement that its promise has expired and that it gives no more
+// until the row changes. Promises of all hosts and a denial of any host exclude each other,
+// so nothing needs to be replicated or voted on.
 //
 // A restarted process is a new member and cannot answer for an earlier one. If no host of
 // the known set is left to deny, an operator has to declare the owner dead
@@ -182,6 +182,8 @@
 // promises has the promises and denials that this process gave. They do not outlive the
 // process.
 type promises struct {
+	// until is when the last promise to a holder expires. denied is the highest beat of a
+	// holder's row for which a denial was given.
 	until  map[string]time.Time
 	denied map[string]int64
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -20,7 +20,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/store"
 )
 
-var errUnreachable = errors.New("cut")
+var errUnreachable = errors.New("unreachable")
 
 // Sizes and parameters of the model.
 const (
@@ -44,7 +44,8 @@
 	// answerDelay is how long the answers to its requests take to arrive.
 	answerDelay time.Duration
 	// busy is set while the host performs a step.
-	busy    bool
+	busy bool
+	// cutFrom has the indices of the hosts that it neither reaches nor is reached by.
 	cutFrom map[int]bool
 }
 
@@ -54,10 +55,14 @@
 	table     standin.Table
 	hosts     []*modelHost
 	startedAt time.Time
-	started   int
+	// started counts the processes started, events the events of their keepers by kind.
+	started int
+	events  map[string]int
+	// violation describes the first moment at which a resource had two owners.
 	violation string
-	depth     int
-	events    map[string]int
+	// depth counts the calls of interleave in progress. While it is not 0 no other host
+	// acts in between.
+	depth int
 	// mu guards the faults in tests that run keepers concurrently.
 	mu sync.Mutex
 }
@@ -321,11 +326,13 @@
 func withModel(t *testing.T, fn func(c *qt.C, mo *model)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
+		// The depth keeps hosts from acting in between, which would need a rapid.T.
 		mo := &model{startedAt: time.Now(), events: map[string]int{}, depth: 2}
 		fn(qt.New(t), mo)
 	})
 }
 
+// addReliable adds n hosts with exact clocks, which do not join yet.
 func (mo *model) addReliable(n int) []*Keeper {
 	var kes []*Keeper
 	for i := range n {
@@ -341,6 +348,7 @@
 	return kes
 }
 
+// owned returns how many resources a host owns.
 func owned(ke *Keeper) int {
 	return len(slices.DeleteFunc(slices.Clone(modelResources), func(re string) bool { return !ke.Owns(re) }))
 }
@@ -395,8 +403,8 @@
 }
 
 // TestRepeatedJoinGrantsNoTenure has a host join again after its first attempt was written
-// and its answer lost. Other members may have watched its row since then, so that only a
-// renewal, not the second attempt, begins a tenure.
+// and its answer lost. Other members may have seen its row unchanged since then, and may
+// soon take over from it, so that only a renewal begins a tenure, not the second attempt.
 func TestRepeatedJoinGrantsNoTenure(t *testing.T) {
 	withModel(t, func(c *qt.C, mo *model) {
 		kes := mo.addReliable(2)
--- a/internal/lease/run.go
+++ b/internal/lease/run.go
@@ -141,7 +141,7 @@
 			return fmt.Errorf("leave: %w", err)
 		}
 		ke.mu.Lock()
-		si, found := ke.observed[ke.ID]
+		obs, found := ke.observed[ke.ID]
 		asg, asgVer := ke.assignment.WithoutMember(ke.ID), ke.assignmentVersion
 		planned := ke.transfers(asg)
 		ke.mu.Unlock()
@@ -151,7 +151,7 @@
 		for _, tr := range planned {
 			ke.BeforeTransfer(ctx, tr)
 		}
-		_, err := ke.removeMember(ctx, ke.ID, si.version, asg, asgVer)
+		_, err := ke.removeMember(ctx, ke.ID, obs.version, asg, asgVer)
 		if err == nil {
 			ke.emit("left", "")
 			return nil
@@ -185,8 +185,8 @@
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	var members []Member
-	for _, si := range ke.observed {
-		members = append(members, si.row)
+	for _, obs := range ke.observed {
+		members = append(members, obs.row)
 	}
 	slices.SortFunc(members, func(a, b Member) int { return strings.Compare(a.ID, b.ID) })
 	return members, nil
@@ -204,15 +204,15 @@
 		return fmt.Errorf("declare %s dead: %w", id, err)
 	}
 	ke.mu.Lock()
-	si, found := ke.observed[id]
+	obs, found := ke.observed[id]
 	ke.mu.Unlock()
 	switch {
 	case !found:
 		return nil
-	case si.row.Beat != beat || id == ke.ID:
+	case obs.row.Beat != beat || id == ke.ID:
 		return fmt.Errorf("declare %s dead: %w", id, ErrRenewed)
 	}
-	if err := ke.takeOver(ctx, si); err != nil {
+	if err := ke.takeOver(ctx, obs); err != nil {
 		return err
 	}
 	// takeOver ignores a conflict, but here it must be reported.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -3,8 +3,8 @@
 //
 // A host writes its row once when it starts, and removes it at a planned stop. A row
 // therefore only says that the host has run, not that it still does; a caller that wants
-// to use a host has to ask it. There are no heartbeats: they would cost one write per host
-// and second, and no caller needs them.
+// to use a host has to ask it. There are no heartbeats: they would cost one write per second
+// for each host, and no caller needs them.
 package registry
 
 import (
--- a/internal/worker/agent.go
+++ b/internal/worker/agent.go
@@ -134,7 +134,7 @@
 	ErrOtherIncarnation = errors.New("a process with another id listens at the worker's address")
 	// ErrMalformed: the worker cannot decode the request.
 	ErrMalformed = errors.New("worker cannot decode the request")
-	// ErrNotSent: the request did not leave for the worker.
+	// ErrNotSent: the request was not sent to the worker.
 	ErrNotSent = errors.New("order was not sent")
 )
 
--- a/internal/worker/incarnation_test.go
+++ b/internal/worker/incarnation_test.go
@@ -28,7 +28,7 @@
 	qt.Check(t, in.UnmarshalText([]byte("i-1@?")), qt.ErrorMatches, `start time of worker "i-1@\?": .*`)
 }
 
-func TestOtherLife(t *testing.T) {
+func TestIsOtherIncarnation(t *testing.T) {
 	one := Incarnation{ID: "i-1", StartedMS: 5}
 	qt.Check(t, one.IsOtherIncarnation(Incarnation{ID: "i-1", StartedMS: 4}), qt.IsTrue)
 	qt.Check(t, one.IsOtherIncarnation(one), qt.IsFalse)
