--- a/internal/job/giveup.go
+++ b/internal/job/giveup.go
@@ -7,7 +7,7 @@
 // it began the task. For others it is not: the worker ended later, had not answered
 // before, or had not acknowledged the start. Users accept five starts of a task that
 // crashes every worker, and accept that a task is given up once two workers have crashed
-// under it.
+// while they ran it.
 const (
 	// maxCrashes is the number of certain crashes after which a task is given up. By then
 	// it has cost three workers and everything that ran on them.
@@ -17,8 +17,8 @@
 	maxEndsWithCrashes = 5
 	minCrashes         = 2
 	// maxEnds is the number of ended workers after which a task is given up if fewer than
-	// minCrashes are certain crashes. If half of all attempts lost their worker for other
-	// reasons, one task in a thousand would reach it by chance.
+	// minCrashes are certain crashes. If half of all attempts lost their worker for reasons
+	// other than the task, one task in a thousand would reach this number by chance.
 	maxEnds = 10
 )
 
@@ -26,7 +26,7 @@
 // Queues allow two to four failures.
 const maxGivenUp = 4
 
-// recordLoss records an attempt whose end the worker did not report.
+// recordLoss records the end of an attempt that the worker did not report as ended.
 func (jo *Job) recordLoss(ta *Task, end End) {
 	switch end {
 	case EndCrashed:
@@ -59,8 +59,8 @@
 // is better started on a worker with few other tasks.
 func (ta *Task) Suspect() bool { return ta.Crashes+ta.Losses > 0 }
 
-// Isolated reports whether nothing else may be started on the task's worker, as one more crash
-// may cause it to be given up.
+// Isolated reports whether nothing else may be started on the task's worker, as one more
+// crash may cause the task to be given up.
 func (ta *Task) Isolated() bool {
 	return ta.Crashes >= maxCrashes-1 || ta.Crashes+ta.Losses >= maxEndsWithCrashes-1
 }
--- a/internal/job/giveup_test.go
+++ b/internal/job/giveup_test.go
@@ -11,9 +11,9 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// playEnds starts the only task of a job and ends it in each of the given ways, reads the
-// job back from its rows after each step, and returns it.
-func playEnds(t *testing.T, sp Spec, ends ...End) *Job {
+// runAttempts starts the only task of a job and ends its attempt, once for each of the given
+// ends. It reads the job back from its rows after each start and end, and returns it.
+func runAttempts(t *testing.T, sp Spec, ends ...End) *Job {
 	t.Helper()
 	jo := New(testID, Terms{MaxFailures: 2}, sp)
 	for _, end := range ends {
@@ -48,7 +48,7 @@
 			{[]End{EndLapsed, EndLapsed, EndLapsed, EndLapsed, EndLapsed, EndLapsed}, Running, false, false},
 			{[]End{EndStopped, EndNeverRan, EndStopped, EndNeverRan, EndStopped}, Running, false, false},
 		} {
-			jo := playEnds(t, sp, tc.ends...)
+			jo := runAttempts(t, sp, tc.ends...)
 			qt.Check(t, jo.State(), qt.Equals, tc.want, qt.Commentf("%v", tc.ends))
 			if tc.want == Failed {
 				// The rows of a job that is over hold no tasks.
@@ -61,7 +61,7 @@
 }
 
 func TestStableTaskIsNotBlamed(t *testing.T) {
-	jo := playEnds(t, chain(1, 1), EndCrashed, EndCrashed)
+	jo := runAttempts(t, chain(1, 1), EndCrashed, EndCrashed)
 	number := jo.Start(TaskRef{}, worker.Incarnation{ID: "w"})
 	jo.MarkStable(TaskRef{}, number-1)
 	qt.Assert(t, jo.Task(TaskRef{}).Isolated(), qt.IsTrue)
@@ -80,7 +80,7 @@
 func TestFailureOfAnAttemptThatWasGivenUp(t *testing.T) {
 	ref := TaskRef{}
 	t.Run("counts once, also after a takeover", func(t *testing.T) {
-		jo := playEnds(t, chain(1, 1), EndLapsed)
+		jo := runAttempts(t, chain(1, 1), EndLapsed)
 		qt.Assert(t, jo.RecordLateFailure(ref, 1), qt.IsTrue)
 		jo = reread(t, jo)
 		qt.Assert(t, jo.RecordLateFailure(ref, 1), qt.IsFalse)
@@ -88,13 +88,13 @@
 		qt.Assert(t, jo.State(), qt.Equals, Running)
 	})
 	t.Run("ends a waiting task", func(t *testing.T) {
-		jo := playEnds(t, chain(1, 1), EndFailed, EndLost)
+		jo := runAttempts(t, chain(1, 1), EndFailed, EndLost)
 		qt.Assert(t, jo.RecordLateFailure(ref, 2), qt.IsTrue)
 		qt.Assert(t, jo.State(), qt.Equals, Failed)
 	})
 	t.Run("lets the running attempt complete the task", func(t *testing.T) {
 		for _, end := range []End{EndDone, EndStopped, EndLapsed, EndNeverRan} {
-			jo := playEnds(t, chain(1, 1), EndFailed, EndLapsed)
+			jo := runAttempts(t, chain(1, 1), EndFailed, EndLapsed)
 			number := jo.Start(ref, worker.Incarnation{ID: "w"})
 			qt.Assert(t, jo.RecordLateFailure(ref, 2), qt.IsTrue)
 			qt.Assert(t, jo.State(), qt.Equals, Running)
@@ -107,7 +107,7 @@
 		}
 	})
 	t.Run("is ignored for an attempt that was not given up", func(t *testing.T) {
-		jo := playEnds(t, chain(1, 1), EndFailed)
+		jo := runAttempts(t, chain(1, 1), EndFailed)
 		qt.Assert(t, jo.RecordLateFailure(ref, 1), qt.IsFalse)
 		qt.Assert(t, jo.RecordLateFailure(ref, 2), qt.IsFalse)
 		qt.Assert(t, jo.Task(ref).Failures, qt.Equals, 1)
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -33,7 +33,7 @@
 	// Started tasks have an attempt that runs or may run.
 	Started
 	// Done and Abandoned tasks are over. Abandoned ones failed too often, or too many
-	// workers ended under them.
+	// workers ended while they ran them.
 	Done
 	Abandoned
 )
@@ -80,7 +80,7 @@
 	EarlierDone bool
 	// Phase is how far the running attempt was seen to get.
 	Phase Phase
-	// Worker is the worker's incarnation of the last attempt.
+	// Worker is the incarnation of the worker of the last attempt.
 	Worker worker.Incarnation
 	// Checkpoint is the checkpoint that the next attempt starts from, Base the one that
 	// the last attempt started from.
@@ -261,9 +261,9 @@
 	return true
 }
 
-// RecordLateCompletion records that an attempt was done which had been given up because
-// its leases seemed to have expired, and reports whether that was new. If another attempt
-// is running, the task is done once that one has ended.
+// RecordLateCompletion records that an attempt was done which had been given up without a
+// report of the worker, and reports whether that was new. If another attempt is running,
+// the task is done once that one has ended.
 func (jo *Job) RecordLateCompletion(ref TaskRef, attempt int) bool {
 	ta := jo.Task(ref)
 	if ta == nil || attempt < 1 || attempt > ta.Attempt || jo.State().Final() || jo.Spec.Steps[ref.Step].LongRunning {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -15,6 +15,8 @@
 
 const testID = "0123456789abcdef"
 
+// chain returns a spec of steps that each wait for the one before, with the given number
+// of tasks each.
 func chain(steps, tasks int) Spec {
 	var sp Spec
 	for i := range steps {
--- a/internal/job/jobrow.go
+++ b/internal/job/jobrow.go
@@ -6,8 +6,7 @@
 )
 
 // SpecRow is the row written once, when a job is accepted. It is removed once the job is
-// over and none of its tasks can run any more, as no one needs it then and a new owner has
-// fewer rows to read.
+// over and none of its tasks can run any more, so that a new owner has fewer rows to read.
 type SpecRow struct {
 	// Terms and Spec never change.
 	Terms Terms `json:"terms"`
--- a/internal/job/phase.go
+++ b/internal/job/phase.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// Phase is how far the running attempt was seen to get, as far as it shows whether the
-// task may have ended its worker. It is stored in the row, as a new owner has not seen the
-// attempt run and would otherwise blame the end of a worker on every task that ran there.
+// Phase is how far the running attempt was seen to get. It decides whether the end of the
+// worker may be blamed on the task. It is stored in the row, as a new owner has not seen
+// the attempt run and would otherwise blame the end of a worker on every task that ran
+// there.
 type Phase int8
 
 // Phases of an attempt.
@@ -88,11 +89,11 @@
 		}
 		at := min(n, len(phases)-1)
 		n++
-		pr := strings.IndexByte(phaseChars, phases[at])
-		if pr < 0 {
+		ph := strings.IndexByte(phaseChars, phases[at])
+		if ph < 0 {
 			return fmt.Errorf("%w: unknown phase %q", errRowMismatch, phases[at])
 		}
-		tasks[i].Phase = Phase(pr)
+		tasks[i].Phase = Phase(ph)
 	}
 	if len(phases) > 1 && len(phases) != n {
 		return fmt.Errorf("%w: %d phases for %d started tasks", errRowMismatch, len(phases), n)
--- a/internal/job/spec.go
+++ b/internal/job/spec.go
@@ -61,7 +61,8 @@
 	// Filler tasks use the processor time that other tasks leave idle; none is reserved
 	// for them.
 	Filler bool `json:"filler,omitempty"`
-	// MaxUnavailable is how many of the step's long-running tasks may be down at the same time.
+	// MaxUnavailable is how many of the step's long-running tasks may be down at the same
+	// time.
 	MaxUnavailable int `json:"may_miss,omitempty"`
 	// Gang tasks make progress only while all of them run.
 	Gang bool `json:"gang,omitempty"`
@@ -119,25 +120,25 @@
 // Check returns all errors of the spec, joined, or nil.
 func (sp Spec) Check() error {
 	var errs []error
-	bad := func(wrong bool, kind error, text string, args ...any) {
+	rejectIf := func(wrong bool, kind error, text string, args ...any) {
 		if wrong {
 			errs = append(errs, fmt.Errorf("%w: %s", kind, fmt.Sprintf(text, args...)))
 		}
 	}
-	bad(len(sp.Payload) > MaxPayload, ErrInvalid, "payload has %d bytes, want at most %d", len(sp.Payload), MaxPayload)
-	bad(len(sp.Steps) == 0 || len(sp.Steps) > MaxSteps, ErrInvalid, "%d steps, want 1 to %d", len(sp.Steps), MaxSteps)
-	bad(sp.Schedule != (Schedule{}), ErrUnsupported, "repeated job")
+	rejectIf(len(sp.Payload) > MaxPayload, ErrInvalid, "payload has %d bytes, want at most %d", len(sp.Payload), MaxPayload)
+	rejectIf(len(sp.Steps) == 0 || len(sp.Steps) > MaxSteps, ErrInvalid, "%d steps, want 1 to %d", len(sp.Steps), MaxSteps)
+	rejectIf(sp.Schedule != (Schedule{}), ErrUnsupported, "repeated job")
 	total := 0
 	for i := range sp.Steps {
 		st := &sp.Steps[i]
-		bad(st.Tasks < 1 || st.Tasks > MaxTasks, ErrInvalid, "step %d: %d tasks, want 1 to %d", i, st.Tasks, MaxTasks)
-		bad(!st.withinLimits(), ErrInvalid, "step %d: resources out of bounds", i)
-		bad(st.EstimateMS < 0 || st.MaxPerWorker < 0 || st.TargetMS < 0 || st.MaxUnavailable < 0, ErrInvalid, "step %d: negative number", i)
-		bad(slices.ContainsFunc(st.After, func(n int) bool { return n < 0 || n >= i }), ErrInvalid, "step %d: waits for a step that does not come before it", i)
-		bad(st.Gang || st.SameRack, ErrUnsupported, "step %d: gang", i)
+		rejectIf(st.Tasks < 1 || st.Tasks > MaxTasks, ErrInvalid, "step %d: %d tasks, want 1 to %d", i, st.Tasks, MaxTasks)
+		rejectIf(!st.withinLimits(), ErrInvalid, "step %d: resources out of bounds", i)
+		rejectIf(st.EstimateMS < 0 || st.MaxPerWorker < 0 || st.TargetMS < 0 || st.MaxUnavailable < 0, ErrInvalid, "step %d: negative number", i)
+		rejectIf(slices.ContainsFunc(st.After, func(n int) bool { return n < 0 || n >= i }), ErrInvalid, "step %d: waits for a step that does not come before it", i)
+		rejectIf(st.Gang || st.SameRack, ErrUnsupported, "step %d: gang", i)
 		total += max(st.Tasks, 0)
 	}
-	bad(total > MaxTasks, ErrInvalid, "%d tasks, want at most %d", total, MaxTasks)
+	rejectIf(total > MaxTasks, ErrInvalid, "%d tasks, want at most %d", total, MaxTasks)
 	return errors.Join(errs...)
 }
 
--- a/internal/job/steprow.go
+++ b/internal/job/steprow.go
@@ -12,8 +12,8 @@
 // StepRow is the stored state of one step's tasks. It is rewritten with every change of
 // its job and therefore compact: one character per task, and further fields only where
 // they differ from the default for that state. A typical task takes some three bytes while
-// it runs and one byte before and after; a step whose tasks are all in the same state
-// takes one byte.
+// it runs and one byte before and after; the states of a step whose tasks are all in the
+// same state take one byte.
 type StepRow struct {
 	// States has one character per task, see stateChars, or a single one if all tasks are
 	// in the same state.
