--- a/internal/interfere/interfere.go
+++ b/internal/interfere/interfere.go
@@ -9,11 +9,11 @@
 // baseline changes with the service's own load, which all replicas of a step share because
 // one balancer distributes it; a [Track] follows it.
 //
-// Each measurement corrects the track, the replica's offset from it and the drops of the pairs
-// involved, each in proportion to its uncertainty: a Kalman filter without the covariances
-// between them. Fillers are thus distinguished by replicas of one step on different workers at
-// the same time as well as by changes on one worker. The zero [Model] assumes the same prior of
-// every pair.
+// Each measurement corrects the track, the replica's offset from it and the drops of the
+// pairs involved, each in proportion to its uncertainty: a Kalman filter without the
+// covariances between them. Fillers are thus distinguished by replicas of one step on
+// different workers at the same time as well as by changes on one worker. The zero [Model]
+// assumes the same prior for every pair.
 //
 // The package sees no tasks or workers, only measurements, and makes no decisions.
 package interfere
@@ -37,16 +37,16 @@
 	minRestoredVariance = 1
 	// maxDrop limits the estimates of drops.
 	maxDrop = 15
-	// offsetVar is the prior variance of a replica's offset from the track of its step,
-	// which results from other services on its worker.
+	// offsetVar is the prior variance of a replica's offset from the track of its step. The
+	// offset results from other services on its worker.
 	offsetVar = 0.1
 	// noiseRatio is the standard deviation of a measured tail, as a fraction of it.
 	noiseRatio = 0.15
 	// maxDeviations is the number of standard deviations to which the error of a
 	// measurement is clipped.
 	maxDeviations = 2.5
-	// saturatedHeadroom is the headroom below which a tail latency is high but does not
-	// show by how much.
+	// saturatedHeadroom is the measured headroom below which the true headroom may be much
+	// lower.
 	saturatedHeadroom = 0.35
 )
 
@@ -112,9 +112,9 @@
 	neutralDifference = 2
 )
 
-// Similarity returns how similarly fillers interfere with the images of two services: 1 if all
-// drops are equal, 0 if they differ by neutralDifference, -1 if they differ by twice as much or
-// more. Images of which too little is known count as -1.
+// Similarity returns how similarly fillers interfere with the images of two services: 1 if
+// all drops are equal, 0 if they differ by neutralDifference on average, -1 if they differ
+// by twice as much or more. It is also -1 if too little is known of the images.
 func (mo *Model) Similarity(a, b string) float64 {
 	if a == b {
 		return 1
@@ -205,6 +205,7 @@
 	// Track is the track of the replica's step.
 	Track *Track
 
+	// offset is the difference between the replica's baseline and the level of the track.
 	offset estimate
 }
 
@@ -215,7 +216,8 @@
 }
 
 // Observe updates the estimates with a measurement of a replica of the service.
-// Measurements without a tail or a target are ignored.
+// Measurements without a tail or a target are ignored. Of saturated measurements only those
+// below the prediction are used.
 func (mo *Model) Observe(re *Replica, service string, me Measurement) {
 	if me.TailMS <= 0 || me.TargetMS <= 0 {
 		return
@@ -226,7 +228,8 @@
 	re.Track.advance(me.At)
 	measured := Headroom(me.TailMS, me.TargetMS)
 	residual := measured - (re.Track.level + re.offset.mean - mo.PredictedDrop(service, me.Shares))
-	// The true headroom may be much lower than a saturated one.
+	// A saturated headroom is only an upper bound of the true one, so it does not show that
+	// the prediction is too low.
 	if measured < saturatedHeadroom && residual > 0 {
 		return
 	}
--- a/internal/interfere/interfere_test.go
+++ b/internal/interfere/interfere_test.go
@@ -49,8 +49,8 @@
 	for filler, share := range sh {
 		headroom -= ss.drops[filler] * share
 	}
-	rough := 1 + 0.15*ss.rng.NormFloat64()
-	return max(int64(math.Round(rough*testTarget/max(headroom, 0.12))), 1)
+	noise := 1 + 0.15*ss.rng.NormFloat64()
+	return max(int64(math.Round(noise*testTarget/max(headroom, 0.12))), 1)
 }
 
 // shares draws which fillers run and how much they use. It draws in the order of their
--- a/internal/interfere/track.go
+++ b/internal/interfere/track.go
@@ -51,6 +51,7 @@
 		return
 	}
 	fade := math.Exp(-dt / trendDecay.Seconds())
+	// reach is by how much a trend of 1 changes the level during dt.
 	reach := trendDecay.Seconds() * (1 - fade)
 	tr.level, tr.trend = tr.at(now)
 	tr.levelVar += 2*reach*tr.covariance + reach*reach*tr.trendVar + trendNoise*reach*reach*reach/3
--- a/internal/place/control.go
+++ b/internal/place/control.go
@@ -21,9 +21,11 @@
 
 // controlTails acts on workers with a service whose tail latency is over the target. The
 // cheapest remedy comes first: it throttles the batch task that interferes most with the
-// service; once all are at minShare, it evicts the batch task that interferes most, if that is
-// worth its cost and within the budget. It acts on a worker again only after a measurement that
-// is newer than its last action there, as older ones do not show the effect of that action.
+// service; once all are at minShare, it evicts the batch task that interferes most, if that
+// is worth its cost and within the budget. Where tails are well below the target, it gives
+// throttled tasks some of their share back. It acts on a worker again only after a
+// measurement that is newer than its last action there, as older ones do not show the
+// effect of that action.
 func (de *decider) controlTails() {
 	for _, ws := range de.ordered {
 		worst := de.highestTail(ws)
@@ -74,8 +76,8 @@
 	de.add(Decision{Verb: Evict, Task: batch[0].ID, Worker: ws.ID, Reason: "disturbs " + describe(service)})
 }
 
-// batchByInterference returns the batch tasks of a worker, those that interfere most with the
-// service first.
+// batchByInterference returns the batch tasks of a worker, those that interfere most with
+// the service first.
 func (de *decider) batchByInterference(ws *workerState, service *Task) []*Task {
 	var batch []*Task
 	for _, ta := range ws.tasks {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -140,15 +140,19 @@
 
 // decider holds the working copy of a snapshot while decisions are made.
 type decider struct {
-	sn             Snapshot
-	model          *Model
-	workers        map[string]*workerState
-	ordered        []*workerState
-	teams          map[string]worker.Resources
-	racks          map[string]int
+	sn    Snapshot
+	model *Model
+	// workers has the workers by id, ordered has them in the order of the snapshot.
+	workers map[string]*workerState
+	ordered []*workerState
+	// teams has the resources of running tasks by team, racks the number of running service
+	// tasks by rackKey.
+	teams map[string]worker.Resources
+	racks map[string]int
+	// evictionBudget is how many evictions for tail latencies are left.
 	evictionBudget int
-	// infeasible has shapes for which no worker was found. Further tasks of such a shape
-	// are skipped.
+	// infeasible has shapes for which no worker was found, or whose team's quota is used
+	// up. Further tasks of such a shape are skipped.
 	infeasible map[shape]bool
 	decisions  []Decision
 }
@@ -163,7 +167,8 @@
 	started bool
 }
 
-// shape is the part of a waiting task that determines which workers it fits on.
+// shape has the properties of a waiting task that determine whether a worker is found for
+// it.
 type shape struct {
 	each    worker.Resources
 	kind    string
@@ -343,9 +348,9 @@
 	// costAccel applies to a task without accelerators on a worker with unused ones.
 	costAccel = 0.2
 	// costFragmentation applies to the fraction of the worker's cores that the task leaves
-	// free. Both kinds of work therefore fill up a worker before using the next one: services
-	// then run beside services, which interfere least with each other, and free resources are
-	// less fragmented.
+	// free. Both kinds of work therefore fill up a worker before using the next one:
+	// services then run beside services, which interfere least with each other, and free
+	// resources are less fragmented.
 	costFragmentation = 0.1
 	// costSameWorker applies to a service task per task of its job on the same worker, as
 	// a failure of the worker would stop them together.
--- a/internal/place/trial_test.go
+++ b/internal/place/trial_test.go
@@ -128,14 +128,20 @@
 	model   *Model
 	workers []Worker
 	tasks   map[string]*simTask
-	acted   map[string]int
+	// actedAt is when a decision was last applied to a worker, now the simulated time, both
+	// in seconds.
+	actedAt map[string]int
 	now     int
-	made    int
+	// added counts the tasks added.
+	added int
 	// services counts the services added, failed is the index of the last worker that
 	// failed.
 	services, failed int
-	history          map[string][]float64
+	// history has the tail latencies of each service task, one per second, in
+	// milliseconds.
+	history map[string][]float64
 
+	// samples counts the tail latencies in history, over those that were over the target.
 	over, samples, evictions, starts int
 	// useful, wasted, cores and served are in core seconds: batch work done, work lost,
 	// given to batch tasks, and given to services. batchBound is the upper bound for batch
@@ -146,7 +152,7 @@
 func newSimCell(seed uint64, pol Policy) *simCell {
 	ce := &simCell{
 		rnd: rand.New(rand.NewPCG(seed, 1)), pol: pol, model: &Model{}, tasks: map[string]*simTask{},
-		acted: map[string]int{}, history: map[string][]float64{},
+		actedAt: map[string]int{}, history: map[string][]float64{},
 	}
 	for i := range trialWorkers {
 		ce.workers = append(ce.workers, Worker{
@@ -216,8 +222,8 @@
 }
 
 func (ce *simCell) add(ta *simTask) {
-	ce.made++
-	ta.ID, ta.Order, ta.Share = fmt.Sprintf("t%06d", ce.made), int64(ce.made), 1
+	ce.added++
+	ta.ID, ta.Order, ta.Share = fmt.Sprintf("t%06d", ce.added), int64(ce.added), 1
 	ce.tasks[ta.ID] = ta
 }
 
@@ -315,7 +321,8 @@
 	}
 }
 
-// decide applies the decisions of a policy, which sees measurements with a delay of trialLagS.
+// decide applies the decisions of a policy, which sees measurements with a delay of
+// trialLagS.
 func (ce *simCell) decide(po policy) {
 	sn := Snapshot{Policy: ce.pol, Model: ce.model}
 	by := ce.byWorker()
@@ -329,7 +336,7 @@
 		pt := ta.Task
 		if hist := ce.history[ta.ID]; ta.Service && len(hist) > trialLagS {
 			pt.TailMS = hist[len(hist)-1-trialLagS]
-			pt.Fresh = ce.now-trialLagS > ce.acted[ta.Worker]
+			pt.Fresh = ce.now-trialLagS > ce.actedAt[ta.Worker]
 		}
 		pt.LostMS = int64(1000 * (ta.done - ta.checkpointed))
 		sn.Tasks = append(sn.Tasks, pt)
@@ -363,7 +370,7 @@
 
 func (ce *simCell) apply(dec Decision) {
 	ta := ce.tasks[dec.Task]
-	ce.acted[dec.Worker] = ce.now
+	ce.actedAt[dec.Worker] = ce.now
 	switch dec.Verb {
 	case Start:
 		ta.Worker, ta.Share = dec.Worker, 1
@@ -382,13 +389,13 @@
 // restartCostS is the time lost by a stop and a start, in seconds.
 const restartCostS = 15
 
-// row returns a line of the comparison. The upper bound for batch work is what a run with
-// known sizes and no services would do on the cores that services leave.
+// row returns a line of the comparison. The upper bound for batch work is the time of all
+// cores that services leave free.
 func (ce *simCell) row(name string) string {
-	left := ce.batchBound
+	bound := ce.batchBound
 	return fmt.Sprintf("%s\t%.2f%%\t%.1f%%\t%.1f%%\t%d\t%.0f\t%d", name,
 		100*(1-float64(ce.over)/float64(ce.samples)), 100*(ce.cores+ce.served)/(float64(trialWorkers*trialMilliCores)/1000*float64(ce.now)),
-		100*ce.useful/left, ce.evictions, ce.wasted, ce.starts)
+		100*ce.useful/bound, ce.evictions, ce.wasted, ce.starts)
 }
 
 func runTrial(po policy, pol Policy, sc scenario, seconds int) *simCell {
@@ -426,7 +433,7 @@
 		return
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	_, _ = fmt.Fprintln(out, "SCENE\tUSER\tPOLICY\tIN TARGET\tCORES GIVEN\tBATCH OF BOUND\tEVICTIONS\tWASTED CORE S\tSTARTS")
+	_, _ = fmt.Fprintln(out, "SCENARIO\tUSER\tPOLICY\tIN TARGET\tCORES GIVEN\tBATCH OF BOUND\tEVICTIONS\tWASTED CORE S\tSTARTS")
 	for _, sc := range scenarios {
 		for _, us := range users {
 			for _, po := range policies() {
