--- a/internal/interfere/track.go
+++ b/internal/interfere/track.go
@@ -40,7 +40,7 @@
 	return tr.level + tr.trend*decay*(1-fade), tr.trend * fade
 }
 
-// advance predicts the track's state at a time.
+// advance moves the track to a later time by prediction. Its first call begins the track.
 func (tr *Track) advance(now time.Time) {
 	if tr.updated.IsZero() {
 		tr.level, tr.levelVar, tr.trendVar, tr.updated = priorLevel, priorLevelVar, priorTrendVar, now
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -55,14 +55,15 @@
 	table     standin.Table
 	hosts     []*modelHost
 	startedAt time.Time
-	// started counts the processes started, events the events of their keepers by kind.
+	// started counts the processes started.
 	started int
-	events  map[string]int
-	// violation describes the first moment at which a resource had two owners.
+	// violation describes the first case in which a resource had two owners.
 	violation string
-	// depth counts the calls of interleave in progress. While it is not 0 no other host
+	// depth counts the calls of interleave in progress. While it is not 0, no other host
 	// acts in between.
 	depth int
+	// events counts the events of the keepers by kind.
+	events map[string]int
 	// mu guards the faults in tests that run keepers concurrently.
 	mu sync.Mutex
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -1,9 +1,9 @@
 // Package place decides where the tasks of a cell run, which are throttled, and which are
 // evicted.
 //
-// [Decide] is a pure function from a snapshot to decisions, without state, clock or
-// randomness: the same snapshot always gives the same decisions, so that tests can drive
-// it freely. What is learnt over time is in a [Model], which is part of the snapshot.
+// [Decide] maps a snapshot to decisions without state, clock or randomness: equal snapshots
+// always give the same decisions, so that tests can drive it freely. What is learnt over
+// time is in a [Model], which is part of the snapshot.
 //
 // The goals, in order: no host over its capacity; services within their target; few
 // evictions; batch work done. Users weigh the last three differently, so the weights are
@@ -127,7 +127,7 @@
 }
 
 // Decide returns the decisions for a snapshot, in the order in which they are to be
-// carried out.
+// carried out. It applies them to the tasks of the snapshot, which cannot be used again.
 func Decide(sn Snapshot) []Decision {
 	de := newDecider(sn)
 	de.drain()
@@ -138,7 +138,7 @@
 	return de.decisions
 }
 
-// decider holds the working copy of a snapshot while decisions are made.
+// decider holds a snapshot and what follows from it while decisions are made.
 type decider struct {
 	sn    Snapshot
 	model *Model
