--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -173,7 +173,7 @@
 	// lastWritten is when the last heartbeat that the store accepted, or the claim, was
 	// sent.
 	lastWritten time.Time
-	// notifiedEpoch is the highest epoch of an owner that notified this host.
+	// notifiedEpoch is the highest epoch of any owner that another host notified this one of.
 	// confirmedEpoch is the epoch of the owner that this host confirmed when it was last
 	// asked, or 0.
 	notifiedEpoch  int64
@@ -188,7 +188,8 @@
 	stopping bool
 	// releaseBy is when a host that stops gives up releasing its cell.
 	releaseBy time.Time
-	// releaseTimer ends a release in progress, or is nil.
+	// releaseTimer ends the last release, if that is still in progress; nil before the
+	// first.
 	releaseTimer *time.Timer
 	// endTenure ends this host's tenure; nil if it has none.
 	endTenure context.CancelCauseFunc
