--- a/internal/interfere/track.go
+++ b/internal/interfere/track.go
@@ -40,7 +40,7 @@
 	return tr.level + tr.trend*decay*(1-fade), tr.trend * fade
 }
 
-// advance predicts the track's state at a time.
+// advance moves the track to a later time by prediction. Its first call begins the track.
 func (tr *Track) advance(now time.Time) {
 	if tr.updated.IsZero() {
 		tr.level, tr.levelVar, tr.trendVar, tr.updated = priorLevel, priorLevelVar, priorTrendVar, now
@@ -51,6 +51,7 @@
 		return
 	}
 	fade := math.Exp(-dt / trendDecay.Seconds())
+	// reach is by how much a trend of 1 changes the level during dt.
 	reach := trendDecay.Seconds() * (1 - fade)
 	tr.level, tr.trend = tr.at(now)
 	tr.levelVar += 2*reach*tr.covariance + reach*reach*tr.trendVar + trendNoise*reach*reach*reach/3
