--- a/internal/route/compare_test.go
+++ b/internal/route/compare_test.go
@@ -23,7 +23,7 @@
 )
 
 var (
-	compare     = flag.Bool("compare", false, "print the full comparison of strategies to share runners")
+	compare     = flag.Bool("compare", false, "print the full comparison of strategies for sharing runners among entry hosts")
 	compareLoad = flag.String("compare-load", "", "compare only under loads whose name has this prefix")
 	compareFor  = flag.Duration("compare-for", 10*time.Second, "virtual time of each trial")
 )
@@ -35,7 +35,7 @@
 	trialMean    = 20 * time.Millisecond
 	trialSigma   = 0.5
 	trialWarmUp  = 2 * time.Second
-	trialBatch   = 0.3
+	trialBatch   = 0.3 // fraction of requests
 	latDeadline  = 500 * time.Millisecond
 	batDeadline  = 30 * time.Second
 )
@@ -156,6 +156,8 @@
 	return tc
 }
 
+// newRouterWith returns a router whose list of runners has the slots of the
+// strategy; the runners themselves keep theirs.
 func newRouterWith(fr *fakeRunners, own []string, st strategy) *Router {
 	slots := fr.slots
 	fr.slots = st.slots
@@ -188,6 +190,8 @@
 	}
 }
 
+// do sends a request of a random class to a random host, and records the result
+// if counted is set.
 func (tc *trialCluster) do(ts *trialStats, n int, wg *sync.WaitGroup, counted bool) {
 	class, left := runner.LatencyCritical, latDeadline
 	if rand.Float64() < trialBatch {
--- a/internal/route/fakes_test.go
+++ b/internal/route/fakes_test.go
@@ -15,17 +15,19 @@
 	"github.com/pepperhatch/pepperhatch/internal/upstream"
 )
 
-// errRefused is the error of connecting to a runner that is down.
+// errRefused is the network error of a runner that is down.
 var errRefused = errors.New("connection refused")
 
 // fakeRunners simulates runners on the fake clock of a test.
 type fakeRunners struct {
-	mean  time.Duration
+	mean time.Duration
+	// sigma is the standard deviation of the logarithm of the service time.
 	sigma float64
 	slots int
 
 	mu   sync.Mutex
 	busy map[string]int
+	// slow has factors by which service times are multiplied.
 	slow map[string]float64
 	down map[string]bool
 	hung map[string]bool
--- a/internal/route/load.go
+++ b/internal/route/load.go
@@ -27,9 +27,9 @@
 	}
 }
 
-// balanceThreshold is the difference in waiting batch requests per slot above
-// which batch is forwarded; balanceDivisor is the fraction (1/8) of the
-// difference forwarded per exchange of loads.
+// balanceThreshold is by how much the waiting batch requests per slot here must
+// exceed all waiting requests per slot at a peer before batch is forwarded. One
+// part in balanceDivisor of the difference is forwarded per exchange of loads.
 const (
 	balanceThreshold = 1.0
 	balanceDivisor   = 8
@@ -95,9 +95,9 @@
 	// surplusWindow is about the interval between exchanges of loads with
 	// peers.
 	surplusWindow = 200 * time.Millisecond
-	// batchTurnDivisor divides the number of own slots: only if more than an
-	// eighth as many latency-critical requests wait are the batch turns of a
-	// peer used. Fewer waiters get a slot here soon, at the cost of local batch
+	// batchTurnDivisor sets when batch turns of a peer are used: if the waiting
+	// latency-critical requests outnumber one part in batchTurnDivisor of the
+	// slots here. Fewer waiters get a slot here soon, at the cost of local batch
 	// rather than that of a peer.
 	batchTurnDivisor = 8
 )
@@ -138,6 +138,7 @@
 	return lo
 }
 
+// peerHasSlot reports whether a peer can take a latency-critical request.
 func (po *Pool) peerHasSlot() bool {
 	return mostAvailable(po.sameDC, spillBatchTurns) != "" || mostAvailable(po.otherDCs, spillBatchTurns) != ""
 }
--- a/internal/route/queue.go
+++ b/internal/route/queue.go
@@ -69,8 +69,8 @@
 }
 
 // classQueue has one heap per class. Latency-critical waiters go first, but
-// batch gets one of every batchEvery turns while it waits, so that it never
-// starves.
+// batch gets one of every [Policy.BatchEvery] turns while it waits, so that it
+// does not starve.
 type classQueue struct {
 	heaps [2]deadlineHeap
 	seq   uint64
@@ -113,8 +113,9 @@
 	return n
 }
 
-// next returns the class that gets the next turn; false if no one waits. Batch
-// gets one of every batchEvery turns.
+// next returns the class that gets the next turn, or false if the queue is
+// empty. Batch gets one of every batchEvery turns; with zero it gets a turn only
+// when no latency-critical request waits.
 func (cq *classQueue) next(batchEvery int) (runner.Class, bool) {
 	lat, bat := len(cq.heaps[runner.LatencyCritical]) > 0, len(cq.heaps[runner.Batch]) > 0
 	switch {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -202,8 +202,8 @@
 	slotReq SlotRequest
 	cancel  context.CancelFunc
 	// hedgeRunning is set if the slower attempt of a hedged request is still
-	// running when the request ends, so that its slot counts as busy until it
-	// has ended.
+	// running when the request ends. The context is then cancelled only after
+	// that attempt has ended, so that its slot counts as busy until then.
 	hedgeRunning bool
 	// sent counts attempts at runners, forwarded counts peers asked.
 	sent      int
@@ -328,9 +328,9 @@
 	return ex.firstAnswer(<-results, results)
 }
 
-// firstAnswer returns the first attempt if it was answered, and otherwise
-// waits for the second. An attempt that may have run takes precedence over one
-// that did not.
+// firstAnswer returns the first of two attempts to end if it was answered, and
+// otherwise waits for the second. If that was not answered either, an attempt
+// that may have run takes precedence over one that did not.
 func (ex *execution) firstAnswer(first attempt, rest <-chan attempt) attempt {
 	if first.Outcome == Answered {
 		ex.hedgeRunning = true
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -25,7 +25,7 @@
 }
 
 // scriptedClient returns a client whose n-th attempt ends with the n-th error
-// of the script, and the number of attempts.
+// of the script, and a counter of the attempts. The last error repeats.
 func scriptedClient(script ...error) (runner.Client, *int) {
 	sent := 0
 	return runner.Client{RunFunc: func(_ context.Context, _ string, req runner.Request) (runner.Answer, error) {
@@ -78,8 +78,8 @@
 				c.Assert(res.Reason, qt.Equals, te.why)
 				c.Assert(*sent, qt.Equals, te.sent)
 				c.Assert(res.Attempts, qt.Equals, te.sent)
-				// The result comes without delay, and with a delay for the
-				// retry.
+				// Retries take no time, and a result without an answer has a
+				// delay for the caller's retry.
 				c.Assert(time.Since(begun), qt.Equals, time.Duration(0))
 				c.Assert(res.Outcome == Answered || res.RetryAfter > 0, qt.IsTrue)
 				time.Sleep(time.Second)
@@ -115,6 +115,8 @@
 	})
 }
 
+// TestHalfTheRunnersUnreachable guards against retries that multiply the load,
+// and against lost requests, while half of the runners refuse connections.
 func TestHalfTheRunnersUnreachable(t *testing.T) {
 	withFakeClock(t, func(c *qt.C) {
 		fr := newFakeRunners(10*time.Millisecond, 0.5, 8)
--- a/internal/route/service_times.go
+++ b/internal/route/service_times.go
@@ -23,7 +23,10 @@
 	// longer may be late; 99.9 gives less than one late answer in 1,000 even if
 	// every request has the tightest possible deadline.
 	tailQuantile = 99.9
-	meanWeight   = 0.05
+	// meanWeight is the weight of one answer in the moving average.
+	meanWeight = 0.05
+	// otherMethods is the name of the entry that methods share beyond
+	// maxMethods.
 	otherMethods = "other"
 )
 
--- a/internal/runner/client.go
+++ b/internal/runner/client.go
@@ -87,6 +87,7 @@
 	DialTimeout time.Duration
 }
 
+// Defaults of [Limits], and other limits of connections.
 const (
 	defaultConnsPerRunner = 20
 	defaultDialTimeout    = 500 * time.Millisecond
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -108,6 +108,7 @@
 // Error implements error.
 func (err *Error) Error() string { return "session refused: " + string(err.Reason) }
 
+// retryDelay is the delay that a refused caller is asked to wait.
 const retryDelay = time.Second
 
 // errNoRunner says that no live runner of the service has a free session slot.
@@ -232,6 +233,7 @@
 	return best, true
 }
 
+// preferred reports whether a is a better runner for a session than b.
 func (re *Relay) preferred(a, b upstream.Runner) bool {
 	if (a.DC == re.DC) != (b.DC == re.DC) {
 		return a.DC == re.DC
@@ -287,7 +289,8 @@
 	}
 }
 
-// wait delays the next attempt; it returns false if the host stops.
+// wait delays the next attempt for d or until ctx ends. It returns false if the
+// host stops.
 func (se *activeSession) wait(ctx context.Context, d time.Duration) bool {
 	ti := time.NewTimer(d)
 	defer ti.Stop()
@@ -309,8 +312,8 @@
 	return nil
 }
 
-// stream relays the events of one runner until its stream ends. It returns nil
-// if the host stops.
+// stream relays the events of one runner until its stream ends. If the host
+// stops, it asks the caller to resume elsewhere and returns nil.
 func (se *activeSession) stream(ctx context.Context) error {
 	ru, ok := se.re.acquireRunner(se.po, se.avoid)
 	if !ok && se.avoid != "" {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -24,10 +24,13 @@
 
 const (
 	actEvent action = iota
+	// actRepeat sends the last event again, actSkip leaves out one event.
 	actRepeat
 	actSkip
 	actKeepalive
 	actMoved
+	// actLost breaks the stream, actRefuse refuses to open it, and actStall
+	// sends nothing until the stream is closed.
 	actLost
 	actRefuse
 	actStall
@@ -122,8 +125,8 @@
 	})
 }
 
-// maxTestTime is more virtual time than any script needs; a session whose
-// stalled stream is never given up would run forever.
+// maxTestTime is more virtual time than any script needs; a session that waits
+// forever for a stalled stream would exceed it.
 const maxTestTime = 20 * time.Minute
 
 // consume reads 20 events, through a new entry host after each stop and
--- a/internal/session/stall_test.go
+++ b/internal/session/stall_test.go
@@ -28,12 +28,12 @@
 		t.Run(string(st), func(t *testing.T) {
 			t.Parallel()
 			var list []upstream.Runner
-			lines := map[string]*standin.Proxy{}
+			proxies := map[string]*standin.Proxy{}
 			for _, id := range []string{"a", "b"} {
 				hs := httptest.NewServer(standin.NewRunner(standin.RunnerSettings{ID: id, Tick: 10 * time.Millisecond}).Handler())
 				t.Cleanup(func() { hs.CloseClientConnections(); hs.Close() })
-				lines[id] = linetest.NewProxy(t, hs.Listener.Addr().String())
-				list = append(list, upstream.Runner{Host: store.Host{ID: id, Addr: lines[id].Addr(), Service: "s"}, State: upstream.Live})
+				proxies[id] = linetest.NewProxy(t, hs.Listener.Addr().String())
+				list = append(list, upstream.Runner{Host: store.Host{ID: id, Addr: proxies[id].Addr(), Service: "s"}, State: upstream.Live})
 			}
 			re := &Relay{
 				Runners: runner.NewClient(runner.Limits{}), List: func() []upstream.Runner { return list },
@@ -48,7 +48,7 @@
 						return err
 					case used == "":
 						used = po.Runner
-						return lines[used].Stall(st)
+						return proxies[used].Stall(st)
 					case po.Runner != used, st == standin.DropRequests && ev.Seq > eventsAfterStall:
 						return errDone
 					}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -2,8 +2,8 @@
 //
 // It combines three sources: the platform's list, which is delayed and may be
 // unavailable; the runner's own statement in its answers that it is leaving;
-// and the results of requests sent to it. A runner is leaving as soon as one
-// source says so. A runner whose requests fail is quarantined, twice as long
+// and the results of requests sent to it. A runner is leaving as soon as the
+// list or the runner says so. A runner whose requests fail is quarantined, twice as long
 // each time, and then gets one request at a time until enough have succeeded.
 // At most a fraction of a service's runners is quarantined at a time: if more
 // fail, the cause is probably not the runners. The list keeps its last content
@@ -61,18 +61,27 @@
 	Abandoned
 )
 
-// Parameters of quarantine and of the detection of slow runners. failureLimit
-// and abandonLimit count requests since the last answer.
+// Parameters of quarantine and of the detection of slow runners.
 const (
+	// failureLimit is the number of failed requests since the last answer after
+	// which a runner is quarantined.
 	failureLimit      = 3
 	minQuarantineTime = time.Second
 	maxQuarantineTime = 30 * time.Second
-	probesRequired    = 3
-	leavingHold       = 30 * time.Second
-	slowFactor        = 3
-	slowSamples       = 20
-	latencyWeight     = 0.1
-	abandonLimit      = 5
+	// probesRequired is the number of answers that end probing.
+	probesRequired = 3
+	// leavingHold is how long a runner counts as leaving after it has reported
+	// that.
+	leavingHold = 30 * time.Second
+	slowFactor  = 3
+	// slowSamples is the number of answers needed before a runner can count as
+	// slow.
+	slowSamples = 20
+	// latencyWeight is the weight of one answer in the moving average.
+	latencyWeight = 0.1
+	// abandonLimit is the number of abandoned requests since the last answer
+	// after which a runner is quarantined.
+	abandonLimit = 5
 )
 
 // Runner is a runner with its current state.
@@ -88,16 +97,22 @@
 
 // record is the state kept for a runner.
 type record struct {
-	host             store.Host
-	leavingUntil     time.Time
-	failures         int
-	abandoned        int
+	host         store.Host
+	leavingUntil time.Time
+	// failures and abandoned count requests since the last answer or
+	// quarantine.
+	failures  int
+	abandoned int
+	// quarantines counts the quarantines since probing last ended.
 	quarantines      int
 	quarantinedUntil time.Time
-	probing          bool
-	probesOK         int
-	latency          float64
-	samples          int
+	// probing is set from the start of a quarantine, or from a report that the
+	// runner is leaving, until probesOK has reached probesRequired.
+	probing  bool
+	probesOK int
+	// latency is the moving average of the service times, in seconds.
+	latency float64
+	samples int
 }
 
 // Registry tracks the state of runners. The zero value is empty and ready for
@@ -222,7 +237,7 @@
 }
 
 // quarantine excludes a runner for a limited time, unless the quarantine limit
-// has been reached.
+// has been reached. A runner that is probing counts towards the limit already.
 func (re *Registry) quarantine(rec *record, now time.Time) {
 	if !rec.probing && !re.mayQuarantine(rec, now) {
 		return
@@ -236,6 +251,8 @@
 	rec.abandoned = 0
 }
 
+// mayQuarantine reports whether the limit allows one more runner of the service
+// in the data centre to be quarantined. Runners that are leaving count too.
 func (re *Registry) mayQuarantine(rec *record, now time.Time) bool {
 	all, unavailable := 0, 0
 	for _, other := range re.recs {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -21,6 +21,7 @@
 	return re, hosts
 }
 
+// stateOf returns the state of runner a, or "gone" if it is not listed.
 func stateOf(re *Registry) State {
 	for _, ru := range re.Runners() {
 		if ru.ID == "a" {
@@ -80,8 +81,8 @@
 		n    int
 	}{
 		{"unreachable", Unreachable, failureLimit},
-		{"lost", AnswerLost, failureLimit},
-		{"wrong", InvalidAnswer, failureLimit},
+		{"answer lost", AnswerLost, failureLimit},
+		{"invalid answer", InvalidAnswer, failureLimit},
 		{"refuses all requests", Refused, failureLimit},
 		{"hangs", Abandoned, abandonLimit},
 	} {
