--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -45,7 +45,7 @@
 }
 
 // DefaultRules let a caller repeat an id for ten minutes. A record takes about
-// 200 bytes, so that memory stays below 20 MB.
+// 200 bytes, so that MaxIDs limits the memory to about 20 MB.
 var DefaultRules = Rules{Window: 10 * time.Minute, Skew: 2 * time.Second, MaxIDs: 100_000}
 
 // ID is the id of a run-once request: a UUIDv7, optionally followed by @ and
@@ -59,7 +59,7 @@
 	Home string
 }
 
-// ErrMalformed is returned for an id that has not the required form.
+// ErrMalformed is returned for an id that does not have the required form.
 var ErrMalformed = errors.New("not a UUIDv7 with an optional @data-centre")
 
 // errNotOwner says that the host asked does not own the shard.
@@ -168,11 +168,14 @@
 
 // shard holds the records of one tenure of one shard.
 type shard struct {
+	// begun is the start of the tenure; its At is zero while the records were
+	// imported and the tenure has not begun.
 	begun lease.OwnershipStart
 	// completeFrom is the creation time from which all admitted ids are
 	// recorded.
 	completeFrom time.Time
-	taken        map[string]entry
+	// taken maps admitted ids to their entries.
+	taken map[string]entry
 }
 
 type entry struct {
@@ -182,8 +185,8 @@
 	released bool
 }
 
-// Take admits an id once. It is denied to any further submission until the
-// first is released.
+// Take admits an id for one submission. Other submissions of the id are denied
+// until that one is released.
 func (le *Ledger) Take(req TakeRequest) Decision {
 	id, err := Parse(req.ID)
 	if err != nil {
@@ -209,6 +212,8 @@
 	return Decision{Granted: true}
 }
 
+// conflictReason returns why a request for an admitted id is denied, or
+// [reason.None] for the admitted submission itself.
 func conflictReason(en entry, req TakeRequest) reason.Reason {
 	if en.submission == req.Submission {
 		return reason.None
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -137,8 +137,8 @@
 	mo.hosts[next].since = lease.OwnershipStart{At: time.Now(), Epoch: mo.epoch}
 }
 
-// modelChecks is the number of sequences that rapid tries: known faults needed
-// up to several hundred.
+// modelChecks is the number of sequences that rapid tries: some faults were found
+// only after several hundred.
 const modelChecks = 1500
 
 // actions returns the events of the model; the one without a name is the check
@@ -278,7 +278,7 @@
 		{"granted, unknown", Decision{Granted: true}, nil, route.Result{Outcome: route.Unknown, Reason: reason.AnswerLost}, route.Unknown, reason.AnswerLost, 1, 0},
 		{"taken", Decision{Reason: reason.ClaimTaken}, nil, route.Result{}, route.Unknown, reason.ClaimTaken, 0, 0},
 		{"before tenure", Decision{Reason: reason.ClaimBeforeTenure}, nil, route.Result{}, route.Unknown, reason.ClaimBeforeTenure, 0, 0},
-		{"owner away", Decision{}, errLost, route.Result{}, route.Unknown, reason.ClaimOwnerUnavailable, 0, 0},
+		{"owner unavailable", Decision{}, errLost, route.Result{}, route.Unknown, reason.ClaimOwnerUnavailable, 0, 0},
 		{"not the owner", Decision{Reason: reason.ClaimOwnerUnavailable}, nil, route.Result{}, route.Unknown, reason.ClaimOwnerUnavailable, 0, 0},
 		{"memory full", Decision{Reason: reason.ClaimMemoryFull}, nil, route.Result{}, route.NotRun, reason.ClaimMemoryFull, 0, 0},
 	} {
--- a/internal/claim/guard.go
+++ b/internal/claim/guard.go
@@ -79,8 +79,8 @@
 func refusalResult(why reason.Reason) route.Result {
 	switch why {
 	case reason.IDMalformed, reason.ClaimMemoryFull:
-		// Neither id has been admitted: the first is invalid, and the owner has
-		// no space to record the second.
+		// The id has not been admitted: it is invalid, or the owner has no space
+		// to record it.
 		return route.NotRunResult(why, claimRetryDelay)
 	case reason.IDStale, reason.ClaimTaken:
 		return route.Result{Outcome: route.Unknown, Reason: why}
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -47,8 +47,8 @@
 	// ConfigVersion is the configuration version that a change of the
 	// configuration is based on.
 	ConfigVersion int64 `json:"config_version,omitempty"`
-	// Heartbeat is the member's last renewal that a plan to remove an entry
-	// host is based on.
+	// Heartbeat is the number of the member's last renewal, on which a plan to
+	// remove an entry host is based.
 	Heartbeat int64 `json:"beat,omitempty"`
 	// Applied is the configuration version that the plan created, or 0 if it
 	// was not carried out.
@@ -150,7 +150,7 @@
 }
 
 // planDeclareDead plans the removal of a member. The basis is its last renewal,
-// as a member that renews is alive.
+// as a member that renews its membership is alive.
 func (pn *Planner) planDeclareDead(ctx context.Context, pl Plan, id string) (Plan, error) {
 	members, err := pn.Members(ctx)
 	if err != nil {
@@ -161,7 +161,7 @@
 		ids = append(ids, me.ID)
 		if me.ID == id {
 			pl.Heartbeat = me.Beat
-			detail := fmt.Sprintf("last renewal %d; make sure that its process at %s is no more", me.Beat, me.Addr)
+			detail := fmt.Sprintf("last renewal %d; make sure that its process at %s has ended", me.Beat, me.Addr)
 			pl.Steps = []cell.Step{{Verb: "remove", Object: id, Detail: detail, Basis: true}}
 		}
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -95,12 +95,14 @@
 type hostState struct {
 	Contact
 
+	// seed is set if the address is in the settings.
 	seed      bool
 	hello     Hello
 	lastReply time.Time
 	lastSent  time.Time
 	added     time.Time
-	pending   bool
+	// pending is set while the reply to a message is awaited.
+	pending bool
 }
 
 // NewSend returns a function for [Mesh.Send] that uses JSON over HTTP.
@@ -235,8 +237,8 @@
 	return chosen
 }
 
-// sendHello sends one message and records the reply. The interval of messages bounds the wait
-// for it.
+// sendHello sends one message and records the reply. The wait for it is limited to the interval
+// of messages, but to no less than twice localInterval.
 func (me *Mesh) sendHello(ctx context.Context, addr string, self Hello, every time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, max(every, 2*localInterval))
 	defer cancel()
