--- a/internal/relay/assigner.go
+++ b/internal/relay/assigner.go
@@ -96,7 +96,7 @@
 	return via
 }
 
-// fallbackRelay returns the relay under which a worker stays, or is entered, while no host may
+// fallbackRelay returns the relay that a worker keeps, or is assigned, while no host may
 // relay, or "" if the worker is to be reached directly. That is so if there is no other host,
 // or while the limit on directly reached workers allows it. Half of the limit is reserved for
 // workers in the owner's own data centre, as the whole data centre may be cut off from the
@@ -127,7 +127,8 @@
 // unknownRelay is used as the name of a relay while the list of hosts is not known.
 const unknownRelay = "unknown"
 
-// firstOther returns the alphabetically first of the other hosts, or "" if there is none.
+// firstOther returns the alphabetically first of the other hosts, or "" if there is none. It
+// returns unknownRelay while the list of hosts is not known.
 func (as *assigner) firstOther() string {
 	if as.members == nil {
 		return unknownRelay
--- a/internal/relay/norelay_test.go
+++ b/internal/relay/norelay_test.go
@@ -35,7 +35,7 @@
 
 // TestDirectLimitGrowsWhileListedHostsAreLost guards against a limit that stays low: rows of
 // hosts that crashed stay in the list, and an owner whose other hosts were all lost reached
-// only a few workers, for good.
+// only a few workers permanently.
 func TestDirectLimitGrowsWhileListedHostsAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		as := noRelayAssigner(0.1)
@@ -104,7 +104,7 @@
 // 30 s.
 func TestLostHostsRetriedWhenLastRelayIsRemoved(t *testing.T) {
 	nt := newNetwork(t, 2)
-	nt.lines[0].Freeze()
+	nt.proxies[0].Freeze()
 	nt.pool.mu.Lock()
 	nt.pool.ensureLink("r0")
 	nt.pool.mu.Unlock()
@@ -114,7 +114,7 @@
 	nt.pool.links["r0"].bo.Reset()
 	nt.pool.mu.Unlock()
 	nt.eventually("the second stream has failed", func() bool { return nt.streamsOpened("r0") == 2 && !nt.hasStream("r0") })
-	nt.lines[0].Resume()
+	nt.proxies[0].Resume()
 	nt.pool.SetMembers(nil, []string{"r1"}, false)
 	nt.eventually("the host is used again", func() bool { return nt.usable("r0") })
 }
--- a/internal/relay/polldiff.go
+++ b/internal/relay/polldiff.go
@@ -137,6 +137,7 @@
 		ra.Checkpoint, ra.Percent, ra.Usage = ro.Checkpoint, ro.Percent, ro.Usage
 		de.rows[ro.ID] = ra
 	}
+	// Ended attempts refer to rows that are removed below.
 	res := worker.PollResult{ClockMS: clockMS, Running: make([]worker.RunningAttempt, 0, len(de.rows))}
 	for _, en := range pd.Ended {
 		res.Ended = append(res.Ended, de.decodeEnded(en))
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -32,8 +32,8 @@
 	noRelayRetryDelay = 400 * time.Millisecond
 	// stableAfter is how long a stream must have been open for the backoff to start over.
 	stableAfter = 10 * time.Second
-	// dropGrace is how long a worker that the owner has dropped still counts: after an outage
-	// the users' machines register again within about 2 s.
+	// dropGrace is how long a worker that the owner has dropped still counts: workers register
+	// again within about 2 s of the end of an outage.
 	dropGrace = 3 * time.Second
 )
 
@@ -159,9 +159,9 @@
 	}
 }
 
-// expireDropped removes workers that were dropped longer than dropGrace ago. The owner drops
-// idle workers at once during an outage, and they return after it; relays are not given up for
-// that.
+// expireDropped removes workers that were dropped longer than dropGrace ago. The owner
+// drops idle workers at once during an outage, and they return after it; relays must not be
+// given up for that.
 func (po *Pool) expireDropped() {
 	for incarnation, at := range po.dropped {
 		if time.Since(at) > dropGrace {
--- a/internal/relay/reconnect_test.go
+++ b/internal/relay/reconnect_test.go
@@ -48,8 +48,8 @@
 		nt := newNetwork(t, 2)
 		ad := nt.add()
 		used := int(ad.Via[1] - '0')
-		nt.lines[used].Freeze()
-		t.Cleanup(nt.lines[used].Resume)
+		nt.proxies[used].Freeze()
+		t.Cleanup(nt.proxies[used].Resume)
 		qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNotNil)
 		nt.eventually("the host is not used", func() bool { return !nt.usable(ad.Via) })
 		nt.pool.SetMembers(nt.members, nil, true)
@@ -72,7 +72,7 @@
 	nt := newNetwork(t, 1)
 	ad := nt.add()
 	qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNil)
-	nt.lines[0].Blackhole()
+	nt.proxies[0].Blackhole()
 	nt.eventually("no relay is assigned", func() bool { return nt.pool.RelayFor("i-0", "a") == "" })
 	before := nt.notifications()
 	nt.eventually("the owner is notified", func() bool { return nt.usable("r0") && nt.notifications() > before })
@@ -85,8 +85,8 @@
 	nt := newNetwork(t, 2)
 	ad := nt.add()
 	used := int(ad.Via[1] - '0')
-	nt.lines[used].Freeze()
-	t.Cleanup(nt.lines[used].Resume)
+	nt.proxies[used].Freeze()
+	t.Cleanup(nt.proxies[used].Resume)
 	qt.Assert(t, nt.launch(ad, "a", "x"), qt.IsNotNil)
 	nt.eventually("the host is not used", func() bool { return !nt.usable(ad.Via) })
 	before := nt.notifications()
@@ -133,7 +133,7 @@
 		return n
 	}
 	qt.Assert(t, direct(), qt.Equals, 0)
-	for i, ln := range nt.lines {
+	for i, ln := range nt.proxies {
 		ln.Freeze()
 		t.Cleanup(ln.Resume)
 		ad.Via = nt.members[i].Name
@@ -145,7 +145,7 @@
 	ad.Via = nt.pool.RelayFor("i-49", "a")
 	err := nt.launch(ad, "b", "x")
 	qt.Check(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
-	for _, ln := range nt.lines {
+	for _, ln := range nt.proxies {
 		ln.Resume()
 	}
 	nt.eventually("all workers are reached through relays", func() bool { return direct() == 0 && nt.usable(nt.pool.RelayFor("i-49", "a")) })
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -68,7 +68,8 @@
 	encoder diffEncoder
 }
 
-// Leave notifies the owners that this host is about to stop; new streams are refused.
+// Leave notifies the owners that this host is about to stop; new streams are refused. An empty
+// answer makes each stream send a frame at once, which carries the notice.
 func (sv *Server) Leave() {
 	sv.leaving.Store(true)
 	sv.mu.Lock()
@@ -149,7 +150,7 @@
 	}
 }
 
-// maxReadStall is by how much reading a frame may exceed the idle timeout, to allow for
+// maxReadStall is by how much the wait for a frame may exceed the idle timeout, to allow for
 // scheduling delay of this process.
 const maxReadStall = time.Second
 
--- a/internal/relay/server_test.go
+++ b/internal/relay/server_test.go
@@ -84,9 +84,9 @@
 }
 
 // TestFullQueueEndsStream guards against a relay that gives up a stream but keeps executing
-// the orders on it, so that workers obey orders and no answer comes back.
+// the orders on it, so that workers execute orders whose answers never arrive.
 //
-// An owner read answers slowly, so that too many were queued. The relay cancelled the stream's
+// An owner read answers too slowly, so that the queue was full. The relay cancelled the stream's
 // context and its writer ended, but the reader did not check the context and continued to
 // receive frames, as the owner sends heartbeats. Only the owner's own watchdog ended the
 // stream.
@@ -109,8 +109,8 @@
 			_, err := nt.poll(ad)
 			qt.Assert(t, err, qt.IsNil)
 			used := int(ad.Via[1] - '0')
-			qt.Assert(t, nt.lines[used].Stall(st), qt.IsNil)
-			t.Cleanup(nt.lines[used].Resume)
+			qt.Assert(t, nt.proxies[used].Stall(st), qt.IsNil)
+			t.Cleanup(nt.proxies[used].Resume)
 			nt.eventually("the worker is assigned another relay", func() bool { return nt.pool.RelayFor("i-0", "a") != ad.Via })
 			nt.eventually("the relay serves no stream", func() bool { return !servesStream(nt.relays[used]) })
 			ad.Via = nt.pool.RelayFor("i-0", "a")
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -148,12 +148,12 @@
 	defer st.mu.Unlock()
 	re := result{answer: an}
 	if an.Diff != nil {
-		me := st.decoders[an.Worker]
-		if me == nil {
-			me = &diffDecoder{}
-			st.decoders[an.Worker] = me
+		de := st.decoders[an.Worker]
+		if de == nil {
+			de = &diffDecoder{}
+			st.decoders[an.Worker] = de
 		}
-		re.poll = me.decode(an.Diff, an.ClockMS)
+		re.poll = de.decode(an.Diff, an.ClockMS)
 	}
 	if ch := st.pending[an.N]; ch != nil {
 		delete(st.pending, an.N)
--- a/internal/relay/stream_test.go
+++ b/internal/relay/stream_test.go
@@ -26,9 +26,9 @@
 	t     *testing.T
 	fleet standin.Fleet
 	pool  *Pool
-	// relays are the relay hosts, lines the connections to them.
+	// relays are the relay hosts, proxies the connections to them.
 	relays  []*Server
-	lines   []*standin.Proxy
+	proxies []*standin.Proxy
 	members []registry.Member
 
 	mu      sync.Mutex
@@ -91,7 +91,7 @@
 		ln, err := standin.NewProxy(hs.Listener.Addr().String())
 		qt.Assert(nt.t, err, qt.IsNil)
 		nt.t.Cleanup(func() { _ = ln.Close() })
-		nt.relays, nt.lines = append(nt.relays, sv), append(nt.lines, ln)
+		nt.relays, nt.proxies = append(nt.relays, sv), append(nt.proxies, ln)
 		nt.members = append(nt.members, registry.Member{Name: fmt.Sprint("r", i), Process: "p", Addr: ln.Addr(), Cores: 1})
 	}
 }
@@ -249,7 +249,7 @@
 	used := int(ad.Via[1] - '0')
 
 	t.Run("a connection that goes silent is detected, and orders in progress get no answer", func(t *testing.T) {
-		qt.Assert(t, nt.lines[used].Blackhole() > 0, qt.IsTrue)
+		qt.Assert(t, nt.proxies[used].Blackhole() > 0, qt.IsTrue)
 		err := nt.launch(ad, "a", "x")
 		qt.Assert(t, err, qt.IsNotNil)
 		qt.Assert(t, errors.Is(err, worker.ErrNotSent), qt.IsFalse, qt.Commentf("%v", err))
@@ -284,7 +284,7 @@
 	qt.Assert(t, nt.pool.RelayFor("i-0", "a"), qt.Equals, "")
 }
 
-// TestDroppedWorkers has an owner drop most of its workers, first briefly and then for good.
+// TestDroppedWorkers has an owner drop most of its workers, first briefly and then permanently.
 // Only the latter may make it reach the remaining workers directly.
 func TestDroppedWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/relay/unresponsive_test.go
+++ b/internal/relay/unresponsive_test.go
@@ -27,8 +27,8 @@
 	nt.fleet.RunFunc = runForever
 	ad := nt.add()
 	used := int(ad.Via[1] - '0')
-	nt.lines[used].Freeze()
-	t.Cleanup(nt.lines[used].Resume)
+	nt.proxies[used].Freeze()
+	t.Cleanup(nt.proxies[used].Resume)
 
 	err := nt.launch(ad, "a", "x")
 	qt.Assert(t, errors.Is(err, worker.ErrNotSent), qt.IsTrue, qt.Commentf("%v", err))
@@ -44,11 +44,11 @@
 func TestReplacedOwnerIsNotUsedAsRelay(t *testing.T) {
 	nt := newNetwork(t, 0)
 	nt.addRelays(2)
-	nt.lines[0].Freeze()
+	nt.proxies[0].Freeze()
 	nt.pool.FormerOwner, nt.pool.FormerOwnerProcess = "r0", "p"
 	nt.pool.SetMembers(nt.members, nil, true)
 	qt.Assert(t, nt.pool.RelayFor("i-0", "a"), qt.Equals, "r1")
-	nt.lines[0].Resume()
+	nt.proxies[0].Resume()
 	nt.eventually("the host is used again", func() bool { return nt.usable("r0") })
 }
 
