--- a/internal/cell/cell_test.go
+++ b/internal/cell/cell_test.go
@@ -69,7 +69,7 @@
 	runCell(t, 2, func(c *qt.C, tc *testCell) {
 		to := startWithJob(c, tc, batchJob("j", 4, 30*time.Second))
 		time.Sleep(5 * time.Second)
-		// Messages arrive a minute late, when other workers have the tasks.
+		// Messages arrive a minute late, when the tasks run on other workers.
 		tc.set("w0", func(tw *testWorker) { tw.delay = time.Minute })
 		time.Sleep(90 * time.Second)
 		tc.set("w0", func(tw *testWorker) { tw.delay = 0 })
@@ -82,7 +82,7 @@
 	runCell(t, 4, func(c *qt.C, tc *testCell) {
 		first := startWithJob(c, tc, batchJob("j", 30, 10*time.Second))
 		time.Sleep(3 * time.Second)
-		// The first owner still takes itself for the owner.
+		// The first owner still believes that it owns the cell.
 		second := tc.startOwner(true)
 		time.Sleep(time.Minute)
 		assertStates(c, second, map[string]int{"done": 30})
--- a/internal/cell/cluster_test.go
+++ b/internal/cell/cluster_test.go
@@ -31,10 +31,10 @@
 	// delay delays messages to it.
 	unreachable, repliesLost bool
 	delay                    time.Duration
-	// earlierSpans has the task logs of earlier incarnations, overfull how
-	// often those were overfull.
+	// earlierSpans has the task logs of earlier incarnations, overcommits how
+	// often those reserved more than their capacity.
 	earlierSpans []standin.TaskSpan
-	overfull     int
+	overcommits  int
 }
 
 // testCell is a cell of stand-in workers, with any number of owners.
@@ -94,7 +94,7 @@
 			}
 			tw.earlierSpans = append(tw.earlierSpans, sp)
 		}
-		tw.overfull += tw.proc.Overcommits()
+		tw.overcommits += tw.proc.Overcommits()
 	}
 	tw.proc = standin.NewWorker(standin.WorkerSettings{ID: tw.host.ID, Capacity: workerCapacity, CheckpointEvery: time.Second})
 }
@@ -127,7 +127,7 @@
 }
 
 // startOwner starts an owner. The former owner loses the cell, as by a takeover,
-// or still takes itself for the owner if keepFormer is set.
+// or still believes that it owns the cell if keepFormer is set.
 func (tc *testCell) startOwner(keepFormer bool) *testOwner {
 	if n := len(tc.owners); n > 0 && !keepFormer {
 		tc.owners[n-1].owns.Store(false)
@@ -159,7 +159,7 @@
 	return hosts, true
 }
 
-// stop ends all owners, and waits until what is in progress has ended.
+// stop ends all owners, and waits for delayed messages and exchanges in progress.
 func (tc *testCell) stop() {
 	for _, to := range tc.owners {
 		to.cancel()
@@ -169,14 +169,14 @@
 	time.Sleep(2 * time.Minute)
 }
 
-// violations lists tasks that ran in two places at a time, attempts that did not
-// start from a checkpoint, and overfull workers.
+// violations lists tasks that ran on two workers at a time, attempts that did not
+// start from a checkpoint, and workers that were overcommitted.
 func (tc *testCell) violations() []string {
 	var violations []string
 	spans := map[string][]standin.TaskSpan{}
 	for id, tw := range tc.workers {
-		if n := tw.overfull + tw.proc.Overcommits(); n > 0 {
-			violations = append(violations, fmt.Sprintf("worker %s was overfull %d times", id, n))
+		if n := tw.overcommits + tw.proc.Overcommits(); n > 0 {
+			violations = append(violations, fmt.Sprintf("worker %s was overcommitted %d times", id, n))
 		}
 		for _, sp := range append(slices.Clone(tw.earlierSpans), tw.proc.Log()...) {
 			spans[sp.Task] = append(spans[sp.Task], sp)
@@ -209,8 +209,7 @@
 	}}
 }
 
-// runCell runs fn with a cell in a bubble of fake time, and then checks for
-// violations.
+// runCell runs fn with a cell on a fake clock, and then checks for violations.
 func runCell(t *testing.T, workers int, fn func(c *qt.C, tc *testCell)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/cell/decide.go
+++ b/internal/cell/decide.go
@@ -16,7 +16,8 @@
 const quarantineTime = time.Minute
 
 // decide takes the decisions of package place, and returns the records of
-// those that are journalled. Throttles are not: a new owner starts without.
+// those that are journalled. Throttles are not journalled, so that a new owner
+// starts without them.
 func (ow *Owner) decide() []Record {
 	now := time.Now()
 	ow.dirty, ow.lastDecision = false, now
@@ -95,14 +96,15 @@
 		ws.quarantinedAt = now
 	}
 	onProbation := quarantined && now.Sub(ws.quarantinedAt) > quarantineTime
+	// One task at a time.
 	if onProbation && used != (worker.Resources{}) {
 		onProbation = false
 	}
-	emptying := wo.Drained || ws.leaving || ws.unlisted
+	draining := wo.Drained || ws.leaving || ws.unlisted
 	return place.Worker{
 		ID: id, Rack: wo.Rack, Capacity: wo.Capacity, Used: used,
-		Draining:      emptying,
-		Unschedulable: emptying || now.Sub(ws.lastReport) > ow.Timing.UnresponsiveAfter || (quarantined && !onProbation),
+		Draining:      draining,
+		Unschedulable: draining || now.Sub(ws.lastReport) > ow.Timing.UnresponsiveAfter || (quarantined && !onProbation),
 		Probation:     onProbation,
 	}
 }
@@ -133,9 +135,10 @@
 }
 
 // updateModel trains the interference model with the tail latencies of a
-// report and the batch tasks beside them. A report counts only if no task of
-// the worker was started, stopped or throttled since the usage was measured,
-// which is [Timing.UsageLag] before. At most two reports in that time are used.
+// worker's report and the usage of its batch tasks. The usage in a report was
+// measured [Timing.UsageLag] earlier; the report counts only if no task of the
+// worker was started, stopped or throttled since then. At most two reports per
+// UsageLag are used.
 func (ow *Owner) updateModel(ws *workerStatus) {
 	if !ws.lastReport.Add(-ow.Timing.UsageLag).After(ws.lastAction) || ws.lastReport.Sub(ws.modelUpdated) < ow.Timing.UsageLag/2 {
 		return
--- a/internal/cell/invariants_test.go
+++ b/internal/cell/invariants_test.go
@@ -14,8 +14,8 @@
 // TestNoTaskRunsTwice subjects a cell to random faults and commands:
 // unreachable workers, delayed and lost messages, restarts, new owners beside
 // former ones, a table that is down or loses replies, drains and cancellations.
-// By the workers' logs, no task may run in two places at a time, no worker may
-// be overfull, and every attempt must start from a checkpoint.
+// By the workers' logs, no task may run on two workers at a time, no worker may
+// be overcommitted, and every attempt must start from a checkpoint.
 func TestNoTaskRunsTwice(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: 300}, func(rt *rapid.T) {
 		var violations []string
@@ -33,8 +33,8 @@
 	})
 }
 
-// actions returns the steps that the test picks from. "time" is listed three times,
-// so that more of them let time pass.
+// actions returns the actions that rapid picks from. "time" is listed three times,
+// so that time passes more often.
 func (tc *testCell) actions() map[string]func(*rapid.T) {
 	pickWorker := func(rt *rapid.T) string {
 		return fmt.Sprintf("w%d", rapid.IntRange(0, len(tc.workers)-1).Draw(rt, "worker"))
--- a/internal/cell/owner.go
+++ b/internal/cell/owner.go
@@ -272,7 +272,8 @@
 	}()
 }
 
-// expedite requests an exchange at once with each worker that has a new order.
+// expedite requests an exchange at once with each worker that has a new order,
+// and counts the starts and stops.
 func (ow *Owner) expedite(records []Record) {
 	for _, rec := range records {
 		if rec.Kind != KindStart && rec.Kind != KindStop {
@@ -354,9 +355,9 @@
 	return rec, now.After(ow.leaseExpiry(ws, ow.st.Jobs[ta.Job].Spec.Service))
 }
 
-// leaseExpiry returns the time after which a worker's batch or service leases have certainly
-// expired if no further message arrives from it. Before its first report those of a former
-// owner count.
+// leaseExpiry returns the time after which a worker's batch or service leases
+// have certainly expired if no further message arrives from it. Before its first
+// report, the leases that a former owner gave count.
 func (ow *Owner) leaseExpiry(ws *workerStatus, service bool) time.Time {
 	end := ws.leaseEnd[leaseIndex(service)]
 	if ws.incarnation == "" {
--- a/internal/cell/state.go
+++ b/internal/cell/state.go
@@ -27,8 +27,8 @@
 // TaskState is the state of a task.
 type TaskState string
 
-// The task states. A Running task was started by the journal; its worker may
-// not have received the start yet. Done and Failed are final.
+// The task states. The start of a Running task is journalled, but its worker may
+// not have received it yet. Done and Failed are final.
 const (
 	Waiting  TaskState = "waiting"
 	Running  TaskState = "running"
@@ -82,13 +82,13 @@
 	// State is the task's state.
 	State TaskState `json:"state"`
 	// Worker is the id of the worker of the last attempt, Incarnation the
-	// process of it that was to run the attempt.
+	// process of that worker to which the attempt was assigned.
 	Worker      string `json:"worker,omitempty"`
 	Incarnation string `json:"incarnation,omitempty"`
 	// Attempt is the number of the last attempt, from 1.
 	Attempt int `json:"attempt,omitempty"`
-	// CheckpointMS is the run time, in milliseconds, after which the next
-	// attempt resumes.
+	// CheckpointMS is the run time, in milliseconds, that the last checkpoint
+	// covers; the next attempt resumes there.
 	CheckpointMS int64 `json:"checkpoint_ms,omitempty"`
 	// Evictions counts attempts that ended neither done nor failed: evicted,
 	// moved or lost with their lease.
