--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -70,8 +70,7 @@
 // callerService implements the service for callers.
 type callerService struct{ ho *Host }
 
-// Call runs one request and returns its answer, or the error that failure
-// makes.
+// Call runs one request and returns its answer, or an error made by failure.
 func (cs *callerService) Call(ctx context.Context, creq *connect.Request[pb.CallRequest]) (*connect.Response[pb.CallResponse], error) {
 	start := time.Now()
 	msg := creq.Msg
--- a/internal/entry/host.go
+++ b/internal/entry/host.go
@@ -61,13 +61,20 @@
 
 	callerPort, peerPort, adminPort *port.Port
 
-	keeper        atomic.Pointer[lease.Keeper]
-	owner         atomic.Pointer[cell.Owner]
-	workerList    atomic.Pointer[[]store.Host]
-	listLoaded    atomic.Bool
+	// keeper is nil before this host has joined as a member, owner while this
+	// host does not run the cell.
+	keeper atomic.Pointer[lease.Keeper]
+	owner  atomic.Pointer[cell.Owner]
+	// workerList has the workers on the platform's list; it is nil before the
+	// first read.
+	workerList atomic.Pointer[[]store.Host]
+	listLoaded atomic.Bool
+	// tableAnswered is when the table last answered a poll of the configuration,
+	// in Unix nanoseconds.
 	tableAnswered atomic.Int64
-	stopping      atomic.Bool
-	stopBegun     chan struct{}
+	// stopping is set, and stopBegun closed, at the start of a planned stop.
+	stopping  atomic.Bool
+	stopBegun chan struct{}
 }
 
 // New creates an entry host and opens its ports. It returns an error for invalid
@@ -139,8 +146,8 @@
 // runnerWaitLimit is how long a session waits for a runner.
 const runnerWaitLimit = 30 * time.Second
 
-// ownershipStart returns since when this host owns a resource; it is zero before
-// the host is a member.
+// ownershipStart returns the start of this host's current or last ownership of a
+// resource; it is zero before the host is a member.
 func (ho *Host) ownershipStart(resource string) lease.OwnershipStart {
 	if ke := ho.keeper.Load(); ke != nil {
 		return ke.Since(resource)
@@ -156,7 +163,8 @@
 }
 
 func (ho *Host) peerLimits() port.Limits {
-	// A forwarded request has its body in base64, and other fields beside it.
+	// The body of a forwarded request is in base64, and the message has other
+	// fields too.
 	return port.Limits{MaxConns: ho.set.MaxConns, MaxInFlight: ho.set.MaxInFlight, MaxBody: 2*ho.set.MaxBody + peerBodyOverhead, ReadTimeout: readTimeout, WriteTimeout: writeTimeout}
 }
 
--- a/internal/entry/loops.go
+++ b/internal/entry/loops.go
@@ -95,7 +95,7 @@
 	ho.log.Info("configuration in force", "version", doc.Version)
 }
 
-// rebuild passes the runners for which this host is the primary to the router.
+// rebuild passes to the router the runners for which this host is the primary.
 func (ho *Host) rebuild() {
 	byService := map[string][]upstream.Runner{}
 	for _, ru := range ho.registry.Runners() {
@@ -145,21 +145,22 @@
 	return members
 }
 
-// updatePeers passes the runners, and the loads of live peers, to the router.
+// updatePeers passes the runners, and the loads of live peers that are not
+// stopping, to the router.
 func (ho *Host) updatePeers(ctx context.Context) {
 	repeat(ctx, peersInterval, func(context.Context) {
-		near, far := map[string]map[string]route.Load{}, map[string]map[string]route.Load{}
+		sameDC, otherDCs := map[string]map[string]route.Load{}, map[string]map[string]route.Load{}
 		for _, he := range ho.mesh.Live() {
 			switch {
 			case he.Stopping:
 			case he.DC == ho.set.DC:
-				near[he.Addr] = he.Loads
+				sameDC[he.Addr] = he.Loads
 			default:
-				far[he.Addr] = he.Loads
+				otherDCs[he.Addr] = he.Loads
 			}
 		}
 		ho.rebuild()
-		ho.router.SetPeers(near, far)
+		ho.router.SetPeers(sameDC, otherDCs)
 	})
 }
 
--- a/internal/entry/watch_test.go
+++ b/internal/entry/watch_test.go
@@ -129,7 +129,7 @@
 	return rc
 }
 
-// TestWatchContinuesAfterEntryHostStalls guards against a watch that hangs for good while
+// TestWatchContinuesAfterEntryHostStalls guards against a watch that hangs forever while
 // other entry hosts serve its events. The entry host freezes or is cut off while the watch
 // is open or being opened, and no reset reaches the caller. Without heartbeats the caller
 // could not tell a lost session from an idle one.
