--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -81,8 +81,8 @@
 		n    int
 	}{
 		{"unreachable", Unreachable, failureLimit},
-		{"answer lost", AnswerLost, failureLimit},
-		{"invalid answer", InvalidAnswer, failureLimit},
+		{"lost", AnswerLost, failureLimit},
+		{"wrong", InvalidAnswer, failureLimit},
 		{"refuses all requests", Refused, failureLimit},
 		{"hangs", Abandoned, abandonLimit},
 	} {
