--- a/internal/relay/assigner.go
+++ b/internal/relay/assigner.go
@@ -15,7 +15,8 @@
 	// corresponds to about a third of the host.
 	maxDirectPerCore = 320
 	// maxRelayedPerCore is how many workers a relay is assigned for each core of its host.
-	// Seven calls per second and worker at 0.2 ms each take a fifth of the host.
+	// Seven requests per second and worker, at 0.2 ms each, take a fifth of the host's
+	// processor time.
 	maxRelayedPerCore = 150
 	// directDoublingInterval is the interval at which the limit on directly reached workers
 	// doubles while no host may relay; the owner retries the hosts five times in each
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -3,11 +3,11 @@
 // It combines three sources: the platform's list, which is delayed and may be
 // unavailable; the runner's own statement in its answers that it is leaving;
 // and the results of requests sent to it. A runner is leaving as soon as the
-// list or the runner says so. A runner whose requests fail is quarantined, twice as long
-// each time, and then gets one request at a time until enough have succeeded.
-// At most a fraction of a service's runners is quarantined at a time: if more
-// fail, the cause is probably not the runners. The list keeps its last content
-// while the platform cannot be read.
+// list or the runner says so. A runner whose requests fail is quarantined,
+// twice as long each time, and then gets one request at a time until enough
+// have succeeded. At most a fraction of a service's runners in a data centre is
+// quarantined at a time: if more fail, the cause is probably not the runners.
+// The list keeps its last content while the platform cannot be read.
 package upstream
 
 import (
