--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -21,6 +21,7 @@
 	return re, hosts
 }
 
+// stateOf returns the state of runner a, or "gone" if it is not listed.
 func stateOf(re *Registry) State {
 	for _, ru := range re.Runners() {
 		if ru.ID == "a" {
