--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -161,7 +161,7 @@
 		ids = append(ids, me.ID)
 		if me.ID == id {
 			pl.Heartbeat = me.Beat
-			detail := fmt.Sprintf("last renewal %d; make sure that its process at %s has ended", me.Beat, me.Addr)
+			detail := fmt.Sprintf("last renewal %d; make sure that its process at %s is no more", me.Beat, me.Addr)
 			pl.Steps = []cell.Step{{Verb: "remove", Object: id, Detail: detail, Basis: true}}
 		}
 	}
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -369,7 +369,7 @@
 		limit = UnreachableTimeout
 	}
 	if elapsed := time.Since(seen); elapsed > limit+ke.claimDelay(row) {
-		return row, version, true, fmt.Sprintf("no heartbeat of the owner for %v", elapsed.Round(time.Millisecond))
+		return row, version, true, fmt.Sprintf("owner silent for %v", elapsed.Round(time.Millisecond))
 	}
 	return row, version, false, ""
 }
