--- a/internal/sched/mechanism.go
+++ b/internal/sched/mechanism.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Mechanism is a set of parts of the owner's placement and pacing, as bits. Each can be
-// disabled to measure its effect.
+// Mechanism is a set of bits, one for each part of placement and pacing that can be disabled
+// to measure its effect.
 type Mechanism uint32
 
 // The mechanisms.
--- a/internal/sched/move.go
+++ b/internal/sched/move.go
@@ -12,8 +12,8 @@
 	heldMaxPace = 35
 	// moveAfter is how long a filler is held before it is moved to a better worker.
 	moveAfter = 400 * time.Millisecond
-	// movesPerTick limits the moves of one pass, so that not all fillers go to the same
-	// worker.
+	// movesPerTick limits the moves in one tick of the loop, so that not all fillers go to
+	// the same worker.
 	movesPerTick = 8
 	// maxLostPercent is the progress in per cent up to which a filler without checkpoints
 	// is moved although its work is lost.
--- a/internal/sched/nofit.go
+++ b/internal/sched/nofit.go
@@ -12,7 +12,7 @@
 // of workers. With 1,000 workers a filler waits up to 50 ms longer.
 const noFitTTLPerWorker = 50 * time.Microsecond
 
-// shape is what determines whether the tasks of a step fit on a worker.
+// shape holds what determines whether the tasks of a step fit on a worker.
 type shape struct {
 	st      *job.Step
 	service string
@@ -32,8 +32,8 @@
 	return !sh.st.Filler || (sh.st.Image == other.st.Image && sh.selective == other.selective)
 }
 
-// noFitCache holds the shapes that fit on no worker: shapes for the current round, fillers
-// until fillersExpireAt. The zero value is ready to use.
+// noFitCache holds the shapes that fit on no worker: those of fillers until fillersExpireAt,
+// the others for the current round. The zero value is ready to use.
 type noFitCache struct {
 	shapes  []shape
 	fillers []shape
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -34,7 +34,7 @@
 
 // evaluateFeasibility returns the job's feasibility at the given time.
 func (tj *trackedJob) evaluateFeasibility(now time.Time) feasibility {
-	// A long-running task has no time by which it is worthless.
+	// A long-running job is of value whenever it runs.
 	if tj.targetMS <= 0 || tj.jo.LongRunning() || !tj.ow.enabled(MechFeasibleFirst) {
 		return inTime
 	}
@@ -48,10 +48,10 @@
 	return tooLate
 }
 
-// sortWaitingJobs sorts the waiting jobs by current feasibility and remaining work. When
-// capacity is short, running small jobs first and finishing those that have begun lets more
-// jobs meet their targets, but large jobs must not starve. Therefore two jobs by remaining work
-// alternate with one by age.
+// sortWaitingJobs sorts the waiting jobs by priority, current feasibility, and remaining work.
+// When capacity is short, running small jobs first and finishing those that have begun lets
+// more jobs meet their targets, but large jobs must not starve. Therefore two jobs by remaining
+// work alternate with one by age.
 func (ow *Owner) sortWaitingJobs(now time.Time) {
 	for _, tj := range ow.waitingJobs {
 		tj.feasibility, tj.workLeft = tj.evaluateFeasibility(now), tj.remainingWork()
@@ -78,8 +78,8 @@
 	return tj.jo.RemainingWork()
 }
 
-// assignSortKeys ranks the jobs by compare and lowers each job's sort key to every times its
-// rank, if that is lower.
+// assignSortKeys ranks the jobs by compare and lowers each job's sort key to its rank
+// multiplied by the parameter every, if that is lower.
 func (ow *Owner) assignSortKeys(every int, compare func(a, b *trackedJob) int) {
 	ow.rankWaitingJobs(compare)
 	for _, tj := range ow.waitingJobs {
@@ -100,7 +100,7 @@
 	}
 }
 
-// bySizePerAge is how many jobs are taken by remaining work for each one taken by age.
-// Without any by age, the largest tenth of the jobs was served less than half as often as the
-// average.
+// bySizePerAge is how many jobs are taken by remaining work for each one taken by age. When
+// none were taken by age, the largest tenth of the jobs was served less than half as often as
+// the average.
 const bySizePerAge = 2
--- a/internal/sched/owner.go
+++ b/internal/sched/owner.go
@@ -53,9 +53,9 @@
 	Cell string
 	// Tenure is this host's tenure as owner of the cell.
 	Tenure tenure.Tenure
-	// Table is the client of the store.
+	// Table accesses the store.
 	Table store.Table
-	// Agent sends requests to workers.
+	// Agent is the client of the workers.
 	Agent worker.Agent
 	// Limits holds the bounds that the users set.
 	Limits Limits
@@ -81,6 +81,7 @@
 	handoverLeaseMS map[string]int64
 	inheritedAt     time.Time
 
+	// events queues the events for the loop; ended is closed when Run returns.
 	events chan func()
 	ended  chan struct{}
 
@@ -103,7 +104,8 @@
 	// worker.
 	workersByID map[string][]*workerState
 	// placementDue is set if a task may have become placeable since the last round of
-	// placement; placementRounds counts the rounds.
+	// placement; placementRounds counts the rounds. dirtyJobs are the jobs with changes that
+	// wait to be written, writesInFlight counts the writes in flight.
 	placementDue    bool
 	placementRounds int
 	dirtyJobs       []*trackedJob
@@ -115,7 +117,8 @@
 	writesFailingSince time.Time
 	// unowned counts the attempts of former owners on workers that no list has named since
 	// the takeover, by incarnation.
-	unowned   map[worker.Incarnation]int
+	unowned map[worker.Incarnation]int
+	// startedAt is when Run was called.
 	startedAt time.Time
 	// leaseRecord tracks the stored lease expiries of unresponsive workers.
 	leaseRecord leaseRecord
@@ -138,7 +141,7 @@
 	stuckCheckedAt time.Time
 	// listTrust tracks whether the list of workers can be relied on.
 	listTrust listTrust
-	// outage tracks what was logged about workers that receive no orders.
+	// outage tracks an outage of workers that receive no orders.
 	outage outage
 }
 
@@ -152,7 +155,7 @@
 	// clockDrift is how much slower or faster than true time a worker's clock may run, as a
 	// fraction; the users specify it.
 	clockDrift = 0.02
-	// lapseMargin is added to computed lease expiries.
+	// lapseMargin is added to computed lease expiries before attempts count as ended.
 	lapseMargin = 100 * time.Millisecond
 )
 
--- a/internal/sched/ownerloss_test.go
+++ b/internal/sched/ownerloss_test.go
@@ -12,8 +12,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/tenure"
 )
 
-// lostRestartDeadline is the longest time after a claim until tasks of lost workers run
-// elsewhere.
+// lostRestartDeadline is the longest time from the claim of a cell until the tasks of lost
+// workers run elsewhere.
 const lostRestartDeadline = 9 * time.Second
 
 // withSixHosts runs a long-running job of four tasks on three workers of six hosts, of which
@@ -92,8 +92,9 @@
 	}
 }
 
-// TestLeasesOfAFrozenOwner guards against a wait of a whole lease after a frozen owner last
-// sent one: no lease outlives the confirmation of its owner's tenure.
+// TestLeasesOfAFrozenOwner guards against tasks of a lost worker that wait for a whole lease,
+// counted from the last moment at which the frozen owner may have sent one. The wait is
+// shorter because no lease outlives the confirmation of its owner's tenure.
 func TestLeasesOfAFrozenOwner(t *testing.T) {
 	withSixHosts(t, 10*time.Second, func(cl *cluster, owner *clusterHost) {
 		lost := cl.busyWorker()
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -13,34 +13,34 @@
 )
 
 // Thresholds and times of the control of fillers, which lowers their pace, or holds them,
-// beside services that are over their latency target. A part is a fraction of a service's
-// target.
+// beside services whose tail latency is over its target or close to it.
 const (
 	// nearTargetPart is the part of its target above which a service may be over it, as its
-	// reported tail is inexact. clearAfter is how long the tail must stay below that before
-	// the service counts as under its target again.
+	// reported tail latency is inexact. clearAfter is how long the tail latency must stay
+	// below that before the service counts as under its target again.
 	nearTargetPart = 0.9
 	clearAfter     = time.Second
 	// predictAhead is how far ahead the load of services is predicted: an order takes 0.1 s to
 	// take effect, and the next poll follows 0.6 s later.
 	predictAhead = 600 * time.Millisecond
-	// slowAbovePart is the part of the target above which fillers beside a service are
-	// slowed, speedUpBelowPart the part below which they are sped up again, and
-	// placeBelowPart the part below which the tail must be predicted for a filler to be
-	// placed there. The last is the lowest, as a rise of the service's own load shows in
-	// its tail only later.
+	// These are parts of a service's target, compared with its predicted tail latency.
+	// Above slowAbovePart fillers beside the service are slowed, and below speedUpBelowPart
+	// they are sped up again. A filler is placed there only if the tail latency stays below
+	// placeBelowPart, which is the lowest of them, as a rise of the service's own load shows
+	// in its tail latency only later.
 	slowAbovePart    = 0.88
 	speedUpBelowPart = 0.8
 	placeBelowPart   = 0.72
 	// holdAfterPart is the part of Limits.HarmAfter for which a service may be over its
-	// target; after that every filler beside it is held.
+	// target. After that time every filler beside it is held, which means a pace of 0.
 	holdAfterPart = 0.4
 	// paceTimeout is the timeout of one pace order.
 	paceTimeout = 400 * time.Millisecond
 )
 
-// adjustPaces slows fillers while a service is over its target, and speeds them up again
-// while no service is.
+// adjustPaces slows the fillers beside services whose tail latency is predicted to exceed
+// slowAbovePart of the target, holds them beside services that are over the target for too
+// long, and otherwise speeds them up again.
 func (wk *workerState) adjustPaces(now time.Time) {
 	wk.trackOverTarget(now)
 	fillers := wk.pacedFillers()
@@ -80,7 +80,7 @@
 }
 
 // trackOverTarget records since when each service has been over its target, or close to it:
-// the reported tail is inexact and may fall below the target by chance.
+// the reported tail latency is inexact and may fall below the target by chance.
 func (wk *workerState) trackOverTarget(now time.Time) {
 	for _, at := range wk.services {
 		switch {
@@ -110,13 +110,14 @@
 }
 
 // interference returns by how much a filler at full speed lowers a service's headroom, the
-// ratio of its target to its tail.
+// ratio of its target to its tail latency.
 func (wk *workerState) interference(filler, service *attempt) float64 {
 	return wk.ow.model.Drop(interfere.Pair{Service: service.step().Image, Filler: filler.step().Image}) * filler.fullShare()
 }
 
-// slowFillers slows the fillers that interfere most with a service, until the predicted
-// excess of its tail is removed.
+// slowFillers slows the fillers that interfere most with a service, until the given excess,
+// see [workerState.excess], is predicted to be removed. It slows none if that could remove
+// only a small part of the excess.
 func (wk *workerState) slowFillers(fillers []*attempt, service *attempt, excess float64, now time.Time) {
 	slices.SortFunc(fillers, func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(wk.interference(b, service), wk.interference(a, service)), strings.Compare(taskID(a), taskID(b)))
@@ -158,7 +159,7 @@
 const minPacingDrop = 0.12
 
 // speedUp speeds up fillers that were slowed, those that interfere least first, as far as
-// the predicted tail of every service stays below speedUpBelowPart of its target.
+// the predicted tail latency of every service stays below speedUpBelowPart of its target.
 func (wk *workerState) speedUp(fillers []*attempt, now time.Time) {
 	spare := map[*attempt]float64{}
 	for _, at := range wk.services {
@@ -191,7 +192,8 @@
 }
 
 // setInitialPace limits the pace of a filler that has just started to what the services
-// beside it tolerate, as its effect shows in their reported tails only half a second later.
+// beside it tolerate, as its effect shows in their reported tail latencies only half a second
+// later.
 func (wk *workerState) setInitialPace(at *attempt, now time.Time) {
 	if !at.step().Filler || !wk.ow.enabled(MechPace) {
 		return
@@ -215,7 +217,7 @@
 	}
 }
 
-// setPace orders a pace in per cent, if it differs enough from the last.
+// setPace orders a pace in per cent, if it differs enough from the last one ordered.
 func (wk *workerState) setPace(at *attempt, percent int, now time.Time, why string) {
 	percent = max(percent, 0)
 	if at.pace == percent || (percent > 0 && percent < fullPace && abs(percent-at.pace) < minPaceChange) {
--- a/internal/sched/pace_test.go
+++ b/internal/sched/pace_test.go
@@ -15,7 +15,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// pacingFixture is one worker with a service and fillers, whose reported usage a test sets.
+// pacingFixture is one worker with a service, whose reported tail latency a test sets, and
+// with fillers.
 type pacingFixture struct {
 	t       *testing.T
 	wk      *workerState
@@ -23,6 +24,7 @@
 	fillers []*attempt
 }
 
+// testTargetMS is the latency target of services in tests, in milliseconds.
 const testTargetMS = 24
 
 func newPacingFixture(t *testing.T, fillers int) *pacingFixture {
@@ -89,8 +91,9 @@
 	})
 }
 
-// TestTailsFluctuatingAroundTargetCountAsOver has the reported tails of a service fluctuate
-// around its target: it counts as over its target throughout, so that the filler is held.
+// TestTailsFluctuatingAroundTargetCountAsOver has the reported tail latency of a service
+// fluctuate around its target: it counts as over its target throughout, so that the filler is
+// held.
 func TestTailsFluctuatingAroundTargetCountAsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pf := newPacingFixture(t, 1)
@@ -115,8 +118,8 @@
 	})
 }
 
-// TestPaceOrdersAreNotReordered has the first order take long: the next is sent only after
-// it, with the pace that is wanted by then.
+// TestPaceOrdersAreNotReordered has the first order take long: the next one is sent only after
+// its answer, with the pace that is wanted by then.
 func TestPaceOrdersAreNotReordered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pf := newPacingFixture(t, 1)
--- a/internal/sched/path.go
+++ b/internal/sched/path.go
@@ -2,8 +2,8 @@
 
 import "github.com/pepperhatch/pepperhatch/internal/worker"
 
-// pathsPerEpoch is how many paths to workers an owner may use in sequence: each has a
-// fencing token of its own, and the tokens of the next owner are higher than all of them.
+// pathsPerEpoch is the number of fencing tokens of one epoch: each path that an owner uses to
+// a worker has its own, and the tokens of the next owner are higher than all of them.
 // It allows some 900 changes of all paths at 1,100 workers.
 const pathsPerEpoch = 1 << 20
 
@@ -25,12 +25,14 @@
 	return &path{addr: addr, fence: ow.nextFence()}
 }
 
-// nextFence returns a fencing token that is higher than all before it.
+// nextFence returns a fencing token that is higher than all before it, as long as the epoch
+// has tokens left.
 func (ow *Owner) nextFence() int64 {
 	ow.pathCount = min(ow.pathCount+1, pathsPerEpoch-1)
 	return ow.Tenure.Epoch*pathsPerEpoch + ow.pathCount
 }
 
+// relayOf returns the entry host that relays requests to a worker, or "" if none does.
 func (ow *Owner) relayOf(we WorkerEntry) string {
 	if ow.ViaFunc == nil {
 		return ""
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// newPlacer begins a round of placement with a snapshot of the workers that accept new
-// tasks.
+// newPlacer begins a round of placement with a snapshot of the workers that accept new tasks,
+// and of those that failed tasks are the only reason to avoid.
 func (ow *Owner) newPlacer() *placer {
 	pl := &placer{ow: ow, now: time.Now()}
 	clear(ow.similarity)
@@ -112,7 +112,8 @@
 	ow         *Owner
 	now        time.Time
 	candidates []*candidate
-	// failing are the workers that are quarantined for failed tasks.
+	// failing are the workers that are quarantined for failed tasks, on which a long-running
+	// task may start as a last resort.
 	failing []*candidate
 	// fillerWait is how long fillers wait for a worker that accepts them without harm to
 	// its services.
@@ -149,8 +150,8 @@
 		}
 		if ta.Suspect() {
 			pl.placeSuspect(tj, ref)
-			// The isolated task may have changed a worker other than the best one, so all
-			// have to be rated again.
+			// The suspect task may have changed a worker other than the best one, so all have
+			// to be rated again.
 			rk = nil
 			continue
 		}
@@ -180,6 +181,7 @@
 	return pl.ow.enabled(MechFillerWait) && pl.now.Sub(tj.waitingSince) <= pl.fillerWait
 }
 
+// fits reports whether the task may run on the worker and has enough free capacity there.
 func (ca *candidate) fits(tj *trackedJob, ref job.TaskRef, st *job.Step) bool {
 	return ca.allowed(tj, ref, st) && ca.hasCapacity(st, tj.interrupted(ref))
 }
@@ -203,10 +205,10 @@
 }
 
 // fillerWaitLimit returns how long a job's fillers wait for a worker that accepts them;
-// then they go to any worker, where their pace is limited. used is the reserved share of
-// all processors. While it is low, no job may be left without a running task for 3 s. Once
-// it is high, a filler on a bad worker costs the services there more than waiting costs the
-// job.
+// then they go to any worker with capacity, where their pace is limited. used is the reserved
+// share of all processors. While it is low, no job may be left without a running task for
+// 3 s. Once it is high, a filler on a worker that does not accept it costs the services there
+// more than waiting costs the job.
 func fillerWaitLimit(used float64) time.Duration {
 	if used < busyShare {
 		return fillerWaitIdle
@@ -227,7 +229,8 @@
 // How long fillers wait for a worker that accepts them.
 const (
 	// busyShare is the reserved share of all processors from which on waiting costs less
-	// than placing a filler on a bad worker. Users accept that jobs wait only above a half.
+	// than placing a filler on a worker that does not accept it. Users accept that jobs wait
+	// only above a share of one half.
 	busyShare      = 0.6
 	fillerWaitIdle = 1500 * time.Millisecond
 	fillerWaitBusy = time.Minute
@@ -255,6 +258,7 @@
 	return n
 }
 
+// share returns part divided by whole, or 0 if whole is not positive.
 func share(part, whole int64) float64 {
 	if whole <= 0 {
 		return 0
@@ -278,6 +282,7 @@
 	pl.ow.Log.Info("attempt placed", "task", taskID(at), "attempt", number, "worker", ca.wk.incarnation, "free_millicores", ca.free.MilliCores)
 	tj.onWritten = append(tj.onWritten, func() { pl.ow.launch(at) })
 	pl.ow.markDirty(tj)
+	// markDirty requests another round, but a start makes no other task placeable.
 	pl.ow.placementDue = false
 }
 
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -24,7 +24,7 @@
 	return ow
 }
 
-// addEmptyWorker adds a worker of 32 cores that runs nothing.
+// addEmptyWorker adds a settled worker of 32 cores that runs nothing.
 func addEmptyWorker(ow *Owner, name string) *workerState {
 	wk := &workerState{
 		WorkerEntry: WorkerEntry{Service: testService, Capacity: worker.Resources{MilliCores: 32_000, MemMB: 128_000}},
@@ -137,8 +137,8 @@
 	})
 }
 
-// TestSmallestFreeShareFirst has two workers of different sizes: a short task goes where
-// the smaller share is free, although it is more in cores.
+// TestSmallestFreeShareFirst has two workers of different sizes: a short task goes to the one
+// with the smaller free share, although more of its cores are free.
 func TestSmallestFreeShareFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
@@ -151,8 +151,8 @@
 	})
 }
 
-// TestTurnsBySizeAndAge has jobs submitted in the order of their sizes, the largest first:
-// two turns by size follow each turn by age.
+// TestTurnsBySizeAndAge has jobs submitted in the order of their sizes, the largest first: two
+// jobs by size, the smallest first, follow each job by age.
 func TestTurnsBySizeAndAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ow := ownerWithoutLoop(t)
@@ -211,8 +211,8 @@
 	})
 }
 
-// TestLongRunningTaskIsNotStarvedByShortTasks submits short tasks all the time, which take each
-// part of a worker as it becomes free: a large long-running task starts all the same.
+// TestLongRunningTaskIsNotStarvedByShortTasks submits short tasks all the time, which take any
+// capacity as it becomes free: a large long-running task starts all the same.
 func TestLongRunningTaskIsNotStarvedByShortTasks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
--- a/internal/sched/polls.go
+++ b/internal/sched/polls.go
@@ -13,8 +13,8 @@
 // Times and limits of polls.
 const (
 	// pollWait is how long a worker with attempts may wait for one to end before it answers a
-	// poll. Where fillers run beside services with latency targets, whose figures cover half a
-	// second, it waits mixedPollWait, and without attempts idlePollWait.
+	// poll. Where fillers run beside services with latency targets it waits mixedPollWait, as
+	// the reported usage covers only half a second, and without attempts idlePollWait.
 	pollWait      = time.Second
 	mixedPollWait = 600 * time.Millisecond
 	idlePollWait  = 2 * time.Second
@@ -22,8 +22,8 @@
 	pollGrace = 600 * time.Millisecond
 	// pollRetry is the longest pause after a failed poll.
 	pollRetry = 250 * time.Millisecond
-	// maxDurableWait is how long a poll waits for ends to become durable. Then it is sent
-	// anyway, as it extends leases.
+	// maxDurableWait is how long the next poll waits for listed ends to become durable. Then
+	// it is sent anyway, as it extends leases.
 	maxDurableWait = 500 * time.Millisecond
 	// unresponsiveAfter is the time without a successful poll after which a worker is likely
 	// lost: capacity is reserved for its long-running tasks, and its attempts end once its
@@ -97,8 +97,8 @@
 	}
 }
 
-// nextPoll returns the next request. It acknowledges ends only right after a poll listed some,
-// as by now another process may answer.
+// nextPoll returns the next request. It acknowledges ends only right after a poll that listed
+// some, as later another process may answer.
 func (wk *workerState) nextPoll() worker.Poll {
 	now := time.Now()
 	po := worker.Poll{}
@@ -215,7 +215,8 @@
 	return ended
 }
 
-// logSkippedEnd logs an end that counts as handled though its attempt counts as running.
+// logSkippedEnd logs an end that is skipped because its number counts as handled, though its
+// attempt still counts as running.
 func (wk *workerState) logSkippedEnd(ea worker.EndedAttempt) {
 	if wk.findAttempt(ea.Attempt) != nil {
 		wk.ow.Log.Warn("end skipped as known", "task", ea.Task, "attempt", ea.Number, "worker", wk.incarnation, "end", ea.Outcome,
@@ -223,7 +224,7 @@
 	}
 }
 
-// handleEnd ends the attempt of a listed end.
+// handleEnd records a listed end, and delays its acknowledgement until it is durable.
 func (wk *workerState) handleEnd(ea worker.EndedAttempt) {
 	id, ref, ok := job.ParseTaskID(ea.Task)
 	tj := wk.ow.jobs[id]
@@ -281,7 +282,8 @@
 	wake(wk.pollWake)
 }
 
-// handleRunning updates the attempts that run and stops those that should not.
+// handleRunning updates the attempts that are listed as running, and stops those that should
+// not run.
 func (wk *workerState) handleRunning(res worker.PollResult, got time.Time) {
 	for _, ra := range res.Running {
 		at := wk.findAttempt(ra.Attempt)
@@ -317,7 +319,7 @@
 	go wk.ow.sendHalt(wk, ra.Attempt)
 }
 
-// markStarted records that the worker has the attempt.
+// markStarted records that the worker is known to have the attempt.
 func (wk *workerState) markStarted(at *attempt, now time.Time) {
 	if !at.launchedAt.IsZero() {
 		return
--- a/internal/sched/proof.go
+++ b/internal/sched/proof.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// The progress rows of jobs record how long attempts are known to have run; that record is
-// called a proof. The next owner uses that to classify the ends of attempts on workers that it
-// never saw. Otherwise every attempt on a worker that was lost together with an owner would
-// count as a possible cause of the worker's crash. The proof is written with each change of its
-// job; where a wrong classification is costly, the row is also written for the proof alone.
+// The progress row of a job records how far attempts are known to have run: past their
+// startup, or long enough not to be blamed for a crash. That record is called a proof. The next
+// owner uses it to classify the ends of attempts on workers that it never saw. Otherwise every
+// attempt on a worker that was lost together with an owner would count as a possible cause of
+// the worker's crash. Proofs are written with each change of their job; where a wrong
+// classification is costly, the row is also written for the proof alone.
 
-// proofWriteDelay is how long such a proof waits for another change of the job, and for the
+// proofWriteDelay is how long such a write waits for another change of the job, and for the
 // proofs of its other tasks: the polls of their workers return within a second.
 const proofWriteDelay = 500 * time.Millisecond
 
@@ -30,7 +31,8 @@
 // attempts end before their proof would be written.
 func (at *attempt) needsEarlyProof() bool { return at.step().LongRunning || at.task().Suspect() }
 
-// scheduleProofWrite has the job's row written within proofWriteDelay.
+// scheduleProofWrite has the job's row written after proofWriteDelay, unless another change
+// has it written before.
 func (tj *trackedJob) scheduleProofWrite(now time.Time) {
 	if tj.proofDue.IsZero() {
 		tj.proofDue = now.Add(proofWriteDelay)
--- a/internal/sched/quarantine.go
+++ b/internal/sched/quarantine.go
@@ -27,9 +27,9 @@
 	wk.failures = quarantineFailures - 1
 }
 
-// mayQuarantine reports whether one more worker of a service may be quarantined for failures.
-// If more than a share of them fail tasks of several jobs, the tasks are at fault and not the
-// workers.
+// mayQuarantine reports whether one more worker of a service may be quarantined for failures,
+// see quarantineShare. If more of them fail tasks of several jobs, the tasks are at fault and
+// not the workers.
 func (ow *Owner) mayQuarantine(wk *workerState) bool {
 	now, all, quarantined := time.Now(), 0, 0
 	for _, other := range ow.workers {
@@ -52,8 +52,8 @@
 
 // Rules of the quarantine.
 const (
-	// quarantineFailures is the number of attempts in a row, and quarantineJobs the number of
-	// their jobs, that must fail: one attempt in 30 fails without a fault of its worker.
+	// quarantineFailures is how many attempts in a row must fail on a worker, and
+	// quarantineJobs of how many jobs: one attempt in 30 fails without a fault of its worker.
 	quarantineFailures = 2
 	quarantineJobs     = 2
 	// initialQuarantine is the duration of the first quarantine; it doubles up to
@@ -69,7 +69,7 @@
 	// that is quarantined for failures, if no other has capacity. Users report a long-running
 	// task that has not run for 6 s.
 	lastResortAfter = time.Second
-	// unfitQuarantine is the duration of the quarantine after a refused order.
+	// unfitQuarantine is the duration of the quarantine after a worker refused an order.
 	unfitQuarantine = 700 * time.Millisecond
 )
 
--- a/internal/sched/quarantine_test.go
+++ b/internal/sched/quarantine_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestLongRunningTaskStartsOnQuarantinedWorker guards against a service that does not run for
-// 12 s while a worker is idle. That worker is quarantined because tasks of two jobs failed
+// 12 s while a worker has capacity. That worker is quarantined because tasks of two jobs failed
 // there, and all other workers are full. The task must not wait for the end of the quarantine:
 // running where others failed is better than not running.
 func TestLongRunningTaskStartsOnQuarantinedWorker(t *testing.T) {
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -27,13 +27,14 @@
 	ow *Owner
 	// stopOwner stops the owner.
 	stopOwner context.CancelFunc
-	// accepted and cancelled are the jobs for which the owner answered so, refused those
-	// that were refused and not accepted since. Jobs in cancelUnknown were cancelled with
-	// an unknown outcome.
+	// accepted and cancelled are the numbers of the jobs for which the owner answered so,
+	// refused those of jobs that were refused and not accepted since. The cancellation of
+	// jobs in cancelUnknown had an unknown outcome.
 	accepted, cancelled, refused, cancelUnknown map[int]bool
 	// lastStates are the states last returned for jobs.
 	lastStates map[int]job.State
-	jobs       int
+	// jobs is the number of jobs submitted so far, which are numbered from 1.
+	jobs int
 	// replacements counts the worker processes that replaced others.
 	replacements int
 	// crashedMu guards crashed: the workers that a task crashed and that were not replaced yet.
@@ -44,6 +45,7 @@
 // crashesEvery makes one job in this many crash its workers with its first task.
 const crashesEvery = 9
 
+// crashesWorkers reports whether job n crashes its workers.
 func crashesWorkers(n int) bool { return n%crashesEvery == 4 }
 
 func newFaultRun(t *testing.T, rt *rapid.T) *faultRun {
@@ -87,10 +89,10 @@
 	fr.replaceCrashed()
 	switch rapid.SampledFrom([]string{
 		"submit", "submit", "submit", "again", "cancel", "kill", "kill, entry stays", "freeze", "lose", "late", "heal",
-		"store down", "store lost", "store slow", "store heal", "replace", "look", "reroute",
+		"store down", "store lost", "store slow", "store heal", "replace owner", "read states", "reroute",
 		"entry lapses", "all entries lapse", "entries back",
 		"restart", "restart elsewhere", "restart, entry late", "restart, former entry again",
-	}).Draw(fr.rt, "act") {
+	}).Draw(fr.rt, "action") {
 	case "submit":
 		fr.jobs++
 		fr.submitNumbered(fr.jobs)
@@ -120,9 +122,9 @@
 		fr.table.Faults.Set(standin.Fault{Mode: standin.ModeSlow, DelayMS: 400})
 	case "store heal":
 		fr.table.Faults.Set(standin.Fault{})
-	case "replace":
+	case "replace owner":
 		fr.replaceOwner()
-	case "look":
+	case "read states":
 		fr.checkStates()
 	case "reroute":
 		via := rapid.SampledFrom([]string{"", "e1", "e2"}).Draw(fr.rt, "via")
@@ -145,21 +147,22 @@
 	case "restart, former entry again":
 		former := fr.restartWorker(rapid.Bool().Draw(fr.rt, "elsewhere"))
 		fr.ow.SetWorkers(fr.workerEntries(), nil, true)
-		time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 100, 1000}).Draw(fr.rt, "until")) * time.Millisecond)
+		time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 100, 1000}).Draw(fr.rt, "former entry after ms")) * time.Millisecond)
 		fr.ow.SetWorkers([]WorkerEntry{former}, nil, false)
 	}
 }
 
 // restartWorker restarts a worker's process under its id after a pause, at its address or
-// at another, and returns the list entry of the former process. The clock that dates the
-// start may have been set back or forward.
+// at another, and returns the list entry of the former process. The clock from which the
+// incarnation takes its start time may have been set back or forward meanwhile.
 func (fr *faultRun) restartWorker(newAddress bool) WorkerEntry {
 	i := rapid.IntRange(0, len(fr.fleetWorkers)-1).Draw(fr.rt, "worker")
 	former, fw := fr.workerEntries()[i], fr.fleetWorkers[i]
 	fr.fleet.Kill(fw)
-	downFor := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(fr.rt, "away")) * time.Millisecond
+	downFor := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(fr.rt, "down for ms")) * time.Millisecond
 	if fr.fleet.ApplyAckToLaterEnds {
-		// A poll that follows an answer within that time may reach the next process.
+		// A poll acknowledges ends up to ackWithin after an answer, and may take up to
+		// pollGrace more to reach the process that then runs.
 		downFor = max(downFor, ackWithin+pollGrace)
 	}
 	time.Sleep(downFor)
@@ -168,7 +171,7 @@
 		fr.replacements++
 		hostPort = fmt.Sprintf("10.2.0.%d:80", fr.replacements)
 	}
-	clockStep := time.Duration(rapid.SampledFrom([]int{0, -2, 3}).Draw(fr.rt, "stepped")) * time.Hour
+	clockStep := time.Duration(rapid.SampledFrom([]int{0, -2, 3}).Draw(fr.rt, "clock step in hours")) * time.Hour
 	fr.fleetWorkers[i] = fr.fleet.Restart(fw, hostPort, clockStep)
 	return former
 }
@@ -227,7 +230,7 @@
 	fw, former := fr.fleetWorkers[i], fr.workerEntries()[i]
 	fr.fleet.Kill(fw)
 	fr.replacements++
-	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("life-", fr.replacements)}}, Capacity: fw.Capacity}
+	next := &standin.FleetWorker{Addr: worker.Addr{HostPort: fw.Addr.HostPort, Incarnation: worker.Incarnation{ID: fmt.Sprint("replacement-", fr.replacements)}}, Capacity: fw.Capacity}
 	fr.fleet.Add(next)
 	fr.fleetWorkers[i] = next
 	list := fr.workerEntries()
@@ -253,14 +256,14 @@
 	}
 }
 
-// replaceOwner stops the owner and starts another, after it has repaired the store.
+// replaceOwner clears the faults of the store, stops the owner and starts another.
 func (fr *faultRun) replaceOwner() {
 	fr.table.Faults.Set(standin.Fault{})
 	fr.stopOwner()
 	fr.ow, fr.stopOwner = fr.startOwner()
 }
 
-// checkStates checks that no state goes back.
+// checkStates checks that every accepted job is known, and that no final state has changed.
 func (fr *faultRun) checkStates() {
 	for n := range fr.accepted {
 		state, known, err := fr.ow.State(context.Background(), jobID(n))
@@ -316,7 +319,7 @@
 	var sb strings.Builder
 	for _, ru := range fr.fleet.Runs() {
 		if id, _, _ := job.ParseTaskID(ru.Task); id == jobID(n) {
-			fmt.Fprintf(&sb, "%s %d at %s from %s to %s: %s, noted %s %v; ", ru.Task, ru.Number, ru.Worker,
+			fmt.Fprintf(&sb, "%s attempt %d at %s from %s to %s: %s, acknowledged at %s, within its lease %v; ", ru.Task, ru.Number, ru.Worker,
 				ru.From.Format("05.000"), ru.Until.Format("05.000"), ru.Outcome, ru.AckedAt.Format("05.000"), ru.AckedInLease)
 		}
 	}
@@ -324,7 +327,7 @@
 }
 
 // crashedUnder returns the largest number of workers that ended under one task of the job.
-// From two on users accept that the job is given up.
+// Users accept that a job is given up once there are two.
 func (fr *faultRun) crashedUnder(n int) int {
 	counts, most := map[string]int{}, 0
 	for _, ru := range fr.fleet.Runs() {
@@ -369,14 +372,14 @@
 }
 
 // TestRandomFaults injects random faults and checks that no task runs twice at once, none
-// after it was done, none before its turn, none of a refused or cancelled job; that no
-// accepted job is lost and no state goes back.
+// after it was done, none before the steps that it depends on, and none of a refused or
+// finished job; that no accepted job is lost, and that no final state changes.
 func TestRandomFaults(t *testing.T) {
 	proptest.Check(t, proptest.Size{Checks: randomRuns}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
 			fr := newFaultRun(t, rt)
 			defer func() { fr.stopOwner() }()
-			for range rapid.IntRange(5, 40).Draw(rt, "acts") {
+			for range rapid.IntRange(5, 40).Draw(rt, "actions") {
 				fr.injectRandom()
 				time.Sleep(time.Duration(rapid.SampledFrom([]int{1, 30, 300, 1500}).Draw(rt, "pause")) * time.Millisecond)
 			}
--- a/internal/sched/rank.go
+++ b/internal/sched/rank.go
@@ -81,7 +81,8 @@
 	return rk.heap[0].ca
 }
 
-// update rates the best worker again after a task was placed there.
+// update rates the best worker again after a task was placed there, and removes it if it can
+// take no more.
 func (rk *ranking) update(ca *candidate) {
 	if rk.counts != nil {
 		rk.counts[ca.wk]++
--- a/internal/sched/reservation.go
+++ b/internal/sched/reservation.go
@@ -31,7 +31,7 @@
 // zero value means that none is.
 type restartReservations struct {
 	// active is set while there are such tasks, priority is the highest priority of their
-	// jobs. Jobs of a higher one ignore the reservations.
+	// jobs, which is the lowest number. Jobs of a higher priority ignore the reservations.
 	active   bool
 	priority int
 	// unmet counts the tasks for which no worker has enough capacity.
@@ -90,18 +90,18 @@
 	return cmp.Or(cmp.Compare(b.Reserved().MilliCores, a.Reserved().MilliCores), cmp.Compare(b.Reserved().MemMB, a.Reserved().MemMB))
 }
 
-// reservableWorker is a worker and its capacity that is not reserved and not in use by
-// long-running tasks.
+// reservableWorker is a worker and its capacity that is neither in use by long-running tasks
+// nor reserved for a restart yet.
 type reservableWorker struct {
 	ca   *candidate
 	free worker.Resources
-	// exhausted is set once all of it is reserved.
+	// exhausted is set once all of the worker is reserved for one task that does not fit.
 	exhausted bool
 }
 
-// reserve reserves capacity on the worker with the least left that has enough, and returns it.
-// If none has enough, it reserves all of the worker that has the most left, as more may become
-// free there, and returns nil.
+// reserve reserves capacity on the worker with the least free cores that has enough of
+// everything, and returns it. If none has enough, it reserves all of the worker that has the
+// most free cores, as more may become free there, and returns nil.
 func (pr pendingRestart) reserve(workers []reservableWorker) *workerState {
 	need := pr.st.Reserved()
 	var best, largest *reservableWorker
--- a/internal/sched/reservation_test.go
+++ b/internal/sched/reservation_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestNewTasksLeaveCapacityToInterruptedOnes guards against long-running tasks that never ran
-// and take the remaining capacity while the leases of lost workers run, so that interrupted
-// tasks find none.
+// and take the remaining capacity before the leases of a lost worker lapse, so that its
+// interrupted tasks find none.
 func TestNewTasksLeaveCapacityToInterruptedOnes(t *testing.T) {
 	for _, takeover := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -40,7 +40,7 @@
 func TestOrderOfInterruptedTasks(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// others are the cores of the task that fills each other worker.
+		// others are the cores that a task uses on each of the other workers.
 		others []int64
 		// want is how many tasks of 4 and of 24 cores run again.
 		want []int
--- a/internal/sched/restart_test.go
+++ b/internal/sched/restart_test.go
@@ -51,8 +51,9 @@
 	}
 }
 
-// TestLongRunningTasksOfRestartedWorkersRunAgain guards against lease ends that are computed
-// by the clock of a worker's former process.
+// TestLongRunningTasksOfRestartedWorkersRunAgain guards against tasks that do not run again
+// after a restart or a later loss of their worker, as the lease ends are computed by the clock
+// of its former process.
 func TestLongRunningTasksOfRestartedWorkersRunAgain(t *testing.T) {
 	for _, where := range []string{"10.0.0.0:80", "10.9.0.0:80"} {
 		t.Run(where, func(t *testing.T) {
@@ -170,8 +171,8 @@
 	})
 }
 
-// slowFirstPolls delays polls of restarted processes by d.
-func slowFirstPolls(d time.Duration) func(worker.Agent) worker.Agent {
+// delayPollsOfRestarted delays the polls of processes that start after the call by d.
+func delayPollsOfRestarted(d time.Duration) func(worker.Agent) worker.Agent {
 	began := time.Now().UnixMilli()
 	return func(ag worker.Agent) worker.Agent {
 		poll := ag.PollFunc
@@ -193,7 +194,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				la := newLab(t, 3)
 				la.fleet.OmitStartTime = noStartTime
-				la.wrapAgentFunc = slowFirstPolls(200 * time.Millisecond)
+				la.wrapAgentFunc = delayPollsOfRestarted(200 * time.Millisecond)
 				la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
 				ow, end := la.startOwner()
 				defer end()
@@ -224,7 +225,7 @@
 	for late := 50 * time.Millisecond; late < 3*time.Second; late += 100 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			la := newLab(t, 3)
-			la.wrapAgentFunc = slowFirstPolls(200 * time.Millisecond)
+			la.wrapAgentFunc = delayPollsOfRestarted(200 * time.Millisecond)
 			la.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return 9 * time.Second, "done" }
 			ow, end := la.startOwner()
 			time.Sleep(time.Second)
--- a/internal/sched/score.go
+++ b/internal/sched/score.go
@@ -27,8 +27,9 @@
 // affinity rates how well a long-running task matches the services on the worker. A filler must
 // be tolerated by every service on its worker, so it finds a worker more easily if fillers
 // affect all services there in the same way. They do so with services of one image, and may
-// have been observed to do so with other images. Replicas of one step share their load, so that
-// on one worker they leave capacity to fillers at the same time.
+// have been observed to do so with other images. Replicas share their load, so that on one
+// worker they leave capacity to fillers at the same time. All services of a job count as
+// replicas.
 func (ca *candidate) affinity(tj *trackedJob, image string) float64 {
 	ow, all := ca.wk.ow, len(ca.wk.services)
 	if all == 0 {
@@ -54,8 +55,8 @@
 // imagePair is a pair of service images.
 type imagePair struct{ a, b string }
 
-// imageSimilarity rates how alike fillers affect two service images, from -1 to 1. It is
-// computed once per round of placement.
+// imageSimilarity rates how alike fillers affect two service images, from -1 to 1. The model
+// is queried once per pair and round of placement.
 func (ow *Owner) imageSimilarity(a, b string) float64 {
 	switch {
 	case a == b:
@@ -73,10 +74,10 @@
 
 // balance returns the share of services that match minus the share of the others, from -1
 // to 1.
-func balance(alike, all int) float64 { return float64(2*alike-all) / float64(all) }
+func balance(matching, all int) float64 { return float64(2*matching-all) / float64(all) }
 
-// Weights of affinity relative to the free share of a worker. That of the image outweighs
-// any free share; that of the job equals half a worker.
+// Weights of affinity relative to the free share of a worker, which is at most 1. That of the
+// image outweighs any free share; that of the job equals a free share of one half.
 const (
 	imageWeight = 3
 	jobWeight   = 0.5
--- a/internal/sched/shortage.go
+++ b/internal/sched/shortage.go
@@ -67,8 +67,8 @@
 	return ""
 }
 
-// shortfall returns which part of the need is not free, for the resource that is shortest.
-// It is zero or less if the need fits.
+// shortfall returns the part of the need that is not free, for the resource that lacks the
+// largest part. It is zero or less if the need fits.
 func shortfall(need, free worker.Resources) float64 {
 	return max(
 		share(need.MilliCores-free.MilliCores, need.MilliCores),
--- a/internal/sched/shortage_test.go
+++ b/internal/sched/shortage_test.go
@@ -34,8 +34,9 @@
 	})
 }
 
-// TestLogNamesSpreadAndEarmarkedWorkers has a task wait whose only worker already runs one
-// of its step, and then has its capacity earmarked: the log lines name these reasons.
+// TestLogNamesSpreadAndEarmarkedWorkers has a task wait because the only worker already runs
+// another task of its step, and then because that worker's capacity is earmarked: the log lines
+// name these reasons.
 func TestLogNamesSpreadAndEarmarkedWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll := newLoggedLab(t, 1)
@@ -58,7 +59,7 @@
 }
 
 // TestLongRunningDemandIsLogged has 16 of 20 long-running tasks fit: once a second a log line
-// says how many wait, and how much capacity there is in total.
+// says how many wait, and how much capacity they need and all workers have free.
 func TestLongRunningDemandIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll := newLoggedLab(t, 1)
--- a/internal/sched/stall.go
+++ b/internal/sched/stall.go
@@ -10,8 +10,8 @@
 // Limits on attempts without progress.
 const (
 	// stalledAfter is how long an attempt may show no progress, in addition to stalledPart
-	// of its task's estimated time: a worker reports whole per cents, and estimates are off
-	// by half.
+	// of its task's estimated time: a worker reports progress in whole per cents, and
+	// estimates are off by half.
 	stalledAfter = time.Second
 	stalledPart  = 0.06
 	// stalledPolls is how many polls in a row must have shown no progress.
@@ -20,9 +20,9 @@
 	// found stalled. Without the doubling, a task that took 300 times its estimate was stopped
 	// every 3 s forever, and a worker was quarantined each time.
 	stalledDoublings = 6
-	// stalledPercents is the limit in units of the time that the attempt has taken for each
-	// per cent so far. Without it a task that took 3 s per per cent was stopped at its last
-	// one, after 300 s, in one of 1,000 runs.
+	// stalledPercents is how many times the average time that the attempt has taken for one
+	// per cent it may show no progress, if that is longer. Without it a task that took 3 s for
+	// each per cent was stopped at its last one, after 300 s, in one of 1,000 runs.
 	stalledPercents = 3
 	// stalledQuarantine is how long a worker is quarantined after an attempt stalled on it.
 	stalledQuarantine = 2500 * time.Millisecond
@@ -52,8 +52,8 @@
 	return now.Sub(at.progressedAt) > max(limit, stalledPercents*at.timePerPercent())
 }
 
-// timePerPercent returns how long the attempt has taken for each per cent so far, or 0 if
-// it has completed none.
+// timePerPercent returns how long the attempt has taken on average for each per cent so far,
+// or 0 if it has completed none.
 func (at *attempt) timePerPercent() time.Duration {
 	done := at.progress - at.initialProgress
 	if done <= 0 {
--- a/internal/sched/stall_test.go
+++ b/internal/sched/stall_test.go
@@ -11,7 +11,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// TestStalledAttemptsAreRetriedElsewhere has each task's first attempt make no progress.
+// TestStalledAttemptsAreRetriedElsewhere has each task's first attempt run for an hour, which
+// shows as no progress: its second attempt succeeds.
 func TestStalledAttemptsAreRetriedElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 6)
@@ -31,7 +32,8 @@
 	})
 }
 
-// TestSlowAttemptsAreNotStalled has tasks take eight times as long as estimated.
+// TestSlowAttemptsAreNotStalled has tasks take eight times as long as estimated: their first
+// attempts succeed.
 func TestSlowAttemptsAreNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -46,7 +48,7 @@
 	})
 }
 
-// TestHeldFillersAreNotStalled has a filler that makes no progress as its pace is 0.
+// TestHeldFillersAreNotStalled has a filler make no progress because its pace is 0.
 func TestHeldFillersAreNotStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pf := newPacingFixture(t, 1)
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -16,8 +16,8 @@
 
 // TestStopsReserveTheCapacityTheyCount guards against nine tasks that are stopped to move into
 // free capacity for one. A worker is evacuated while there is capacity elsewhere for one task,
-// which takes 0.8 s to stop. Each check counted that capacity as free again and stopped
-// another task for it, so eight long-running tasks waited for capacity.
+// and a stop takes 0.8 s. If each check counts that capacity as free until the stopped task
+// takes it, it stops another task for it, and eight long-running tasks wait for capacity.
 func TestStopsReserveTheCapacityTheyCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -41,8 +41,8 @@
 
 var errStopLost = errors.New("no answer to the stop")
 
-// TestLostStopsAreSentAgain guards against a task that stays on a worker which leaves, and is
-// down for the length of a lease, because its order to stop was lost and not repeated.
+// TestLostStopsAreSentAgain guards against a task whose order to stop was lost and not
+// repeated: it stays on a worker that leaves, and does not run for the length of a lease.
 func TestLostStopsAreSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -91,8 +91,8 @@
 	})
 }
 
-// TestLostStopOfAMoveIsSentAgain guards against a filler that is to move, whose order to stop
-// is lost, and that stays where it is at its reduced pace.
+// TestLostStopOfAMoveIsSentAgain guards against a held filler that is to move, whose order to
+// stop is lost and not repeated, so that it stays where it is at its reduced pace.
 func TestLostStopOfAMoveIsSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 1)
--- a/internal/sched/stuck.go
+++ b/internal/sched/stuck.go
@@ -31,8 +31,8 @@
 	// obstacleIsolation: it is suspected of crashing workers and waits for a worker where it
 	// runs isolated, or spread from other such tasks.
 	obstacleIsolation obstacle = "trial"
-	// obstacleCapacity, obstaclePlacement, obstacleOrder and obstacleStore are the texts of
-	// the corresponding values of Cause.
+	// obstacleCapacity, obstaclePlacement, obstacleOrder and obstacleStore equal the names of
+	// CauseRoom, CausePlace, CauseOrder and CauseStore.
 	obstacleCapacity  obstacle = "room"
 	obstaclePlacement obstacle = "place"
 	obstacleOrder     obstacle = "order"
@@ -44,6 +44,7 @@
 	obstacleStopping obstacle = "stopping"
 )
 
+// obstacles has all values, for the gauges.
 var obstacles = []obstacle{
 	obstacleBackoff, obstacleIsolation, obstacleCapacity, obstaclePlacement, obstacleOrder, obstacleStore, obstacleUnresponsive, obstacleStopping,
 }
@@ -161,7 +162,7 @@
 }
 
 // obstacle returns why an attempt that is assumed to run may not be running, and since
-// when; an empty string if nothing suggests it.
+// when, or an empty string if nothing suggests that it is not.
 func (at *attempt) obstacle() (obstacle, time.Time) {
 	switch {
 	case !at.wk.failingSince.IsZero():
@@ -174,7 +175,7 @@
 	return "", time.Time{}
 }
 
-// formatLongest formats the jobs with the longest waits.
+// formatLongest formats the jobs with the longest waits, stuckJobsLogged at most.
 func formatLongest(list []stuckJob) string {
 	slices.SortFunc(list, func(a, b stuckJob) int {
 		return cmp.Or(cmp.Compare(b.wait, a.wait), cmp.Compare(a.tj.jo.ID, b.tj.jo.ID))
--- a/internal/sched/successiveowners_test.go
+++ b/internal/sched/successiveowners_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// killWorkerAndOwner kills a busy worker and then its owner.
+// killWorkerAndOwner kills a busy worker and then the given host, which owns the cell.
 func (cl *cluster) killWorkerAndOwner(ch *clusterHost) {
 	cl.fleet.Kill(cl.busyWorker())
 	ch.kill()
@@ -168,8 +168,8 @@
 
 // TestWorkerPolledWithoutExtendingLease guards against a task that runs twice. A new owner
 // that the store no longer confirms polls a worker once, extends no lease, and loses the
-// connection again. That it has granted no lease itself does not mean that the worker's
-// leases have expired: one that the former owner granted may still run.
+// connection again. Although it has granted no lease itself, one that the former owner granted
+// may still run.
 func TestWorkerPolledWithoutExtendingLease(t *testing.T) {
 	withThreeHosts(t, func(cl *cluster, first, second, third *clusterHost) {
 		down := standin.Fault{Mode: standin.ModeDown}
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -21,8 +21,9 @@
 	// maxTrialWait is how long a trial may wait until the other attempts on its worker are
 	// past their startup. No new ones start there meanwhile.
 	maxTrialWait = 2 * startupDuration
-	// trialInterval is the time between the choices of workers for the trials of a job. When a
-	// process ends, its connections break off within some 10 ms.
+	// trialInterval is the time between the choices of workers for the trials of a job. It
+	// leaves time to notice a crash before the next choice: when a process ends, its
+	// connections break off within some 10 ms.
 	trialInterval = 300 * time.Millisecond
 	// trialCrashWait is how long the next trial of a job waits while the worker of another one
 	// does not answer: a crashed worker is back after some 3.2 s.
@@ -41,8 +42,8 @@
 
 func (at *attempt) task() *job.Task { return at.tj.jo.Task(at.ref) }
 
-// starting reports whether the attempt may still be in its startup. If the worker had crashed
-// since, its polls would fail.
+// starting reports whether the attempt may still be in its startup. While polls of its worker
+// fail it may be: only a successful poll shows that the worker did not crash in that time.
 func (at *attempt) starting(now time.Time) bool {
 	if !at.wk.failingSince.IsZero() {
 		return true
@@ -50,7 +51,7 @@
 	return at.inheritedRunTime < startupDuration && (at.launchedAt.IsZero() || now.Sub(at.launchedAt) < startupDuration)
 }
 
-// endTrial allows other attempts to start again on the worker after the isolated one.
+// endTrial ends the trial of an attempt on the worker, so that others may start there again.
 func (wk *workerState) endTrial(at *attempt) {
 	if wk.trial != nil && wk.trial.at == at {
 		wk.trial = nil
@@ -58,7 +59,7 @@
 	}
 }
 
-// tickTrial ends a trial whose attempt is past its startup, or that will not start.
+// tickTrial ends a trial whose attempt is past its startup, or that cannot start any more.
 func (wk *workerState) tickTrial(now time.Time) {
 	tr := wk.trial
 	switch {
@@ -100,7 +101,8 @@
 }
 
 // placeSuspect starts a suspect task on the worker where the fewest other attempts would be
-// affected by another crash, see [placer.leastOccupied].
+// affected by another crash, see [placer.leastOccupied], or isolated if the next crash would
+// make the task be given up.
 func (pl *placer) placeSuspect(tj *trackedJob, ref job.TaskRef) {
 	if tj.jo.Task(ref).Isolated() {
 		pl.placeIsolated(tj, ref)
@@ -154,7 +156,8 @@
 	return ca.wk
 }
 
-// startSuspect starts a suspect task and logs the conditions.
+// startSuspect starts a suspect task, and logs what else runs on the worker. how is "apart"
+// for a task that is spread and "alone" for one that is isolated.
 func (pl *placer) startSuspect(tj *trackedJob, ref job.TaskRef, ca *candidate, how string) {
 	oc := ca.wk.occupancy(pl.now)
 	pl.ow.Metrics.Add(telemetry.SuspectStarts, 1, "how", how)
@@ -185,6 +188,7 @@
 // occupancy counts the attempts that a crash of a worker would end.
 type occupancy struct{ starting, services, attempts int }
 
+// occupancy counts the worker's attempts.
 func (wk *workerState) occupancy(now time.Time) occupancy {
 	oc := occupancy{services: len(wk.services), attempts: len(wk.attempts)}
 	for at := range wk.attempts {
@@ -195,6 +199,8 @@
 	return oc
 }
 
+// compare orders workers by the attempts that a crash would end: first by those in their
+// startup, then by those with a latency target, then by all.
 func (oc occupancy) compare(other occupancy) int {
 	return cmp.Or(cmp.Compare(oc.starting, other.starting), cmp.Compare(oc.services, other.services), cmp.Compare(oc.attempts, other.attempts))
 }
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -90,8 +90,8 @@
 }
 
 // TestProofsAreWritten checks that the row of a job with long-running tasks says that they
-// got past their start, and later that they have run for long, at the cost of a few extra
-// writes. Short tasks must cost no extra write.
+// are past their startup, and later that they have run for crashBlameLimit, at the cost of a
+// few extra writes. Short tasks must cost no extra write.
 func TestProofsAreWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 10)
@@ -127,7 +127,7 @@
 // with their owners, each after the tasks ran for some seconds, and checks that no task is
 // given up.
 func TestHealthyTasksNotGivenUpOverTakeovers(t *testing.T) {
-	proptest.Check(t, proptest.Size{Checks: takeoverScripts}, func(rt *rapid.T) {
+	proptest.Check(t, proptest.Size{Checks: takeoverRuns}, func(rt *rapid.T) {
 		proptest.InBubble(t, func() {
 			cr := newCrashLab(t, newLab(t, 12))
 			cr.setCrashingJobs()
@@ -159,5 +159,5 @@
 	})
 }
 
-// takeoverScripts is the number of random scripts; PEPPERHATCH_SEED selects others.
-const takeoverScripts = 60
+// takeoverRuns is the number of random sequences; PEPPERHATCH_SEED selects others.
+const takeoverRuns = 60
--- a/internal/sched/timebreakdown.go
+++ b/internal/sched/timebreakdown.go
@@ -55,8 +55,8 @@
 
 // Logging of waits.
 const (
-	// firstWaitLog is how long a job waits before that is logged. The next line follows after
-	// twice that wait, so the number of lines stays small however long a job waits.
+	// firstWaitLog is how long a job waits before that is logged. Each further line follows
+	// after twice the wait of the last, so that a job has few lines however long it waits.
 	firstWaitLog = time.Second
 )
 
@@ -139,12 +139,12 @@
 		return
 	}
 	tj.timeBreakdown.nextWaitLog = 2 * wait
-	lack := tj.currentCause(ow.storeDown())
-	attrs := []slog.Attr{slog.String("for", lack.String()), slog.Duration("wait", wait), slog.Int("tasks", tj.waitingTasks)}
+	ca := tj.currentCause(ow.storeDown())
+	attrs := []slog.Attr{slog.String("for", ca.String()), slog.Duration("wait", wait), slog.Int("tasks", tj.waitingTasks)}
 	if tj.jo.LongRunning() {
 		attrs = append(attrs, slog.Int("again", tj.waitingInterrupted(tj.waitingStep())))
 	}
-	if step := tj.waitingStep(); lack == CauseRoom && step >= 0 {
+	if step := tj.waitingStep(); ca == CauseRoom && step >= 0 {
 		attrs = append(attrs, ow.findShortage(tj, step, now).attrs()...)
 	}
 	if !tj.jo.LongRunning() {
--- a/internal/sched/timebreakdown_test.go
+++ b/internal/sched/timebreakdown_test.go
@@ -43,7 +43,7 @@
 	return list
 }
 
-// newLoggedLab returns a lab whose log is retained.
+// newLoggedLab returns a lab and the lines of its log.
 func newLoggedLab(t *testing.T, workers int) (*lab, *logLines) {
 	t.Helper()
 	la, ll := newLab(t, workers), &logLines{}
@@ -98,10 +98,10 @@
 	})
 }
 
-// TestWaitingLongRunningTasksAreLogged guards against services that do not run and whose log
-// lines end at "attempt ended .. its leases have lapsed". Relayed workers stop answering,
-// leases there lapse, and the other workers have no capacity. Only jobs that end by themselves
-// had log lines while their tasks waited.
+// TestWaitingLongRunningTasksAreLogged guards against services that do not run, and of which
+// the log says nothing after "attempt ended .. its leases have lapsed". Relayed workers stop
+// answering, leases there lapse, and the other workers have no capacity. The waits of
+// long-running tasks must be logged like those of other tasks.
 func TestWaitingLongRunningTasksAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ll, ur := newRelayedLab(t)
--- a/internal/sched/trackedjob.go
+++ b/internal/sched/trackedjob.go
@@ -29,7 +29,7 @@
 	progressVersion int64
 	// specStored is set while the store has the job's spec row.
 	specStored bool
-	// writtenState is the state last written, empty before the first write.
+	// writtenState is the job's state as last written, empty before the first write.
 	writtenState job.State
 	// dirty is set while a change waits to be written, writing while a write is in flight.
 	dirty, writing bool
@@ -37,13 +37,13 @@
 	proofDue time.Time
 	// removing is set once the rows are to be removed.
 	removing bool
-	// onWritten are called once the present state is written.
+	// onWritten are called once the current state is written.
 	onWritten []func()
 	// waiters are the callers that submitted the job and wait for its first write.
 	waiters []func(Verdict)
 	// waitingTasks counts the tasks that may start now.
 	waitingTasks int
-	// waitingSince is since when there have been such tasks without one starting.
+	// waitingSince is since when there have been such tasks without interruption.
 	waitingSince time.Time
 	// attempts has the attempts that run, or may run.
 	attempts map[job.TaskRef]*attempt
@@ -51,7 +51,7 @@
 	unowned []job.TaskRef
 	// failedOn has the workers on which a task of the job failed.
 	failedOn map[worker.Incarnation]bool
-	// tracks has the load history of the steps that serve, by index.
+	// tracks has the load history of the steps that run services, by index.
 	tracks map[int]*interfere.Track
 	// endedAt is when the owner found the job in a final state.
 	endedAt time.Time
--- a/internal/sched/unlisted.go
+++ b/internal/sched/unlisted.go
@@ -8,15 +8,16 @@
 	// disappeared. Workers re-register within about 2 s of the end of a store outage, and the
 	// feed and the owner's loop take up to one second more.
 	entryReturnWait = 3 * time.Second
-	// listStaleAfter is the age from which the list counts as unread: a read waits up to 1.5
-	// s for a change, and the next read can take as long.
+	// listStaleAfter is the age from which the list counts as not being read: a read waits
+	// up to 1.5 s for a change, and the next read can take as long.
 	listStaleAfter = 3500 * time.Millisecond
 	// unconfirmedAfter is the maximum age of the last heartbeat that the store accepted and
 	// of its last confirmation of the tenure. A heartbeat is written every 0.5 s, and a write
 	// takes up to 1.5 s before it is sent again.
 	unconfirmedAfter = 2 * time.Second
 	// doubtDuration is how long a list is doubted that has less than half of its former
-	// workers. The entry hosts' list of `serve` uses the same duration.
+	// workers. It equals the time for which the entry hosts' filter of the platform's list,
+	// store.ListFilter, keeps hosts that are missing from such a list.
 	doubtDuration = 30 * time.Second
 )
 
@@ -61,14 +62,15 @@
 }
 
 // storeUnhealthy reports whether the store does not serve the owner. In that case entries
-// expire although their workers are healthy. The store may answer reads and accept no writes.
+// may expire although their workers are healthy. Reads and writes are checked separately, as
+// the store may answer reads and accept no writes.
 func (ow *Owner) storeUnhealthy(now time.Time) bool {
 	return !ow.writesFailingSince.IsZero() || ow.listAge(now) > listStaleAfter ||
 		now.Sub(ow.Tenure.Confirmed()) > unconfirmedAfter || now.Sub(ow.Tenure.HeartbeatWritten()) > unconfirmedAfter
 }
 
 // listReliable reports whether the list of workers has been reliable for so long that a
-// worker without an entry was removed.
+// worker without an entry counts as removed from it on purpose.
 func (ow *Owner) listReliable(now time.Time) bool {
 	return !ow.listTrust.doubted && now.Sub(ow.listTrust.untrustedAt) > entryReturnWait
 }
--- a/internal/sched/unlisted_test.go
+++ b/internal/sched/unlisted_test.go
@@ -157,7 +157,8 @@
 	})
 }
 
-// TestNothingStartsWithoutAnEntry has a job wait while no worker has an entry.
+// TestNothingStartsWithoutAnEntry has a job wait while no worker has an entry, and running
+// tasks go on meanwhile.
 func TestNothingStartsWithoutAnEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLongRunningLab(t, 3, 6)
@@ -172,8 +173,8 @@
 	})
 }
 
-// TestShortTasksAreNotEvacuated removes the entry of a worker that runs tasks which end
-// within 8 s.
+// TestShortTasksAreNotEvacuated removes the entry of a worker that runs tasks which end by
+// themselves within 8 s: they end there.
 func TestShortTasksAreNotEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -324,7 +325,7 @@
 }
 
 // TestEntryReturnsWithinWait removes an entry repeatedly for a little less than
-// [entryReturnWait], without a visible store outage.
+// [entryReturnWait], without a visible store outage: no task is moved.
 func TestEntryReturnsWithinWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la, ow := newLongRunningLab(t, 3, 12)
--- a/internal/sched/usage.go
+++ b/internal/sched/usage.go
@@ -10,16 +10,17 @@
 
 // Parameters for the usage that workers report.
 const (
-	// usageWindow is the interval that a worker's reported usage covers.
+	// usageWindow is the interval that a worker's reported usage covers: processor time, or
+	// the tail latency of services.
 	usageWindow = 500 * time.Millisecond
 	// steadyPaceAfter is how long after a change of pace a filler's reported usage covers
 	// the new pace only.
 	steadyPaceAfter = usageWindow + 200*time.Millisecond
-	// minUses and maxUses bound the part of its declared processor time that a filler is
-	// assumed to use, usesSmoothing is the weight of a new report in that estimate.
-	minUses       = 0.3
-	maxUses       = 1.2
-	usesSmoothing = 0.5
+	// minCPUShare and maxCPUShare bound the part of its declared processor time that a filler
+	// is assumed to use, cpuShareSmoothing is the weight of a new report in that estimate.
+	minCPUShare       = 0.3
+	maxCPUShare       = 1.2
+	cpuShareSmoothing = 0.5
 )
 
 // fillerStats tracks the processor time that fillers use on a worker, and values that placement
@@ -85,12 +86,12 @@
 	if !at.step().Filler || at.usage <= 0 || at.pace < fullPace || now.Sub(at.pacedAt) < steadyPaceAfter || now.Sub(at.launchedAt) < steadyPaceAfter {
 		return
 	}
-	uses := min(max(share(at.usage, at.step().Each.MilliCores), minUses), maxUses)
+	cpuShare := min(max(share(at.usage, at.step().Each.MilliCores), minCPUShare), maxCPUShare)
 	if at.cpuShare == 0 {
-		at.cpuShare = uses
+		at.cpuShare = cpuShare
 		return
 	}
-	at.cpuShare += usesSmoothing * (uses - at.cpuShare)
+	at.cpuShare += cpuShareSmoothing * (cpuShare - at.cpuShare)
 }
 
 // usedShares returns the shares of the worker's processors that fillers used in the window
@@ -157,7 +158,7 @@
 	wk.adjustPaces(got)
 }
 
-// predictionHorizon returns how far ahead control predicts the load.
+// predictionHorizon returns how far ahead the load of services is predicted.
 func (ow *Owner) predictionHorizon() time.Duration {
 	if !ow.enabled(MechTrend) {
 		return 0
--- a/internal/sched/window.go
+++ b/internal/sched/window.go
@@ -4,20 +4,20 @@
 
 // Parameters of the start window.
 const (
-	// initialWindow, maxWindow and minWindow are in starts. With a write of 15 ms and an
-	// order of 10 ms, a window of 256 allows about 10,000 starts a second.
+	// initialWindow, maxWindow and minWindow are numbers of starts in flight. With a write of
+	// 15 ms and an order of 10 ms, a window of 256 allows about 10,000 starts a second.
 	initialWindow = 256
 	maxWindow     = 1024
 	minWindow     = 12
 	// slowAnswer is the time from which an answer to an order counts as slow: 50 times the
 	// usual time, and more than half of the timeout.
 	slowAnswer = 250 * time.Millisecond
-	// slowShare is the share of slow answers, averaged over about slowSamples of them, from
-	// which the window shrinks. It ignores slow answers of one worker or a few.
+	// slowShare is the share of slow answers, averaged over about slowSamples answers, from
+	// which the window shrinks. It is so high that one slow worker, or a few, do not shrink it.
 	slowShare   = 0.3
 	slowSamples = 16
 	// shrinkInterval is the minimum time between two reductions, which is how long one takes
-	// to show an effect. shrinkFactor is what is multiplied into the window each time.
+	// to show an effect. The window is multiplied by shrinkFactor each time.
 	shrinkInterval = 250 * time.Millisecond
 	shrinkFactor   = 0.6
 )
@@ -28,7 +28,10 @@
 // grows while they are not. The zero value is ready.
 type startWindow struct {
 	inFlight int
-	size     float64
+	// size is the size of the window in starts, 0 before the first answer.
+	size float64
+	// slowRate is the moving average of the share of slow answers, shrunkAt when the window
+	// last shrank.
 	slowRate float64
 	shrunkAt time.Time
 }
@@ -43,7 +46,7 @@
 	return int(sw.size)
 }
 
-// recordAnswer adds the duration of an answer, and reports whether the window shrank.
+// recordAnswer adjusts the window to how long an answer took, and reports whether it shrank.
 func (sw *startWindow) recordAnswer(took time.Duration, now time.Time) bool {
 	slow := 0.0
 	if took >= slowAnswer {
--- a/internal/sched/workers_test.go
+++ b/internal/sched/workers_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestWorkerLostForGood guards against long-running tasks of a killed worker that do not start
-// again elsewhere, all within the leases, the margins and a second.
+// again elsewhere soon after their leases have lapsed.
 func TestWorkerLostForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
@@ -181,8 +181,8 @@
 }
 
 // TestStoreUnavailable guards against jobs that are accepted, lost or run twice when the store
-// takes no writes for 10 s. Jobs handed in meanwhile must be refused at once, with a time to
-// retry after.
+// accepts no writes for 10 s. Once the owner knows of the outage, jobs submitted must be
+// refused at once, with a time after which to retry.
 func TestStoreUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
@@ -323,8 +323,8 @@
 	})
 }
 
-// TestOwnersChangeWhileAWorkerIsLost guards against waits for leases that begin anew with each
-// of two handovers after workers were lost: what is known of the leases must be passed on.
+// TestOwnersChangeWhileAWorkerIsLost guards against waits for the leases of lost workers that
+// begin anew with each of two handovers: each owner must pass on when the leases lapse.
 func TestOwnersChangeWhileAWorkerIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 3)
--- a/internal/sched/workerstate.go
+++ b/internal/sched/workerstate.go
@@ -39,8 +39,8 @@
 	WorkerEntry
 
 	ow *Owner
-	// path is the current path to the worker, direct or through a relay. Goroutines that send
-	// orders read it concurrently.
+	// path is the current path to the worker; goroutines that send orders read it concurrently.
+	// incarnation is that of the entry, or with the start time that an answer has reported.
 	path        atomic.Pointer[path]
 	incarnation worker.Incarnation
 	// firstSeen is when the worker was added, formerIncarnations are those that former owners'
@@ -79,16 +79,15 @@
 	unresponsive bool
 	// noContactSince is when the worker became unresponsive or unsettled, or zero.
 	noContactSince time.Time
-	// endsHandled is the number of the last end handled, endsAcked that of the last durable
-	// one.
+	// endsHandled is the number of the last end handled; up to endsAcked all are durable.
 	endsHandled, endsAcked int64
 	// lastPollHadEnds is set if the last successful poll listed ended attempts. ackWithheld is
-	// set if the next poll could have acknowledged some of them and does not.
+	// set if the poll sent after it did not acknowledge them.
 	lastPollHadEnds, ackWithheld bool
-	// undurableEnds counts the ends that are not written yet.
+	// undurableEnds counts the handled ends that are not written yet.
 	undurableEnds int
-	// pollWake starts the next poll after a successful one, pathChanged the next poll after a
-	// failed one.
+	// pollWake makes the poll loop send the next poll early after a successful one,
+	// pathChanged after a failed one.
 	pollWake    chan struct{}
 	pathChanged chan struct{}
 	// attempts are the attempts that run here, or may run here.
@@ -122,9 +121,9 @@
 	fillers                fillerStats
 }
 
-// SetWorkers applies entries of the platform's list of workers and removes those with the ids
-// in removed. If complete is set, entries is the whole list, and all other workers are
-// unlisted.
+// SetWorkers applies entries of the platform's list of workers, and marks the workers with the
+// ids in removed as unlisted. If complete is set, entries is the whole list, and all other
+// workers are marked as unlisted too.
 func (ow *Owner) SetWorkers(entries []WorkerEntry, removed []string, complete bool) {
 	ow.post(func() { ow.setWorkers(entries, removed, complete) })
 }
@@ -259,7 +258,7 @@
 	wk.stopPolling()
 	if ow.DroppedFunc != nil {
 		ow.DroppedFunc(wk.incarnation)
-		// The path was chosen by the incarnation in the entry, which may differ.
+		// ViaFunc chose the path for the incarnation in the entry, which may differ.
 		if wk.Incarnation != wk.incarnation {
 			ow.DroppedFunc(wk.Incarnation)
 		}
@@ -432,10 +431,10 @@
 	return now.After(ow.formerLeasesUntil(incarnation))
 }
 
-// formerLeasesUntil returns when these attempts have ended at the latest: when the former owner
-// stated as it released the cell, even if that is later than its own leases, or else a lease
-// after the last moment at which a former owner can have extended one, but not later than the
-// bound on all leases that former owners can claim.
+// formerLeasesUntil returns when these attempts have ended at the latest: at the time that the
+// former owner stated when it released the cell, even if its own leases end earlier. Otherwise
+// it is a lease after the last moment at which a former owner can have extended one, or the
+// latest end of the leases of former owners if these are bounded and that is earlier.
 func (ow *Owner) formerLeasesUntil(incarnation worker.Incarnation) time.Time {
 	if ms, ok := ow.Tenure.Former.LeaseLapseMS[incarnation.String()]; ok {
 		return ow.startedAt.Add(time.Duration(ms)*time.Millisecond + lapseMargin)
@@ -471,8 +470,8 @@
 	return extended, lapsed
 }
 
-// minDriftDuration returns how long a period may be by a slow clock so that it is surely over
-// once d has passed by a fast one.
+// minDriftDuration returns the longest period by a slow clock that is certainly over once d
+// has passed by a fast one.
 func minDriftDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 - clockDrift) / (1 + clockDrift))
 }
