--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -159,7 +159,7 @@
 	i := rapid.IntRange(0, len(fr.fleetWorkers)-1).Draw(fr.rt, "worker")
 	former, fw := fr.workerEntries()[i], fr.fleetWorkers[i]
 	fr.fleet.Kill(fw)
-	downFor := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(fr.rt, "down for ms")) * time.Millisecond
+	downFor := time.Duration(rapid.SampledFrom([]int{0, 50, 1000, 5000}).Draw(fr.rt, "away")) * time.Millisecond
 	if fr.fleet.ApplyAckToLaterEnds {
 		// A poll acknowledges ends up to ackWithin after an answer, and may take up to
 		// pollGrace more to reach the process that then runs.
--- a/internal/sched/stops_test.go
+++ b/internal/sched/stops_test.go
@@ -16,8 +16,9 @@
 
 // TestStopsReserveTheCapacityTheyCount guards against nine tasks that are stopped to move into
 // free capacity for one. A worker is evacuated while there is capacity elsewhere for one task,
-// and a stop takes 0.8 s. If each check counts that capacity as free until the stopped task
-// takes it, it stops another task for it, and eight long-running tasks wait for capacity.
+// and a stop takes 0.8 s, as that of a task which writes a checkpoint. If each check counts
+// that capacity as free until the stopped task takes it, it stops another task for it, and
+// eight long-running tasks wait for capacity.
 func TestStopsReserveTheCapacityTheyCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		la := newLab(t, 2)
