--- a/internal/store/hosts.go
+++ b/internal/store/hosts.go
@@ -8,7 +8,7 @@
 	"github.com/pepperhatch/pepperhatch/internal/wire"
 )
 
-// HostKind says what a host of the list runs.
+// HostKind is what a host of the list runs.
 type HostKind string
 
 // The kinds of hosts.
@@ -32,7 +32,7 @@
 	ID string `json:"id"`
 	// Kind is what the host runs.
 	Kind HostKind `json:"kind"`
-	// Addr is the host's IP number and port.
+	// Addr is the host's IP address and port.
 	Addr string `json:"addr"`
 	// DC is the host's data centre.
 	DC string `json:"dc"`
--- a/internal/store/listfilter.go
+++ b/internal/store/listfilter.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// implausibleFor is how long a list is held back that lacks most hosts of the list
-// before.
+// implausibleFor is how long a list that lacks most hosts of the previous list is not
+// used.
 const implausibleFor = 30 * time.Second
 
 // ListFilter keeps hosts in service when a host list lacks most of them at once: that is
@@ -15,7 +15,7 @@
 }
 
 // Accept takes the list just read and returns the list to use. While the new list is
-// implausible, that is the list before, updated with the entries that the new one has.
+// implausible, that is the previous list, updated with the entries of the new one.
 func (lf *ListFilter) Accept(next []Host) []Host {
 	now := time.Now()
 	if !lf.implausible(next) {
@@ -34,7 +34,8 @@
 	return mergeHosts(lf.last, next)
 }
 
-// implausible reports whether most hosts of a kind are missing.
+// implausible reports whether most hosts of a kind, and more than one, are missing from a
+// list.
 func (lf *ListFilter) implausible(next []Host) bool {
 	listed := map[string]bool{}
 	for _, ho := range next {
--- a/internal/store/listfilter_test.go
+++ b/internal/store/listfilter_test.go
@@ -28,19 +28,19 @@
 		// A few missing hosts are accepted at once.
 		c.Assert(lf.Accept(full[1:]), qt.HasLen, 19)
 		c.Assert(lf.Accept(full), qt.HasLen, 20)
-		// An empty list, or one without any worker, is not.
+		// An empty list, or one without any worker, is not accepted.
 		c.Assert(lf.Accept(nil), qt.HasLen, 20)
 		c.Assert(lf.Accept(full[:10]), qt.HasLen, 20)
-		// The entries that it has are used.
+		// The entries of an implausible list are used.
 		left := hosts(store.KindRunner, 1)
 		left[0].State = store.HostLeaving
 		c.Assert(lf.Accept(left)[0].State, qt.Equals, store.HostLeaving)
 		c.Assert(lf.Accept(left), qt.HasLen, 20)
-		// After a complete list, the time starts anew.
+		// A complete list resets the time.
 		c.Assert(lf.Accept(full), qt.HasLen, 20)
 		time.Sleep(time.Minute)
 		c.Assert(lf.Accept(nil), qt.HasLen, 20)
-		// A list that stays the same is accepted in the end.
+		// A list that stays implausible is accepted in the end.
 		time.Sleep(time.Minute)
 		c.Assert(lf.Accept(nil), qt.HasLen, 0)
 	})
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -20,8 +20,8 @@
 	// because a slow store takes up to 0.5 s for each page.
 	maxPageRows = 1000
 	minPageRows = 4
-	// pageTimeout bounds one page: 4 ms in normal operation, up to 120 times that at a
-	// slow store, plus the time of its bytes over a link that other traffic fills.
+	// pageTimeout bounds the time for one page: 4 ms in normal operation, up to 120 times
+	// that with a slow store, plus the transfer over a link that other traffic fills.
 	pageTimeout = 3 * time.Second
 	// pageHedgeDelay is the time without an answer after which a page is requested a
 	// second time, on another connection. It is longer than the 0.5 s of a slow store.
@@ -31,13 +31,12 @@
 	pageShrinkFactor = 8
 	// fastPage is the time below which the next page has twice as many rows.
 	fastPage = pageTimeout / 3
-	// maxTimeouts is the number of timeouts in a row of a page of the least size after
+	// maxTimeouts is the number of consecutive timeouts of a page of minPageRows after
 	// which the list fails.
 	maxTimeouts = 2
 	// maxPageErrors bounds the errors other than timeouts of one page, and errorDelay is
-	// the delay after each. The very first request of a list is not repeated after such
-	// an error. A closed connection has to be reopened, which takes 0.4 s over a full
-	// link.
+	// the delay after each, since reopening a closed connection takes 0.4 s over a full
+	// link. The first request of a list is not repeated after such an error.
 	maxPageErrors = 5
 	errorDelay    = 200 * time.Millisecond
 )
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -15,8 +15,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/proptest"
 )
 
-// slowTable returns a table of rows with one prefix. It takes the time each for every
-// row that it returns, at most capped rows a call.
+// slowTable returns a table of rows with one prefix. A call returns at most capped rows
+// and takes the time each per row.
 func slowTable(rows, capped int, each time.Duration) Table {
 	return Table{ReadFunc: func(ctx context.Context, req ReadRequest) (ReadReply, error) {
 		from := 0
@@ -51,7 +51,7 @@
 			for i, row := range got {
 				qt.Assert(t, row.Key, qt.Equals, fmt.Sprintf("a/%06d", i))
 			}
-			// The first page, and a smaller one each after it, may time out.
+			// The first page may time out, and so may each smaller one tried after it.
 			qt.Assert(t, time.Since(began) <= time.Duration(rows)*each+4*pageTimeout, qt.IsTrue, qt.Commentf("%v", time.Since(began)))
 		})
 	})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -286,8 +286,8 @@
 		backoff.WithBackOff(tbl.backOff()), backoff.WithMaxElapsedTime(0))
 }
 
-// settleAttemptTimeout bounds one attempt, so that a frozen table does not use up the
-// caller's time in a single attempt.
+// settleAttemptTimeout bounds one attempt, so that a single attempt at a frozen table does
+// not use up the caller's time.
 const settleAttemptTimeout = 2 * time.Second
 
 func (tbl Table) backOff() backoff.BackOff {
--- a/internal/transport/change_delay_test.go
+++ b/internal/transport/change_delay_test.go
@@ -41,7 +41,8 @@
 	hc      *http.Client
 	// answerDelay is the store's time for an answer, a [time.Duration].
 	answerDelay atomic.Value
-	// released ends a request to /hold. version is the version of the row last reported.
+	// Each element sent to released ends a request to /hold. version is the version of
+	// the row last reported.
 	released chan struct{}
 	version  atomic.Int64
 }
@@ -67,7 +68,7 @@
 		defer func() {
 			fo.hc.CloseIdleConnections()
 			end()
-			// Answers in flight end.
+			// Let answers in flight end.
 			time.Sleep(time.Second)
 		}()
 		fo.change()
@@ -123,7 +124,7 @@
 
 // TestOneChangeAfterSilence silences all connections to the store, some of them never
 // used, and makes one change soon after. The change must be in force within
-// maxChangeDelay, without a later change that would bring it along.
+// maxChangeDelay even if no later change follows.
 //
 // It guards against the failure of TestUnusedConnectionsAreClosedAfterTimeout. One
 // connection that was never used delayed the change by up to 5.18 s here, and five by
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -15,7 +15,7 @@
 type connState string
 
 // The states. An unused connection was opened for a request that another connection
-// served first. net/http keeps it, and it may be as silent as the others.
+// served first. net/http keeps it, and it may have gone silent like the others.
 const (
 	unused connState = "unused"
 	idle   connState = "idle"
@@ -38,10 +38,10 @@
 }
 
 // abandonUnlessBusy marks the connection as abandoned unless a request holds it, and returns its
-// state before. The state follows which connections net/http hands out, not reads and
-// writes. By reads and writes a connection that was never used looks busy and costs the
-// next request 3 s (five of them delay a change by 16.4 s), and one whose answer is
-// still coming looks idle.
+// state before. The state depends on which connections net/http hands out, not on reads
+// and writes: by those, a connection that was never used looks busy, and one whose
+// answer is still coming looks idle. A silent unused connection that is not closed costs
+// the next request 3 s, and five of them delay a change by 16.4 s.
 func (co *conn) abandonUnlessBusy() connState {
 	co.mu.Lock()
 	defer co.mu.Unlock()
--- a/internal/transport/hedged.go
+++ b/internal/transport/hedged.go
@@ -17,8 +17,8 @@
 	// answered or all have failed.
 	results  chan result
 	finished chan struct{}
-	// cancels has the cancel functions of all copies, and pending is the number without
-	// a result.
+	// cancels has the cancel functions of all copies, and pending is the number of copies
+	// without a result.
 	cancels []context.CancelFunc
 	pending int
 	// err is the error of the first copy, or of another one until the first has failed.
@@ -41,10 +41,10 @@
 }
 
 // run returns the first answer, or an error if there is none. Without hedging, a call on
-// a connection that went silent uses up its whole deadline: 3 s for a page, in which a
-// host has to be up to date. A change was then in force 3.01 s after the end of a
-// network fault, and 1.45 s after it with a second request after 0.6 s (the longest in
-// 2175 simulated faults).
+// a silent connection uses up its whole deadline, which is 3 s for a page, and a host has
+// to be up to date within 3 s of a network fault. In 2175 simulated faults a change was in
+// force at most 3.01 s after the end of the fault without hedging, and at most 1.45 s
+// after it with a second request after 0.6 s.
 func (hr *hedgedRequest) run(req *http.Request) (*http.Response, error) {
 	defer close(hr.finished)
 	hr.send(hr.ro.Transport, req)
@@ -105,7 +105,7 @@
 }
 
 // finish cancels all other copies. If a copy on a new connection was faster, the
-// connection before it is silent, and the idle ones are likely to be silent too.
+// connection of the copy before it may be silent, and the idle ones too.
 func (hr *hedgedRequest) finish(req *http.Request, re result) *http.Response {
 	hr.cancelExcept(re.index)
 	if re.index > 0 {
--- a/internal/transport/stall_test.go
+++ b/internal/transport/stall_test.go
@@ -40,25 +40,25 @@
 // TestTimeoutInBodyClosesIdleConnections guards against an entry host whose calls to its
 // store time out one after the other after a network fault, once for each connection
 // that was kept. Four connections are kept, an answer has begun on one, and all go
-// silent. The request's deadline expires while its body is read, so that closing idle
-// connections only after a timeout before the header leaves the next request an idle
-// connection that is silent too.
+// silent. The request's deadline expires while the body of the answer is read. If only a
+// timeout before the header closed idle connections, the next request would take another
+// silent one.
 func TestTimeoutInBodyClosesIdleConnections(t *testing.T) {
 	cl := newTestClient(t)
 	cl.warm()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+cl.line.Addr()+"/half", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+cl.proxy.Addr()+"/half", nil)
 	qt.Assert(t, err, qt.IsNil)
 	resp, err := cl.hc.Do(req)
 	qt.Assert(t, err, qt.IsNil)
 	defer func() { _ = resp.Body.Close() }()
-	qt.Assert(t, cl.line.Blackhole(), qt.Equals, idleConns)
+	qt.Assert(t, cl.proxy.Blackhole(), qt.Equals, idleConns)
 	_, err = io.ReadAll(resp.Body)
 	qt.Assert(t, err, qt.IsNotNil)
 	// The next request must not use another silent connection.
 	qt.Assert(t, cl.get("/", 2*time.Second), qt.IsNil)
-	qt.Assert(t, cl.line.Blackhole(), qt.Equals, 1)
+	qt.Assert(t, cl.proxy.Blackhole(), qt.Equals, 1)
 }
 
 // TestTimeoutDoesNotCutOffOtherAnswers guards against a long list that never completes
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,9 +1,10 @@
 // Package transport has the HTTP client of an entry host for everything outside: other
 // hosts, the platform's store, workers.
 //
-// Connections may go silent for good without a reset, while new ones work. A request on
-// such a connection detects it by its deadline, but idle connections of the same age may
-// be silent too, and each would cost the next request its deadline. So when a request to
+// A connection may go silent: it delivers nothing any more and is not reset, while new
+// connections work. A request on such a connection detects it by its deadline, but idle
+// connections of the same age may be silent too, and each would cost the next request its
+// deadline. So when a request to
 // an address times out, before or within its answer, all connections to that address
 // that no request holds are closed. Those in use are left to the deadlines of their
 // requests. Where that takes too long, package hedge lets the request be sent again.
@@ -35,8 +36,9 @@
 // dialFunc opens a connection to an address.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// NewClient returns a client that keeps up to idle connections to each address, and logs
-// those that it closes after a timeout. A nil log logs nothing.
+// NewClient returns a client that keeps at most the given number of idle connections to
+// each address, and logs those that it closes after a timeout. With a nil log it logs
+// nothing.
 func NewClient(idle int, log *slog.Logger) *http.Client {
 	di := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	return newClient(idle, log, di.DialContext)
@@ -66,7 +68,8 @@
 	fresh *http.Transport
 	log   *slog.Logger
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// byAddr holds the open connections by address.
 	byAddr map[string]map[*conn]bool
 }
 
@@ -176,7 +179,7 @@
 }
 
 // closeIdle closes the connections to an address that no request holds, as some of them
-// are silent.
+// may be silent.
 func (ro *roundTripper) closeIdle(addr, why string) {
 	ro.mu.Lock()
 	var closing []*conn
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -16,11 +16,11 @@
 // idleConns is the number of connections that are kept.
 const idleConns = 4
 
-// testClient is a client of a server behind a line that can go silent.
+// testClient is a client of a server behind a proxy whose connections can go silent.
 type testClient struct {
-	t    *testing.T
-	hc   *http.Client
-	line *standin.Proxy
+	t     *testing.T
+	hc    *http.Client
+	proxy *standin.Proxy
 	// hold keeps requests to /hold waiting until it is closed.
 	hold chan struct{}
 }
@@ -39,10 +39,10 @@
 	hs := httptest.NewServer(mux)
 	t.Cleanup(hs.Close)
 	t.Cleanup(hs.CloseClientConnections)
-	ln, err := standin.NewProxy(hs.Listener.Addr().String())
+	pr, err := standin.NewProxy(hs.Listener.Addr().String())
 	qt.Assert(t, err, qt.IsNil)
-	t.Cleanup(func() { _ = ln.Close() })
-	cl.line = ln
+	t.Cleanup(func() { _ = pr.Close() })
+	cl.proxy = pr
 	return cl
 }
 
@@ -50,7 +50,7 @@
 func (cl *testClient) get(path string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+cl.line.Addr()+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+cl.proxy.Addr()+path, nil)
 	qt.Assert(cl.t, err, qt.IsNil)
 	resp, err := cl.hc.Do(req)
 	if err != nil {
@@ -73,11 +73,11 @@
 func TestIdleConnectionsAreClosedAfterTimeout(t *testing.T) {
 	cl := newTestClient(t)
 	cl.warm()
-	qt.Assert(t, cl.line.Blackhole(), qt.Equals, idleConns)
+	qt.Assert(t, cl.proxy.Blackhole(), qt.Equals, idleConns)
 	qt.Assert(t, cl.get("/", 200*time.Millisecond), qt.IsNotNil)
 	// The next request must not use another silent connection.
 	qt.Assert(t, cl.get("/", 2*time.Second), qt.IsNil)
-	qt.Assert(t, cl.line.Blackhole(), qt.Equals, 1)
+	qt.Assert(t, cl.proxy.Blackhole(), qt.Equals, 1)
 }
 
 func TestRequestsInFlightAreNotClosed(t *testing.T) {
--- a/internal/transport/unused_test.go
+++ b/internal/transport/unused_test.go
@@ -72,7 +72,7 @@
 			case <-done:
 				return
 			default:
-				ro.closeIdle(cl.line.Addr(), "test")
+				ro.closeIdle(cl.proxy.Addr(), "test")
 			}
 		}
 	})
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,6 +1,6 @@
 // Package watch follows the rows of one prefix of the store's table: it reads all of
 // them, then waits for changes, and reads all again if the table no longer has the
-// changes since.
+// changes since the last version read.
 //
 // Every wait is short and has a deadline, so that a connection that no longer delivers anything
 // cannot hide changes.
@@ -35,7 +35,7 @@
 	// the connection counts as dead. An answer takes 4 ms, and up to 120 times that at a
 	// slow store.
 	answerGrace = 700 * time.Millisecond
-	// maxExtraGraces is the most times that answerGrace is added after failures.
+	// maxExtraGraces bounds how many times answerGrace is added, once per failure in a row.
 	maxExtraGraces = 3
 	// minRetryDelay and maxRetryDelay bound the delay after an error, before jitter.
 	minRetryDelay = 50 * time.Millisecond
@@ -65,6 +65,8 @@
 	// Log receives lost and regained contact.
 	Log *slog.Logger
 
+	// version is the version up to which changes were received. synced is set once all
+	// rows were read, and lost while the store does not answer.
 	version int64
 	synced  bool
 	lost    bool
@@ -111,8 +113,8 @@
 			return
 		}
 		wa.record(sent, err)
-		// A table without the history does answer. With the long delays of an outage
-		// before the next call, all rows were read up to 0.6 s late.
+		// A refusal because the history is lost is an answer too. If it did not reset
+		// the delay, which is long after an outage, all rows would be read up to 0.6 s late.
 		if err == nil || errors.Is(err, store.ErrHistoryGone) {
 			bo.Reset()
 		}
