--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -79,8 +79,8 @@
 
 	// reported holds the last reported state of each job.
 	reported reportedStates
-	// storeRetryAt is the time before which jobs are not written to the store for the
-	// owner, as such a write failed, in nanoseconds since 1970.
+	// storeRetryAt is the time before which this host writes no jobs to the store for the
+	// owner, because such a write failed, in nanoseconds since 1970.
 	storeRetryAt atomic.Int64
 }
 
@@ -237,8 +237,9 @@
 	return 0
 }
 
-// writeIntake writes a row to the intake table, which the owner imports. noEffect is set
-// if no earlier attempt at the request can take effect.
+// writeIntake writes a row to the intake table, which the owner imports. noEffect says
+// that no earlier attempt at the request can take effect, so that a failure here is a
+// definite refusal.
 func (fe *FrontEnd) writeIntake(ctx context.Context, key, id string, row sched.IntakeRow, noEffect bool) sched.Verdict {
 	value, err := json.Marshal(row)
 	if err != nil {
@@ -265,7 +266,7 @@
 }
 
 // unreachableVerdict is the answer if neither the owner nor the store could be reached:
-// refused if nothing tried can take effect, otherwise unknown.
+// refused if nothing that was tried can take effect, otherwise unknown.
 func (fe *FrontEnd) unreachableVerdict(noEffect bool) sched.Verdict {
 	if noEffect {
 		return sched.Verdict{Outcome: sched.Refused, Reason: sched.ReasonUnreachable, RetryAfter: retryAfter}
--- a/internal/frontend/history_test.go
+++ b/internal/frontend/history_test.go
@@ -39,8 +39,8 @@
 	stateRequest  request = "state"
 )
 
-// answer is the answer to a request; outcome is set for changes, state and known for
-// requests of the state.
+// answer is the answer to a request: outcome is that of a submission or a cancellation,
+// state and known are those of a state request.
 type answer struct {
 	outcome sched.Outcome
 	state   job.State
@@ -179,7 +179,8 @@
 	return op, true
 }
 
-// alternateOwnership runs an owner on the host, or none, for half a second each.
+// alternateOwnership runs an owner on the host, or none, for half a second per element of
+// owned.
 func (th *testHost) alternateOwnership(owned []bool) {
 	for _, own := range owned {
 		ctx, end := context.WithTimeout(context.Background(), 500*time.Millisecond)
--- a/internal/frontend/reported_states.go
+++ b/internal/frontend/reported_states.go
@@ -19,15 +19,15 @@
 
 // changed records the state reported of a job, and reports whether it differs from the
 // last one.
-func (ts *reportedStates) changed(id string, state job.State) bool {
-	ts.mu.Lock()
-	defer ts.mu.Unlock()
-	if known, ok := ts.states[id]; ok && known == state {
+func (rs *reportedStates) changed(id string, state job.State) bool {
+	rs.mu.Lock()
+	defer rs.mu.Unlock()
+	if known, ok := rs.states[id]; ok && known == state {
 		return false
 	}
-	if ts.states == nil || len(ts.states) >= maxReportedStates {
-		ts.states = map[string]job.State{}
+	if rs.states == nil || len(rs.states) >= maxReportedStates {
+		rs.states = map[string]job.State{}
 	}
-	ts.states[id] = state
+	rs.states[id] = state
 	return true
 }
--- a/internal/frontend/reported_states_test.go
+++ b/internal/frontend/reported_states_test.go
@@ -10,13 +10,13 @@
 )
 
 func TestOnlyChangedStatesAreReported(t *testing.T) {
-	var ts reportedStates
+	var rs reportedStates
 	for _, st := range []job.State{job.Queued, job.Running, job.Succeeded} {
-		qt.Check(t, ts.changed("a", st), qt.IsTrue)
-		qt.Check(t, ts.changed("a", st), qt.IsFalse)
+		qt.Check(t, rs.changed("a", st), qt.IsTrue)
+		qt.Check(t, rs.changed("a", st), qt.IsFalse)
 	}
 	for i := range 2 * maxReportedStates {
-		ts.changed(strconv.Itoa(i), job.Running)
+		rs.changed(strconv.Itoa(i), job.Running)
 	}
-	qt.Check(t, len(ts.states) <= maxReportedStates, qt.IsTrue)
+	qt.Check(t, len(rs.states) <= maxReportedStates, qt.IsTrue)
 }
--- a/internal/frontend/slow_links_test.go
+++ b/internal/frontend/slow_links_test.go
@@ -36,9 +36,9 @@
 )
 
 // linkDirection is one direction of a host's link. Messages are transferred one after the
-// other, and also if their sender has stopped waiting.
+// other, even those whose sender has stopped waiting.
 type linkDirection struct {
-	// slot is filled while a message is transferred.
+	// slot holds one element while a message is transferred.
 	slot chan struct{}
 
 	mu sync.Mutex
@@ -83,7 +83,7 @@
 	name    string
 	// out and in are the directions of its link.
 	out, in *linkDirection
-	// frontEnd is that of the current process.
+	// frontEnd is the front end of the current process.
 	frontEnd     atomic.Pointer[FrontEnd]
 	owner        atomic.Pointer[sched.Owner]
 	end          context.CancelFunc
@@ -291,18 +291,20 @@
 // killed and restarted. No task may run twice, no task of a refused job may run, and no
 // accepted job may be lost once the links have capacity again.
 func TestSaturatedLinks(t *testing.T) {
-	proptest.Check(t, proptest.Size{Checks: narrowLinkScripts}, func(rt *rapid.T) {
+	proptest.Check(t, proptest.Size{Checks: narrowLinkScenarios}, func(rt *rapid.T) {
 		rate := rapid.IntRange(minNarrowRate, maxNarrowRate).Draw(rt, "rate")
 		tasks := rapid.SliceOfN(rapid.IntRange(1, 40), 8, 24).Draw(rt, "tasks")
 		killed := rapid.SliceOfN(rapid.IntRange(-3, 2), 6, 6).Draw(rt, "killed")
-		proptest.InBubble(t, func() { runNarrowLinks(rt, rate, tasks, killed) })
+		proptest.InBubble(t, func() { runScenario(rt, rate, tasks, killed) })
 	})
 }
 
-// narrowLinkScripts is the number of generated scenarios; PEPPERHATCH_SEED selects others.
-const narrowLinkScripts = 25
+// narrowLinkScenarios is the number of generated scenarios; PEPPERHATCH_SEED selects others.
+const narrowLinkScenarios = 25
 
-func runNarrowLinks(rt *rapid.T, rate int, tasks, killed []int) {
+// runScenario runs one scenario: the numbers of tasks of the jobs, and which host is killed
+// next, where a negative number means none.
+func runScenario(rt *rapid.T, rate int, tasks, killed []int) {
 	cl := newTestCluster(3, 12, wideRate)
 	defer cl.stop()
 	time.Sleep(3 * time.Second)
--- a/internal/jobhost/config_delay_test.go
+++ b/internal/jobhost/config_delay_test.go
@@ -13,16 +13,17 @@
 	"github.com/pepperhatch/pepperhatch/internal/standin/linetest"
 )
 
-// rounds is how often each kind of stall is measured.
+// rounds is the number of measurements for each kind of stall.
 var rounds = flag.Int("change.rounds", 1, "how often each kind of lost contact with the store is measured")
 
-// silence is a stall in which all open connections stay unresponsive while new ones work.
+// silence is a stall in which all open connections stay unresponsive for good while new
+// ones work.
 const silence standin.Stall = "permanently unresponsive"
 
 // TestDelayUntilChangeIsInForce measures on real connections how long it takes from the end
 // of a stall of the network path to the store until a change of the configuration, made
-// during the stall, is in force. The test fails only if the change doesn't come in force
-// without another one; transport.TestOneChangeAfterSilence bounds the delay in virtual time.
+// during the stall, is in force. The test fails only if the change is not in force within
+// a minute; TestOneChangeAfterSilence of package transport bounds the delay in virtual time.
 //
 //	go test ./internal/jobhost -run DelayUntilChange -v -change.rounds 60
 func TestDelayUntilChangeIsInForce(t *testing.T) {
--- a/internal/jobhost/host.go
+++ b/internal/jobhost/host.go
@@ -49,7 +49,7 @@
 	idleTimeout    = 15 * time.Second
 	headerTimeout  = 3 * time.Second
 	// bodyTimeout bounds the time to receive a request's body: the 3 s that callers wait
-	// for an answer, plus a margin for a saturated link.
+	// for an answer, plus a margin for a saturated network link.
 	bodyTimeout = 5 * time.Second
 	// replyTimeout bounds the time to send a part of an answer: a list of all jobs is
 	// 2 MB, and a saturated link transfers 100 kB per second.
--- a/internal/jobhost/stop_test.go
+++ b/internal/jobhost/stop_test.go
@@ -26,14 +26,14 @@
 	"github.com/pepperhatch/pepperhatch/platform/platformtest"
 )
 
-// testEnv is an entry host with everything it connects to, each behind a line that can be
+// testEnv is an entry host with everything it connects to, each behind a proxy that can be
 // stalled.
 type testEnv struct {
-	t     *testing.T
-	table standin.Table
-	fleet standin.Fleet
-	lines []*standin.Proxy
-	host  *Host
+	t       *testing.T
+	table   standin.Table
+	fleet   standin.Fleet
+	proxies []*standin.Proxy
+	host    *Host
 }
 
 // newTestEnv returns a host with a store and two workers. If relayed is set, the host
@@ -47,12 +47,12 @@
 	// No other host uses the address, and the system assigns no ports as high as these.
 	se.IP, se.Ports, se.GraceS = ip, []int{65534, 65535}, 2
 	se.CallerAddr, se.ReadyAddr = net.JoinHostPort(ip, "65532"), net.JoinHostPort(ip, "65533")
-	se.StoreAddr = te.line(st.Listener.Addr().String())
+	se.StoreAddr = te.proxyTo(st.Listener.Addr().String())
 	if relayed {
 		se.Cores = 0.001
 		rs := httptest.NewServer(&relay.Server{Agent: platform.NewAgent(transport.NewClient(2, nil)), Log: slog.New(slog.DiscardHandler)})
 		t.Cleanup(func() { rs.CloseClientConnections(); rs.Close() })
-		me := registry.Member{Name: "e2", Process: "e2-1", Addr: te.line(rs.Listener.Addr().String()), DataCentre: "z", Cores: 1}
+		me := registry.Member{Name: "e2", Process: "e2-1", Addr: te.proxyTo(rs.Listener.Addr().String()), DataCentre: "z", Cores: 1}
 		qt.Assert(t, platformtest.Put(&te.table, registry.Key(me.Name), me), qt.IsNil)
 	}
 	te.addWorkers()
@@ -62,7 +62,7 @@
 	return te
 }
 
-// addWorkers starts two workers and lists them with the addresses of lines to them.
+// addWorkers starts two workers and lists them under the addresses of proxies to them.
 func (te *testEnv) addWorkers() {
 	te.fleet.RunFunc = func(worker.Attempt) (time.Duration, string) { return -1, "" }
 	end, err := platformtest.Fleet(&te.fleet, &te.table, 2, "routedesk")
@@ -73,7 +73,7 @@
 	for _, row := range rows {
 		var body map[string]any
 		qt.Assert(te.t, json.Unmarshal(row.Value, &body), qt.IsNil)
-		body["address"] = te.line(body["address"].(string))
+		body["address"] = te.proxyTo(body["address"].(string))
 		qt.Assert(te.t, platformtest.Put(&te.table, row.Key, body), qt.IsNil)
 	}
 }
@@ -87,11 +87,11 @@
 	linetest.Eventually(te.t, "tasks run", func() bool { return len(te.fleet.Runs()) == 2 })
 }
 
-// line returns the address of a new line to addr.
-func (te *testEnv) line(addr string) string {
-	ln := linetest.NewProxy(te.t, addr)
-	te.lines = append(te.lines, ln)
-	return ln.Addr()
+// proxyTo returns the address of a new proxy to addr.
+func (te *testEnv) proxyTo(addr string) string {
+	pr := linetest.NewProxy(te.t, addr)
+	te.proxies = append(te.proxies, pr)
+	return pr.Addr()
 }
 
 // lastIP counts the addresses that nextIP returned.
@@ -118,8 +118,8 @@
 				ended := make(chan error, 1)
 				go func() { ended <- te.host.Run(ctx) }()
 				te.startTasks()
-				for _, ln := range te.lines {
-					qt.Assert(t, ln.Stall(st), qt.IsNil)
+				for _, pr := range te.proxies {
+					qt.Assert(t, pr.Stall(st), qt.IsNil)
 				}
 				stop()
 				linetest.MustReturn(t, "planned stop", func() { qt.Check(t, <-ended, qt.IsNil) })
--- a/internal/jobhost/worker_list_test.go
+++ b/internal/jobhost/worker_list_test.go
@@ -38,9 +38,9 @@
 // TestRelaysOutlastLapsedWorkerList guards against an owner that stops using its relays
 // after an outage of the store. The entries of all workers lapse during the outage, and for
 // 2 s after it the workers add themselves again. If the number of relays depended on the
-// listed workers, the owner of hundreds would connect to each of them directly with new
-// fencing tokens while the list is short, which saturates its link, and through relays again
-// 2 s later; services would stop. The path to each worker must not change.
+// listed workers, the owner of hundreds of workers would connect to each of them directly,
+// with new fencing tokens, while the list is short, and through relays again 2 s later. That
+// saturates its link, and services stop. The path to each worker must not change.
 func TestRelaysOutlastLapsedWorkerList(t *testing.T) {
 	for _, lapse := range []string{"whole list", "row by row"} {
 		synctest.Test(t, func(t *testing.T) {
