--- a/e2e/cell_test.go
+++ b/e2e/cell_test.go
@@ -107,10 +107,10 @@
 	cl.await("e4 owns the cell", func() bool { return cl.ownerOf(3, dataCentres[0]) == newHost })
 }
 
-// memberIDs returns the members that an entry host lists in its error about an unknown
-// one.
+// memberIDs returns the members that an entry host lists when it is asked to declare an
+// unknown one dead.
 func (cl *cluster) memberIDs(via int) []string {
-	cmd := exec.Command(filepath.Join(binaries, "pepperhatch"), "declare-dead", "nobody", "--admin", cl.entries[via].addrs[2])
+	cmd := exec.Command(filepath.Join(binaries, "pepperhatch"), "declare-dead", "no-such-host", "--admin", cl.entries[via].addrs[2])
 	out, _ := cmd.CombinedOutput()
 	_, list, _ := strings.Cut(string(out), "there are [")
 	list, _, _ = strings.Cut(list, "]")
--- a/e2e/crash_test.go
+++ b/e2e/crash_test.go
@@ -14,8 +14,8 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// maxStarts is how often a task that crashes every worker may be started, by the users'
-// statement.
+// maxStarts is how often a task that crashes every worker may be started, as the
+// platform's users state it.
 const maxStarts = 5
 
 // TestTaskCrashesWorkersDuringTakeover guards against a new owner that doesn't know how
--- a/e2e/freeze_test.go
+++ b/e2e/freeze_test.go
@@ -221,8 +221,8 @@
 // although there is capacity. It comes about as follows: the owner's host freezes and
 // another host takes over; the new owner plans to use the frozen host as a relay, whose
 // kernel still accepts the connection and the request, so that opening the stream neither
-// succeeds nor fails. When the host resumes it reads the end of the connection, and the
-// new owner must not go on waiting for the stream.
+// succeeds nor fails. When the host resumes, it finds that the connection was closed, and
+// the new owner must not go on waiting for the stream.
 //
 // In that failure the new owner logs "opening a stream to a relay" and "relay does not
 // answer" for the frozen host, and afterwards none of "relay answers", "relay not used for
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -32,7 +32,7 @@
 )
 
 // maxLateFactor is how many times its target duration a job may take and still be of
-// some value to its caller, by the users' statement.
+// some value to its caller, as the platform's users state it.
 const maxLateFactor = 3
 
 // maxLineBytes bounds the length of a log line; a longer one fails the read.
--- a/internal/caller/watch_test.go
+++ b/internal/caller/watch_test.go
@@ -28,8 +28,8 @@
 	opened atomic.Int64
 }
 
-func (pl *beatlessHost) Watch(ctx context.Context, _ *connect.Request[pb.WatchRequest], out *connect.ServerStream[pb.WatchResponse]) error {
-	pl.opened.Add(1)
+func (bh *beatlessHost) Watch(ctx context.Context, _ *connect.Request[pb.WatchRequest], out *connect.ServerStream[pb.WatchResponse]) error {
+	bh.opened.Add(1)
 	if err := out.Send(nil); err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(pl.pause):
+	case <-time.After(bh.pause):
 	}
 	return out.Send(&pb.WatchResponse{Seq: 2, ResumeToken: "2"})
 }
@@ -48,8 +48,8 @@
 // a host without beats pauses for longer than any limit.
 func TestWatchOfEntryHostWithoutBeats(t *testing.T) {
 	t.Parallel()
-	pl := &beatlessHost{pause: openTimeout + 500*time.Millisecond}
-	_, ha := pepperhatchv1connect.NewCallerServiceHandler(pl)
+	bh := &beatlessHost{pause: openTimeout + 500*time.Millisecond}
+	_, ha := pepperhatchv1connect.NewCallerServiceHandler(bh)
 	hs := httptest.NewServer(ha)
 	t.Cleanup(hs.Close)
 	cl := New(&http.Client{Transport: &http.Transport{}}, hs.Listener.Addr().String())
@@ -65,7 +65,7 @@
 	})
 	qt.Assert(t, err, qt.ErrorIs, errEventLimit)
 	qt.Assert(t, seqs, qt.DeepEquals, []uint64{1, 2})
-	qt.Assert(t, pl.opened.Load(), qt.Equals, int64(1))
+	qt.Assert(t, bh.opened.Load(), qt.Equals, int64(1))
 }
 
 // beatingHost is an entry host that sends three events at once and announces beats, but
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -4,7 +4,7 @@
 // The configuration is one row of the table: a version and the values that differ from
 // the defaults. A change is checked, then written by compare-and-set. Every entry host
 // reads the row about once a second and learns of versions from its peers, which also
-// send the values when the table is unavailable. A host never goes back to a lower
+// send the values while the table is unavailable. A host never goes back to a lower
 // version, and is not ready before it has one.
 package config
 
@@ -136,6 +136,7 @@
 	return re, nil
 }
 
+// unlimited is the amount of a resource that a quota does not limit.
 const unlimited = int64(1) << 60
 
 // findKey returns the documentation of a key.
--- a/internal/dev/check.go
+++ b/internal/dev/check.go
@@ -158,7 +158,7 @@
 	spans := map[string][]standin.TaskSpan{}
 	for i, st := range de.workers {
 		if n := st.Overcommits(); n > 0 {
-			violations = append(violations, fmt.Sprintf("worker %d was overfull %d times", i, n))
+			violations = append(violations, fmt.Sprintf("worker %d was overcommitted %d times", i, n))
 		}
 		for _, sp := range st.Log() {
 			spans[sp.Task] = append(spans[sp.Task], sp)
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -174,8 +174,8 @@
 
 func (de *deployment) addWorker(dc string, i int) error {
 	id := fmt.Sprintf("%s-worker%d", dc[:1], i+1)
-	holds := worker.Resources{MilliCores: 30_000, MemMB: 125_000}
-	st := standin.NewWorker(standin.WorkerSettings{ID: id, Capacity: holds, Lag: time.Second, CheckpointEvery: time.Second})
+	capacity := worker.Resources{MilliCores: 30_000, MemMB: 125_000}
+	st := standin.NewWorker(standin.WorkerSettings{ID: id, Capacity: capacity, Lag: time.Second, CheckpointEvery: time.Second})
 	addr, err := de.serve(st.Handler())
 	if err != nil {
 		return err
@@ -183,7 +183,7 @@
 	de.workers = append(de.workers, st)
 	de.hosts.Put(store.Host{
 		ID: id, Kind: store.KindWorker, Addr: addr, DC: dc, Rack: fmt.Sprintf("r%d", i/workersPerRack+1),
-		State: store.HostLive, MilliCores: holds.MilliCores, MemMB: holds.MemMB,
+		State: store.HostLive, MilliCores: capacity.MilliCores, MemMB: capacity.MemMB,
 	})
 	return nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -87,8 +87,8 @@
 	qt.Assert(t, len(a.jobs), qt.Equals, len(b.jobs))
 	qt.Assert(t, a.jobs[9].spec, qt.DeepEquals, b.jobs[9].spec)
 	qt.Assert(t, a.drops, qt.Not(qt.DeepEquals), otherSeed.drops)
-	for _, dr := range a.jobs {
-		qt.Assert(t, dr.spec.Check(), qt.IsNil)
+	for _, sj := range a.jobs {
+		qt.Assert(t, sj.spec.Check(), qt.IsNil)
 	}
 }
 
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -92,30 +92,30 @@
 func (sm *simulation) sumBatchJobs(re *Result, done map[string]int, until map[string]time.Time) {
 	means := map[*BatchJobs]float64{}
 	counts := map[*BatchJobs]float64{}
-	for _, dr := range sm.day.jobs {
-		if dr.batch != nil {
-			means[dr.batch] += dr.work()
-			counts[dr.batch]++
+	for _, sj := range sm.day.jobs {
+		if sj.batch != nil {
+			means[sj.batch] += sj.work()
+			counts[sj.batch]++
 		}
 	}
-	for _, dr := range sm.day.jobs {
-		if dr.batch == nil {
+	for _, sj := range sm.day.jobs {
+		if sj.batch == nil {
 			continue
 		}
-		value := dr.batch.Value * (1 - workFraction + workFraction*dr.work()*counts[dr.batch]/means[dr.batch])
+		value := sj.batch.Value * (1 - workFraction + workFraction*sj.work()*counts[sj.batch]/means[sj.batch])
 		cl := &re.Short
-		if dr.batch.Filler {
+		if sj.batch.Filler {
 			cl = &re.Fillers
 		}
-		finished := done[dr.id] == taskCount(dr)
-		cl.add(value, dr.target(), until[dr.id].Sub(sm.startTime.Add(dr.at)), finished)
+		finished := done[sj.id] == taskCount(sj)
+		cl.add(value, sj.target(), until[sj.id].Sub(sm.startTime.Add(sj.at)), finished)
 	}
 }
 
 // taskCount returns the number of tasks of a job.
-func taskCount(dr *sampledJob) int {
+func taskCount(sj *sampledJob) int {
 	n := 0
-	for _, st := range dr.spec.Steps {
+	for _, st := range sj.spec.Steps {
 		n += st.Tasks
 	}
 	return n
@@ -145,9 +145,9 @@
 // start of the warm-up to the end.
 func (sm *simulation) sumServices(re *Result) {
 	all := 0
-	for _, dr := range sm.day.jobs {
-		if dr.batch == nil {
-			all += taskCount(dr)
+	for _, sj := range sm.day.jobs {
+		if sj.batch == nil {
+			all += taskCount(sj)
 		}
 	}
 	perTask := sm.day.mix.Services.Value * float64(sm.day.mix.Services.Jobs) / float64(max(all, 1))
--- a/internal/lab/sample.go
+++ b/internal/lab/sample.go
@@ -59,10 +59,10 @@
 }
 
 // add adds a job under the next ID.
-func (da *day) add(dr *sampledJob) {
-	dr.id = fmt.Sprintf("%016x", len(da.jobs)+1)
-	da.jobs = append(da.jobs, dr)
-	da.byID[dr.id] = dr
+func (da *day) add(sj *sampledJob) {
+	sj.id = fmt.Sprintf("%016x", len(da.jobs)+1)
+	da.jobs = append(da.jobs, sj)
+	da.byID[sj.id] = sj
 }
 
 // sampleDrops samples how much each filler image disturbs each service image.
@@ -108,7 +108,7 @@
 	if ba.Filler {
 		queue, image = "fillers", imageName("f", skewedIndex(rn, ba.Images))
 	}
-	dr := &sampledJob{at: at, terms: jobTerms(queue, ba.Priority, ba.Stretch, ba.AllowanceMS), batch: ba}
+	sj := &sampledJob{at: at, terms: jobTerms(queue, ba.Priority, ba.Stretch, ba.AllowanceMS), batch: ba}
 	for i := range ba.Steps.sampleCount(rn) {
 		run := ba.RunMS.sample(rn)
 		st := job.Step{
@@ -118,35 +118,35 @@
 		if i > 0 {
 			st.After = []int{i - 1}
 		}
-		dr.spec.Steps = append(dr.spec.Steps, st)
-		dr.runMS = append(dr.runMS, int64(run))
+		sj.spec.Steps = append(sj.spec.Steps, st)
+		sj.runMS = append(sj.runMS, int64(run))
 	}
-	return dr
+	return sj
 }
 
 // target returns the job's target duration by its true run times.
-func (dr *sampledJob) target() time.Duration {
-	return time.Duration(dr.trueJob().TargetDurationMS()) * time.Millisecond
+func (sj *sampledJob) target() time.Duration {
+	return time.Duration(sj.trueJob().TargetDurationMS()) * time.Millisecond
 }
 
 // work returns the job's processor time in millicore-milliseconds, by its true run times.
-func (dr *sampledJob) work() float64 {
-	return float64(dr.trueJob().RemainingWork())
+func (sj *sampledJob) work() float64 {
+	return float64(sj.trueJob().RemainingWork())
 }
 
 // trueJob returns the job with its true run times as estimates.
-func (dr *sampledJob) trueJob() *job.Job {
-	sp := dr.spec
+func (sj *sampledJob) trueJob() *job.Job {
+	sp := sj.spec
 	sp.Steps = slices.Clone(sp.Steps)
 	for i := range sp.Steps {
-		sp.Steps[i].EstimateMS = dr.runMS[i]
+		sp.Steps[i].EstimateMS = sj.runMS[i]
 	}
-	return job.New(dr.id, dr.terms, sp)
+	return job.New(sj.id, sj.terms, sp)
 }
 
 // load returns the fraction of its processor allocation that a service uses at the time
 // since the start of the day.
-func (da *day) load(dr *sampledJob, since time.Duration) float64 {
+func (da *day) load(sj *sampledJob, since time.Duration) float64 {
 	se := &da.mix.Services
-	return se.Load * (1 + se.Swing*math.Sin(dr.phase+2*math.Pi*since.Seconds()/se.SwingS))
+	return se.Load * (1 + se.Swing*math.Sin(sj.phase+2*math.Pi*since.Seconds()/se.SwingS))
 }
--- a/internal/lab/simulation.go
+++ b/internal/lab/simulation.go
@@ -40,7 +40,9 @@
 	KnowsDisturbance, KnowsRunTimes, Undisturbed bool
 }
 
-// Bounds holds the real policy and variants that bound what more knowledge can gain.
+// Bounds holds the real policy and variants that bound what more knowledge can gain. An
+// owner that "knows pairs" starts with the true disturbance and goes on learning, one that
+// is "told pairs" uses the given figures unchanged.
 var Bounds = []Variant{
 	{Name: "real"},
 	{Name: "knows pairs", KnowsDisturbance: true},
@@ -103,12 +105,12 @@
 
 // declareTrueRunTimes replaces the estimates of all jobs by their true run times.
 func (da *day) declareTrueRunTimes() {
-	for _, dr := range da.jobs {
-		dr.spec = dr.trueJob().Spec
+	for _, sj := range da.jobs {
+		sj.spec = sj.trueJob().Spec
 	}
 }
 
-// newWorld returns the model of how tasks disturb each other.
+// newWorld returns the model of how tasks on a worker disturb each other.
 func (sm *simulation) newWorld(seed uint64) *standin.Interference {
 	return &standin.Interference{
 		StepFunc: sm.step,
@@ -136,23 +138,23 @@
 // stated as a negative time.
 func (sm *simulation) runTime(at worker.Attempt) (time.Duration, string) {
 	id, ref, _ := job.ParseTaskID(at.Task)
-	dr := sm.day.byID[id]
-	if dr.spec.Steps[ref.Step].LongRunning {
+	sj := sm.day.byID[id]
+	if sj.spec.Steps[ref.Step].LongRunning {
 		return -1, ""
 	}
-	return time.Duration(dr.runMS[ref.Step]) * time.Millisecond, "done"
+	return time.Duration(sj.runMS[ref.Step]) * time.Millisecond, "done"
 }
 
 // addWorkers adds the workers to the fleet and returns their list entries.
 func (sm *simulation) addWorkers() []sched.WorkerEntry {
 	mi := &sm.day.mix
 	for i := range mi.Workers {
-		holds := worker.Resources{MilliCores: mi.MilliCores, MemMB: mi.MemMB}
+		capacity := worker.Resources{MilliCores: mi.MilliCores, MemMB: mi.MemMB}
 		if i%3 == 2 {
-			holds = worker.Resources{MilliCores: mi.MilliCores * 3 / 2, MemMB: mi.MemMB * 3 / 2}
+			capacity = worker.Resources{MilliCores: mi.MilliCores * 3 / 2, MemMB: mi.MemMB * 3 / 2}
 		}
 		ad := worker.Addr{HostPort: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Incarnation: worker.Incarnation{ID: fmt.Sprintf("i-%03d", i)}}
-		fw := &standin.FleetWorker{Addr: ad, Capacity: holds}
+		fw := &standin.FleetWorker{Addr: ad, Capacity: capacity}
 		sm.fleet.Add(fw)
 		sm.workers, sm.racks = append(sm.workers, fw), append(sm.racks, fmt.Sprintf("r%d", i/8))
 	}
@@ -275,23 +277,23 @@
 // time. It returns when no more jobs arrive.
 func (sm *simulation) submitAll(ctx context.Context, ow *sched.Owner) {
 	time.Sleep(time.Second)
-	for _, dr := range sm.day.jobs {
-		if dr.batch == nil {
-			sm.submit(ctx, ow, dr)
+	for _, sj := range sm.day.jobs {
+		if sj.batch == nil {
+			sm.submit(ctx, ow, sj)
 		}
 	}
 	time.Sleep(warmUpTime)
 	start := time.Now()
-	for _, dr := range sm.day.jobs {
-		if dr.batch != nil {
-			dr.at += start.Sub(sm.startTime)
-			time.AfterFunc(time.Until(sm.startTime.Add(dr.at)), func() { sm.submit(ctx, ow, dr) })
+	for _, sj := range sm.day.jobs {
+		if sj.batch != nil {
+			sj.at += start.Sub(sm.startTime)
+			time.AfterFunc(time.Until(sm.startTime.Add(sj.at)), func() { sm.submit(ctx, ow, sj) })
 		}
 	}
 	time.Sleep(time.Duration(sm.day.mix.Seconds) * time.Second)
 }
 
 // submit submits a job. One that is refused counts as never done.
-func (sm *simulation) submit(ctx context.Context, ow *sched.Owner, dr *sampledJob) {
-	_, _ = ow.Submit(ctx, dr.id, dr.terms, dr.spec)
+func (sm *simulation) submit(ctx context.Context, ow *sched.Owner, sj *sampledJob) {
+	_, _ = ow.Submit(ctx, sj.id, sj.terms, sj.spec)
 }
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -147,7 +147,7 @@
 		}
 		if write > 0 {
 			w = &timedWriter{ResponseWriter: w, rc: rc, timeout: write}
-			// The buffered rest is sent after the handler returns.
+			// Bytes that are still buffered are sent after the handler returns.
 			defer func() { _ = rc.SetWriteDeadline(time.Now().Add(write)) }()
 		}
 		h.ServeHTTP(w, r)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,9 +21,9 @@
 	Name        string   `long:"name" env:"PEPPERHATCH_NAME" description:"name of the host; each process adds a random suffix"`
 	DC          string   `long:"data-centre" env:"PEPPERHATCH_DATA_CENTRE" description:"data centre of the host"`
 	DCs         []string `long:"data-centres" env:"PEPPERHATCH_DATA_CENTRES" env-delim:"," description:"all data centres, the same list on every host"`
-	CallerAddr  string   `long:"caller-addr" env:"PEPPERHATCH_CALLER_ADDR" default:"127.0.0.1:7400" description:"IP number and port for callers"`
-	PeerAddr    string   `long:"peer-addr" env:"PEPPERHATCH_PEER_ADDR" default:"127.0.0.1:7401" description:"IP number and port for other entry hosts"`
-	AdminAddr   string   `long:"admin-addr" env:"PEPPERHATCH_ADMIN_ADDR" default:"127.0.0.1:7402" description:"IP number and port for operators, metrics and health"`
+	CallerAddr  string   `long:"caller-addr" env:"PEPPERHATCH_CALLER_ADDR" default:"127.0.0.1:7400" description:"IP address and port for callers"`
+	PeerAddr    string   `long:"peer-addr" env:"PEPPERHATCH_PEER_ADDR" default:"127.0.0.1:7401" description:"IP address and port for other entry hosts"`
+	AdminAddr   string   `long:"admin-addr" env:"PEPPERHATCH_ADMIN_ADDR" default:"127.0.0.1:7402" description:"IP address and port for operators, metrics and health"`
 	Peers       []string `long:"peer" env:"PEPPERHATCH_PEERS" env-delim:"," description:"peer address of another entry host, from which the others are discovered"`
 	TableURL    string   `long:"table" env:"PEPPERHATCH_TABLE" description:"URL of the platform's table service"`
 	ObjectsURL  string   `long:"objects" env:"PEPPERHATCH_OBJECTS" description:"URL of the platform's object store"`
@@ -91,15 +91,15 @@
 	return errors.Join(errs...)
 }
 
-// checkAddr requires an IP number, because hosts connect to each other without name
-// resolution.
+// checkAddr requires an IP address and a port, because hosts connect to each other without
+// name resolution.
 func checkAddr(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fmt.Errorf("want an IP number and a port: %w", err)
+		return fmt.Errorf("want an IP address and a port: %w", err)
 	}
 	if net.ParseIP(host) == nil {
-		return errors.New("want an IP number, not a name")
+		return errors.New("want an IP address, not a name")
 	}
 	return nil
 }
@@ -112,14 +112,15 @@
 	return nil
 }
 
-// Level returns the least level of lines logged.
+// Level returns the minimum level of lines logged.
 func (se Serve) Level() slog.Level {
 	var le slog.Level
 	_ = le.UnmarshalText([]byte(se.LogLevel))
 	return le
 }
 
-// ProcessID returns an ID of this process: after a restart the host is a new member.
+// ProcessID returns a new unique ID for the process: after a restart the host is a new
+// member.
 func (se Serve) ProcessID() string {
 	return se.Name + "-" + uuid.NewString()[:8]
 }
--- a/internal/standin/interference.go
+++ b/internal/standin/interference.go
@@ -9,10 +9,11 @@
 	"github.com/pepperhatch/pepperhatch/internal/worker"
 )
 
-// Interference models how the tasks on each worker of a [Fleet] slow each other down, by
-// the users' description: services share the processors allocated to them, fillers get
-// the processors that the others leave idle, and both increase the tail latency of
-// services. Set its fields, set it in the fleet, and call [Fleet.Advance] repeatedly.
+// Interference models how the tasks on each worker of a [Fleet] slow each other down, as
+// users of the platform describe it: services share the processors allocated to them,
+// fillers get the processors that the others leave idle, and both increase the tail
+// latency of services. Set its fields, set it in the fleet, and call [Fleet.Advance]
+// repeatedly.
 //
 // The headroom of a service is its latency target divided by its tail latency. It is
 // MaxHeadroom without load, falls in proportion to its own load, and falls by the result
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -97,7 +97,7 @@
 	{PollFailures, "outcome", "failed polls of workers", "growth: workers are unavailable"},
 	{PlacementRounds, "", "rounds of placement of a cell, each over all its workers", "many a second: the owner is short of processor time, see CAPACITY.md"},
 	{Stalls, "", "attempts that were stopped because they made no progress", "look for the workers in the log: \"attempts stand still\""},
-	{Evacuated, "why", "long-running tasks that were stopped to continue elsewhere, because their worker drains or has had no entry for long (unlisted)", "unlisted: look for \"emptying a worker without an entry\" in the log"},
+	{Evacuated, "why", "long-running tasks that were stopped to continue elsewhere, because their worker drains or has been without an entry for too long (unlisted)", "unlisted: look for \"emptying a worker without an entry\" in the log"},
 	{JobTime, "cause", "time of finished jobs, in milliseconds, by cause", "mostly room or place: too little free capacity; mostly store or order: the store or the owner is slow"},
 	{RelaysLost, "", "streams from an owner to other entry hosts that ended", "look for \"relay not used for a while\" in the owner's log"},
 	{WorkersCrashed, "attempts", "workers whose process ended without a report, by whether attempts were present at the worker (some) or not (none)", "some: look for \"task given up\" and \"trying a task under which workers ended\" in the log"},
