--- a/internal/dev/check.go
+++ b/internal/dev/check.go
@@ -127,7 +127,7 @@
 		de.printf("BROKEN: %s", text)
 	}
 	if len(violations) == 0 {
-		de.printf("no promise was seen broken")
+		de.printf("no violated guarantee was found")
 	}
 	return len(violations) > 0, nil
 }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -19,7 +19,7 @@
 	violated, err := Run(context.Background(), Settings{Duration: 3 * time.Second, Rate: 100, Out: &out, Log: slog.New(slog.DiscardHandler)})
 	c.Assert(err, qt.IsNil)
 	c.Assert(violated, qt.IsFalse, qt.Commentf("%s", out.String()))
-	c.Assert(out.String(), qt.Contains, "no promise was seen broken")
+	c.Assert(out.String(), qt.Contains, "no violated guarantee was found")
 	c.Assert(out.String(), qt.Matches, `(?s).*jobs with steps: [1-9]\d* accepted, .*, 0 tasks run twice.*`)
 }
 
