--- a/internal/dev/check.go
+++ b/internal/dev/check.go
@@ -127,7 +127,7 @@
 		de.printf("BROKEN: %s", text)
 	}
 	if len(violations) == 0 {
-		de.printf("no promise was seen broken")
+		de.printf("no violated guarantee was found")
 	}
 	return len(violations) > 0, nil
 }
@@ -158,7 +158,7 @@
 	spans := map[string][]standin.TaskSpan{}
 	for i, st := range de.workers {
 		if n := st.Overcommits(); n > 0 {
-			violations = append(violations, fmt.Sprintf("worker %d was overfull %d times", i, n))
+			violations = append(violations, fmt.Sprintf("worker %d was overcommitted %d times", i, n))
 		}
 		for _, sp := range st.Log() {
 			spans[sp.Task] = append(spans[sp.Task], sp)
